--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -101,12 +101,12 @@
 
     async def run() -> dict[str, float]:
         from driftstair.config import load
-        from driftstair.net.system import SOCKETS
+        from driftstair.net.system import SOCKET_SYSTEM
         from driftstair.tier import told
         from driftstair.tier.service import Tier
 
         config = load({"BALANCER_CONFIG": str(folder / "old.json")})
-        process = Tier(config, told.read(config), PERIOD, KEY, None, None, SOCKETS)
+        process = Tier(config, told.read(config), PERIOD, KEY, None, None, SOCKET_SYSTEM)
         process._tell(all_alive(size))
         return {
             "report_bytes": len(json.dumps(process.report())),
--- a/benchmarks/scale/hollow/system.py
+++ b/benchmarks/scale/hollow/system.py
@@ -9,7 +9,7 @@
 
 from benchmarks.scale.hollow.clock import dilated_ns
 from benchmarks.scale.hollow.plan import NS, region_of
-from driftstair.net.datagrams import SocketDatagrams
+from driftstair.net.udp_socket import UdpSocket
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
         return not self.regions_cut or region_of(sender) == region_of(self.numbers[address])
 
 
-class MeteredDatagrams(SocketDatagrams):
+class MeteredDatagrams(UdpSocket):
     """The shipped socket, which counts, and drops what the network does not carry."""
 
     def __init__(
@@ -56,9 +56,9 @@
         self._meter.bytes_out += len(data)
         self._meter.datagrams_out += 1
         if self._links.carries(self._number, address):
-            before = self.unsent
+            before = self.send_errors
             super().send(data, address)
-            self._meter.unsent += self.unsent - before
+            self._meter.unsent += self.send_errors - before
 
 
 class HollowSystem:
@@ -91,7 +91,7 @@
     def time_ns(self) -> int:
         return self._wall_ns
 
-    def datagrams(
+    def open_datagram_socket(
         self, address: tuple[str, int], received: Callable[[bytes, tuple[str, int]], None], most: int
     ) -> MeteredDatagrams:
         """Raises OSError."""
@@ -103,7 +103,7 @@
         if self._socket is not None:
             self._socket.close()
 
-    async def aside(self, what: Callable[[], None]) -> None:
+    async def run_blocking(self, what: Callable[[], None]) -> None:
         if self.writes:
             await asyncio.to_thread(what)
 
@@ -115,13 +115,13 @@
     async def dial(self, factory: Callable[[], asyncio.BaseProtocol], address: tuple[str, int]) -> Any:
         raise NotImplementedError
 
-    def prepare(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def configure_connection(self, transport: asyncio.Transport) -> Callable[[], bool]:
         raise NotImplementedError
 
-    def departure(self, transport: asyncio.Transport) -> Callable[[], int | None]:
+    def peer_close_probe(self, transport: asyncio.Transport) -> Callable[[], int | None]:
         raise NotImplementedError
 
-    def unread(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_probe(self, transport: asyncio.Transport) -> Callable[[], bool]:
         raise NotImplementedError
 
     def unread_bytes(self, transport: asyncio.Transport) -> int:
@@ -130,5 +130,5 @@
     def accepted_age(self, transport: asyncio.Transport) -> int:
         raise NotImplementedError
 
-    def last_arrival(self, transport: asyncio.Transport) -> Callable[[], int]:
+    def data_age_probe(self, transport: asyncio.Transport) -> Callable[[], int]:
         raise NotImplementedError
--- a/benchmarks/scale/in_force.py
+++ b/benchmarks/scale/in_force.py
@@ -233,10 +233,10 @@
 
 async def _taken_in(lines: list[bytes], given: Any) -> dict[str, float]:
     from driftstair.__main__ import settle
-    from driftstair.net.system import SOCKETS
+    from driftstair.net.system import SOCKET_SYSTEM
     from driftstair.node_configuration.application import Application
 
-    application = Application(SOCKETS, given, _Effects(), None)
+    application = Application(SOCKET_SYSTEM, given, _Effects(), None)
     watch = _Watch()
     application.watch = watch  # type: ignore[assignment]
     settle()  # as a daemon does once it serves
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -33,7 +33,7 @@
 
 def _measure(size: int, folder: Path) -> dict[str, float]:
     from driftstair.config import load
-    from driftstair.net.system import SOCKETS
+    from driftstair.net.system import SOCKET_SYSTEM
     from driftstair.tier import told
     from driftstair.tier.service import Tier
 
@@ -42,7 +42,7 @@
     claims = all_alive(size)
 
     def start() -> Tier:
-        process = Tier(config, peers, PERIOD, KEY, None, None, SOCKETS, judges=True)
+        process = Tier(config, peers, PERIOD, KEY, None, None, SOCKET_SYSTEM, judges=True)
         process._tell(claims)
         return process
 
--- a/benchmarks/scale/watched/system.py
+++ b/benchmarks/scale/watched/system.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from driftstair.net.system import Factory, SocketSystem
+from driftstair.net.system import ProtocolFactory, SocketSystem
 
 
 class MeteredTransport:
@@ -30,7 +30,7 @@
         self.bytes_in = 0
         self.bytes_out = 0
 
-    async def dial(self, factory: Factory, address: tuple[str, int]) -> asyncio.BaseProtocol:
+    async def dial(self, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
         return await super().dial(lambda: self._metered(factory()), address)
 
     def _metered(self, protocol: Any) -> Any:
--- a/driftstair/control/server.py
+++ b/driftstair/control/server.py
@@ -19,7 +19,7 @@
 from driftstair.control.settings import ServerSettings
 from driftstair.control.status import FORMAT, LogPage, LogStatus, RevisionStatus, ServerStatus
 from driftstair.control.watchers import Watchers, read_revision
-from driftstair.net.system import bound
+from driftstair.net.system import bind_listening_socket
 
 log = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
 
     async def start(self) -> tuple[str, int]:
         """The address that is listened on. Raises OSError."""
-        own = bound(self.settings.listen, BACKLOG)
+        own = bind_listening_socket(self.settings.listen, BACKLOG)
         self._server = await self._loop.create_server(self._http.new_connection, sock=own)
         host, port = own.getsockname()[:2]
         return host, port
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -15,7 +15,7 @@
 from driftstair.net.connection_pools import Pools
 from driftstair.net.front import Front
 from driftstair.net.node import Node
-from driftstair.net.system import SOCKETS, System
+from driftstair.net.system import SOCKET_SYSTEM, System
 from driftstair.settings import Config
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
 
 def assemble(
     config: Config,
-    system: System = SOCKETS,
+    system: System = SOCKET_SYSTEM,
     limits: RequestTable | None = None,
     roster: Roster | None = None,
 ) -> tuple[Node, Front]:
@@ -126,7 +126,7 @@
 
 
 async def serve(
-    config: Config, reread: Callable[[], Config], system: System = SOCKETS,
+    config: Config, reread: Callable[[], Config], system: System = SOCKET_SYSTEM,
     ready: Callable[[], None] = lambda: None, service: ServiceFile | None = None,
     has_changed: Callable[[], bool] = bool,
 ) -> int:  # fmt: skip
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -67,9 +67,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         transport.set_write_buffer_limits(high=0)  # to be told when an answer's last byte is out
-        self._departed = self._front.departure(transport)
-        self._last_arrival = self._front.last_arrival(transport)
-        self._unread = self._front.unread(transport)
+        self._departed = self._front.peer_close_probe(transport)
+        self._last_arrival = self._front.data_age_probe(transport)
+        self._unread = self._front.unread_probe(transport)
         self._date_acceptance(transport)
         self._front.on_connect(self)
 
--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -9,7 +9,7 @@
 
 from driftstair.net.connection_rest import ConnectionRest
 from driftstair.net.flow import SILENCE_MOST
-from driftstair.net.system import SOCKETS, System
+from driftstair.net.system import SOCKET_SYSTEM, System
 from lichenspring.interface import Result, ServerId
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
     """All pools, within the descriptors that the node may use for servers."""
 
     def __init__(
-        self, sockets_most: int, dial_timeout: int, idle_close: int, system: System = SOCKETS
+        self, sockets_most: int, dial_timeout: int, idle_close: int, system: System = SOCKET_SYSTEM
     ) -> None:
         self.system = system
         self.now = system.monotonic_ns
--- a/driftstair/net/dialing.py
+++ b/driftstair/net/dialing.py
@@ -5,7 +5,7 @@
 import asyncio
 import errno
 
-from driftstair.net.system import Factory, System
+from driftstair.net.system import ProtocolFactory, System
 
 LOCAL_ERRORS = frozenset((
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EADDRNOTAVAIL, errno.EINTR,
@@ -19,7 +19,7 @@
 PAUSE = 0.01  # s between two of them
 
 
-async def dial(system: System, factory: Factory, address: tuple[str, int]) -> asyncio.BaseProtocol:
+async def dial(system: System, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
     """A connection that came up. Raises OSError; one of MOMENTARY_ERRORS only after some tries."""
     for left in reversed(range(DIALS)):
         try:
--- a/driftstair/net/discovery.py
+++ b/driftstair/net/discovery.py
@@ -178,7 +178,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         if self._discovery.is_current(self):
-            self.is_quiet = self._system.prepare(cast(asyncio.Transport, transport))
+            self.is_quiet = self._system.configure_connection(cast(asyncio.Transport, transport))
 
     def data_received(self, data: bytes) -> None:
         super().data_received(data)
--- a/driftstair/net/front.py
+++ b/driftstair/net/front.py
@@ -15,7 +15,7 @@
 from driftstair.net.loop_monitor import LoopMonitor
 from driftstair.net.node import Node
 from driftstair.net.request_guard import ProcessState
-from driftstair.net.system import SOCKETS, Listener, System
+from driftstair.net.system import SOCKET_SYSTEM, Listener, System
 from driftstair.observability.reasons import CloseReason
 from driftstair.settings import Config
 
@@ -38,14 +38,14 @@
 class Front:
     """The listening socket and all connections that came from it."""
 
-    def __init__(self, node: Node, config: Config, limits: Limits, system: System = SOCKETS) -> None:
+    def __init__(self, node: Node, config: Config, limits: Limits, system: System = SOCKET_SYSTEM) -> None:
         self.node = node
         self.config = config
         self.now = system.monotonic_ns
-        self.departure = system.departure
+        self.peer_close_probe = system.peer_close_probe
         self.accepted_age = system.accepted_age
-        self.last_arrival = system.last_arrival
-        self.unread = system.unread
+        self.data_age_probe = system.data_age_probe
+        self.unread_probe = system.unread_probe
         self.unread_bytes = system.unread_bytes
         self.monitor = LoopMonitor(system.monotonic_ns, node.note_loop_held)
         self._system = system
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -23,7 +23,7 @@
 from driftstair.net.server_attempt import Attempt
 from driftstair.net.server_connection import Answer
 from driftstair.net.server_directory import ServerDirectory
-from driftstair.net.system import SOCKETS, System
+from driftstair.net.system import SOCKET_SYSTEM, System
 from driftstair.observability.metrics import Metrics
 from driftstair.observability.reasons import AnswerReason
 from driftstair.settings import Config
@@ -54,8 +54,8 @@
     """Owns the balancer; it sees one event at a time, each once all actions on the one before are done."""
 
     def __init__(
-        self, config: Config, pools: Pools, system: System = SOCKETS, limits: RequestTable | None = None,
-        roster: Roster | None = None,
+        self, config: Config, pools: Pools, system: System = SOCKET_SYSTEM,
+        limits: RequestTable | None = None, roster: Roster | None = None,
     ) -> None:  # fmt: skip
         self.limits = limits  # routes of the service file
         self.ledger: Keeper | None = None
--- a/driftstair/net/server_connection.py
+++ b/driftstair/net/server_connection.py
@@ -69,7 +69,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         self._pool.pools.sockets += 1
-        self._quiet = self._pool.pools.system.prepare(transport)
+        self._quiet = self._pool.pools.system.configure_connection(transport)
         # With no room in the buffer each write is tried at once, and what is left over tells when it is out.
         transport.set_write_buffer_limits(high=0)
 
--- a/driftstair/net/system.py
+++ b/driftstair/net/system.py
@@ -29,7 +29,7 @@
 COUNT = struct.Struct("=i")  # what FIONREAD fills in (tty_ioctl(4), tcp(7): SIOCINQ)
 LONG_AGO = 1 << 60  # ns
 
-Factory = Callable[[], asyncio.BaseProtocol]
+ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 
 
 class Listener(Protocol):
@@ -46,18 +46,18 @@
     def accept(self) -> Any:
         """The next connection; raises BlockingIOError if none waits, and OSError as accept(2) does."""
 
-    async def adopt(self, factory: Factory, accepted: Any) -> None:
+    async def adopt(self, factory: ProtocolFactory, accepted: Any) -> None:
         """Give an accepted connection its protocol. On an error the caller closes it."""
 
     def close(self) -> None: ...
 
 
-class Datagrams(Protocol):
+class DatagramSocket(Protocol):
     """A UDP socket."""
 
     address: tuple[str, int]
-    unsent: int  # datagrams that the machine would not take
-    broken: int  # errors that reading brought: what another machine has refused
+    send_errors: int  # datagrams that the machine would not take
+    receive_errors: int  # errors that reading brought: what another machine has refused
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
         """Or not at all: whatever the machine says against it, the datagram is lost."""
@@ -75,24 +75,24 @@
     def listen(self, address: tuple[str, int], backlog: int) -> Listener:
         """Raises OSError."""
 
-    async def dial(self, factory: Factory, address: tuple[str, int]) -> asyncio.BaseProtocol:
+    async def dial(self, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
         """A connection; raises OSError, and waits for as long as nothing answers."""
 
-    def datagrams(
+    def open_datagram_socket(
         self, address: tuple[str, int], received: Callable[[bytes, tuple[str, int]], None], most: int
-    ) -> Datagrams:
+    ) -> DatagramSocket:
         """A UDP socket; `received` is called with each datagram and where it came from, one of more than
         `most` bytes as `most` + 1 of them. Raises OSError."""
 
-    def prepare(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def configure_connection(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """Set up a connection that came up for requests one at a time. What is returned tells whether it is
         quiet: nothing has come, nor its end, that the loop has not read yet."""
 
-    def departure(self, transport: asyncio.Transport) -> Callable[[], int | None]:
+    def peer_close_probe(self, transport: asyncio.Transport) -> Callable[[], int | None]:
         """What is returned tells for how long (ns) at most a connection's peer has closed it or ended its
         sending, whether or not the loop has read so far; None while it has not."""
 
-    def last_arrival(self, transport: asyncio.Transport) -> Callable[[], int]:
+    def data_age_probe(self, transport: asyncio.Transport) -> Callable[[], int]:
         """What is returned tells how long ago (ns) the newest data came on a connection, whether or not they
         were read at once, as exactly as the system's ticks are; 0 where it does not tell."""
 
@@ -100,14 +100,14 @@
         """How long ago (ns) an accepted connection on which nothing has been sent came up, however long it
         waited to be accepted; 0 where the system does not tell."""
 
-    def unread(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_probe(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """What is returned tells whether data or the peer's end of sending wait on a connection that the loop
         has not read; not on one that was reset."""
 
     def unread_bytes(self, transport: asyncio.Transport) -> int:
         """How many bytes wait on a connection that the loop has not read; 0 where it does not tell."""
 
-    async def aside(self, what: Callable[[], None]) -> None:
+    async def run_blocking(self, what: Callable[[], None]) -> None:
         """Do what waits for a disk, off the loop's turn."""
 
 
@@ -126,7 +126,7 @@
     def accept(self) -> socket.socket:
         return self._socket.accept()[0]
 
-    async def adopt(self, factory: Factory, accepted: socket.socket) -> None:
+    async def adopt(self, factory: ProtocolFactory, accepted: socket.socket) -> None:
         accepted.setblocking(False)
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await self._loop.connect_accepted_socket(factory, accepted)
@@ -138,7 +138,7 @@
         self._socket.close()
 
 
-def bound(address: tuple[str, int], backlog: int, shared: bool = False) -> socket.socket:
+def bind_listening_socket(address: tuple[str, int], backlog: int, shared: bool = False) -> socket.socket:
     """A listening socket; raises OSError. `shared`: other processes may listen on the same address."""
     host, port = address
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -180,20 +180,20 @@
     time_ns = staticmethod(time.time_ns)
 
     def listen(self, address: tuple[str, int], backlog: int) -> SocketListener:
-        return SocketListener(bound(address, backlog))
+        return SocketListener(bind_listening_socket(address, backlog))
 
-    async def dial(self, factory: Factory, address: tuple[str, int]) -> asyncio.BaseProtocol:
+    async def dial(self, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
         _, protocol = await asyncio.get_running_loop().create_connection(factory, *address)
         return protocol
 
-    def datagrams(
+    def open_datagram_socket(
         self, address: tuple[str, int], received: Callable[[bytes, tuple[str, int]], None], most: int
-    ) -> Datagrams:
-        from driftstair.net.datagrams import SocketDatagrams  # only a tier sends any
+    ) -> DatagramSocket:
+        from driftstair.net.udp_socket import UdpSocket  # only a tier sends any
 
-        return SocketDatagrams(address, received, most)
+        return UdpSocket(address, received, most)
 
-    def prepare(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def configure_connection(self, transport: asyncio.Transport) -> Callable[[], bool]:
         own = transport.get_extra_info("socket")
         poll = select.poll()
         poll.register(own.fileno(), select.POLLIN)
@@ -202,7 +202,7 @@
             own.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVES)
         return lambda: not poll.poll(0)
 
-    def departure(self, transport: asyncio.Transport) -> Callable[[], int | None]:
+    def peer_close_probe(self, transport: asyncio.Transport) -> Callable[[], int | None]:
         own = transport.get_extra_info("socket")
         poll = select.poll()
         poll.register(own.fileno(), select.POLLRDHUP)
@@ -220,7 +220,7 @@
     def accepted_age(self, transport: asyncio.Transport) -> int:
         return _tcp_age(transport.get_extra_info("socket"), LAST_DATA_SENT_AT) or 0
 
-    def unread(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_probe(self, transport: asyncio.Transport) -> Callable[[], bool]:
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
@@ -230,7 +230,7 @@
 
         return waits
 
-    def last_arrival(self, transport: asyncio.Transport) -> Callable[[], int]:
+    def data_age_probe(self, transport: asyncio.Transport) -> Callable[[], int]:
         own = transport.get_extra_info("socket")
 
         return lambda: data_age(own) or 0
@@ -243,8 +243,8 @@
             return 0
         return int(COUNT.unpack(waiting)[0])
 
-    async def aside(self, what: Callable[[], None]) -> None:
+    async def run_blocking(self, what: Callable[[], None]) -> None:
         await asyncio.to_thread(what)
 
 
-SOCKETS = SocketSystem()
+SOCKET_SYSTEM = SocketSystem()
--- a/driftstair/net/datagrams.py
+++ b/driftstair/net/udp_socket.py
@@ -10,7 +10,7 @@
 REST = 0.004  # s that a socket with more than these rests: others have their turns, the kernel drops a flood
 
 
-class SocketDatagrams:
+class UdpSocket:
     """Reads at most TURN_MOST / REST datagrams a second, so that a flood costs bounded time."""
 
     def __init__(
@@ -20,8 +20,8 @@
         self._received = received
         self._most = most
         self._rest: asyncio.TimerHandle | None = None
-        self.unsent = 0
-        self.broken = 0
+        self.send_errors = 0
+        self.receive_errors = 0
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_DGRAM)
         try:
@@ -40,7 +40,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                self.broken += 1  # an ICMP of a datagram sent before
+                self.receive_errors += 1  # an ICMP of a datagram sent before
                 continue
             self._received(data, source[:2])
             if self._socket.fileno() < 0:
@@ -52,7 +52,7 @@
         try:
             self._socket.sendto(data, address)
         except OSError:  # a full buffer, no route, or what another machine has refused
-            self.unsent += 1
+            self.send_errors += 1
 
     def close(self) -> None:
         if self._rest is not None:
--- a/driftstair/node_configuration/persistence.py
+++ b/driftstair/node_configuration/persistence.py
@@ -74,7 +74,7 @@
         def read() -> None:
             found.append(self._read())
 
-        await self._system.aside(read)
+        await self._system.run_blocking(read)
         return found[0]
 
     def _read(self) -> list[bytes]:
@@ -143,7 +143,7 @@
     async def _write(self) -> None:
         if not self._is_dirty:
             return
-        await self._system.aside(self._lock)
+        await self._system.run_blocking(self._lock)
         self._is_dirty = False
         if self._needs_snapshot or self._is_log_long():
             await self._write_snapshot()
@@ -172,7 +172,7 @@
     async def _append(self, records: list[Record]) -> None:
         """Raises RecordFileError, OSError."""
         if self._file is None:
-            await self._system.aside(self._open)
+            await self._system.run_blocking(self._open)
         file = self._file
         assert file is not None
         await self._append_to(file, records)
@@ -189,7 +189,7 @@
         file = await self._create(temporary)
         try:
             await self._fill(file, self._source)
-            await self._system.aside(lambda: self._put_in_place(file, temporary))
+            await self._system.run_blocking(lambda: self._put_in_place(file, temporary))
         except BaseException:
             file.close()
             with suppress(OSError):
@@ -227,11 +227,11 @@
             path.unlink(missing_ok=True)
             made.append(RecordFile(path))
 
-        await self._system.aside(create)
+        await self._system.run_blocking(create)
         return made[0]
 
     async def _append_to(self, file: RecordFile, records: list[Record]) -> None:
-        await self._system.aside(lambda: file.append([encode_record(record) for record in records]))
+        await self._system.run_blocking(lambda: file.append([encode_record(record) for record in records]))
 
     def _put_in_place(self, file: RecordFile, temporary: Path) -> None:
         os.replace(temporary, self.path)
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -13,7 +13,7 @@
 
 from driftstair.net.front import BACKLOG, Front
 from driftstair.net.node import Node
-from driftstair.net.system import SocketListener, System, bound
+from driftstair.net.system import SocketListener, System, bind_listening_socket
 from driftstair.operations.calls import OF_THE_TIER, Call, Order
 from driftstair.operations.desk import Answer, Desk
 from driftstair.operations.drain import Drain
@@ -66,7 +66,7 @@
         """The clients' listening socket: handed over, or a new one. Raises OSError."""
         # Shared: where a process can't hand its socket over, both listen for a while.
         handed = None if self._predecessor is None else self._predecessor.listening
-        own = handed or bound(self.config.listen, BACKLOG, shared=True)
+        own = handed or bind_listening_socket(self.config.listen, BACKLOG, shared=True)
         own.setblocking(False)
         self._listening = own
         return SocketListener(own)
--- a/driftstair/rehearsal/sim/datagrams.py
+++ b/driftstair/rehearsal/sim/datagrams.py
@@ -27,8 +27,8 @@
             raise error(errno.EADDRINUSE)
         machine.take_descriptor()
         self.address = address[0], port
-        self.unsent = 0
-        self.broken = 0
+        self.send_errors = 0
+        self.receive_errors = 0
         self._machine = machine
         self._loop = loop
         self._received = received
@@ -40,7 +40,7 @@
         network, source = self._machine.network, self._machine
         target = network.machine(address[0])
         if target is None:
-            self.unsent += 1
+            self.send_errors += 1
             return
         for late, what in network.fate(source, target, data):
             when = network.scheduler.now + network.delay(source, target) + int(late * SECOND)
--- a/driftstair/rehearsal/sim/system.py
+++ b/driftstair/rehearsal/sim/system.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from driftstair.net.system import Datagrams, Factory, Listener, System
+from driftstair.net.system import DatagramSocket, Listener, ProtocolFactory, System
 from driftstair.rehearsal.sim.datagrams import SimulatedDatagrams
 from driftstair.rehearsal.sim.loop import ProcessLoop
 from driftstair.rehearsal.sim.network import Machine
@@ -34,19 +34,19 @@
     def listen(self, address: tuple[str, int], backlog: int) -> Listener:
         return cast(Listener, self._machine.listen(self._loop, address, backlog))
 
-    async def dial(self, factory: Factory, address: tuple[str, int]) -> asyncio.BaseProtocol:
+    async def dial(self, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
         return await self._machine.network.dial(self._loop, self._machine, factory, address)
 
-    def datagrams(
+    def open_datagram_socket(
         self, address: tuple[str, int], received: Callable[[bytes, tuple[str, int]], None], most: int
-    ) -> Datagrams:
+    ) -> DatagramSocket:
         return SimulatedDatagrams(self._machine, self._loop, address, received, most)
 
-    def prepare(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def configure_connection(self, transport: asyncio.Transport) -> Callable[[], bool]:
         endpoint = cast(Endpoint, transport)
         return lambda: not endpoint.has_unread()
 
-    def departure(self, transport: asyncio.Transport) -> Callable[[], int | None]:
+    def peer_close_probe(self, transport: asyncio.Transport) -> Callable[[], int | None]:
         endpoint = cast(Endpoint, transport)
 
         def departed() -> int | None:
@@ -54,11 +54,11 @@
 
         return departed
 
-    def unread(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_probe(self, transport: asyncio.Transport) -> Callable[[], bool]:
         endpoint = cast(Endpoint, transport)
         return lambda: endpoint.has_unread() and not endpoint.was_reset()
 
-    def last_arrival(self, transport: asyncio.Transport) -> Callable[[], int]:
+    def data_age_probe(self, transport: asyncio.Transport) -> Callable[[], int]:
         return lambda: 0  # what a stopped process finds is not dated in this world
 
     def accepted_age(self, transport: asyncio.Transport) -> int:
@@ -67,6 +67,6 @@
     def unread_bytes(self, transport: asyncio.Transport) -> int:
         return cast(Endpoint, transport).unread_bytes()
 
-    async def aside(self, what: Callable[[], None]) -> None:
+    async def run_blocking(self, what: Callable[[], None]) -> None:
         """At once: a thread would not be in step with this world's time."""
         what()
--- a/driftstair/rehearsal/sockets.py
+++ b/driftstair/rehearsal/sockets.py
@@ -23,7 +23,13 @@
 
 import uvloop
 
-from driftstair.net.system import SOCKETS, Factory, SocketListener, SocketSystem, bound
+from driftstair.net.system import (
+    SOCKET_SYSTEM,
+    ProtocolFactory,
+    SocketListener,
+    SocketSystem,
+    bind_listening_socket,
+)
 from driftstair.rehearsal import ports
 from driftstair.rehearsal import scenario as model
 from driftstair.rehearsal.platform import Peers
@@ -116,7 +122,7 @@
 
 class PlaceListener(SocketListener):
     def __init__(self, place: LoopbackPlace, address: tuple[str, int], backlog: int) -> None:
-        super().__init__(bound(address, backlog))
+        super().__init__(bind_listening_socket(address, backlog))
         self._place = place
         self._ready: Callable[[], None] = lambda: None
 
@@ -127,7 +133,7 @@
     def go_on(self) -> None:
         super().resume(self._ready)
 
-    async def adopt(self, factory: Factory, accepted: socket.socket) -> None:
+    async def adopt(self, factory: ProtocolFactory, accepted: socket.socket) -> None:
         await super().adopt(lambda: Veil(self._place, cast(asyncio.Protocol, factory())), accepted)
 
     def close(self) -> None:
@@ -146,8 +152,8 @@
         self._place.listeners[listener] = None
         return listener
 
-    async def dial(self, factory: Factory, address: tuple[str, int]) -> asyncio.BaseProtocol:
-        return await SOCKETS.dial(factory, address)
+    async def dial(self, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
+        return await SOCKET_SYSTEM.dial(factory, address)
 
 
 class LoopbackPlace:
--- a/driftstair/service/use.py
+++ b/driftstair/service/use.py
@@ -198,7 +198,7 @@
                 raise StoreError(f"{wanted.folder} is no folder; one that outlives the process would do")
             keeper = Keeper(
                 config.name, Store(folder, config.name), calendar, wanted.clock_off // 1_000_000,
-                wanted.survives == "machine", system.time_ns, system.aside, system.monotonic_ns,
+                wanted.survives == "machine", system.time_ns, system.run_blocking, system.monotonic_ns,
             )  # fmt: skip
             keeper.open()
         except (StoreError, OSError) as problem:
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from driftstair.net.system import Datagrams, System
+from driftstair.net.system import DatagramSocket, System
 from driftstair.settings import Config
 from driftstair.tier import kept, lent, told, wire
 from driftstair.tier.history import History
@@ -72,7 +72,7 @@
         self._tokens = folder / f"{config.name}.tokens" if folder else None
         self._disk: TokenFile | None = None
         self._loop = asyncio.get_running_loop()
-        self._socket: Datagrams | None = None
+        self._socket: DatagramSocket | None = None
         self._binding: asyncio.TimerHandle | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = NEVER
@@ -108,7 +108,7 @@
             assert sharing is not None
             self._collecting = Collecting(
                 *collect, lambda: sharing.token(TASK), lambda token: sharing.floor(TASK, token), self._write,
-                system.aside,
+                system.run_blocking,
             )  # fmt: skip
 
     # Its life.
@@ -130,7 +130,9 @@
     def _bind(self, first: bool = False) -> None:
         self._binding = None
         try:
-            self._socket = self._system.datagrams(self._told.listen, self._came, wire.DATAGRAM_MOST)
+            self._socket = self._system.open_datagram_socket(
+                self._told.listen, self._came, wire.DATAGRAM_MOST
+            )
         except OSError as problem:
             if first:
                 log.warning("peer_listen can't be used yet: %s", problem.strerror)
@@ -228,7 +230,7 @@
         self._unbind()
         if self._lent is not None and lent_until is not None:
             path, until = self._lent, lent_until
-            await self._system.aside(lambda: lent.write(path, until))
+            await self._system.run_blocking(lambda: lent.write(path, until))
         for task in list(self._tasks):
             await task
         if self._kept is not None:
@@ -302,7 +304,7 @@
         else:
             self._tell(api.Wake())
 
-    # Datagrams.
+    # DatagramSocket.
 
     def _send(self, message: api.Message) -> None:
         if self._socket is not None and message.to < len(self._told.peers):
@@ -355,7 +357,7 @@
         path, claims = self._kept, self.core.held()
         assert path is not None
         try:
-            await self._system.aside(lambda: kept.write(path, claims))
+            await self._system.run_blocking(lambda: kept.write(path, claims))
         except OSError as problem:
             log.warning("the list of members is not kept: %s", problem.strerror)
 
@@ -385,7 +387,7 @@
         disk, sharing = self._disk, self.sharing
         assert disk is not None and sharing is not None
         try:
-            await self._system.aside(lambda: disk.keep(token))
+            await self._system.run_blocking(lambda: disk.keep(token))
         except OSError as problem:
             if not self._token_lost:
                 log.error("this member of the council promises nothing: %s", problem.strerror)
@@ -422,8 +424,8 @@
             ],
             "counts": {
                 **core.counts, "in": self._datagrams_in, "bytes_in": self._bytes_in,
-                "bytes_out": self._bytes_out, "unsent": socket.unsent if socket else 0,
-                "broken": socket.broken if socket else 0, "bound": int(socket is not None),
+                "bytes_out": self._bytes_out, "unsent": socket.send_errors if socket else 0,
+                "broken": socket.receive_errors if socket else 0, "bound": int(socket is not None),
                 **{f"thrown_{why}": number for why, number in sorted(self._thrown_all.items())},
             },
             **({} if self.sharing is None else {"shared": self.sharing.report(servers)}),
--- a/tests/control/control_fleet.py
+++ b/tests/control/control_fleet.py
@@ -27,7 +27,7 @@
 from driftstair.configuration.state import ConfigurationState
 from driftstair.control.merge import merge
 from driftstair.control.status import ServerStatus, decode_log_page, decode_status
-from driftstair.net.system import SOCKETS
+from driftstair.net.system import SOCKET_SYSTEM
 from driftstair.node_configuration.client import ConfigurationWatch, WatchPosition
 from driftstair.node_configuration.reporter import Reporter
 from driftstair.rehearsal import ports
@@ -142,8 +142,8 @@
         self.ages: list[tuple[int, int]] = []  # revision and age that a server told
         self.snapshots = 0
         self._parts: dict[str, Any] = {}
-        self.watch = ConfigurationWatch(servers, name, self, SOCKETS, seed)
-        self.reporter = Reporter(self._report, lambda: self.watch.server, SOCKETS, seed)
+        self.watch = ConfigurationWatch(servers, name, self, SOCKET_SYSTEM, seed)
+        self.reporter = Reporter(self._report, lambda: self.watch.server, SOCKET_SYSTEM, seed)
 
     def start(self) -> None:
         self.watch.start()
--- a/tests/node_configuration/harness.py
+++ b/tests/node_configuration/harness.py
@@ -17,7 +17,7 @@
 from driftstair.configuration.validation import NO_SERVICE
 from driftstair.hosts import parse_address
 from driftstair.limits.findings import Platform
-from driftstair.net.system import SOCKETS, System
+from driftstair.net.system import SOCKET_SYSTEM, System
 from driftstair.node_configuration import client
 from driftstair.node_configuration.application import Application
 from driftstair.node_configuration.client import ConfigurationWatch
@@ -87,7 +87,7 @@
 
     def __init__(
         self, *servers: ControlServer, folder: Path | None = None, platform: Platform = PLATFORM,
-        system: System = SOCKETS,
+        system: System = SOCKET_SYSTEM,
     ) -> None:  # fmt: skip
         self.effects = Recorder()
         self.store = None if folder is None else ConfigurationStore(folder, "n0", system, 1)
--- a/tests/node_configuration/test_client.py
+++ b/tests/node_configuration/test_client.py
@@ -17,7 +17,7 @@
 from driftstair.hosts import parse_address
 from driftstair.net import watch as net_watch
 from driftstair.net.backoff import Backoff
-from driftstair.net.system import SOCKETS
+from driftstair.net.system import SOCKET_SYSTEM
 from driftstair.node_configuration import client, reporter
 from driftstair.node_configuration.client import ConfigurationWatch, SnapshotCursor, WatchPosition
 from driftstair.node_configuration.reporter import Reporter
@@ -57,7 +57,7 @@
 
 def watch_of(receiver: Receiver, *servers: ControlServer, seed: int = 1) -> ConfigurationWatch:
     addresses = [parse_address(server.address) for server in servers] or [DEAD]
-    return ConfigurationWatch(addresses, "node 1", receiver, SOCKETS, seed)
+    return ConfigurationWatch(addresses, "node 1", receiver, SOCKET_SYSTEM, seed)
 
 
 def test_a_watch_goes_on_from_the_applied_revision_and_from_the_last_part_of_a_snapshot() -> None:
@@ -195,7 +195,9 @@
     async def test() -> None:
         async with ControlServer() as one, ControlServer() as other:
             server, revision = one, 1
-            sender = Reporter(lambda: report(revision), lambda: parse_address(server.address), SOCKETS, 1)
+            sender = Reporter(
+                lambda: report(revision), lambda: parse_address(server.address), SOCKET_SYSTEM, 1
+            )
             sender.start()
             sender.changed()
             await until(lambda: one.reports)
@@ -218,7 +220,7 @@
     async def test() -> None:
         async with ControlServer() as server:
             address = DEAD
-            sender = Reporter(lambda: report(3), lambda: address, SOCKETS, 1)
+            sender = Reporter(lambda: report(3), lambda: address, SOCKET_SYSTEM, 1)
             sender.start()
             sender.changed()
             await asyncio.sleep(0.05)
@@ -248,7 +250,7 @@
 
     async def test() -> None:
         async with ControlServer() as server:
-            sender = Reporter(lambda: report(4), lambda: parse_address(server.address), SOCKETS, 1)
+            sender = Reporter(lambda: report(4), lambda: parse_address(server.address), SOCKET_SYSTEM, 1)
             sender.start()
             await until(lambda: len(server.reports) == 3)
             assert server.report_connections == 1
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from driftstair.net.system import bound
+from driftstair.net.system import bind_listening_socket
 from driftstair.rehearsal import ports
 
 
@@ -25,7 +25,7 @@
     held = ports.tcp()
     try:
         for _ in range(2):
-            own = bound((ports.HOST, held.number), 8)
+            own = bind_listening_socket((ports.HOST, held.number), 8)
             with socket.create_connection((ports.HOST, held.number)):
                 pass
             own.close()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -19,11 +19,11 @@
 from driftstair.daemon import assemble
 from driftstair.net.front import Front
 from driftstair.net.node import Node
-from driftstair.net.system import SOCKETS, Factory, SocketSystem
+from driftstair.net.system import SOCKET_SYSTEM, ProtocolFactory, SocketSystem
 from driftstair.settings import Config
 from lichenspring import interface as api
 
-SYSTEM = SOCKETS  # of the nodes in this process
+SYSTEM = SOCKET_SYSTEM  # of the nodes in this process
 PATIENCE = 20.0  # s: only a test that has failed waits so long
 
 
@@ -287,7 +287,7 @@
         self.begun = asyncio.Event()
         self.up = asyncio.Event()
 
-    async def dial(self, factory: Factory, address: tuple[str, int]) -> asyncio.BaseProtocol:
+    async def dial(self, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
         protocol = await super().dial(factory, address)
         self.before -= 1
         if self.before < 0:
@@ -303,7 +303,7 @@
         self.error = error
         self.times = times
 
-    async def dial(self, factory: Factory, address: tuple[str, int]) -> asyncio.BaseProtocol:
+    async def dial(self, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
         self.times -= 1
         if self.times >= 0:
             raise OSError(self.error, os.strerror(self.error))
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -28,7 +28,7 @@
 
 from driftstair.limits.limited import COPY_TOKEN
 from driftstair.net import client_connection
-from driftstair.net.system import LONG_AGO, SOCKETS
+from driftstair.net.system import LONG_AGO, SOCKET_SYSTEM
 from lichenspring import interface as api
 from lichenspring.balance import LATER_TOKEN
 from lichenspring.interface import Result
@@ -262,7 +262,7 @@
         transport, _ = await loop.create_connection(asyncio.Protocol, *listener.getsockname())
         peer, _ = listener.accept()
         transport.pause_reading()
-        departed = SOCKETS.departure(transport)
+        departed = SOCKET_SYSTEM.peer_close_probe(transport)
         assert departed() is None
         peer.sendall(b"unread")
         assert departed() is None
--- a/tests/tier/test_tier_in_service.py
+++ b/tests/tier/test_tier_in_service.py
@@ -17,7 +17,7 @@
 from fleet import KEY, ROOT, Fleet
 from rig import Client, configuration, request, run_for, status, until
 
-from driftstair.net.datagrams import SocketDatagrams
+from driftstair.net.udp_socket import UdpSocket
 from driftstair.rehearsal.tier.relay import Relay
 
 MOST = 180.0  # s that only a test that has failed takes
@@ -314,10 +314,10 @@
             raise OSError(number, os.strerror(number))
 
     async def test() -> None:
-        one = SocketDatagrams(("127.0.0.1", 0), lambda data, source: None, 256)
+        one = UdpSocket(("127.0.0.1", 0), lambda data, source: None, 256)
         real, one._socket = one._socket, Full()  # type: ignore[assignment]
         one.send(b"x", ("127.0.0.1", 9))
-        assert one.unsent == 1
+        assert one.send_errors == 1
         one._socket = real
         one.close()
 
@@ -329,7 +329,7 @@
 
     async def test() -> None:
         came: list[bytes] = []
-        one = SocketDatagrams(("127.0.0.1", 0), lambda data, source: came.append(data), 256)
+        one = UdpSocket(("127.0.0.1", 0), lambda data, source: came.append(data), 256)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(("127.0.0.1", 0))
             closed = other.getsockname()
