--- a/benchmarks/scale/routes.py
+++ b/benchmarks/scale/routes.py
@@ -36,7 +36,7 @@
     limited.start(1)
 
     def change() -> None:
-        """What `follow_files` and `Node.limit` do, without the platform's own file."""
+        """What `follow_files` and `Node.replace_limits` do, without the platform's own file."""
         nonlocal table
         table = ServiceFile("service.toml", new).table(config, CLIENTS)
         limited.replace(2, table.rules)
--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -45,9 +45,9 @@
 def _read(line: bytes) -> Any:
     """What the watch makes of one line, as `Discovery.received` does it."""
     from driftstair.hosts import parse_list
-    from driftstair.net.documents import Documents
+    from driftstair.net.json_stream import JsonStreamParser
 
-    return [parse_list(document) for document in Documents().add(line)]
+    return [parse_list(document) for document in JsonStreamParser().add(line)]
 
 
 def measure(size: int, folder: Path) -> dict[str, float]:
@@ -56,7 +56,7 @@
 
 
 def _measure(size: int, folder: Path) -> dict[str, float]:
-    from driftstair.net.documents import TEXT_MOST
+    from driftstair.net.json_stream import DOCUMENT_BYTES_MAX
 
     node = _node(folder)
     whole = folder.joinpath("list.json").read_bytes()
@@ -69,7 +69,8 @@
     change = median_each(lambda turn: node.servers.on_list(_read(changes[turn])[0]), CHANGES)
     table = node._core._table
     return {
-        "list_bytes": len(whole), "accepted": float(len(whole) <= TEXT_MOST), "read_cpu_s": reading.cpu_s,
+        "list_bytes": len(whole), "accepted": float(len(whole) <= DOCUMENT_BYTES_MAX),
+        "read_cpu_s": reading.cpu_s,
         "whole_hold_s": reading.cpu_s + taking.cpu_s, "whole_again_hold_s": again.cpu_s,
         "whole_peak_mb": max(reading.peak_mb, reading.kept_mb + taking.peak_mb),
         "whole_kept_mb": reading.kept_mb + taking.kept_mb, "change_bytes": len(changes[-1]),
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -10,10 +10,10 @@
 
 from driftstair.net import (
     client_connection,
-    connection_rest,
-    front,
+    frontend,
     node,
     request_guard,
+    reuse_delay,
     server_connection,
     server_directory,
 )
@@ -28,9 +28,9 @@
 
 def attempt_after_close() -> None:
     """The client's end is not looked at before an attempt."""
-    client_connection.ClientConnection.has_gone = lambda self: False  # type: ignore[method-assign]
+    client_connection.ClientConnection.has_disconnected = lambda self: False  # type: ignore[method-assign]
     client_connection.ClientConnection.eof_received = lambda self: True  # type: ignore[method-assign]
-    client_connection.ClientConnection.gone_for = lambda self: 0  # type: ignore[method-assign]
+    client_connection.ClientConnection.disconnected_for = lambda self: 0  # type: ignore[method-assign]
 
 
 def deadline_from_reading() -> None:
@@ -39,27 +39,27 @@
     def now(self: client_connection.ClientConnection, size: int) -> Arrival:
         return Arrival(self._front.now(), self._front.now())
 
-    client_connection.ClientConnection._arrival = now  # type: ignore[method-assign]
+    client_connection.ClientConnection._date_arrival = now  # type: ignore[method-assign]
 
 
 def close_over_request() -> None:
     """Some connections are closed as if they were idle, though a request was read on them."""
-    on_request = front.Front.on_request
+    on_request = frontend.Frontend.on_request
     turn = [0]
 
-    def close_some(self: front.Front, connection: client_connection.ClientConnection) -> None:
+    def close_some(self: frontend.Frontend, connection: client_connection.ClientConnection) -> None:
         on_request(self, connection)
         turn[0] += 1
         if turn[0] % 40 == 0:
             self._loop.call_later(0.002, connection.close, client_connection.CloseReason.IDLE)
 
-    front.Front.on_request = close_some  # type: ignore[method-assign]
+    frontend.Frontend.on_request = close_some  # type: ignore[method-assign]
 
 
 def answer_to_wrong_client() -> None:
     """A connection is used again at once, whatever its server still writes."""
-    connection_rest.REST_LEAST = 0
-    connection_rest.ConnectionRest.on_unasked_bytes = lambda self, now, lateness: None  # type: ignore[method-assign]
+    reuse_delay.REUSE_DELAY_MIN_NS = 0
+    reuse_delay.ReuseDelay.on_unsolicited_bytes = lambda self, now, lateness: None  # type: ignore[method-assign]
     server_connection.Connection.is_quiet = lambda self: True  # type: ignore[method-assign]
 
 
@@ -94,16 +94,16 @@
         now = time.time_ns() - off
         return Arrival(now, now)
 
-    client_connection.ClientConnection._arrival = wall  # type: ignore[method-assign]
+    client_connection.ClientConnection._date_arrival = wall  # type: ignore[method-assign]
 
 
 def end_at_once() -> None:
     """SIGTERM ends the process without waiting for what it holds."""
 
-    async def stop(self: front.Front, *_: Any) -> None:
+    async def stop(self: frontend.Frontend, *_: Any) -> None:
         self.stopping = True
 
-    front.Front.stop = stop  # type: ignore[method-assign]
+    frontend.Frontend.stop = stop  # type: ignore[method-assign]
 
 
 def second_answer() -> None:
--- a/driftstair/admission/__init__.py
+++ b/driftstair/admission/__init__.py
@@ -2,7 +2,7 @@
 
 `returns.py` learns how long clients that come back stay away, `crowd.py` how many come and what they bring,
 and `places.py` decides with both which connection makes room for another, and which is kept after an answer.
-Sockets belong to `driftstair.net.front`, which tells what happens and closes what it is told to close.
+Sockets belong to `driftstair.net.frontend`, which tells what happens and closes what it is told to close.
 """
 
 from driftstair.admission.places import Limits, Places
--- a/driftstair/control/peer_link.py
+++ b/driftstair/control/peer_link.py
@@ -71,7 +71,7 @@
             if response.status != 204:
                 await self._on_failure(f"status {response.status}: {response.body[:200]!r}")
                 continue
-            self._backoff.succeeded()
+            self._backoff.reset()
             if not self._is_reached:
                 log.info("server %s:%d is reached again", *self.address)
                 self._is_reached = True
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -13,7 +13,7 @@
 from driftstair.admission.places import Limits
 from driftstair.config import ConfigError
 from driftstair.net.connection_pools import Pools
-from driftstair.net.front import Front
+from driftstair.net.frontend import Frontend
 from driftstair.net.node import Node
 from driftstair.net.system import SOCKET_SYSTEM, System
 from driftstair.settings import Config
@@ -52,12 +52,12 @@
     system: System = SOCKET_SYSTEM,
     limits: RequestTable | None = None,
     roster: Roster | None = None,
-) -> tuple[Node, Front]:
+) -> tuple[Node, Frontend]:
     clients, servers = shares(config)
     pools = Pools(servers, config.dial_timeout, config.idle_close, system)
     node = Node(config, pools, system, limits, roster)
     held = int(config.sockets * HELD_PART) if config.sockets < UNBOUND else 0
-    return node, Front(node, config, Limits(clients, held), system)
+    return node, Frontend(node, config, Limits(clients, held), system)
 
 
 def operate(config: Config, system: System) -> Operations | None:
@@ -97,7 +97,7 @@
 
         try:
             table = service.table(config, shares(config)[0])
-            node.limit(table if configuration is None else configuration.combined(table))
+            node.replace_limits(table if configuration is None else configuration.combined(table))
         except ServiceError as problem:
             for one in problem.problems:
                 log.error("the new service file is not used: %s", one)
--- a/driftstair/net/backoff.py
+++ b/driftstair/net/backoff.py
@@ -24,5 +24,5 @@
         self._failures += 1
         return longest * self._random.uniform(1.0 - self._jitter, 1.0)
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         self._failures = 0
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -15,7 +15,7 @@
 from driftstair.observability.reasons import AnswerReason, CloseReason
 
 if TYPE_CHECKING:
-    from driftstair.net.front import Front
+    from driftstair.net.frontend import Frontend
 
 LINGER_BYTES = 1 << 20  # that are read of what a rejected client still sends, so that it gets its answer
 SLOW_READER = 10.0  # s in which the answer to a request with no deadline must be taken
@@ -33,7 +33,7 @@
 class ClientConnection(asyncio.Protocol):
     """One client's connection; its requests are served one after the other."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: Frontend) -> None:
         self._front = front
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -100,7 +100,7 @@
                 self.abort(CloseReason.TOO_MUCH_AFTER_END)
             return
         reader = self._reader
-        reader.feed(data, *self._arrival(len(data)))
+        reader.feed(data, *self._date_arrival(len(data)))
         if reader.in_body():
             self._front.on_body_bytes(self, len(data))
         else:
@@ -109,7 +109,7 @@
             self._front.on_body_end(self)
         self._next()
 
-    def _arrival(self, size: int) -> Arrival:
+    def _date_arrival(self, size: int) -> Arrival:
         """When the bytes came that are read now."""
         now, earliest = self._front.now(), self._front.monitor.earliest()
         return self._arrivals.on_read(now, size, self._last_arrival(), earliest, self._paused)
@@ -119,26 +119,26 @@
         attempts that are out are waited for, and their answer is passed on; what has not begun soon after
         never begins, and is answered as refused. Both get what is theirs."""
         self._half_closed = True
-        gone_for = 0.0
+        disconnected_for = 0.0
         if self._left_at is None:
             # Read late, it is no younger for that: the process may have stood still since.
             self._left_at = self._end_came(self._departed() or 0)
-            gone_for = (self._front.now() - self._left_at) / 1e9
+            disconnected_for = (self._front.now() - self._left_at) / 1e9
         if self._number:
-            self._loop.call_later(max(0.0, GONE_AFTER - gone_for), self._withdraw, self._number)
+            self._loop.call_later(max(0.0, GONE_AFTER - disconnected_for), self._withdraw, self._number)
         if self._upload is not None and not self._upload.ended:
             return False  # the rest of the body will never come
         if self._busy:
             return True  # its answer is to come, or goes out still
         return not self._ends and (bool(self._reader.ready) or self._reader.has_unread())
 
-    def has_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has left, and that so long ago that nothing may begin for it. Asked before each
         attempt: its end may be with the kernel still, behind what waited there with it, or unread."""
-        gone_for = self.gone_for()
-        return bool(gone_for) and gone_for >= GONE_AFTER * 1e9
+        disconnected_for = self.disconnected_for()
+        return bool(disconnected_for) and disconnected_for >= GONE_AFTER * 1e9
 
-    def gone_for(self) -> int:
+    def disconnected_for(self) -> int:
         """How long ago (ns) the client closed, or ended its sending; 0: it has not."""
         now = self._front.now()
         if self._left_at is None:
@@ -285,8 +285,8 @@
         key = fields.get(b"x-key")
         return Call(
             client=self,
-            has_gone=self.has_gone,
-            gone_for=self.gone_for,
+            has_disconnected=self.has_disconnected,
+            disconnected_for=self.disconnected_for,
             identity=fields[b"x-request-id"],
             head=incoming.forwarded_head(),
             body=bytes(incoming.body) if incoming.stream is None else incoming.stream,
--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from driftstair.net.connection_rest import ConnectionRest
 from driftstair.net.flow import SILENCE_MOST
+from driftstair.net.reuse_delay import ReuseDelay
 from driftstair.net.system import SOCKET_SYSTEM, System
 from lichenspring.interface import Result, ServerId
 
@@ -82,7 +82,7 @@
         self.system = system
         self.now = system.monotonic_ns
         self.sockets = 0  # open or being dialed
-        self.rest = ConnectionRest()
+        self.rest = ReuseDelay()
         self.has_news: Callable[[], bool] = bool  # of the servers has come what is not read yet
         self.flows: dict[Connection, None] = {}  # whose answers are passed on as they come
         self.dial_timeout = dial_timeout
--- a/driftstair/net/discovery.py
+++ b/driftstair/net/discovery.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from driftstair.hosts import HostList, ListError, parse_list
-from driftstair.net.documents import TEXT_MOST, Documents
+from driftstair.net.json_stream import DOCUMENT_BYTES_MAX, JsonStreamParser
 from driftstair.net.system import System
 from driftstair.net.watch import WatchConnection, Watcher
 
@@ -20,10 +20,12 @@
 # A change counts as told 6 s after discovery had it and could be reached, whatever befell the calls before.
 # So each way from there to a list that is read has to be shorter: a silent watch and the call after it, a
 # call without an answer and the pause (the module's, where it is asked), a connection that does not come up.
-SILENCE = 3.0  # s without a byte of a watch that has been answered: an open one brings one every 2 s
-ANSWER = 3.5  # s to the first line of a call: discovery works through them in turn, for up to 3 s
+SILENCE_TIMEOUT_S = (
+    3.0  # s without a byte of a watch that has been answered: an open one brings one every 2 s
+)
+ANSWER_TIMEOUT_S = 3.5  # s to the first line of a call: discovery works through them in turn, for up to 3 s
 ANSWER_PUSHED = 0.5  # s, where it is an agent on this machine, which answers at once or not at all
-DIAL = 2.0  # s until the connection is up
+DIAL_TIMEOUT_S = 2.0  # s until the connection is up
 AGENT_ANSWERS = 0.1  # s in which an agent's answer to a call is worth waiting for: what it has counts as told
 STOOD_LEAST = 0.25  # s: a watch that lasted as long is opened anew at once, as often as with pauses at most
 
@@ -102,8 +104,8 @@
     def connection(self) -> WatchConnection:
         return DiscoveryConnection(self, self.version, self._system)
 
-    def dial_within(self) -> float:
-        return DIAL
+    def dial_timeout_s(self) -> float:
+        return DIAL_TIMEOUT_S
 
     def follows(self, watch: WatchConnection) -> bool:
         return watch is self._watch or watch in self._former
@@ -168,10 +170,10 @@
     """A watch of the list. `version`: of the list that its next line builds on."""
 
     def __init__(self, owner: Discovery, version: int, system: System) -> None:
-        super().__init__(owner, owner.answer_within, SILENCE, TEXT_MOST)
+        super().__init__(owner, owner.answer_within, SILENCE_TIMEOUT_S, DOCUMENT_BYTES_MAX)
         self._discovery = owner
         self.version = version
-        self.documents = Documents()
+        self.documents = JsonStreamParser()
         self.is_quiet: Callable[[], bool] = lambda: True  # not once it is up
         self._system = system
 
--- a/driftstair/net/front.py
+++ b/driftstair/net/frontend.py
@@ -35,7 +35,7 @@
 HELD_BESIDE = 0.6  # part of the connections that clients may hold, for that time
 
 
-class Front:
+class Frontend:
     """The listening socket and all connections that came from it."""
 
     def __init__(self, node: Node, config: Config, limits: Limits, system: System = SOCKET_SYSTEM) -> None:
@@ -170,7 +170,7 @@
             connection.abort(CloseReason.SLOW_READER)
         self._thin_out()
         if self.drain is not None:
-            self._let_go(self.drain)
+            self._apply_drain(self.drain)
         if self._handed_over and self._listener is not None:
             # Clients may hold so many connections at a node, both processes together. Guards against idle
             # ones here that leave them none to reach the other process by.
@@ -178,7 +178,7 @@
                 connection.close_if_unused()
         self._loop.call_later(SWEEP, self._sweep)
 
-    def _let_go(self, drain: Drain) -> None:
+    def _apply_drain(self, drain: Drain) -> None:
         """Guards against clients that keep what they have for as long as it stays open."""
         from driftstair.operations.drain import Rests, Way
 
--- a/driftstair/net/in_flight.py
+++ b/driftstair/net/in_flight.py
@@ -38,8 +38,8 @@
     resubmitted: bool
     deadline: int  # monotonic ns; that of a stream counts from its last byte, and is later
     patience: int  # ns from the last byte to the deadline
-    has_gone: Callable[[], bool]  # the client has left: nothing may begin for it
-    gone_for: Callable[[], int]  # ns since it closed or ended its sending; 0: it has not
+    has_disconnected: Callable[[], bool]  # the client has left: nothing may begin for it
+    disconnected_for: Callable[[], int]  # ns since it closed or ended its sending; 0: it has not
     asked: Asked | None = None  # in the terms of routes, where there are any
 
 
--- a/driftstair/net/documents.py
+++ b/driftstair/net/json_stream.py
@@ -12,10 +12,10 @@
 
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 DEPTH_MOST = 32  # levels of brackets; a list of servers has three
-TEXT_MOST = 4 << 20  # bytes of one text
+DOCUMENT_BYTES_MAX = 4 << 20  # bytes of one text
 
 
-class Documents:
+class JsonStreamParser:
     def __init__(self) -> None:
         self._lines: list[bytes] = []  # of a text that is not whole
         self._depth = 0  # brackets that it has open
@@ -35,7 +35,7 @@
         bare = STRING.sub(b"", line)
         self._depth += sum(map(bare.count, (b"{", b"["))) - sum(map(bare.count, (b"}", b"]")))
         self._size += len(line)
-        if b'"' in bare or not 0 <= self._depth <= DEPTH_MOST or self._size > TEXT_MOST:
+        if b'"' in bare or not 0 <= self._depth <= DEPTH_MOST or self._size > DOCUMENT_BYTES_MAX:
             raise ValueError("no text")
         self._lines.append(line)
         if self._depth:
--- a/driftstair/net/loop_monitor.py
+++ b/driftstair/net/loop_monitor.py
@@ -9,7 +9,7 @@
 import asyncio
 from collections.abc import Callable
 
-TICK = 0.05  # s between two looks at the clock
+TICK_S = 0.05  # s between two looks at the clock
 HELD_LEAST = 50_000_000  # ns beyond a tick that count as held up: less is the machine's usual noise
 
 
@@ -26,7 +26,7 @@
 
     def start(self) -> None:
         self._last_tick = self._now()
-        self._loop.call_later(TICK, self._tick)
+        self._loop.call_later(TICK_S, self._tick)
 
     def _tick(self) -> None:
         held = self._held(self._now())
@@ -37,7 +37,7 @@
             self._on_held(held)
 
     def _held(self, now: int) -> int:
-        beyond = now - self._last_tick - int(TICK * 1e9)
+        beyond = now - self._last_tick - int(TICK_S * 1e9)
         return beyond if beyond >= HELD_LEAST else 0
 
     def earliest(self) -> int:
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -98,7 +98,7 @@
         self._config = replace(self._config, discovery=config.discovery)
         self.servers.move(config.discovery)
 
-    def limit(self, limits: RequestTable) -> None:
+    def replace_limits(self, limits: RequestTable) -> None:
         """Other routes, for requests from now on. Only where there were some from the start."""
         assert isinstance(self._balancer, limits.kind)
         self._balancer.replace(self._now(), limits.rules)
@@ -252,7 +252,7 @@
         call = request.call
         kind = self._config.settings.classes[call.class_index]
         deadline = 0 if isinstance(call.body, Stream) else call.deadline
-        self.guard.start(request.number, GuardedRequest(kind, call.key != 0, deadline, call.gone_for))
+        self.guard.start(request.number, GuardedRequest(kind, call.key != 0, deadline, call.disconnected_for))
 
     def _note_violation(self, invariant: Invariant, number: int, detail: str) -> None:
         self.metrics.violations[invariant.value] += 1
@@ -356,7 +356,7 @@
         if request is None:
             self._tell(api.Outcome(action.request, True, Result.NOT_SENT, 0, action.server, 0, ()))
             return
-        gone = request.call.has_gone()
+        gone = request.call.has_disconnected()
         if gone:
             self.withdraw(request.number)
         index = request.sent
@@ -386,7 +386,7 @@
         permit = AttemptPermit(
             self.guard, request.number, index, action.server,
             now + action.begin_within if action.begin_within else 0,
-            call.has_gone, self._not_begun, self._written,
+            call.has_disconnected, self._not_begun, self._written,
         )  # fmt: skip
         attempt = Attempt(pool, call.head, call.body, expires, ended, permit, action.first_byte)
         request.out[index] = attempt
@@ -447,13 +447,13 @@
 
     # What the module knows.
 
-    def learned(self) -> dict[str, Any]:
+    def exported_memory(self) -> dict[str, Any]:
         """What the module knows, for a process that takes over on this machine."""
         from lichenspring.memory import remembered
 
         return remembered(self._core)
 
-    def recall(self, learned: dict[str, Any]) -> None:
+    def restore_memory(self, learned: dict[str, Any]) -> None:
         """Once the list is known; what can't be used is passed over."""
         from lichenspring.memory import recall
 
--- a/driftstair/net/request_guard.py
+++ b/driftstair/net/request_guard.py
@@ -83,7 +83,7 @@
     kind: RequestClass
     has_key: bool
     deadline: int  # of the client; 0: not known before its last byte has come
-    gone_for: Callable[[], int]  # ns since its client closed or ended its sending; 0: it has not
+    disconnected_for: Callable[[], int]  # ns since its client closed or ended its sending; 0: it has not
     answered: bool = False
     attempts: dict[int, GuardedAttempt] = field(default_factory=dict)
 
@@ -181,9 +181,12 @@
             self._violated(Invariant.NO_ATTEMPT_WITHOUT_REQUEST, number, f"attempt {index}")
             return
         self._expect(not request.answered, Invariant.NO_ATTEMPT_AFTER_ANSWER, number, f"attempt {index}")
-        gone_for = request.gone_for()
+        disconnected_for = request.disconnected_for()
         self._expect(
-            gone_for < LEFT_MOST, Invariant.NO_ATTEMPT_AFTER_CLIENT_LEFT, number, f"{gone_for / MS:.0f} ms"
+            disconnected_for < LEFT_MOST,
+            Invariant.NO_ATTEMPT_AFTER_CLIENT_LEFT,
+            number,
+            f"{disconnected_for / MS:.0f} ms",
         )
         if request.deadline:
             self._check_deadline(request, number, now, told)
@@ -239,7 +242,7 @@
     index: int
     server: ServerId
     begin_by: int  # a repeat must not be written from then on, monotonic ns; 0: no such limit
-    has_gone: Callable[[], bool]  # the client: nothing may begin for it
+    has_disconnected: Callable[[], bool]  # the client: nothing may begin for it
     on_refused: Callable[[int, int, NotBegun], None]
     on_written: Callable[[int, int, ServerId, int, int], None]
     asked_at: int = 0  # when it was last asked, monotonic ns
@@ -253,7 +256,7 @@
         return reason
 
     def _reason(self, now: int) -> NotBegun | None:
-        if self.has_gone():
+        if self.has_disconnected():
             return NotBegun.CLIENT_LEFT
         if 0 < self.begin_by <= now:
             return NotBegun.WINDOW_OVER
--- a/driftstair/net/connection_rest.py
+++ b/driftstair/net/reuse_delay.py
@@ -10,20 +10,20 @@
 
 from dataclasses import dataclass
 
-REST_LEAST = 50_000_000  # ns: second answers come some milliseconds late, and machines are busy
+REUSE_DELAY_MIN_NS = 50_000_000  # ns: second answers come some milliseconds late, and machines are busy
 REST_MOST = 1_000_000_000  # ns: a server that writes later than that has all its answers suspected anyway
 REST_TIMES = 4  # the lateness seen: the next one may come later
 REST_FADES = 30_000_000_000  # ns without another one after which half of what was learned is given up
 
 
 @dataclass(slots=True)
-class ConnectionRest:
+class ReuseDelay:
     """One node's rest after answers. Times in ns of one monotonic clock."""
 
     _learned: int = 0
     _seen_at: int = 0
 
-    def on_unasked_bytes(self, now: int, lateness: int) -> None:
+    def on_unsolicited_bytes(self, now: int, lateness: int) -> None:
         """Bytes came on a connection at rest, so long after the answer before them."""
         longer = min(REST_MOST, REST_TIMES * lateness)
         self._learned = max(self._faded(now), longer)
@@ -31,7 +31,7 @@
 
     def needed(self, now: int) -> int:
         """How long a connection has to have rested."""
-        return max(REST_LEAST, self._faded(now)) if self._learned else REST_LEAST
+        return max(REUSE_DELAY_MIN_NS, self._faded(now)) if self._learned else REUSE_DELAY_MIN_NS
 
     def _faded(self, now: int) -> int:
         return self._learned >> min(63, (now - self._seen_at) // REST_FADES)
--- a/driftstair/net/server_connection.py
+++ b/driftstair/net/server_connection.py
@@ -187,7 +187,7 @@
         attempt = self._attempt
         if (attempt is None and self._flow is None) or self._parser is None:  # nothing was asked
             pools = self._pool.pools
-            pools.rest.on_unasked_bytes(pools.now(), pools.now() - self.idle_since)
+            pools.rest.on_unsolicited_bytes(pools.now(), pools.now() - self.idle_since)
             self.close()
             return
         if attempt is not None and attempt.first_byte:
--- a/driftstair/net/server_directory.py
+++ b/driftstair/net/server_directory.py
@@ -10,7 +10,7 @@
 from driftstair.hosts import Host, HostList
 from driftstair.net.backoff import Backoff
 from driftstair.net.connection_pools import Pools
-from driftstair.net.discovery import ANSWER, ANSWER_PUSHED, Discovery
+from driftstair.net.discovery import ANSWER_PUSHED, ANSWER_TIMEOUT_S, Discovery
 from driftstair.net.identifiers import digest
 from driftstair.net.request_guard import RequestGuard
 from driftstair.net.start_times import StartTimes
@@ -49,7 +49,7 @@
         # Where the module is not asked.
         self._watch_again = Backoff(WATCH_PAUSE, WATCH_PAUSE_MOST, config.seed)
         self.discovery = Discovery(
-            config.discovery, config.known.version, ANSWER_PUSHED if self._is_pushed else ANSWER,
+            config.discovery, config.known.version, ANSWER_PUSHED if self._is_pushed else ANSWER_TIMEOUT_S,
             self.on_list, self._on_watch_failed, system, self._is_pushed,
         )  # fmt: skip
         self._call_due = 0.0  # when the next call is to be made, by the loop's clock; 0: none waits
@@ -83,10 +83,10 @@
     def on_list(self, update: HostList) -> None:
         """A list or a change of it has come from discovery."""
         self.told.set()
-        self._watch_again.succeeded()
+        self._watch_again.reset()
         self._list(ListKind.FULL if update.full else ListKind.DELTA, update.hosts)
 
-    def show(self, hosts: tuple[Host, ...]) -> None:
+    def apply_roster(self, hosts: tuple[Host, ...]) -> None:
         """The list as operators' orders have changed it. Guards against a module that takes it for news from
         discovery, and asks for none any more."""
         self._follow(ListKind.CACHED, hosts)
--- a/driftstair/net/watch.py
+++ b/driftstair/net/watch.py
@@ -16,7 +16,9 @@
 
 DEATHS_MOST = 2  # connections in a row that died, after which the next call waits as after a refusal
 LATE_LEAST = 0.05  # s that a timer may come late: more, and the process stood still
-LAST_LOOK = 0.01  # s for what has come while the loop stood still to be read, before a watch counts as silent
+LATE_READ_GRACE_S = (
+    0.01  # s for what has come while the loop stood still to be read, before a watch counts as silent
+)
 
 
 class Watcher:
@@ -39,7 +41,7 @@
         """A new connection, not dialed yet, with the bounds of this kind of watch."""
         raise NotImplementedError
 
-    def dial_within(self) -> float:
+    def dial_timeout_s(self) -> float:
         """Until the connection is up, in s."""
         raise NotImplementedError
 
@@ -74,7 +76,7 @@
 
     async def _open(self, watch: WatchConnection) -> None:
         try:
-            async with asyncio.timeout(self.dial_within()):
+            async with asyncio.timeout(self.dial_timeout_s()):
                 await dial(self._system, lambda: watch, self._address)
         except (OSError, TimeoutError) as problem:
             self.failed(watch, f"no connection: {problem!r}")
@@ -95,7 +97,7 @@
         """Whether what there is of a line was used as it is."""
         return self.follows(watch) and self.on_unended_line(watch, line)
 
-    def silent(self, watch: WatchConnection) -> None:
+    def on_silence(self, watch: WatchConnection) -> None:
         """Its connection is dead, though nothing may ever say so. One that had been answered is opened anew
         at once: the connection failed, not the other side, and no call is being spared."""
         if watch is self._watch and watch.answered:
@@ -191,11 +193,11 @@
         elif left > 0:
             self._timer = loop.call_later(left, self._check)
         elif looked:
-            self._owner.silent(self)
+            self._owner.on_silence(self)
         else:
             # Timers run before sockets are read. Guards against a node that stood still: what the other side
             # sent meanwhile is with the kernel, and it would call again, with all others that stood still.
-            self._timer = loop.call_later(LAST_LOOK, self._check, True)
+            self._timer = loop.call_later(LATE_READ_GRACE_S, self._check, True)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
--- a/driftstair/node_configuration/client.py
+++ b/driftstair/node_configuration/client.py
@@ -15,7 +15,7 @@
 from driftstair.configuration.messages import LINE_BYTES_MAX
 from driftstair.configuration.resources import ResourceKey
 from driftstair.net.backoff import Backoff
-from driftstair.net.discovery import DIAL, SILENCE
+from driftstair.net.discovery import DIAL_TIMEOUT_S, SILENCE_TIMEOUT_S
 from driftstair.net.system import System
 from driftstair.net.watch import WatchConnection, Watcher
 from driftstair.node_configuration.servers import Address, ServerChoice
@@ -108,7 +108,7 @@
 
     def in_order(self) -> None:
         """The server watched is current: the next failure is a first one again."""
-        self._backoff.succeeded()
+        self._backoff.reset()
 
     # The watch.
 
@@ -121,16 +121,16 @@
         return f"GET {target} HTTP/1.1\r\nHost: {_shown(self._address)}\r\n\r\n".encode()
 
     def connection(self) -> WatchConnection:
-        return WatchConnection(self, ANSWER_S, SILENCE, LINE_BYTES_MAX)
+        return WatchConnection(self, ANSWER_S, SILENCE_TIMEOUT_S, LINE_BYTES_MAX)
 
-    def dial_within(self) -> float:
-        return DIAL
+    def dial_timeout_s(self) -> float:
+        return DIAL_TIMEOUT_S
 
     def on_line(self, watch: WatchConnection, line: bytes) -> None:
         if line.strip() and not self._receiver.on_watch_line(line):
             watch.pause_reading()
 
-    def silent(self, watch: WatchConnection) -> None:
+    def on_silence(self, watch: WatchConnection) -> None:
         """Unlike discovery there are others to ask, so a silent server is one that failed."""
         self.failed(watch, "fell silent" if watch.answered else "no answer")
 
--- a/driftstair/node_configuration/persistence.py
+++ b/driftstair/node_configuration/persistence.py
@@ -252,7 +252,7 @@
             log.warning("%s is not written: %s; what is in force stays so", self.path, trouble)
 
     def _on_written(self) -> None:
-        self._backoff.succeeded()
+        self._backoff.reset()
         if self.is_behind:
             log.info("%s is written again", self.path)
         self.is_behind, self._trouble = False, ""
--- a/driftstair/node_configuration/reporter.py
+++ b/driftstair/node_configuration/reporter.py
@@ -11,7 +11,7 @@
 
 from driftstair.configuration.messages import NodeReport, encode
 from driftstair.net.backoff import Backoff
-from driftstair.net.discovery import DIAL
+from driftstair.net.discovery import DIAL_TIMEOUT_S
 from driftstair.net.kept_connection import CallError, KeptConnection
 from driftstair.net.system import System
 from driftstair.node_configuration.servers import Address
@@ -65,7 +65,7 @@
             if server is None:
                 continue  # a watch that begins calls `changed`
             if await self._send(server):
-                self._backoff.succeeded()
+                self._backoff.reset()
                 await asyncio.sleep(INTERVAL_S)
             else:
                 self._wanted.set()
@@ -82,7 +82,7 @@
     async def _send(self, server: Address) -> bool:
         """Whether the server has taken a report."""
         try:
-            async with asyncio.timeout(DIAL + ANSWER_S):
+            async with asyncio.timeout(DIAL_TIMEOUT_S + ANSWER_S):
                 connection = await self._connect(server)
                 status = (await connection.post(TARGET, encode(self._report()))).status
         except (OSError, TimeoutError, CallError) as problem:
--- a/driftstair/node_configuration/service.py
+++ b/driftstair/node_configuration/service.py
@@ -129,7 +129,7 @@
     def _show_drained(self, servers: list[str]) -> None:
         hosts: tuple[Host, ...] = self.roster.configure(servers, self._system.time_ns() // 1_000_000)
         if hosts and self._node is not None:
-            self._node.servers.show(hosts)
+            self._node.servers.apply_roster(hosts)
 
     def _report_soon(self) -> None:
         self.reporter.changed()
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from driftstair.net.front import BACKLOG, Front
+from driftstair.net.frontend import BACKLOG, Frontend
 from driftstair.net.node import Node
 from driftstair.net.system import SocketListener, System, bind_listening_socket
 from driftstair.operations.calls import OF_THE_TIER, Call, Order
@@ -40,7 +40,7 @@
         self._predecessor: Predecessor | None = None
         self._current = True  # the list is as good as the old process's
         self._node: Node
-        self._front: Front
+        self._front: Frontend
         self._listening: socket.socket
         self._desk: Desk | None = None
         self._link: Link | None = None
@@ -75,7 +75,7 @@
         """Whether clients are another process's until this one is ready for them."""
         return self._predecessor is not None
 
-    async def start(self, node: Node, front: Front) -> None:
+    async def start(self, node: Node, front: Frontend) -> None:
         """Once clients can be taken. Raises OSError if the operators' address can't be used."""
         self._node, self._front = node, front
         self._desk = Desk(self.obey, self._system)
@@ -103,7 +103,7 @@
         state = self._store.read()
         self._apply(state.orders)
         if state.learned is not None:
-            self._node.recall(state.learned)
+            self._node.restore_memory(state.learned)
         self._front.hand_over(False)
         await predecessor.serving()
         self._current = True
@@ -183,7 +183,7 @@
     def _apply(self, orders: Orders) -> None:
         hosts = self.roster.order(orders)
         if hosts:
-            self._node.servers.show(hosts)
+            self._node.servers.apply_roster(hosts)
         if not orders.drained:
             self._front.drain = None
         elif self._front.drain is None:
@@ -197,7 +197,7 @@
         known, discovery, learned = (
             self._node.servers.listed(),
             _text(self._node.servers.address),
-            self._node.learned(),
+            self._node.exported_memory(),
         )
         self._store.change(lambda state: State(state.orders, discovery, known, learned))
 
--- a/tests/limits/test_limits_on_sockets.py
+++ b/tests/limits/test_limits_on_sockets.py
@@ -28,7 +28,7 @@
 )
 from test_process import program
 
-from driftstair.net.front import Front
+from driftstair.net.frontend import Frontend
 
 ROOT = Path(__file__).parents[2]
 
@@ -321,7 +321,7 @@
 @pytest.mark.parametrize("name", ["limits", "service"])
 def test_nothing_of_it_is_loaded_by_the_floors_below(name: str) -> None:
     """Late imports apart, `net` knows routes as types only."""
-    assert Front.__module__ == "driftstair.net.front"
+    assert Frontend.__module__ == "driftstair.net.frontend"
     for path in (ROOT / "driftstair" / "net").glob("*.py"):
         lines = [line for line in path.read_text().splitlines() if f"driftstair.{name}" in line]
         assert all(line.startswith(" ") for line in lines), path
--- a/tests/node_configuration/test_client.py
+++ b/tests/node_configuration/test_client.py
@@ -89,7 +89,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(client, "ANSWER_S", 0.05 if how == "mute" else 5.0)
-    monkeypatch.setattr(client, "SILENCE", 0.05 if how == "silent" else 5.0)
+    monkeypatch.setattr(client, "SILENCE_TIMEOUT_S", 0.05 if how == "silent" else 5.0)
 
     async def test() -> None:
         receiver = Receiver()
@@ -159,7 +159,7 @@
 
 def test_a_watch_that_is_read_no_further_is_not_silent(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a node that builds a great snapshot and takes the server for a dead one meanwhile."""
-    monkeypatch.setattr(client, "SILENCE", 0.05)
+    monkeypatch.setattr(client, "SILENCE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         receiver = Receiver()
@@ -179,12 +179,12 @@
             watch.stop()
 
     run(test())
-    assert net_watch.LAST_LOOK < 0.05
+    assert net_watch.LATE_READ_GRACE_S < 0.05
 
 
 def test_every_way_to_another_server_is_shorter_than_the_time_a_change_has() -> None:
-    silence, answer, pause = client.SILENCE, client.ANSWER_S, 1.0  # s; the first pause
-    assert silence + pause + client.DIAL + answer < 14.0
+    silence, answer, pause = client.SILENCE_TIMEOUT_S, client.ANSWER_S, 1.0  # s; the first pause
+    assert silence + pause + client.DIAL_TIMEOUT_S + answer < 14.0
 
 
 def report(revision: int) -> NodeReport:
--- a/tests/node_configuration/test_in_the_daemon.py
+++ b/tests/node_configuration/test_in_the_daemon.py
@@ -350,7 +350,9 @@
 
 
 LOADED = "print(sorted(one for one in sys.modules if one.startswith({names!r})))"
-AT_A_START = "import sys, driftstair.__main__, driftstair.daemon, driftstair.net.node, driftstair.net.front\n"
+AT_A_START = (
+    "import sys, driftstair.__main__, driftstair.daemon, driftstair.net.node, driftstair.net.frontend\n"
+)
 WITH_A_FILE = (
     "import sys, asyncio\n"
     "from driftstair.config import load\n"
--- a/tests/operations/test_desk_and_upgrade.py
+++ b/tests/operations/test_desk_and_upgrade.py
@@ -194,7 +194,7 @@
 def test_without_operators_nothing_of_this_is_loaded(tmp_path: Path) -> None:
     async def test() -> None:
         code = (
-            "import sys, driftstair.daemon, driftstair.net.front, driftstair.net.node;"
+            "import sys, driftstair.daemon, driftstair.net.frontend, driftstair.net.node;"
             "sys.exit(any(name.startswith('driftstair.operations') for name in sys.modules))"
         )
         process = await start(tmp_path / "none", code=code)
--- a/tests/operations/test_drain_crossings.py
+++ b/tests/operations/test_drain_crossings.py
@@ -25,7 +25,7 @@
     """As a node that is emptied ("drain") or replaced ("hand-over") looks whom to let go."""
     if way == "drain":
         rig.front.drain = Drain(asyncio.get_running_loop().time() - FRONT_KNOWS - 0.1)
-        rig.front._let_go(rig.front.drain)
+        rig.front._apply_drain(rig.front.drain)
     else:
         rig.front._handed_over = True
         rig.front._sweep()
--- a/tests/rehearsal/test_rehearsal.py
+++ b/tests/rehearsal/test_rehearsal.py
@@ -14,13 +14,13 @@
 
 from driftstair.net import (
     connection_pools,
-    front,
+    frontend,
     node,
     server_attempt,
     server_connection,
     server_directory,
 )
-from driftstair.net.front import ClientConnection, Front
+from driftstair.net.frontend import ClientConnection, Frontend
 from driftstair.net.node import Node
 from driftstair.net.request_guard import AttemptPermit
 from driftstair.net.server_attempt import Attempt
@@ -355,11 +355,11 @@
 
 
 def test_a_bug_that_raises_in_a_callback_is_a_crash_and_not_a_hang(monkeypatch: pytest.MonkeyPatch) -> None:
-    def on_idle(self: Front, connection: ClientConnection) -> None:
+    def on_idle(self: Frontend, connection: ClientConnection) -> None:
         if self._loop.time() > 3:
             raise KeyError("planted")
 
-    monkeypatch.setattr(Front, "on_idle", on_idle)
+    monkeypatch.setattr(Frontend, "on_idle", on_idle)
     run = Run(small())
     assert run.report["verdict"]["crashes"] > 0 and run.report["ended"] == "whole"
     crash = run.report["crashes"][0]
@@ -520,7 +520,7 @@
 def test_the_seam_is_all_that_the_daemon_takes_from_its_machine() -> None:
     """No module of the node's reads a clock or makes a socket of its own."""
     for module in (
-        front, node, connection_pools, server_attempt, server_connection, server_directory,
+        frontend, node, connection_pools, server_attempt, server_connection, server_directory,
     ):  # fmt: skip
         text = Path(module.__file__ or "").read_text()
         for own in ("import socket", "import select", "import time", "from time", "import random"):
--- a/tests/rehearsal/test_rehearse_command.py
+++ b/tests/rehearsal/test_rehearse_command.py
@@ -13,7 +13,7 @@
 import pytest
 from stage import Run, small
 
-from driftstair.net.front import ClientConnection
+from driftstair.net.frontend import ClientConnection
 from driftstair.rehearsal.report import build, compare, html
 
 ROOT = Path(__file__).parents[2]
--- a/tests/rehearsal/test_worst_days.py
+++ b/tests/rehearsal/test_worst_days.py
@@ -9,7 +9,7 @@
 from stage import Run, small
 
 from driftstair.admission.places import Places
-from driftstair.net.front import Front
+from driftstair.net.frontend import Frontend
 from driftstair.rehearsal import wire
 from driftstair.rehearsal.load import load
 from lichenspring import breaker
@@ -27,12 +27,12 @@
     """Idle connections stay for 2.5 s, whoever waits."""
     monkeypatch.setattr(Places, "keeps", lambda self, connection, now: True)
     monkeypatch.setattr(Places, "surplus", lambda self, now: [])
-    plain = Front.__init__
+    plain = Frontend.__init__
 
-    def init(self: Front, node: Any, config: Any, limits: Any, system: Any) -> None:
+    def init(self: Frontend, node: Any, config: Any, limits: Any, system: Any) -> None:
         plain(self, node, config, type(limits)(limits.most, idle_most=2.5), system)
 
-    monkeypatch.setattr(Front, "__init__", init)
+    monkeypatch.setattr(Frontend, "__init__", init)
 
 
 def without_explanations(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,7 +17,7 @@
 
 from driftstair.config import load
 from driftstair.daemon import assemble
-from driftstair.net.front import Front
+from driftstair.net.frontend import Frontend
 from driftstair.net.node import Node
 from driftstair.net.system import SOCKET_SYSTEM, ProtocolFactory, SocketSystem
 from driftstair.settings import Config
@@ -244,7 +244,7 @@
         self._stack = AsyncExitStack()
         self.config: Config
         self.node: Node
-        self.front: Front
+        self.front: Frontend
         self.spy: Spy
         self.address: tuple[str, int]
 
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.series import SERIES
 from benchmarks.scale.slopes import run_point
 from driftstair.limits.routes import Asked, Pattern, Routes
-from driftstair.net.documents import Documents
+from driftstair.net.json_stream import JsonStreamParser
 from driftstair.service.load import parse
 from lichenspring.balance import TABLE_SIZE
 
@@ -62,7 +62,7 @@
 
 def test_what_is_made_for_the_measurements_is_what_the_program_reads() -> None:
     # Guards against figures of documents that the program would refuse.
-    (whole,) = Documents().add(documents.line(documents.server_list(SMALL)))
+    (whole,) = JsonStreamParser().add(documents.line(documents.server_list(SMALL)))
     assert len(whole["servers"]) == SMALL
     assert len({entry["id"] for entry in documents.server_list(documents.SERVERS)["servers"]}) == 33_000
     assert len(parse(documents.service_file(SMALL, tenants=9), "f").service.route) == SMALL
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -11,7 +11,7 @@
 import pytest
 from world import KEYED, MS, SAFE, SECOND, START, UNSAFE, Node, server, settings, whole
 
-from driftstair.net.discovery import ANSWER, DIAL
+from driftstair.net.discovery import ANSWER_TIMEOUT_S, DIAL_TIMEOUT_S
 from lichenspring import Balancer
 from lichenspring import interface as api
 from lichenspring.balance import ASK_TOKEN
@@ -552,12 +552,12 @@
     ten seconds and came on top of calls that had themselves been waited for."""
     chance = Random(11)
     # Refused, turned away, cut off, mute.
-    lasts = (0, SECOND // 100, int(DIAL * SECOND), int(ANSWER * SECOND))
+    lasts = (0, SECOND // 100, int(DIAL_TIMEOUT_S * SECOND), int(ANSWER_TIMEOUT_S * SECOND))
     for seed in range(40):
         balancer = Balancer(settings(list_mode=api.ListMode.ON_REQUEST), seed)
         (_, first) = balancer.start(START)
         assert isinstance(first, api.SetTimer)
-        assert first.at - START + int(ANSWER * SECOND) // 4 <= 6 * SECOND
+        assert first.at - START + int(ANSWER_TIMEOUT_S * SECOND) // 4 <= 6 * SECOND
         began = first.at
         assert balancer.handle(began, api.Timer(ASK_TOKEN)) == [api.Watch()]
         for _ in range(12):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -23,7 +23,7 @@
 )
 
 from driftstair.admission import Limits
-from driftstair.net import front
+from driftstair.net import frontend
 from driftstair.net.system import SocketListener
 from lichenspring import interface as api
 
@@ -202,8 +202,8 @@
 def test_a_new_connection_has_its_time_from_connecting_and_a_used_one_may_rest(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert Limits(1).new_most + front.SWEEP < 3.0 and Limits(1).idle_most >= 2.0
-    monkeypatch.setattr(front, "SWEEP", 0.02)
+    assert Limits(1).new_most + frontend.SWEEP < 3.0 and Limits(1).idle_most >= 2.0
+    monkeypatch.setattr(frontend, "SWEEP", 0.02)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -227,7 +227,7 @@
 
 
 def test_a_used_connection_is_closed_when_it_has_been_idle_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "SWEEP", 0.02)
+    monkeypatch.setattr(frontend, "SWEEP", 0.02)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -290,7 +290,7 @@
             assert status(await late.ask(request())) == 200
             # Half of the table and more at a time, each with 0.1 s to bring something; a tenth took 30 s.
             assert asyncio.get_running_loop().time() - begun < 12
-            assert rig.front._open <= 20 + front.ACCEPTS
+            assert rig.front._open <= 20 + frontend.ACCEPTS
             for client in crowd:
                 client.writer.close()
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -26,7 +26,7 @@
 )
 
 from driftstair.hosts import parse_list
-from driftstair.net import connection_rest
+from driftstair.net import reuse_delay
 from driftstair.net.identifiers import digest
 from lichenspring import interface as api
 from lichenspring.interface import Result
@@ -42,7 +42,7 @@
 
 
 def test_connections_are_used_again_the_latest_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_rest, "REST_LEAST", 0)
+    monkeypatch.setattr(reuse_delay, "REUSE_DELAY_MIN_NS", 0)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -64,7 +64,7 @@
 ) -> None:
     """A second copy of an answer came behind it, and was with the kernel when the next request went out: its
     client was served with the other one's answer."""
-    monkeypatch.setattr(connection_rest, "REST_LEAST", 10**12)
+    monkeypatch.setattr(reuse_delay, "REUSE_DELAY_MIN_NS", 10**12)
 
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
@@ -78,7 +78,7 @@
             assert (await client.ask(request(body=b"one"))).body == b"one"
             assert (await client.ask(request(body=b"two"))).body == b"two"
             assert server.connections == 2  # the first one rests
-            monkeypatch.setattr(connection_rest, "REST_LEAST", 0)
+            monkeypatch.setattr(reuse_delay, "REUSE_DELAY_MIN_NS", 0)
             (pool,) = rig.node._pools._pools.values()
             # Both are sent at once, before the loop can see what has come with them.
             for connection in pool.idle:
@@ -278,20 +278,20 @@
 
 
 def test_the_rest_follows_what_comes_unasked_and_fades() -> None:
-    rest = connection_rest.ConnectionRest()
+    rest = reuse_delay.ReuseDelay()
     second = 1_000_000_000
-    assert rest.needed(0) == connection_rest.REST_LEAST
-    rest.on_unasked_bytes(second, 100_000_000)
+    assert rest.needed(0) == reuse_delay.REUSE_DELAY_MIN_NS
+    rest.on_unsolicited_bytes(second, 100_000_000)
     assert rest.needed(second) == 400_000_000
-    rest.on_unasked_bytes(2 * second, 1_000_000)  # an earlier one tells nothing against the late one
+    rest.on_unsolicited_bytes(2 * second, 1_000_000)  # an earlier one tells nothing against the late one
     assert rest.needed(2 * second) == 400_000_000
-    rest.on_unasked_bytes(3 * second, 3600 * second)
-    assert rest.needed(3 * second) == connection_rest.REST_MOST
-    faded = [rest.needed(3 * second + fades * connection_rest.REST_FADES) for fades in (1, 2, 1000)]
+    rest.on_unsolicited_bytes(3 * second, 3600 * second)
+    assert rest.needed(3 * second) == reuse_delay.REST_MOST
+    faded = [rest.needed(3 * second + fades * reuse_delay.REST_FADES) for fades in (1, 2, 1000)]
     assert faded == [
-        connection_rest.REST_MOST // 2,
-        connection_rest.REST_MOST // 4,
-        connection_rest.REST_LEAST,
+        reuse_delay.REST_MOST // 2,
+        reuse_delay.REST_MOST // 4,
+        reuse_delay.REUSE_DELAY_MIN_NS,
     ]
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,7 @@
 from driftstair.hosts import parse_address
 from driftstair.net import discovery, server_directory
 from driftstair.net.identifiers import digest
-from driftstair.net.watch import LAST_LOOK
+from driftstair.net.watch import LATE_READ_GRACE_S
 from lichenspring import interface as api
 from lichenspring.interface import ListKind, ServerState
 
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("how", ["503", "end", "garbage", "refused", "silence"])
 def test_a_watch_that_ends_is_told_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if how == "silence":
-        monkeypatch.setattr(server_directory, "ANSWER", 0.05)  # accepted, and then mute
+        monkeypatch.setattr(server_directory, "ANSWER_TIMEOUT_S", 0.05)  # accepted, and then mute
 
     async def test() -> None:
         async with Discovery() as source:
@@ -262,7 +262,7 @@
 def test_a_watch_that_fell_silent_is_opened_anew_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Servers were sent requests that had been announced as leaving: the pause after a failed call, and the
     time to the answer, came on top of a silence that was found just before the change counts as told."""
-    monkeypatch.setattr(discovery, "SILENCE", 0.05)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with (
@@ -284,7 +284,7 @@
 def test_a_call_accepted_and_then_mute_is_given_up_and_made_again(
     pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_directory, "ANSWER_PUSHED" if pushed else "ANSWER", 0.05)
+    monkeypatch.setattr(server_directory, "ANSWER_PUSHED" if pushed else "ANSWER_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with Discovery() as source:
@@ -304,10 +304,15 @@
 def test_no_way_to_a_list_takes_longer_than_until_it_counts_as_told() -> None:
     """Of a node whose list is pushed, whose pauses are not the module's: the longest calls and pauses."""
     told, beat = 6.0, 2.0  # s; an open watch brings a line after each beat
-    assert told > discovery.SILENCE + discovery.DIAL  # a silent watch, and the call after it
-    for call in (0.0, discovery.DIAL, discovery.ANSWER_PUSHED):
-        assert told > call + server_directory.WATCH_PAUSE_MOST + discovery.DIAL + discovery.ANSWER_PUSHED
-    assert beat + LAST_LOOK < discovery.SILENCE
+    assert (
+        told > discovery.SILENCE_TIMEOUT_S + discovery.DIAL_TIMEOUT_S
+    )  # a silent watch, and the call after it
+    for call in (0.0, discovery.DIAL_TIMEOUT_S, discovery.ANSWER_PUSHED):
+        assert (
+            told
+            > call + server_directory.WATCH_PAUSE_MOST + discovery.DIAL_TIMEOUT_S + discovery.ANSWER_PUSHED
+        )
+    assert beat + LATE_READ_GRACE_S < discovery.SILENCE_TIMEOUT_S
     # What an agent has counts as told at once: a call that is mute as it comes back, and the pause after it,
     # are shorter than the second that the platform usually gives a node to stop sending.
     assert discovery.ANSWER_PUSHED + server_directory.WATCH_PAUSE_MOST < 1.0
@@ -317,7 +322,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The answer and the silence's timer in one turn of the loop."""
-    monkeypatch.setattr(discovery, "SILENCE", 0.2)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -79,7 +79,7 @@
         slots = Counter(int(10 * pause / longest) for pause in pauses)
         assert max(slots.values()) <= 16 and len(slots) >= 5
     for one in fleet:
-        one.succeeded()
+        one.reset()
         assert one.pause() <= 1.0
         assert max(one.pause() for _ in range(40)) <= 16.0
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -99,7 +99,7 @@
             (connection,) = rig.front._connections
             assert connection._paused  # its end stays unread with the kernel
             client.writer.close()
-            await until(lambda: connection.has_gone())
+            await until(lambda: connection.has_disconnected())
             held.release.set()
             await over(rig)
             assert [one.body for one in server.seen] == [b"first"]
@@ -116,7 +116,7 @@
             await until(lambda: server.seen)
             client.writer.write_eof()
             (connection,) = rig.front._connections
-            await until(lambda: connection.has_gone())
+            await until(lambda: connection.has_disconnected())
             held.release.set()
             assert [status(await client.read()) for _ in range(2)] == [200, 503]
             assert await client.ended() == b""
@@ -141,7 +141,7 @@
                     (connection,) = rig.front._connections
                     connection._transport.pause_reading()  # type: ignore[union-attr]
                     client.writer.close()
-                    await until(lambda: connection.has_gone())  # noqa: B023
+                    await until(lambda: connection.has_disconnected())  # noqa: B023
                     connection._left_at = None
                 dials.up.set()
                 if not told:
@@ -334,9 +334,9 @@
             await until(lambda: server.seen)
             (connection,) = rig.front._connections
             await asyncio.sleep(SILENT)
-            assert connection.gone_for() == 0
+            assert connection.disconnected_for() == 0
             client.writer.write_eof()
-            await until(connection.gone_for)
-            assert connection.gone_for() < SILENT / 2 * 1e9
+            await until(connection.disconnected_for)
+            assert connection.disconnected_for() < SILENT / 2 * 1e9
 
     run(test())
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -38,10 +38,10 @@
 
     def __init__(self, kind: api.RequestClass = SAFE) -> None:
         self.found: list[Invariant] = []
-        self.gone_for = 0
+        self.disconnected_for = 0
         self.guard = RequestGuard(lambda invariant, number, detail: self.found.append(invariant))
         self.guard.servers_ready([SERVER])
-        self.guard.start(1, GuardedRequest(kind, True, DEADLINE, lambda: self.gone_for))
+        self.guard.start(1, GuardedRequest(kind, True, DEADLINE, lambda: self.disconnected_for))
 
     def write(self, index: int = 0, now: int = SECOND, told: int = SECOND, server: bytes = SERVER) -> None:
         self.guard.wrote(1, index, server, now, told)
@@ -57,7 +57,7 @@
 
 
 def after_client_left(one: Guarded) -> None:
-    one.gone_for = 101 * MS
+    one.disconnected_for = 101 * MS
     one.write()
 
 
@@ -152,7 +152,7 @@
 def test_what_the_rules_allow_breaks_nothing() -> None:
     for kind, result in ((SAFE, Result.RESET), (UNSAFE, Result.FULL), (KEYED, Result.TIMEOUT)):
         one = Guarded(kind)
-        one.gone_for = 99 * MS
+        one.disconnected_for = 99 * MS
         one.write(0)
         one.guard.ended(1, 0, result)
         assert one.guard.forbids(1, 1, SERVER, SECOND + MS) is None
@@ -204,7 +204,7 @@
             Server("s-2", fails_later) as two,
             Rig(configuration(one, two)) as rig,
         ):
-            monkeypatch.setattr(ClientConnection, "has_gone", lambda self: False)
+            monkeypatch.setattr(ClientConnection, "has_disconnected", lambda self: False)
             monkeypatch.setattr(client_connection, "GONE_AFTER", 9.0)
             rig.node.guard.strict = False
             client = await rig.client()
@@ -212,7 +212,7 @@
             await until(lambda: one.seen or two.seen)
             (connection,) = rig.front._connections
             client.writer.close()
-            await until(lambda: connection.gone_for() > 150 * MS)
+            await until(lambda: connection.disconnected_for() > 150 * MS)
             held.set()
             await until(lambda: rig.node.metrics.violations)
             assert set(rig.node.metrics.violations) == {Invariant.NO_ATTEMPT_AFTER_CLIENT_LEFT.value}
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -9,9 +9,9 @@
 
 from driftstair.admission import pace as pace_of_bodies
 from driftstair.admission.pace import GRACE, RATE_LEAST, SILENT_MOST, Pace
-from driftstair.net import connection_rest, flow, server_connection
+from driftstair.net import flow, reuse_delay, server_connection
 from driftstair.net.flow import HELD_MOST, Budget, Stream
-from driftstair.net.front import SWEEP
+from driftstair.net.frontend import SWEEP
 from lichenspring.interface import Result
 
 LONG = b"".join(b"%08d" % number for number in range(384_000))  # 3 MB, and no two pieces alike
@@ -50,7 +50,7 @@
 def test_a_long_answer_comes_whole_in_every_framing(
     data: bytes, closes: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connection_rest, "REST_LEAST", 0)
+    monkeypatch.setattr(reuse_delay, "REUSE_DELAY_MIN_NS", 0)
 
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
