--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -13,9 +13,9 @@
 from driftstair.admission.places import Limits
 from driftstair.config import ConfigError
 from driftstair.net.connection_pools import Pools
-from driftstair.net.front import Front
+from driftstair.net.frontend import Frontend
 from driftstair.net.node import Node
-from driftstair.net.system import SOCKETS, System
+from driftstair.net.system import SOCKET_SYSTEM, System
 from driftstair.settings import Config
 
 if TYPE_CHECKING:
@@ -49,15 +49,15 @@
 
 def assemble(
     config: Config,
-    system: System = SOCKETS,
+    system: System = SOCKET_SYSTEM,
     limits: RequestTable | None = None,
     roster: Roster | None = None,
-) -> tuple[Node, Front]:
+) -> tuple[Node, Frontend]:
     clients, servers = shares(config)
     pools = Pools(servers, config.dial_timeout, config.idle_close, system)
     node = Node(config, pools, system, limits, roster)
     held = int(config.sockets * HELD_PART) if config.sockets < UNBOUND else 0
-    return node, Front(node, config, Limits(clients, held), system)
+    return node, Frontend(node, config, Limits(clients, held), system)
 
 
 def operate(config: Config, system: System) -> Operations | None:
@@ -97,7 +97,7 @@
 
         try:
             table = service.table(config, shares(config)[0])
-            node.limit(table if configuration is None else configuration.combined(table))
+            node.replace_limits(table if configuration is None else configuration.combined(table))
         except ServiceError as problem:
             for one in problem.problems:
                 log.error("the new service file is not used: %s", one)
@@ -126,7 +126,7 @@
 
 
 async def serve(
-    config: Config, reread: Callable[[], Config], system: System = SOCKETS,
+    config: Config, reread: Callable[[], Config], system: System = SOCKET_SYSTEM,
     ready: Callable[[], None] = lambda: None, service: ServiceFile | None = None,
     has_changed: Callable[[], bool] = bool,
 ) -> int:  # fmt: skip
--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from driftstair.net.connection_rest import ConnectionRest
 from driftstair.net.flow import SILENCE_MOST
-from driftstair.net.system import SOCKETS, System
+from driftstair.net.reuse_delay import ReuseDelay
+from driftstair.net.system import SOCKET_SYSTEM, System
 from lichenspring.interface import Result, ServerId
 
 if TYPE_CHECKING:
@@ -77,12 +77,12 @@
     """All pools, within the descriptors that the node may use for servers."""
 
     def __init__(
-        self, sockets_most: int, dial_timeout: int, idle_close: int, system: System = SOCKETS
+        self, sockets_most: int, dial_timeout: int, idle_close: int, system: System = SOCKET_SYSTEM
     ) -> None:
         self.system = system
         self.now = system.monotonic_ns
         self.sockets = 0  # open or being dialed
-        self.rest = ConnectionRest()
+        self.rest = ReuseDelay()
         self.has_news: Callable[[], bool] = bool  # of the servers has come what is not read yet
         self.flows: dict[Connection, None] = {}  # whose answers are passed on as they come
         self.dial_timeout = dial_timeout
--- a/driftstair/net/front.py
+++ b/driftstair/net/frontend.py
@@ -15,7 +15,7 @@
 from driftstair.net.loop_monitor import LoopMonitor
 from driftstair.net.node import Node
 from driftstair.net.request_guard import ProcessState
-from driftstair.net.system import SOCKETS, Listener, System
+from driftstair.net.system import SOCKET_SYSTEM, Listener, System
 from driftstair.observability.reasons import CloseReason
 from driftstair.settings import Config
 
@@ -35,17 +35,17 @@
 HELD_BESIDE = 0.6  # part of the connections that clients may hold, for that time
 
 
-class Front:
+class Frontend:
     """The listening socket and all connections that came from it."""
 
-    def __init__(self, node: Node, config: Config, limits: Limits, system: System = SOCKETS) -> None:
+    def __init__(self, node: Node, config: Config, limits: Limits, system: System = SOCKET_SYSTEM) -> None:
         self.node = node
         self.config = config
         self.now = system.monotonic_ns
-        self.departure = system.departure
+        self.peer_close_probe = system.peer_close_probe
         self.accepted_age = system.accepted_age
-        self.last_arrival = system.last_arrival
-        self.unread = system.unread
+        self.data_age_probe = system.data_age_probe
+        self.unread_probe = system.unread_probe
         self.unread_bytes = system.unread_bytes
         self.monitor = LoopMonitor(system.monotonic_ns, node.note_loop_held)
         self._system = system
@@ -170,7 +170,7 @@
             connection.abort(CloseReason.SLOW_READER)
         self._thin_out()
         if self.drain is not None:
-            self._let_go(self.drain)
+            self._apply_drain(self.drain)
         if self._handed_over and self._listener is not None:
             # Clients may hold so many connections at a node, both processes together. Guards against idle
             # ones here that leave them none to reach the other process by.
@@ -178,7 +178,7 @@
                 connection.close_if_unused()
         self._loop.call_later(SWEEP, self._sweep)
 
-    def _let_go(self, drain: Drain) -> None:
+    def _apply_drain(self, drain: Drain) -> None:
         """Guards against clients that keep what they have for as long as it stays open."""
         from driftstair.operations.drain import Rests, Way
 
--- a/driftstair/net/server_connection.py
+++ b/driftstair/net/server_connection.py
@@ -69,7 +69,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         self._pool.pools.sockets += 1
-        self._quiet = self._pool.pools.system.prepare(transport)
+        self._quiet = self._pool.pools.system.configure_connection(transport)
         # With no room in the buffer each write is tried at once, and what is left over tells when it is out.
         transport.set_write_buffer_limits(high=0)
 
@@ -187,7 +187,7 @@
         attempt = self._attempt
         if (attempt is None and self._flow is None) or self._parser is None:  # nothing was asked
             pools = self._pool.pools
-            pools.rest.on_unasked_bytes(pools.now(), pools.now() - self.idle_since)
+            pools.rest.on_unsolicited_bytes(pools.now(), pools.now() - self.idle_since)
             self.close()
             return
         if attempt is not None and attempt.first_byte:
--- a/tests/node_configuration/test_client.py
+++ b/tests/node_configuration/test_client.py
@@ -17,7 +17,7 @@
 from driftstair.hosts import parse_address
 from driftstair.net import watch as net_watch
 from driftstair.net.backoff import Backoff
-from driftstair.net.system import SOCKETS
+from driftstair.net.system import SOCKET_SYSTEM
 from driftstair.node_configuration import client, reporter
 from driftstair.node_configuration.client import ConfigurationWatch, SnapshotCursor, WatchPosition
 from driftstair.node_configuration.reporter import Reporter
@@ -57,7 +57,7 @@
 
 def watch_of(receiver: Receiver, *servers: ControlServer, seed: int = 1) -> ConfigurationWatch:
     addresses = [parse_address(server.address) for server in servers] or [DEAD]
-    return ConfigurationWatch(addresses, "node 1", receiver, SOCKETS, seed)
+    return ConfigurationWatch(addresses, "node 1", receiver, SOCKET_SYSTEM, seed)
 
 
 def test_a_watch_goes_on_from_the_applied_revision_and_from_the_last_part_of_a_snapshot() -> None:
@@ -89,7 +89,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(client, "ANSWER_S", 0.05 if how == "mute" else 5.0)
-    monkeypatch.setattr(client, "SILENCE", 0.05 if how == "silent" else 5.0)
+    monkeypatch.setattr(client, "SILENCE_TIMEOUT_S", 0.05 if how == "silent" else 5.0)
 
     async def test() -> None:
         receiver = Receiver()
@@ -159,7 +159,7 @@
 
 def test_a_watch_that_is_read_no_further_is_not_silent(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a node that builds a great snapshot and takes the server for a dead one meanwhile."""
-    monkeypatch.setattr(client, "SILENCE", 0.05)
+    monkeypatch.setattr(client, "SILENCE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         receiver = Receiver()
@@ -179,12 +179,12 @@
             watch.stop()
 
     run(test())
-    assert net_watch.LAST_LOOK < 0.05
+    assert net_watch.LATE_READ_GRACE_S < 0.05
 
 
 def test_every_way_to_another_server_is_shorter_than_the_time_a_change_has() -> None:
-    silence, answer, pause = client.SILENCE, client.ANSWER_S, 1.0  # s; the first pause
-    assert silence + pause + client.DIAL + answer < 14.0
+    silence, answer, pause = client.SILENCE_TIMEOUT_S, client.ANSWER_S, 1.0  # s; the first pause
+    assert silence + pause + client.DIAL_TIMEOUT_S + answer < 14.0
 
 
 def report(revision: int) -> NodeReport:
@@ -195,7 +195,9 @@
     async def test() -> None:
         async with ControlServer() as one, ControlServer() as other:
             server, revision = one, 1
-            sender = Reporter(lambda: report(revision), lambda: parse_address(server.address), SOCKETS, 1)
+            sender = Reporter(
+                lambda: report(revision), lambda: parse_address(server.address), SOCKET_SYSTEM, 1
+            )
             sender.start()
             sender.changed()
             await until(lambda: one.reports)
@@ -218,7 +220,7 @@
     async def test() -> None:
         async with ControlServer() as server:
             address = DEAD
-            sender = Reporter(lambda: report(3), lambda: address, SOCKETS, 1)
+            sender = Reporter(lambda: report(3), lambda: address, SOCKET_SYSTEM, 1)
             sender.start()
             sender.changed()
             await asyncio.sleep(0.05)
@@ -248,7 +250,7 @@
 
     async def test() -> None:
         async with ControlServer() as server:
-            sender = Reporter(lambda: report(4), lambda: parse_address(server.address), SOCKETS, 1)
+            sender = Reporter(lambda: report(4), lambda: parse_address(server.address), SOCKET_SYSTEM, 1)
             sender.start()
             await until(lambda: len(server.reports) == 3)
             assert server.report_connections == 1
--- a/tests/node_configuration/test_in_the_daemon.py
+++ b/tests/node_configuration/test_in_the_daemon.py
@@ -350,19 +350,21 @@
 
 
 LOADED = "print(sorted(one for one in sys.modules if one.startswith({names!r})))"
-AT_A_START = "import sys, driftstair.__main__, driftstair.daemon, driftstair.net.node, driftstair.net.front\n"
+AT_A_START = (
+    "import sys, driftstair.__main__, driftstair.daemon, driftstair.net.node, driftstair.net.frontend\n"
+)
 WITH_A_FILE = (
     "import sys, asyncio\n"
     "from driftstair.config import load\n"
     "from driftstair.daemon import assemble\n"
-    "from driftstair.net.system import SOCKETS\n"
+    "from driftstair.net.system import SOCKET_SYSTEM\n"
     "from driftstair.service.use import ServiceFile\n"
     "async def main():\n"
     "    config = load({{'BALANCER_CONFIG': {path!r}}})\n"
     "    file = ServiceFile('f', {text!r})\n"
     "    table = file.table(config, 500)\n"
-    "    assert file.tier(config, SOCKETS) is None\n"
-    "    assert file.configuration(config, 500, SOCKETS) is None\n"
+    "    assert file.tier(config, SOCKET_SYSTEM) is None\n"
+    "    assert file.configuration(config, 500, SOCKET_SYSTEM) is None\n"
     "    assemble(config, limits=table)\n"
     "asyncio.run(main())\n"
 )
