--- a/driftstair/limits/attempt_rules.py
+++ b/driftstair/limits/attempt_rules.py
@@ -152,4 +152,4 @@
 def back_offs(route: Route, attempts: int) -> list[int]:
     """The longest that each wait between attempts can be, ns."""
     handed = rules_of(route, 0, attempts).handed
-    return [min(handed.back_off << place, handed.back_off_most) for place in range(attempts - 1)]
+    return [min(handed.backoff << place, handed.max_backoff) for place in range(attempts - 1)]
--- a/driftstair/limits/limited.py
+++ b/driftstair/limits/limited.py
@@ -3,7 +3,7 @@
 A request over a route's limit of requests in flight or rate is refused before the module sees it. The others
 reach it with their limits as data (`lichenspring.interface.Limits`); it still decides server, retry and
 refusal. What it can't know, this layer tells it: that a retry budget is spent (`Outcome.may_retry`), and
-when a second copy is wanted (`Copy`). Pure: no I/O, the clock comes in with each event.
+when a second copy is wanted (`Hedge`). Pure: no I/O, the clock comes in with each event.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 class Limited:
     def __init__(
-        self, module: api.Module, settings: api.Settings, rules: Sequence[Rules],
+        self, module: api.DecisionModule, settings: api.Settings, rules: Sequence[Rules],
         fleet: Callable[[str], Tokens] = no_fleet, added: Mapping[int, Rules] = NONE_ADDED,
     ) -> None:  # fmt: skip
         """`added`: the routes beside the file's as they are now, by number from ADDED_FIRST on. What is
@@ -237,7 +237,7 @@
             if budget is None or not budget.has(now):
                 continue
             before = entry.attempts
-            actions += self._passed(now, self._module.handle(now, api.Copy(request)))
+            actions += self._passed(now, self._module.handle(now, api.Hedge(request)))
             if entry.attempts > before:
                 entry.copies += 1
                 budget.take(now)
--- a/driftstair/limits/narrow.py
+++ b/driftstair/limits/narrow.py
@@ -47,9 +47,9 @@
     most = retry.backoff_most if retry.backoff_most is not None else BACK_OFF_MOST * retry.backoff
     attempts = retry.attempts if retry.attempts is not None else attempts_most
     handed = api.Limits(
-        attempts=min(attempts, attempts_most), time_out=times.attempt or 0, first_byte=times.first_byte or 0,
-        again=again, back_off=retry.backoff, back_off_most=most, jitter=retry.jitter,
-        admitted=ADMITTED[route.admit.priority], route=index,
+        max_attempts=min(attempts, attempts_most), time_out=times.attempt or 0,
+        first_byte=times.first_byte or 0, retry_on=again, backoff=retry.backoff, max_backoff=most,
+        jitter=retry.jitter, cap_fraction=ADMITTED[route.admit.priority], route=index,
     )  # fmt: skip
     return Rules(
         route.name, handed, times.total or 0, route.admit.body or 0, route.admit.in_flight or 0,
--- a/driftstair/limits/table.py
+++ b/driftstair/limits/table.py
@@ -30,10 +30,12 @@
 
     def serves(self, path: bytes) -> bool: ...
 
-    def limited(self, module: api.Module, settings: api.Settings, clock: Callable[[], int]) -> Limited: ...
+    def limited(
+        self, module: api.DecisionModule, settings: api.Settings, clock: Callable[[], int]
+    ) -> Limited: ...
 
 
-def _as_it_is(module: api.Module) -> api.Module:
+def _as_it_is(module: api.DecisionModule) -> api.DecisionModule:
     return module
 
 
@@ -45,7 +47,7 @@
     def __init__(self, service: Service, settings: api.Settings, source: str = "") -> None:
         self.source = source  # file and hash, for the log
         self.fleet: Callable[[str], Tokens] = no_fleet
-        self.around: Callable[[api.Module], api.Module] = _as_it_is
+        self.around: Callable[[api.DecisionModule], api.DecisionModule] = _as_it_is
         self._tally_every = service.tally.every if service.tally is not None else 0  # ns
         self.routes = Routes(Pattern.of(route.match) for route in service.route)
         self.rules = [
@@ -69,7 +71,7 @@
         return self.routes.serves(path.decode("latin-1"))
 
     def limited(
-        self, module: api.Module, settings: api.Settings, clock: Callable[[], int],
+        self, module: api.DecisionModule, settings: api.Settings, clock: Callable[[], int],
         added: Mapping[int, Rules] = NONE_ADDED,
     ) -> Limited:  # fmt: skip
         """`clock`: Unix time in ns, which lines of the log from several nodes are put together by; `added`:
--- a/driftstair/model/baselines.py
+++ b/driftstair/model/baselines.py
@@ -132,7 +132,7 @@
         return self._cost.get(server, (0.0, 0))[0] * (1 + self.out.get(server, 0))
 
 
-POLICIES: dict[str, Callable[[api.Settings, int], api.Module]] = {
+POLICIES: dict[str, Callable[[api.Settings, int], api.DecisionModule]] = {
     "module": Balancer, "random": AtRandom, "round-robin": RoundRobin, "least-requests": LeastRequests,
     "two-choices": TwoChoices, "peak-ewma": PeakEwma,
 }  # fmt: skip
--- a/driftstair/model/node.py
+++ b/driftstair/model/node.py
@@ -85,7 +85,7 @@
         self.known: dict[api.ServerId, api.Server] = {}  # outlives a restart, and may be old
         self.sockets = self.taken = self.refused = self.attempts = 0
         self.open: dict[int, Request] = {}
-        self.module: api.Module
+        self.module: api.DecisionModule
         self._idle: dict[api.ServerId, list[int]] = {}  # since when each idle connection is, by server
         self._lives: dict[api.ServerId, int] = {}  # of the server's process, that they lead to
         self._events: deque[api.Event] = deque()
@@ -94,7 +94,7 @@
 
     # Start and stop.
 
-    def start(self, module: api.Module) -> None:
+    def start(self, module: api.DecisionModule) -> None:
         self.running = True
         self.life += 1
         self.module = module
@@ -145,7 +145,7 @@
                 self._answer(action.request, 502, 0)
             elif isinstance(action, api.SetTimer):
                 self.clock.at(action.at, self._wake, self.life, action.token)
-            elif isinstance(action, api.HangUp):
+            elif isinstance(action, api.CloseIdleConnections):
                 for _ in self._idle.pop(action.server, ()):
                     self._hang_up(action.server)
             else:
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -20,7 +20,7 @@
 from driftstair.tier.service import DOUBTFUL
 from driftstair.tier.sharing import Sharing, Speaks
 from driftstair.tier.wire import Codec, Unreadable
-from lichenspring.interface import Module
+from lichenspring.interface import DecisionModule
 
 
 class Surroundings(Protocol):
@@ -44,7 +44,7 @@
         self.living: dict[int, Peer] = {}
         self._lives = dict.fromkeys(range(len(names)), 0)
 
-    def start(self, name: str, module: Module) -> Module:
+    def start(self, name: str, module: DecisionModule) -> DecisionModule:
         """A new process of that node, with what it is told by the others round its module."""
         number = self.names.index(name)
         self._lives[number] += 1
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -48,7 +48,7 @@
     HostState.GONE: ServerState.GONE,
 }  # fmt: skip
 
-Policy = Callable[[api.Settings, int], api.Module]
+Policy = Callable[[api.Settings, int], api.DecisionModule]
 
 
 class ModelError(Exception):
@@ -299,7 +299,7 @@
     def tell_list(self, box: Server, state: HostState, silent: bool = False) -> None:
         self.box_list.change(self._entry(box, state), self.silent_notice if silent else self.list_notice)
 
-    def _module(self, name: str) -> api.Module:
+    def _module(self, name: str) -> api.DecisionModule:
         life = self._policy_lives[name] = self._policy_lives.get(name, 0) + 1
         settings = replace(self.settings, number=self.node_names.index(name))
         module = self.policy(settings, seed_for(self.seed, "node", name, life))
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -67,7 +67,7 @@
         self._now = system.monotonic_ns
         self._pools = pools
         self._core = Balancer(config.settings, config.seed)
-        self._balancer: api.Module = self._core
+        self._balancer: api.DecisionModule = self._core
         if limits is not None:
             self._balancer = limits.limited(self._balancer, config.settings, system.time_ns)
         self._loop = asyncio.get_running_loop()
@@ -181,7 +181,7 @@
             self._answer(action.request, 504 if late else 502, [], AnswerReason.FAILED)
         elif isinstance(action, api.SetTimer):
             self._set_timer(action.at, action.token)
-        elif isinstance(action, api.HangUp):
+        elif isinstance(action, api.CloseIdleConnections):
             pool = self._pools.get(action.server)
             if pool is not None:
                 pool.drop_idle()
--- a/driftstair/node_configuration/request_tables.py
+++ b/driftstair/node_configuration/request_tables.py
@@ -71,7 +71,9 @@
     def serves(self, path: bytes) -> bool:
         return self._file.serves(path) or self._configured.serves(path.decode("latin-1"))
 
-    def limited(self, module: api.Module, settings: api.Settings, clock: Callable[[], int]) -> Limited:
+    def limited(
+        self, module: api.DecisionModule, settings: api.Settings, clock: Callable[[], int]
+    ) -> Limited:
         limited = self._file.limited(module, settings, clock, self._configured.routes.by_number)
         self._configured.limited = limited
         return limited
--- a/driftstair/tally/tally.py
+++ b/driftstair/tally/tally.py
@@ -51,7 +51,7 @@
 
 
 class Tally:
-    def __init__(self, module: api.Module, settings: api.Settings, every: int, say: Say) -> None:
+    def __init__(self, module: api.DecisionModule, settings: api.Settings, every: int, say: Say) -> None:
         """`every`: ns between two lines."""
         self._module = module
         self._settings = settings
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -30,7 +30,7 @@
     from driftstair.tier.shared.budget import Spec
     from driftstair.tier.sharing import Sharing
     from driftstair.tier.tokens import TokenFile
-    from lichenspring.interface import Module
+    from lichenspring.interface import DecisionModule
 
 log = logging.getLogger(__name__)
 
@@ -182,7 +182,7 @@
         known = self.core.known().items()
         return {self._told.own: self._told.zone} | {number: one.traits.zone for number, one in known}
 
-    def around(self, module: Module) -> Module:
+    def around(self, module: DecisionModule) -> DecisionModule:
         return module if self.sharing is None else self.sharing.around(module)
 
     def _carry(self, to: int, items: bytes) -> None:
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -14,7 +14,7 @@
 from driftstair.tier.shared.core import Action, Keep, Shared, Tell
 from driftstair.tier.shared.evidence import Judge
 from driftstair.tier.watching import Watching, key
-from lichenspring.interface import Module
+from lichenspring.interface import DecisionModule
 
 
 class Speaks(NamedTuple):
@@ -177,7 +177,7 @@
         if self.core.leases is not None:
             self.core.leases.floor(task, token)
 
-    def around(self, module: Module) -> Module:
+    def around(self, module: DecisionModule) -> DecisionModule:
         """The decision module, watched and told on where judgements are shared."""
         return module if self._speaks is None else Watching(module, lambda: self.core.judge)
 
--- a/driftstair/tier/watching.py
+++ b/driftstair/tier/watching.py
@@ -23,7 +23,7 @@
 class Watching:
     """`judge`: as it is now; None while this process is not that node."""
 
-    def __init__(self, module: api.Module, judge: Callable[[], Judge | None]) -> None:
+    def __init__(self, module: api.DecisionModule, judge: Callable[[], Judge | None]) -> None:
         self._module = module
         self._judge = judge
         self._servers: dict[api.ServerId, api.Server] = {}  # as the list tells them
--- a/lichenspring/adapter.py
+++ b/lichenspring/adapter.py
@@ -136,7 +136,7 @@
         return wire.encode_action(wire.Out.BUSY, *action)
     if isinstance(action, api.Fail):
         return wire.encode_action(wire.Out.REPORT_FAILURE, *action)
-    if isinstance(action, api.HangUp):
+    if isinstance(action, api.CloseIdleConnections):
         return wire.encode_action(wire.Out.HANG_UP, *action)
     if isinstance(action, api.SetTimer):
         return wire.encode_action(wire.Out.WAKE_AT, *action)
--- a/lichenspring/balance.py
+++ b/lichenspring/balance.py
@@ -265,7 +265,7 @@
             self._follow(now, event)
         elif isinstance(event, api.ClientGone):
             self._close(now, event.request)
-        elif isinstance(event, api.Copy):
+        elif isinstance(event, api.Hedge):
             self._copy(now, event.request)
         return self._actions
 
@@ -340,7 +340,7 @@
     def _admits(self, now: int, request: api.Request) -> bool:
         part = OVER_SHARE_PART if self._is_over_share(request.tenant) else 1.0
         if request.limits is not None:
-            part *= request.limits.admitted
+            part *= request.limits.cap_fraction
         if now - self._last_sent >= TRY_AGAIN:
             return True
         return self._has_room(now, request, part * RESUBMITTED_PART if request.resubmitted else part)
@@ -470,9 +470,9 @@
         limits = entry.request.limits
         if limits is None:
             return self._has_another(now, entry) and self._send_again(now, entry, outcome.result)
-        wait = min(limits.back_off << min(32, len(entry.attempts) - 1), limits.back_off_most)
+        wait = min(limits.backoff << min(32, len(entry.attempts) - 1), limits.max_backoff)
         wait -= int(limits.jitter * wait * self._random.random()) if wait else 0
-        may = outcome.may_retry and outcome.result in limits.again and self._has_another(now + wait, entry)
+        may = outcome.may_retry and outcome.result in limits.retry_on and self._has_another(now + wait, entry)
         if not may or not wait:
             return may and self._send_again(now, entry, outcome.result)
         entry.waits = True
@@ -490,7 +490,7 @@
         """Neither time nor number forbids another attempt."""
         limits = entry.request.limits
         most = self._settings.max_attempts
-        most = most if limits is None else min(most, limits.attempts)
+        most = most if limits is None else min(most, limits.max_attempts)
         return entry.useful_until - now > RETRY_LEAST * self._typical(entry) and len(entry.attempts) < most
 
     def _copy(self, now: int, request: int) -> None:
@@ -736,7 +736,7 @@
             backend.idle.pop()
         elif backend.idle:
             backend.idle.clear()
-            self._actions.append(api.HangUp(backend.entry.id))
+            self._actions.append(api.CloseIdleConnections(backend.entry.id))
         return idle
 
     def _note_connection(self, now: int, attempt: Attempt) -> bool:
@@ -747,7 +747,7 @@
             # Perhaps of connections: no server tells how many it takes. Guards against nodes that all keep
             # theirs to one that turns each of them away, for as long as they are kept.
             attempt.backend.idle.clear()
-            self._actions.append(api.HangUp(attempt.backend.entry.id))
+            self._actions.append(api.CloseIdleConnections(attempt.backend.entry.id))
         elif attempt.result in (Result.OK, Result.ERROR, Result.REJECTED):
             attempt.backend.idle.append(now)
         if not attempt.idle:
--- a/lichenspring/interface.py
+++ b/lichenspring/interface.py
@@ -149,14 +149,14 @@
 class Limits(NamedTuple):
     """What narrows the decisions on one request, beyond the settings. It never widens them."""
 
-    attempts: int  # at most, copies included
+    max_attempts: int  # at most, copies included
     time_out: int  # of one attempt; 0: as long as the answer is of use
     first_byte: int  # of one attempt, until its answer begins; 0: none
-    again: frozenset[Result]  # results after which another attempt may be made
-    back_off: int  # before the first further attempt; it doubles; 0: at once
-    back_off_most: int
+    retry_on: frozenset[Result]  # results after which another attempt may be made
+    backoff: int  # before the first further attempt; it doubles; 0: at once
+    max_backoff: int
     jitter: float  # part of a back-off that is left to chance, 0 to 1
-    admitted: float  # part of its class's cap that it may fill, 0 to 1
+    cap_fraction: float  # part of its class's cap that it may fill, 0 to 1
     route: int = 0  # for whoever set them
 
 
@@ -181,7 +181,7 @@
     may_retry: bool = True  # no budget forbids another attempt
 
 
-class Copy(NamedTuple):
+class Hedge(NamedTuple):
     """A second attempt is wanted while the first is out; made if the rules and the servers allow one."""
 
     request: int
@@ -195,7 +195,7 @@
     token: int
 
 
-Event = ServerList | Request | Outcome | Copy | ClientGone | Timer
+Event = ServerList | Request | Outcome | Hedge | ClientGone | Timer
 
 
 class Send(NamedTuple):
@@ -219,7 +219,7 @@
     request: int
 
 
-class HangUp(NamedTuple):
+class CloseIdleConnections(NamedTuple):
     """Close this node's idle connections to a server."""
 
     server: ServerId
@@ -234,10 +234,10 @@
     """Ask for the list and all later changes to it."""
 
 
-Action = Send | Refuse | Fail | HangUp | SetTimer | Watch
+Action = Send | Refuse | Fail | CloseIdleConnections | SetTimer | Watch
 
 
-class Module(Protocol):
+class DecisionModule(Protocol):
     """What takes the events and gives the actions: the balancer, or what narrows it."""
 
     def start(self, now: int) -> list[Action]: ...
--- a/tests/limits/test_accepted_files.py
+++ b/tests/limits/test_accepted_files.py
@@ -137,14 +137,14 @@
             assert self.now - min(earlier[place][0] for place in maybe_ran) < kind.window
         assert send.server not in {one.server for _, one in earlier}
         if rules is not None:
-            assert index < rules.handed.attempts
+            assert index < rules.handed.max_attempts
             left = rules.total - (self.now - self.asked[number]) if rules.total else S * 100
             assert 0 < send.time_out <= max(1, left)
             assert not rules.handed.time_out or send.time_out <= rules.handed.time_out
             if out:
                 assert rules.copies() and len(out) == 1 and kind.repeat is Repeat.SAFE
             elif index:
-                assert self.results[(number, index - 1)][1] in rules.handed.again
+                assert self.results[(number, index - 1)][1] in rules.handed.retry_on
             if index:
                 self.more[rules.name] += 1
                 last = self.results.get((number, index - 1))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -713,7 +713,7 @@
         backend.idle = [node.now]
     node.wait(3 * SECOND)
     hang_up, send = node.ask(2, 5)
-    assert isinstance(hang_up, api.HangUp) and isinstance(send, api.Send)
+    assert isinstance(hang_up, api.CloseIdleConnections) and isinstance(send, api.Send)
     assert hang_up.server == send.server
     node.end(send, Result.OK)
     for backend in node.balancer._ready:
@@ -1099,7 +1099,7 @@
     node.end(first, Result.OK)
     backend = node.balancer._backends[first.server]
     assert backend.idle
-    assert api.HangUp(second.server) in node.end(second, Result.FULL)
+    assert api.CloseIdleConnections(second.server) in node.end(second, Result.FULL)
     assert not backend.idle
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -312,7 +312,7 @@
                 self.asked += 1
                 if self.rules.list_mode is not api.ListMode.ON_REQUEST:
                     raise RuleBroken("malformed: a watch where the list is pushed")
-            elif isinstance(action, api.HangUp):
+            elif isinstance(action, api.CloseIdleConnections):
                 if action.server not in self.listed:
                     raise RuleBroken(f"malformed: {action} names a server never listed")
             else:
