--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -85,7 +85,7 @@
     from driftstair.net.identifiers import digest
     from lichenspring import Balancer
     from lichenspring import interface as api
-    from lichenspring.subset import ROUND
+    from lichenspring.subset import NODES_PER_ROUND
 
     settings = load({"BALANCER_CONFIG": str(folder / "platform.json")}).settings
     entries = tuple(
@@ -93,7 +93,7 @@
         for entry in documents.server_list(size)["servers"]
     )
     reached: set[api.ServerId] = set()
-    for number in range(ROUND):
+    for number in range(NODES_PER_ROUND):
         balancer = Balancer(replace(settings, number=number), 1)
         balancer.handle(1, api.ServerList(api.ListKind.FULL, entries))
         reached |= {backend.entry.id for backend in balancer._table}
--- a/driftstair/config.py
+++ b/driftstair/config.py
@@ -10,7 +10,7 @@
 from driftstair.files import CONFIGURATION_MOST, FileProblem, parsed, read_text
 from driftstair.hosts import HostList, ListError, parse_address, parse_list
 from driftstair.settings import Config
-from lichenspring.settings import SettingsError, Values, flat, settings_from
+from lichenspring.settings import SettingsError, SettingsReader, flatten, parse_settings
 
 SOCKETS_LEAST = 96  # below that no node could serve anybody
 
@@ -62,9 +62,9 @@
 
 def _checked(environment: Mapping[str, str], document: dict[str, Any]) -> Config:
     tree = _object(document, "settings")
-    mapping = dict(flat(tree))
-    settings = settings_from(mapping)
-    values = Values(mapping)
+    mapping = dict(flatten(tree))
+    settings = parse_settings(mapping)
+    values = SettingsReader(mapping)
     return Config(
         listen=_address(environment, "BALANCER_LISTEN", document, "listen"),
         discovery=_address(environment, "BALANCER_DISCOVERY", document, "discovery"),
@@ -73,14 +73,14 @@
         known=_known(document),
         settings=settings,
         classes={name.encode(): index for index, name in enumerate(_names(tree, "Grades"))},
-        deadlines=values.each("Grades", lambda found, path: found.whole(f"{path}.Deadline", least=1)),
+        deadlines=values.read_list("Grades", lambda found, path: found.integer(f"{path}.Deadline", least=1)),
         tenants={name.encode(): index for index, name in enumerate(_names(tree, "Tenants"))},
         zones=_indexed(tree, "Zones"),
         kinds=_indexed(tree, "Kinds"),
-        report_fields=tuple(word.encode() for word in values.words("Feedback.Fields")),
-        dial_timeout=values.whole("Limits.DialTimeout", least=1),
-        idle_close=values.whole("Limits.IdleClose", least=1),
-        open_cap=values.whole("Limits.OpenCap", least=1),
+        report_fields=tuple(word.encode() for word in values.string_list("Feedback.Fields")),
+        dial_timeout=values.integer("Limits.DialTimeout", least=1),
+        idle_close=values.integer("Limits.IdleClose", least=1),
+        open_cap=values.integer("Limits.OpenCap", least=1),
         memory=_memory(document),
         operators=_operators(environment, document),
         between=_between(document, tree),
--- a/driftstair/experiments/runs.py
+++ b/driftstair/experiments/runs.py
@@ -21,6 +21,10 @@
 
 BUILD_WITHIN = 3600.0  # s for one run of another build
 PLACES = ("lichenspring",)
+RENAMED = {
+    "lichenspring.subset.ROUND": "lichenspring.subset.NODES_PER_ROUND",
+}
+"""Experiment files may name a renamed constant by its old path."""
 
 
 class Played(NamedTuple):
@@ -32,7 +36,7 @@
 
 def constant(path: str) -> Any:
     """Of the decision module, by `MODULE.NAME`. Raises AttributeError, with what would do."""
-    module, _, name = path.rpartition(".")
+    module, _, name = RENAMED.get(path, path).rpartition(".")
     if not module.startswith(PLACES):
         raise AttributeError(f"{path}: a constant of the decision module (lichenspring.MODULE.NAME) would do")
     try:
@@ -52,7 +56,7 @@
     try:
         for path, value in constants:
             before = constant(path)
-            home, _, name = path.rpartition(".")
+            home, _, name = RENAMED.get(path, path).rpartition(".")
             for module in [one for key, one in sys.modules.items() if key.startswith(PLACES)]:
                 # The same object under the same name: it was imported from there.
                 if module.__name__ == home or getattr(module, name, None) is before:
--- a/driftstair/model/clients.py
+++ b/driftstair/model/clients.py
@@ -17,7 +17,7 @@
 from driftstair.rehearsal import account
 from driftstair.rehearsal.fakes.clients import ClientFigures, Load
 from driftstair.rehearsal.fakes.workload import Choice, Kind, Workload, zipf
-from lichenspring.subset import mix
+from lichenspring.subset import splitmix64
 
 NOBODY_ASKS = 50_000_000  # ns until the next look, while the load is none
 
@@ -66,7 +66,7 @@
         self.number = number
         self.kind = kind
         self.tenant = tenant
-        self.key = mix(key + 1) or 1
+        self.key = splitmix64(key + 1) or 1
         self.key_name = b"%d" % key
         self.phase = phase
         self.began = began
@@ -97,7 +97,7 @@
         self._ledger = ledger
         self._way = way  # ns, one way between a client and a node
         # What arrives does not depend on what becomes of it: runs of one seed share arrivals.
-        self._random, self._later = Random(seed), Random(mix(seed))
+        self._random, self._later = Random(seed), Random(splitmix64(seed))
         self._running = False
 
     def start(self) -> None:
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -31,7 +31,7 @@
 from lichenspring import Balancer
 from lichenspring import interface as api
 from lichenspring.interface import ServerState
-from lichenspring.settings import flat, settings_from
+from lichenspring.settings import flatten, parse_settings
 
 if TYPE_CHECKING:
     from driftstair.model.peers import Peers
@@ -119,7 +119,7 @@
         self.policy = policy
         self.clock = Clock()
         self.seed = of.seed
-        self.settings = settings_from(dict(flat(platform.settings(of))))
+        self.settings = parse_settings(dict(flatten(platform.settings(of))))
         self.dial_timeout = int(of.nodes.dial_timeout_ms * 1e6)
         self.dial_trips = 1.5
         self.descriptors = of.nodes.descriptors - int(of.clients.connections_share * of.nodes.descriptors)
--- a/driftstair/rehearsal/fakes/clients.py
+++ b/driftstair/rehearsal/fakes/clients.py
@@ -16,7 +16,7 @@
 from driftstair.rehearsal.fakes.http1 import MessageReader, WireError, status_of
 from driftstair.rehearsal.fakes.place import Place
 from driftstair.rehearsal.fakes.workload import Choice, Kind, Workload, zipf
-from lichenspring.subset import mix
+from lichenspring.subset import splitmix64
 
 NOBODY_ASKS = 0.05  # s until the next look, while the load is none
 IDLE_LOOK = 1.0  # s
@@ -102,7 +102,7 @@
         self._tenant_names = tenant_names
         self._keys = zipf(keys, key_skew)
         self._random = Random(seed)
-        self._ids = mix(seed)
+        self._ids = splitmix64(seed)
         self._last_id = 0
         self._next_arrival = 0  # ns
         self._pools: dict[str, Pool] = {}
@@ -172,7 +172,7 @@
             left, int(ask.kind.given_up * self.figures.try_share)
         )  # fmt: skip
         self._last_id += 1
-        request = b"%016x" % mix(self._ids + self._last_id)
+        request = b"%016x" % splitmix64(self._ids + self._last_id)
         one = Try(ask, request, node, patience, now + patience)
         one.timer = self.place.loop.call_later(patience / 1e9, self._time_is_up, one)
         self._pool(node).carry(one)
--- a/driftstair/rehearsal/fakes/workload.py
+++ b/driftstair/rehearsal/fakes/workload.py
@@ -14,7 +14,7 @@
 from statistics import NormalDist
 
 from driftstair.rehearsal.scenario import Class
-from lichenspring.subset import mix
+from lichenspring.subset import splitmix64
 
 _MASK = (1 << 64) - 1
 _NORMAL = NormalDist()
@@ -68,9 +68,9 @@
             return None
         if kind is None or len(request) != 16:
             return None
-        chance = ((mix(number) >> 11) + 0.5) / (1 << 53)
+        chance = ((splitmix64(number) >> 11) + 0.5) / (1 << 53)
         work = exp(kind.mu + kind.sigma * _NORMAL.inv_cdf(chance))
-        return Task(work, kind.waits * (0.5 + (mix(number ^ _MASK) >> 11) / (1 << 53)), kind.body)
+        return Task(work, kind.waits * (0.5 + (splitmix64(number ^ _MASK) >> 11) / (1 << 53)), kind.body)
 
     def mean_work(self, shares: dict[str, float]) -> float:
         """Core-seconds of a request, over classes of these shares."""
--- a/lichenspring/adapter.py
+++ b/lichenspring/adapter.py
@@ -10,7 +10,7 @@
 from lichenspring import interface as api
 from lichenspring import wire
 from lichenspring.balance import Balancer
-from lichenspring.settings import SettingsError, settings_from
+from lichenspring.settings import SettingsError, parse_settings
 
 _T = TypeVar("_T")
 
@@ -37,7 +37,7 @@
 
 def read_settings(text: str) -> api.Settings:
     """Settings from the path=value lines of an instance's first message; raises SettingsError."""
-    return settings_from(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
+    return parse_settings(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
 
 def _lookup(table: Mapping[int, _T], value: int, what: str) -> _T:
--- a/lichenspring/balance.py
+++ b/lichenspring/balance.py
@@ -19,7 +19,7 @@
 from lichenspring import interface as api
 from lichenspring.breaker import CENSORED, KEEP, PERIOD, SECOND, TARGET, Breaker, InFlight, pooled_tail
 from lichenspring.interface import NEVER_RAN, Group, ListKind, ListMode, Repeat, Result, ServerState
-from lichenspring.subset import HELD, members, mix, parts
+from lichenspring.subset import HELD, members, parts, splitmix64
 
 # Admission, beside the breaker's own.
 IDLE_BELOW = 0.6  # mean part of cores in use, by report: below it the target is the aim itself
@@ -625,13 +625,13 @@
             key = entry.request.key or self._random.getrandbits(64)
             first = self._random.randrange(self._spread_of(key) if entry.request.key else 1)
             for draw in range(first, first + DRAWS):
-                place = mix(key + draw)
+                place = splitmix64(key + draw)
                 backend = table[place % len(table)]
                 if place >> 44 < self._kinds[backend.entry.kind].share * (1 << 20):
                     yield backend
             for servers in (self._ready, self._others):
                 # The head of the list would get all that finds no other.
-                turn = mix(key) % max(1, len(servers))
+                turn = splitmix64(key) % max(1, len(servers))
                 yield from servers[turn:]
                 yield from servers[:turn]
 
@@ -935,8 +935,8 @@
         servers = sorted((*self._ready, *self._others), key=lambda one: one.entry.id)
         heaviest = max(backend.entry.weight for backend in servers)
         table: list[Backend | None] = [None] * TABLE_SIZE
-        places = [mix(int.from_bytes(backend.entry.id, "little")) for backend in servers]
-        steps = [1 + mix(place) % (TABLE_SIZE - 1) for place in places]
+        places = [splitmix64(int.from_bytes(backend.entry.id, "little")) for backend in servers]
+        steps = [1 + splitmix64(place) % (TABLE_SIZE - 1) for place in places]
         credits = [0.0] * len(places)
         left = TABLE_SIZE
         while left:
--- a/lichenspring/settings.py
+++ b/lichenspring/settings.py
@@ -23,16 +23,16 @@
     """A required setting is missing or unreadable; the text names it."""
 
 
-def flat(tree: object, path: str = "") -> Iterator[tuple[str, str]]:
+def flatten(tree: object, path: str = "") -> Iterator[tuple[str, str]]:
     """The paths and values of a settings object, in the text form that the simulator's wire gives them:
     lists of plain values joined with commas, lists of objects by their count and their indices."""
     if isinstance(tree, dict):
         for name, value in tree.items():
-            yield from flat(value, f"{path}.{name}" if path else str(name))
+            yield from flatten(value, f"{path}.{name}" if path else str(name))
     elif isinstance(tree, list) and tree and isinstance(tree[0], dict):
         yield f"{path}.count", str(len(tree))
         for index, value in enumerate(tree):
-            yield from flat(value, f"{path}.{index}")
+            yield from flatten(value, f"{path}.{index}")
     elif isinstance(tree, list):
         yield path, ",".join(str(value) for value in tree)
     elif isinstance(tree, bool):
@@ -41,7 +41,7 @@
         yield path, str(tree)
 
 
-class Values:
+class SettingsReader:
     """Checked access to the settings by their paths."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
@@ -62,7 +62,7 @@
         except (ValueError, OverflowError):
             raise SettingsError(f"required setting {path} is unreadable: {text!r}") from None
 
-    def whole(self, path: str, least: int = 0) -> int:
+    def integer(self, path: str, least: int = 0) -> int:
         value = self._parsed(path, int)
         if value < least:
             raise SettingsError(f"required setting {path} is below {least}: {value}")
@@ -80,11 +80,11 @@
     def flag(self, path: str) -> bool:
         return self.one_of(path, FLAGS)
 
-    def words(self, path: str) -> tuple[str, ...]:
+    def string_list(self, path: str) -> tuple[str, ...]:
         return tuple(word for word in self.text(path).split(",") if word)
 
-    def each(self, path: str, read: Callable[[Values, str], _T]) -> tuple[_T, ...]:
-        return tuple(read(self, f"{path}.{index}") for index in range(self.whole(f"{path}.count")))
+    def read_list(self, path: str, read: Callable[[SettingsReader, str], _T]) -> tuple[_T, ...]:
+        return tuple(read(self, f"{path}.{index}") for index in range(self.integer(f"{path}.count")))
 
 
 def _not_negative(text: str) -> float:
@@ -94,47 +94,47 @@
     return value
 
 
-def _request_class(values: Values, path: str) -> api.RequestClass:
+def _request_class(values: SettingsReader, path: str) -> api.RequestClass:
     return api.RequestClass(
-        aim=values.whole(f"{path}.Aim", least=1),
+        aim=values.integer(f"{path}.Aim", least=1),
         worth=values.number(f"{path}.Worth"),
         late_worth=values.number(f"{path}.LateShare"),
         repeat=values.one_of(f"{path}.Semantics", REPEATS),
         group=values.one_of(f"{path}.Group", GROUPS),
-        window=values.whole(f"{path}.MemorySpan"),
+        window=values.integer(f"{path}.MemorySpan"),
         in_order=values.has(f"{path}.OneAtATime") and values.flag(f"{path}.OneAtATime"),
     )
 
 
-def _tenant(values: Values, path: str) -> api.Tenant:
+def _tenant(values: SettingsReader, path: str) -> api.Tenant:
     return api.Tenant(
         share=values.number(f"{path}.Share"),
     )
 
 
-def _tenants(values: Values) -> tuple[api.Tenant, ...]:
+def _tenants(values: SettingsReader) -> tuple[api.Tenant, ...]:
     """A site may define none."""
-    return values.each("Tenants", _tenant) if values.has("Tenants.count") else ()
+    return values.read_list("Tenants", _tenant) if values.has("Tenants.count") else ()
 
 
-def settings_from(mapping: Mapping[str, str]) -> api.Settings:
+def parse_settings(mapping: Mapping[str, str]) -> api.Settings:
     """The module's settings; raises SettingsError, or ValueError for what no balancer could work by."""
-    values = Values(mapping)
+    values = SettingsReader(mapping)
     return api.Settings(
-        classes=values.each("Grades", _request_class),
+        classes=values.read_list("Grades", _request_class),
         tenants=_tenants(values),
-        nodes=values.whole("PeersTotal", least=1),
+        nodes=values.integer("PeersTotal", least=1),
         list_mode=values.one_of("MembershipMode", LIST_MODES),
-        ask_within=values.whole("Contract.AskWithin"),
+        ask_within=values.integer("Contract.AskWithin"),
         cold_share=values.number("Contract.ColdShare"),
-        cold_time=values.whole("Contract.Cold"),
-        max_attempts=values.whole("Limits.SendCap", least=1),
-        max_retry_after=values.whole("Limits.MaxRetryAfter"),
+        cold_time=values.integer("Contract.Cold"),
+        max_attempts=values.integer("Limits.SendCap", least=1),
+        max_retry_after=values.integer("Limits.MaxRetryAfter"),
         retry_after=values.flag("Limits.RetryAfter"),
         worth_by_work=values.one_of("WorthBy", {"request": False, "work": True}),
-        report_fields=tuple(REPORT_FIELDS.get(word, word) for word in values.words("Feedback.Fields")),
-        idle_close=values.whole("Limits.IdleClose"),
-        key_rest=values.whole("Contract.KeyRest") if values.has("Contract.KeyRest") else 0,
-        number=values.whole("SelfIndex") if values.has("SelfIndex") else 0,
+        report_fields=tuple(REPORT_FIELDS.get(word, word) for word in values.string_list("Feedback.Fields")),
+        idle_close=values.integer("Limits.IdleClose"),
+        key_rest=values.integer("Contract.KeyRest") if values.has("Contract.KeyRest") else 0,
+        number=values.integer("SelfIndex") if values.has("SelfIndex") else 0,
         fall_multiple=values.number("Contract.FallMultiple") if values.has("Contract.FallMultiple") else 0.0,
     )
--- a/lichenspring/subset.py
+++ b/lichenspring/subset.py
@@ -18,11 +18,11 @@
 HELD = 10.0  # requests in flight, of all nodes together, of a server that works at full pace
 MEETS_WITHIN = 2.0  # s, in which a node is to meet a server then: half of that goes by until most nodes have
 LEAST = 12  # servers of a part: the two candidates of a key, and enough to go elsewhere
-ROUND = 32  # nodes, a power of two: there are so many parts at most
+NODES_PER_ROUND = 32  # nodes, a power of two: there are so many parts at most
 MASK = (1 << 64) - 1
 
 
-def mix(value: int) -> int:
+def splitmix64(value: int) -> int:
     """A well spread 64-bit hash of a whole number, alike on every node."""
     value = (value + 0x9E3779B97F4A7C15) & MASK
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK
@@ -35,7 +35,7 @@
     pace a server answers `HELD` requests in `answers_within` (ns), and each node sends its part of them."""
     seldom = nodes * answers_within / SECOND / (HELD * MEETS_WITHIN)
     most = servers / LEAST
-    return 1 << int(log2(max(1.0, min(seldom, most, ROUND))))
+    return 1 << int(log2(max(1.0, min(seldom, most, NODES_PER_ROUND))))
 
 
 def members(servers: Sequence[ServerId], node: int, count: int) -> set[ServerId]:
@@ -43,6 +43,6 @@
     # The nodes of a round by turns, so that a part of few holds those of many: by its last bits, the
     # lowest first.
     part = sum((node >> bit & 1) * (count >> bit + 1) for bit in range(count.bit_length() - 1))
-    salt = mix(node // ROUND + 1)
-    order = sorted(servers, key=lambda one: mix(int.from_bytes(one, "little") ^ salt))
+    salt = splitmix64(node // NODES_PER_ROUND + 1)
+    order = sorted(servers, key=lambda one: splitmix64(int.from_bytes(one, "little") ^ salt))
     return set(order[part * len(order) // count : (part + 1) * len(order) // count])
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -119,6 +119,16 @@
     assert before == breaker.KEEP
 
 
+@pytest.mark.parametrize("old", runs.RENAMED)
+def test_a_renamed_constant_is_found_by_its_old_path(old: str) -> None:
+    new = runs.RENAMED[old]
+    before = runs.constant(new)
+    assert runs.constant(old) is before
+    with runs.changed(((old, before + 1),)):
+        assert runs.constant(new) == before + 1
+    assert runs.constant(new) is before
+
+
 def test_a_run_that_raises_is_told_and_the_others_go_on(tmp_path: Path) -> None:
     class Broken(POLICIES["random"]):  # type: ignore[misc,valid-type]
         def pick(self, now: int, request: Any) -> Any:
