--- a/benchmarks/breaker.py
+++ b/benchmarks/breaker.py
@@ -66,7 +66,7 @@
 
 def explained(window: Window) -> float:
     """As shipped."""
-    return breaker.tail_of(window)[1]
+    return breaker.estimate_tail(window)[1]
 
 
 ESTIMATORS: dict[str, Callable[[Window], float]] = {
@@ -79,7 +79,7 @@
     """Play one scenario; every window that told something, with its truth."""
     name, seed = job
     seen: list[tuple[int, float, float, list[float], list[float]]] = []
-    wake = balance.Balancer._wake
+    wake = balance.Balancer._on_timer
 
     def recording(self: balance.Balancer, now: int, token: int) -> None:
         if token == balance.TICK_TOKEN:
@@ -89,14 +89,14 @@
                     seen.append((now, one.aim, one.target, [*window.answered], [*window.timed_out]))
         wake(self, now, token)
 
-    balance.Balancer._wake = recording  # type: ignore[method-assign]
+    balance.Balancer._on_timer = recording  # type: ignore[method-assign]
     try:
         rehearsal, _, _ = virtual.play(load(name, {"seed": seed}))
     except Exception as problem:
         print(f"{name}, seed {seed}: not played: {problem!r}", file=sys.stderr)
         return []
     finally:
-        balance.Balancer._wake = wake  # type: ignore[method-assign]
+        balance.Balancer._on_timer = wake  # type: ignore[method-assign]
     cores = {box: one.figures.cores for box, one in (rehearsal.boxes | rehearsal.gone).items()}
     truth = {}
     for sample in rehearsal.samples:
--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -74,7 +74,7 @@
         "whole_peak_mb": max(reading.peak_mb, reading.kept_mb + taking.peak_mb),
         "whole_kept_mb": reading.kept_mb + taking.kept_mb, "change_bytes": len(changes[-1]),
         "change_hold_ms": change * 1e3, "servers_in_table": len({one.entry.id for one in table}),
-        "servers_of_own_part": len(node._core._ready), "servers_listed": len(node._core._backends),
+        "servers_of_own_part": len(node._core._subset), "servers_listed": len(node._core._backends),
     }  # fmt: skip
 
 
--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -68,7 +68,7 @@
     from lichenspring import balance
 
     _guard_forbids_nothing()
-    balance.Open.may_send_to = lambda self, server, now: True  # type: ignore[method-assign]
+    balance.OpenRequest.may_send_to = lambda self, server, now: True  # type: ignore[method-assign]
 
 
 def send_to_draining() -> None:
--- a/driftstair/experiments/runs.py
+++ b/driftstair/experiments/runs.py
@@ -22,6 +22,13 @@
 BUILD_WITHIN = 3600.0  # s for one run of another build
 PLACES = ("lichenspring",)
 RENAMED = {
+    "lichenspring.balance.FULL_ABOVE": "lichenspring.balance.FULL_THRESHOLD",
+    "lichenspring.balance.FULL_COUNTS": "lichenspring.balance.FULL_LOAD_PENALTY",
+    "lichenspring.balance.LATER_TOKEN": "lichenspring.balance.DEFERRED_TOKEN",
+    "lichenspring.balance.TRY_AGAIN": "lichenspring.balance.PROBE_INTERVAL_NS",
+    "lichenspring.breaker.KEEP": "lichenspring.breaker.RETAINED_WEIGHT",
+    "lichenspring.breaker.KEEP_FALLING": "lichenspring.breaker.RETAINED_WEIGHT_FALLING",
+    "lichenspring.breaker.PROVEN_PART": "lichenspring.breaker.PROVEN_LOAD_FRACTION",
     "lichenspring.subset.ROUND": "lichenspring.subset.NODES_PER_ROUND",
 }
 """Experiment files may name a renamed constant by its old path."""
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -449,15 +449,15 @@
 
     def learned(self) -> dict[str, Any]:
         """What the module knows, for a process that takes over on this machine."""
-        from lichenspring.memory import remembered
+        from lichenspring.memory import export_state
 
-        return remembered(self._core)
+        return export_state(self._core)
 
     def recall(self, learned: dict[str, Any]) -> None:
         """Once the list is known; what can't be used is passed over."""
-        from lichenspring.memory import recall
+        from lichenspring.memory import restore_state
 
         try:
-            recall(self._core, self._now(), learned)
+            restore_state(self._core, self._now(), learned)
         except (KeyError, TypeError, ValueError, AttributeError) as problem:
             log.warning("what the old process had learned is not used: %r", problem)
--- a/lichenspring/balance.py
+++ b/lichenspring/balance.py
@@ -17,7 +17,16 @@
 from random import Random
 
 from lichenspring import interface as api
-from lichenspring.breaker import CENSORED, KEEP, PERIOD, SECOND, TARGET, Breaker, InFlight, pooled_tail
+from lichenspring.breaker import (
+    CENSORED,
+    PERIOD,
+    RETAINED_WEIGHT,
+    SECOND,
+    TARGET,
+    Breaker,
+    InFlight,
+    pooled_tail,
+)
 from lichenspring.interface import NEVER_RAN, Group, ListKind, ListMode, Repeat, Result, ServerState
 from lichenspring.subset import HELD, members, parts, splitmix64
 
@@ -29,7 +38,8 @@
 TOLD_LOW = 0.2  # of it: what little is in use tells little of how much more would be
 CARRIED_WEIGHT = 0.25  # part of a window in the mean of requests in flight that late reports belong to
 LEAST_PER_SERVER = 0.3  # of a class, likewise, are always let in: without samples no cap could rise again
-TRY_AGAIN = 5 * SECOND // 2  # without an attempt, whatever the caps say: only one tells of better servers
+# Without an attempt, whatever the caps say: only one tells of better servers.
+PROBE_INTERVAL_NS = 5 * SECOND // 2
 UNANSWERED_WEIGHT = 0.08  # part of the newest attempt in the share that goes unanswered: the last dozen or so
 WORTH_ABOVE = 1.2  # times the worth for its work: a class whose threshold binds the lesser ones too
 WORTH_MORE = 2.0  # times the worth for its work: a class that the lesser ones leave room for
@@ -46,8 +56,8 @@
 KEY_MEMORY = 6.0  # requests for each server are remembered: at a small share of traffic that takes long
 FULL_WEIGHT = 0.2  # part of the newest outcome in a server's share of full answers
 FULL_FADES = 0.95  # of that share, each period: an avoided server brings no news
-FULL_ABOVE = 0.5  # of it: goes only to a server that is not, while there is one
-FULL_COUNTS = 2.0  # a server always full is compared as with so many more requests in flight
+FULL_THRESHOLD = 0.5  # of it: goes only to a server that is not, while there is one
+FULL_LOAD_PENALTY = 2.0  # a server always full is compared as with so many more requests in flight
 BUSY_ABOVE = 0.7  # part of its cores in use: above it a server counts as with up to one more in flight
 PACE_WEIGHT = 0.05  # part of the newest response time in a server's pace
 KIND_WEIGHT = 0.1  # part of the newest report in what the servers of a kind are held to be busy
@@ -94,7 +104,7 @@
 WATCH_STANDS = SECOND  # a watch that ended sooner after its answer is one that ends again and again
 DOUBLINGS = 4  # of that pause and of an ejection, at most
 
-TICK_TOKEN, ASK_TOKEN, LATER_TOKEN = 1, 2, 3
+TICK_TOKEN, ASK_TOKEN, DEFERRED_TOKEN = 1, 2, 3
 
 
 @dataclass(slots=True, eq=False)
@@ -111,13 +121,13 @@
     busy: float = 0.0  # part of its cores in use, as last reported
     pace: float = 1.0  # its response times over what is usual for their class
     answered: int = 0  # when it last did
-    doubt: float = 0.0  # the logarithm of the odds that it is bad; 0: no sign
+    failure_log_odds: float = 0.0  # the logarithm of the odds that it is bad; 0: no sign
     ejected_until: int = 0
     doublings: int = 0
     trial: bool = False
 
     def forgive(self) -> None:
-        self.doubt = 0.0
+        self.failure_log_odds = 0.0
         self.ejected_until = 0
         self.doublings = 0
         self.trial = False
@@ -132,7 +142,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Open:
+class OpenRequest:
     """A request that is unanswered or has attempts out."""
 
     request: api.Request
@@ -192,7 +202,7 @@
 class Turns:
     """The requests of one key that run in order: the first has the turn, the others wait."""
 
-    entries: deque[Open] = field(default_factory=deque)
+    entries: deque[OpenRequest] = field(default_factory=deque)
     rests_until: int = 0  # what may still run at a server is given this long
 
 
@@ -204,11 +214,11 @@
         self._random = Random(seed)
         self._breakers = [Breaker(kind.aim) for kind in settings.classes]
         self._backends: dict[api.ServerId, Backend] = {}
-        self._ready: list[Backend] = []  # this node's own part of the servers, in the list's order
+        self._subset: list[Backend] = []  # this node's own part of the servers, in the list's order
         self._others: list[Backend] = []  # of other nodes' parts: where no one of its own may be used
         self._parts = 1
         self._table: list[Backend] = []
-        self._open: dict[int, Open] = {}
+        self._open: dict[int, OpenRequest] = {}
         self._caps = [0.0] * len(settings.classes)  # requests in flight at which a class is refused
         self._in_flight = InFlight()
         self._last_sent = 0  # when the newest attempt was made
@@ -244,7 +254,7 @@
         """First actions; the cached list follows as an event."""
         # Nodes that start together would cut together, and try together: each has its own phase.
         phase = self._jittered(PERIOD, 0.0)
-        self._last_sent = now - phase * TRY_AGAIN // PERIOD
+        self._last_sent = now - phase * PROBE_INTERVAL_NS // PERIOD
         actions: list[api.Action] = [api.SetTimer(now + phase, TICK_TOKEN)]
         if self._settings.list_mode is ListMode.ON_REQUEST:
             spread = min(ASK_SPREAD_MOST, int(self._settings.ask_within * ASK_SPREAD))
@@ -260,7 +270,7 @@
         elif isinstance(event, api.Outcome):
             self._settle(now, event)
         elif isinstance(event, api.Timer):
-            self._wake(now, event.token)
+            self._on_timer(now, event.token)
         elif isinstance(event, api.ServerList):
             self._follow(now, event)
         elif isinstance(event, api.ClientGone):
@@ -277,7 +287,7 @@
         self._laters += 1
         heappush(self._later, (at, self._laters, what))
 
-    def _wake(self, now: int, token: int) -> None:
+    def _on_timer(self, now: int, token: int) -> None:
         if token == TICK_TOKEN:
             self._in_flight.add(now, 0)
             able, pooled = self._able(now), pooled_tail(self._breakers)
@@ -285,7 +295,7 @@
                 breaker.update(self._in_flight.mean / able, START_PER_SERVER, self._is_idle(), pooled)
             self._carried += CARRIED_WEIGHT * (self._in_flight.mean - self._carried)
             self._set_caps(now)
-            for backend in self._ready:
+            for backend in self._subset:
                 for index in backend.fullness:
                     backend.fullness[index] *= FULL_FADES
             self._find_hot_keys()
@@ -302,14 +312,16 @@
     def _is_idle(self) -> bool:
         """By the servers' own reports: a long tail is not from crowding then. They are late, so the aim
         itself still binds."""
-        told = [one.busy for one in self._ready if one.busy and "utilization" in self._settings.report_fields]
+        told = [
+            one.busy for one in self._subset if one.busy and "utilization" in self._settings.report_fields
+        ]
         return bool(told) and sum(told) < IDLE_BELOW * len(told)
 
     def _able(self, now: int) -> float:
         """How many warm servers this node's part of the traffic has to itself. Cold ones count for what they
         take, those left out for nothing: after a release or a lost zone the list holds more than can serve,
         and a cap learned before it would fill the rest."""
-        able = sum(self._warmth(now, one.entry) for one in self._ready if not one.ejected_until)
+        able = sum(self._warmth(now, one.entry) for one in self._subset if not one.ejected_until)
         return max(1.0, able) * self._parts / self._settings.nodes
 
     def _set_caps(self, now: int) -> None:
@@ -341,12 +353,12 @@
         part = OVER_SHARE_PART if self._is_over_share(request.tenant) else 1.0
         if request.limits is not None:
             part *= request.limits.cap_fraction
-        if now - self._last_sent >= TRY_AGAIN:
+        if now - self._last_sent >= PROBE_INTERVAL_NS:
             return True
         return self._has_room(now, request, part * RESUBMITTED_PART if request.resubmitted else part)
 
     def _has_room(self, now: int, request: api.Request, part: float = 1.0) -> bool:
-        least = LEAST_PER_SERVER * len(self._ready) * self._parts / self._settings.nodes
+        least = LEAST_PER_SERVER * len(self._subset) * self._parts / self._settings.nodes
         own = self._breakers[request.class_index].in_flight
         cap = part * self._caps[request.class_index]
         return self._in_flight.is_below(now, cap) or own.is_below(now, least)
@@ -378,12 +390,14 @@
             self._key_counts[request.key] = self._key_counts.get(request.key, 0) + 1
             self._keyed += 1
         expires = now + request.time_left
-        entry = Open(request, kind, expires, expires if kind.late_worth else min(expires, now + kind.aim))
+        entry = OpenRequest(
+            request, kind, expires, expires if kind.late_worth else min(expires, now + kind.aim)
+        )
         send = self._line_up if kind.in_order and request.key else self._send_first
         if not self._admits(now, request) or not send(now, entry):
             self._refuse(entry)
 
-    def _send_first(self, now: int, entry: Open) -> bool:
+    def _send_first(self, now: int, entry: OpenRequest) -> bool:
         backend = self._pick(now, entry) or self._pick_untold(now)
         if backend is None:
             return False
@@ -392,7 +406,7 @@
         self._send(now, entry, backend)
         return True
 
-    def _send(self, now: int, entry: Open, backend: Backend) -> None:
+    def _send(self, now: int, entry: OpenRequest, backend: Backend) -> None:
         within = entry.repeats_dropped_for(now)
         self._last_sent = now
         entry.attempts.append(Attempt(backend, now, self._connect(now, backend)))
@@ -443,10 +457,10 @@
             self._end(entry)
         self._forget_if_done(now, entry)
 
-    def _typical(self, entry: Open) -> float:
+    def _typical(self, entry: OpenRequest) -> float:
         return self._breakers[entry.request.class_index].typical
 
-    def _sample(self, now: int, entry: Open, attempt: Attempt, elapsed: int, again: bool) -> None:
+    def _sample(self, now: int, entry: OpenRequest, attempt: Attempt, elapsed: int, again: bool) -> None:
         if attempt.backend.ejected_until or self._warmth(now, attempt.backend.entry) < 1.0:
             return  # it tells of that server: silent and cold ones would close the breaker for all the others
         breaker = self._breakers[entry.request.class_index]
@@ -458,12 +472,12 @@
         elif attempt.result is Result.FULL and not again:  # a fast failure, but no sign of a fast server
             breaker.window.answered.append(CENSORED * entry.kind.aim)
 
-    def _release(self, backend: Backend, entry: Open, now: int) -> None:
+    def _release(self, backend: Backend, entry: OpenRequest, now: int) -> None:
         backend.in_flight -= 1
         self._in_flight.add(now, -1)
         self._breakers[entry.request.class_index].in_flight.add(now, -1)
 
-    def _try_again(self, now: int, entry: Open, outcome: api.Outcome) -> bool:
+    def _try_again(self, now: int, entry: OpenRequest, outcome: api.Outcome) -> bool:
         """True if the request needs no final answer now: it goes out again, or is out still."""
         if entry.waits or any(attempt.result is None for attempt in entry.attempts):
             return True
@@ -477,16 +491,16 @@
             return may and self._send_again(now, entry, outcome.result)
         entry.waits = True
         self._do_later(now + wait, partial(self._after_back_off, entry, outcome.result))
-        self._actions.append(api.SetTimer(now + wait, LATER_TOKEN))
+        self._actions.append(api.SetTimer(now + wait, DEFERRED_TOKEN))
         return True
 
-    def _after_back_off(self, entry: Open, result: Result, now: int) -> None:
+    def _after_back_off(self, entry: OpenRequest, result: Result, now: int) -> None:
         entry.waits = False
         if not entry.closed and not (self._has_another(now, entry) and self._send_again(now, entry, result)):
             self._end(entry)
             self._forget_if_done(now, entry)
 
-    def _has_another(self, now: int, entry: Open) -> bool:
+    def _has_another(self, now: int, entry: OpenRequest) -> bool:
         """Neither time nor number forbids another attempt."""
         limits = entry.request.limits
         most = self._settings.max_attempts
@@ -503,7 +517,7 @@
         if backend is not None:
             self._send(now, entry, backend)
 
-    def _send_again(self, now: int, entry: Open, result: Result) -> bool:
+    def _send_again(self, now: int, entry: OpenRequest, result: Result) -> bool:
         price = 0.0 if result is Result.CONNECT_FAILED else 1.0  # where nothing arrived nothing is added
         if self._retry_budget < price:
             return False
@@ -514,14 +528,14 @@
         self._send(now, entry, backend)
         return True
 
-    def _end(self, entry: Open) -> None:
+    def _end(self, entry: OpenRequest) -> None:
         entry.closed = True
         if entry.may_refuse():
             self._refuse(entry)
         else:
             self._actions.append(api.Fail(entry.request.id))
 
-    def _refuse(self, entry: Open) -> None:
+    def _refuse(self, entry: OpenRequest) -> None:
         wait = min(entry.kind.aim, self._settings.max_retry_after) if self._settings.retry_after else 0
         self._actions.append(api.Refuse(entry.request.id, wait))
 
@@ -531,7 +545,7 @@
             entry.closed = True
             self._forget_if_done(now, entry)
 
-    def _forget_if_done(self, now: int, entry: Open) -> None:
+    def _forget_if_done(self, now: int, entry: OpenRequest) -> None:
         if entry.is_over():
             del self._open[entry.request.id]
             if entry.request.key in self._turns:
@@ -539,7 +553,7 @@
 
     # Order.
 
-    def _line_up(self, now: int, entry: Open) -> bool:
+    def _line_up(self, now: int, entry: OpenRequest) -> bool:
         """Take the key's turn, or wait for it where it will come in time: refused now, the client may
         find another node, whose queue for this key is its own."""
         key = entry.request.key
@@ -556,16 +570,16 @@
                 return False
             self._open[entry.request.id] = entry
             self._do_later(latest, partial(self._give_up_waiting, entry))
-            self._actions.append(api.SetTimer(latest, LATER_TOKEN))
+            self._actions.append(api.SetTimer(latest, DEFERRED_TOKEN))
         turns.entries.append(entry)
         return True
 
-    def _give_up_waiting(self, entry: Open, now: int) -> None:
+    def _give_up_waiting(self, entry: OpenRequest, now: int) -> None:
         if not entry.attempts and not entry.closed:
             self._end(entry)
             self._forget_if_done(now, entry)
 
-    def _rest(self, now: int, entry: Open, result: Result) -> None:
+    def _rest(self, now: int, entry: OpenRequest, result: Result) -> None:
         """An attempt without an answer may still run: the key's next request waits for a while."""
         turns = self._turns.get(entry.request.key) if entry.kind.in_order else None
         if turns is not None and result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED):
@@ -581,7 +595,7 @@
                 return
             if now < turns.rests_until:
                 self._do_later(turns.rests_until, partial(self._pass_turn, key))
-                self._actions.append(api.SetTimer(turns.rests_until, LATER_TOKEN))
+                self._actions.append(api.SetTimer(turns.rests_until, DEFERRED_TOKEN))
                 return
             if not turns.entries:
                 del self._turns[key]
@@ -594,7 +608,7 @@
 
     # The choice of a server.
 
-    def _pick(self, now: int, entry: Open, warm: bool = False) -> Backend | None:
+    def _pick(self, now: int, entry: OpenRequest, warm: bool = False) -> Backend | None:
         tried = [attempt.backend for attempt in entry.attempts]
         # After a failed connection any server with an idle one is better than the less loaded of two.
         unconnected = bool(tried) and entry.attempts[-1].result is Result.CONNECT_FAILED
@@ -604,7 +618,7 @@
             if backend in (*pair, *full, *tried) or not entry.may_send_to(backend.entry, now):
                 continue
             if self._usable(now, backend) and not (warm and self._warmth(now, backend.entry) < 1.0):
-                is_full = backend.fullness[entry.request.class_index] > FULL_ABOVE
+                is_full = backend.fullness[entry.request.class_index] > FULL_THRESHOLD
                 (full if is_full else pair).append(backend)
             if len(pair) == (DRAWS if unconnected else 2):
                 break
@@ -614,12 +628,12 @@
         """For a node that has met no warm server, so that nothing tells what a cold one can do: now and then
         the one whose budget is least overdrawn. Guards against a fleet that starts together with all of its
         servers, and sends them nothing until they are warm."""
-        if self._rate or now - self._last_sent < TRY_AGAIN:
+        if self._rate or now - self._last_sent < PROBE_INTERVAL_NS:
             return None
-        able = [one for one in (*self._ready, *self._others) if not one.ejected_until]
+        able = [one for one in (*self._subset, *self._others) if not one.ejected_until]
         return max(able, key=lambda one: one.tokens) if able else None
 
-    def _candidates(self, entry: Open) -> Iterator[Backend]:
+    def _candidates(self, entry: OpenRequest) -> Iterator[Backend]:
         """Servers in the order of this request's preference; some come more than once."""
         if table := self._table:
             key = entry.request.key or self._random.getrandbits(64)
@@ -629,7 +643,7 @@
                 backend = table[place % len(table)]
                 if place >> 44 < self._kinds[backend.entry.kind].share * (1 << 20):
                     yield backend
-            for servers in (self._ready, self._others):
+            for servers in (self._subset, self._others):
                 # The head of the list would get all that finds no other.
                 turn = splitmix64(key) % max(1, len(servers))
                 yield from servers[turn:]
@@ -637,18 +651,18 @@
 
     def _find_hot_keys(self) -> None:
         total = sum(self._key_counts.values())
-        fair = HOT * total / max(1, len(self._ready))
+        fair = HOT * total / max(1, len(self._subset))
         self._spread = {key: self._spread_by(n, fair) for key, n in self._key_counts.items() if n > fair}
-        keep = min(1.0, KEY_MEMORY * len(self._ready) / max(1.0, total))
+        keep = min(1.0, KEY_MEMORY * len(self._subset) / max(1.0, total))
         self._key_counts = {key: n * keep for key, n in self._key_counts.items() if n * keep >= 0.5}
 
     def _spread_by(self, count: float, fair: float) -> int:
         """A key that is more than a server's work goes to as many as it needs: all nodes send it to the
         same two, and each node's own load there is too small to tell."""
-        return max(1, min(len(self._ready), 1 + ceil(count / fair)))
+        return max(1, min(len(self._subset), 1 + ceil(count / fair)))
 
     def _spread_of(self, key: int) -> int:
-        fair = HOT * self._keyed / max(1, len(self._ready))
+        fair = HOT * self._keyed / max(1, len(self._subset))
         if fair >= 1.0:
             return self._spread.get(key, 1)
         # Of a node that has seen next to nothing each key may be hot. Guards against the first second of many
@@ -661,7 +675,7 @@
         Guards against any lasting difference between groups; wrong only if their reports mislead."""
         kinds = list(self._kinds.values())
         told = min((kind.reports for kind in kinds), default=0) >= KIND_REPORTS
-        if not told or len({backend.entry.weight for backend in self._ready}) > 1:
+        if not told or len({backend.entry.weight for backend in self._subset}) > 1:
             return
         for kind in kinds:
             kind.share /= max(KIND_LEAST, kind.busy) ** KIND_GAIN
@@ -670,13 +684,13 @@
             kind.share = max(KIND_LEAST, kind.share / most)
 
     def _measure_rate(self, now: int) -> None:
-        warm = (backend.entry for backend in self._ready if self._warmth(now, backend.entry) >= 1.0)
+        warm = (backend.entry for backend in self._subset if self._warmth(now, backend.entry) >= 1.0)
         weight = sum(server.weight for server in warm)
         if weight:
             # Falls slowly: while all warm servers are overdriven they are sent little, and cold ones, whose
             # part is a part of that, would be left idle and never help.
             change = self._sent / weight / PERIOD - self._rate
-            self._rate += (1 - KEEP if change > 0.0 else RATE_FALLS) * change
+            self._rate += (1 - RETAINED_WEIGHT if change > 0.0 else RATE_FALLS) * change
         self._sent = 0
 
     def _load(self, now: int, class_index: int, backend: Backend) -> float:
@@ -684,7 +698,7 @@
         fail or take long, one that stands is worth a detour."""
         busy = max(0.0, backend.busy - BUSY_ABOVE) / (1.0 - BUSY_ABOVE)
         fullness = round(backend.fullness[class_index], 1)  # no trace may break ties
-        load = backend.in_flight + busy + FULL_COUNTS * fullness
+        load = backend.in_flight + busy + FULL_LOAD_PENALTY * fullness
         if self._connect_failures > CONNECT_LEAST and not self._standing(now, backend):
             load += CONNECT_COUNTS * self._connect_failures
         return load * backend.pace / (backend.entry.weight * self._kinds[backend.entry.kind].share)
@@ -800,7 +814,9 @@
             return
         if result is Result.CONNECT_FAILED and now - backend.answered < ANSWERED_LATELY:
             return  # it serves on standing connections: slow to connect to, not down
-        backend.doubt = min(2 * PROOF, max(0.0, backend.doubt + self._evidence(now, backend, result)))
+        backend.failure_log_odds = min(
+            2 * PROOF, max(0.0, backend.failure_log_odds + self._evidence(now, backend, result))
+        )
         failed = result is not Result.OK
         if not failed:
             backend.answered = now
@@ -831,8 +847,8 @@
 
     def _is_outlier(self, backend: Backend, result: Result) -> bool:
         part = UNREACHABLE_PART if result is Result.CONNECT_FAILED else EJECT_PART
-        out = sum(1 for other in self._ready if other.ejected_until)
-        return backend.doubt >= PROOF and out + 1 <= part * len(self._ready)
+        out = sum(1 for other in self._subset if other.ejected_until)
+        return backend.failure_log_odds >= PROOF and out + 1 <= part * len(self._subset)
 
     def _eject(self, now: int, backend: Backend) -> None:
         seldom = min(now - backend.answered, 4 * EJECT_TIME)  # a shorter time would pass without a visit
@@ -858,7 +874,7 @@
         for server in listed.values():
             self._enter(now, server)
         self._rebuild(now)
-        if not self._ready and not self._watching and self._settings.list_mode is ListMode.ON_REQUEST:
+        if not self._subset and not self._watching and self._settings.list_mode is ListMode.ON_REQUEST:
             self._ask_after(now, ASK_FIRST_PAUSE)  # restarted with nothing to serve from: sooner than others
 
     def _pause_before_call(self, now: int) -> int:
@@ -901,7 +917,7 @@
         answers_within = sum(kind.aim for kind in classes) / len(classes)
         self._parts = parts(self._settings.nodes, answers_within, len(ids))
         mine = members(ids, self._settings.number, self._parts)
-        self._ready = [self._backends[key] for key in ids if key in mine]
+        self._subset = [self._backends[key] for key in ids if key in mine]
         self._others = [self._backends[key] for key in ids if key not in mine]
         self._table = self._own_table()
         self._set_caps(now)
@@ -910,12 +926,12 @@
         """The slots of all servers, those of others' servers led on to one of this node's own: nodes go the
         same way from a slot, so a key has the same servers at all that have them in common."""
         table = self._filled_table()
-        if not self._others or not self._ready:
+        if not self._others or not self._subset:
             return table
-        mine = set(map(id, self._ready))
+        mine = set(map(id, self._subset))
         first = next((slot for slot, backend in enumerate(table) if id(backend) in mine), None)
         if first is None:
-            return self._ready  # too light for a slot
+            return self._subset  # too light for a slot
         # Backwards from a slot of its own, so that the next one is known: a stride in a table of prime size
         # comes by every slot.
         backend = table[first]
@@ -930,9 +946,9 @@
     def _filled_table(self) -> list[Backend]:
         """Servers take slots in turn, each in its own order, as often as its weight says: even shares,
         and a change of the list moves few keys."""
-        if not self._ready:
+        if not self._subset:
             return []
-        servers = sorted((*self._ready, *self._others), key=lambda one: one.entry.id)
+        servers = sorted((*self._subset, *self._others), key=lambda one: one.entry.id)
         heaviest = max(backend.entry.weight for backend in servers)
         table: list[Backend | None] = [None] * TABLE_SIZE
         places = [splitmix64(int.from_bytes(backend.entry.id, "little")) for backend in servers]
--- a/lichenspring/breaker.py
+++ b/lichenspring/breaker.py
@@ -1,14 +1,15 @@
 """The adaptive circuit breaker of one class, after Saleh Sedghpour et al.: at how many requests in flight at
 this node the class meets its aim. Its events, actions and settings are in interface.py, beside this file.
 
-A window of `PERIOD` gives a tail of response times (`tail_of`) and a mean of requests in flight; their ratio,
-smoothed, is alpha, and the cap is the target over alpha. Three things keep a window's chance from cutting it:
+A window of `PERIOD` gives a tail of response times (`estimate_tail`) and a mean of requests in flight; their
+ratio, smoothed, is alpha, and the cap is the target over alpha. Three things keep a window's chance from
+cutting it:
 
 - a time-out is a sign of crowding only as far as the answers beside it explain it. Requests that a broken
   connection swallowed time out among answers that are fast as ever; counted as slow answers, a tenth of them
   moves the tail to the time-out, the cap falls, in flight falls with it, and the ratio rises by that alone;
-- what was lately carried within the target may not be cut by more than a part (`PROVEN_PART`), and that
-  proof fades, so where all servers turn slow the cap follows;
+- what was lately carried within the target may not be cut by more than a part (`PROVEN_LOAD_FRACTION`), and
+  that proof fades, so where all servers turn slow the cap follows;
 - a window within its target can't lower the cap: a quiet one would, and refuse the next burst.
 """
 
@@ -22,15 +23,16 @@
 
 # The paper's controller, its period and smoothing shorter as overload fills servers in seconds.
 PERIOD = SECOND // 2  # ns between two updates
-KEEP = 0.5  # p: part of the old alpha that an update keeps
-KEEP_FALLING = 0.25  # the same where the new one is lower: the cap rises again fast after a false cut
+RETAINED_WEIGHT = 0.5  # p: part of the old alpha that an update keeps
+# The same where the new one is lower: the cap rises again fast after a false cut.
+RETAINED_WEIGHT_FALLING = 0.25
 PERCENTILE = 0.85  # of response times: the last few are long by their own work, not by load
 POOLED_PERCENTILE = 0.95  # of those of all classes, where a class has few: the paper's own, and the safer one
 TARGET = 0.7  # of a class's aim
 HEADROOM = 1.5  # times the unloaded tail: no target is below that, as no cap could reach it
 BASE_FALLS, BASE_RISES = 0.2, 0.01  # part of the way that the unloaded tail follows a window's
 SPREADS = 2.0  # roots of the cap that chance may bunch above it
-PROVEN_PART = 0.75  # of the most that was lately carried within the target: the cap stays above that
+PROVEN_LOAD_FRACTION = 0.75  # of the most that was lately carried within the target: the cap stays above that
 PROVEN_FADES, PROVEN_MISSED = 0.99, 0.97  # of it, each window within its target, or over it
 PROVEN_VOID = 0.5  # of it, each window in which more time out than are answered: what held then is over
 CENSORED = 2.0  # times what was waited: an attempt that timed out from crowding would have taken longer
@@ -80,7 +82,7 @@
     return values[int(part * (len(values) - 1))]
 
 
-def explained(answered: list[float], timed_out: list[float]) -> int:
+def count_explained_timeouts(answered: list[float], timed_out: list[float]) -> int:
     """How many of the time-outs the answers' own distribution explains, taken for lognormal by its median and
     tail: under crowding the answers come close to the limit and the time-outs are their continuation. Both
     lists are sorted."""
@@ -94,11 +96,11 @@
     return min(len(timed_out), round(EXPLAINED_TIMES * expected))
 
 
-def tail_of(window: Window, part: float = PERCENTILE) -> tuple[float, float]:
+def estimate_tail(window: Window, part: float = PERCENTILE) -> tuple[float, float]:
     """A window's median and tail in ns, from time-outs as far as they are explained. Sorts its lists."""
     window.answered.sort()
     window.timed_out.sort()
-    counted = explained(window.answered, window.timed_out) if window.timed_out else 0
+    counted = count_explained_timeouts(window.answered, window.timed_out) if window.timed_out else 0
     samples = sorted(window.answered + [CENSORED * waited for waited in window.timed_out[:counted]])
     if not samples:
         return 0.0, 0.0
@@ -115,7 +117,7 @@
         scale = SECOND / max(1.0, breaker.typical)
         together.answered += [scale * one for one in breaker.window.answered]
         together.timed_out += [scale * one for one in breaker.window.timed_out]
-    return tail_of(together, POOLED_PERCENTILE)[1] / SECOND
+    return estimate_tail(together, POOLED_PERCENTILE)[1] / SECOND
 
 
 Estimator = Callable[[Window], tuple[float, float]]
@@ -128,7 +130,7 @@
     """The paper's controller for one class. `aim` and all times in ns."""
 
     aim: int
-    estimate: Estimator = tail_of
+    estimate: Estimator = estimate_tail
     target: float = 0.0
     base: float = 0.0  # the tail where little waits: followed down fast and up slowly
     alpha: float = 0.0  # response time for each request in flight; 0 until a window has told
@@ -142,7 +144,7 @@
         self.target, self.typical = TARGET * self.aim, float(self.aim)
 
     def threshold(self, start: float) -> float:
-        return max(self.target / self.alpha, PROVEN_PART * self.proven) if self.alpha else start
+        return max(self.target / self.alpha, PROVEN_LOAD_FRACTION * self.proven) if self.alpha else start
 
     def update(self, in_flight: float, start: float, idle: bool, pooled: float = 0.0) -> None:
         """At the end of a window, with the mean of the requests in flight in it, and the tail that the
@@ -157,7 +159,7 @@
                 # In proportion to how much of a sample its own is: shrinkage, as in Efron and Morris (1975).
                 tail += (1.0 - own) * (self.typical * pooled - tail)
             self.seen = max(count, min(ENOUGH, self.seen + count))
-            self.typical += (1 - KEEP) * count / self.seen * (median - self.typical)
+            self.typical += (1 - RETAINED_WEIGHT) * count / self.seen * (median - self.typical)
             follow = BASE_FALLS if tail < self.base else BASE_RISES
             self.base = self.base + follow * (tail - self.base) if self.base else tail
             self.target = min(self.aim, max((1.0 if idle else TARGET) * self.aim, HEADROOM * self.base))
@@ -170,6 +172,6 @@
             # A window within its target can't lower the cap: a quiet one would, and refuse the next burst.
             if tail > self.target or self.target / alpha > self.threshold(start):
                 old = self.alpha or self.target / max(1.0, start)
-                keep = KEEP if alpha > old else KEEP_FALLING
+                keep = RETAINED_WEIGHT if alpha > old else RETAINED_WEIGHT_FALLING
                 self.alpha = keep * old + (1 - keep) * alpha
         self.window.clear()
--- a/lichenspring/memory.py
+++ b/lichenspring/memory.py
@@ -26,22 +26,25 @@
     "_lost_idle", "_lost_others", "_unanswered", "_connect_failures", "_trusted_idle", "_distrusted",
     "_fleet_failures", "_retry_budget", "_rate", "_keyed",
 )  # fmt: skip
+ATTRIBUTES = {"doubt": "failure_log_odds"}
+"""The attributes whose name in the exported state is another one."""
 
 
 def _taken(holder: Any, names: tuple[str, ...]) -> Memory:
-    return {name: getattr(holder, name) for name in names}
+    return {name: getattr(holder, ATTRIBUTES.get(name, name)) for name in names}
 
 
 def _given(holder: Any, names: tuple[str, ...], memory: Memory) -> None:
     found = {}
     for name in names:
-        kind = type(getattr(holder, name))
-        found[name] = kind(memory[name])  # raises rather than let a text in
+        attribute = ATTRIBUTES.get(name, name)
+        kind = type(getattr(holder, attribute))
+        found[attribute] = kind(memory[name])  # raises rather than let a text in
     for name, value in found.items():
         setattr(holder, name, value)
 
 
-def remembered(balancer: Balancer) -> Memory:
+def export_state(balancer: Balancer) -> Memory:
     return {
         "all": _taken(balancer, OF_ALL),
         "breakers": [_taken(breaker, OF_A_BREAKER) for breaker in balancer._breakers],
@@ -49,7 +52,7 @@
         "servers": {
             backend.entry.id.hex(): _taken(backend, OF_A_SERVER)
             | {"started": backend.entry.started, "fullness": {str(n): v for n, v in backend.fullness.items()}}
-            for backend in balancer._ready
+            for backend in balancer._subset
         },
         "keys": {str(key): count for key, count in balancer._key_counts.items()},
         "out": [
@@ -61,7 +64,7 @@
     }
 
 
-def recall(balancer: Balancer, now: int, memory: Memory) -> None:
+def restore_state(balancer: Balancer, now: int, memory: Memory) -> None:
     """Once the list is known. Raises KeyError, TypeError, ValueError or AttributeError on what is no memory;
     what was taken in until then is whole in itself."""
     if len(memory["breakers"]) == len(balancer._breakers):  # other classes are another deployment
@@ -69,7 +72,7 @@
             _given(breaker, OF_A_BREAKER, known)
     for kind, known in memory["kinds"].items():
         _given(balancer._kinds.setdefault(int(kind), Kind()), OF_A_KIND, known)
-    for backend in balancer._ready:
+    for backend in balancer._subset:
         known = memory["servers"].get(backend.entry.id.hex())
         # Two processes translate one start to their clock at moments of their own.
         if known is not None and abs(known["started"] - backend.entry.started) < SECOND:
--- a/tests/acceptance/test_turned_away.py
+++ b/tests/acceptance/test_turned_away.py
@@ -15,7 +15,7 @@
 
 from driftstair.net.node import Node
 from lichenspring import interface as api
-from lichenspring.balance import TRY_AGAIN
+from lichenspring.balance import PROBE_INTERVAL_NS
 
 LONGEST = 4.0  # s for which a node may turn away all that it gets
 COUNTED = 15  # requests; fewer are no such spell
@@ -45,7 +45,7 @@
 def test_a_node_whose_caps_are_shut_tries_again_within_the_time(nodes: int, servers: int, how: str) -> None:
     """It went for up to 7.0 s without an attempt, with 152 requests refused: its one request at a server that
     hangs counted until its deadline and its aim beyond, and the mean in flight had to fade after that."""
-    assert TRY_AGAIN / SECOND + 1.0 < LONGEST  # for the next request to come
+    assert PROBE_INTERVAL_NS / SECOND + 1.0 < LONGEST  # for the next request to come
     for rate in (4.0, 8.0, 20.0):
         for seed in (1, 2, 3):
             kind = api.RequestClass(1600 * MS, 1.0, 0.3, api.Repeat.SAFE)
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -112,11 +112,11 @@
 def test_a_constant_is_another_one_for_its_run_alone() -> None:
     from lichenspring import breaker
 
-    before = breaker.KEEP
+    before = breaker.RETAINED_WEIGHT
     with runs.changed((("lichenspring.breaker.KEEP", before / 2),)):
-        assert before / 2 == breaker.KEEP
-        assert getattr(balance, "KEEP", before / 2) == before / 2  # where it was imported
-    assert before == breaker.KEEP
+        assert before / 2 == breaker.RETAINED_WEIGHT
+        assert getattr(balance, "RETAINED_WEIGHT", before / 2) == before / 2  # where it was imported
+    assert before == breaker.RETAINED_WEIGHT
 
 
 @pytest.mark.parametrize("old", runs.RENAMED)
--- a/tests/rehearsal/test_rehearsal.py
+++ b/tests/rehearsal/test_rehearsal.py
@@ -487,8 +487,8 @@
 
     monkeypatch.setattr(ServerDirectory, "_follow", heedless)
     # Alone, that the box turns all away would keep the module from it.
-    monkeypatch.setattr(balance, "FULL_ABOVE", 2.0)
-    monkeypatch.setattr(balance, "FULL_COUNTS", 0.0)
+    monkeypatch.setattr(balance, "FULL_THRESHOLD", 2.0)
+    monkeypatch.setattr(balance, "FULL_LOAD_PENALTY", 0.0)
     run = Run(small({"kind": "replace", "boxes": 1}))
     assert run.rules() == {3}
     assert "was told that it is Terminating" in run.breaks[0].evidence
--- a/tests/rehearsal/test_worst_days.py
+++ b/tests/rehearsal/test_worst_days.py
@@ -37,9 +37,9 @@
 
 def without_explanations(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each time-out is a slow answer, the proof is a half, and a cap rises no faster than it falls."""
-    monkeypatch.setattr(breaker, "explained", lambda answered, timed_out: len(timed_out))
-    monkeypatch.setattr(breaker, "PROVEN_PART", 0.5)
-    monkeypatch.setattr(breaker, "KEEP_FALLING", breaker.KEEP)
+    monkeypatch.setattr(breaker, "count_explained_timeouts", lambda answered, timed_out: len(timed_out))
+    monkeypatch.setattr(breaker, "PROVEN_LOAD_FRACTION", 0.5)
+    monkeypatch.setattr(breaker, "RETAINED_WEIGHT_FALLING", breaker.RETAINED_WEIGHT)
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
 def test_time_outs_count_as_far_as_the_answers_explain_them(
     answered: list[float], timed_out: list[float], crowded: bool
 ) -> None:
-    _, tail = breaker.tail_of(Window([*answered], [*timed_out]))
+    _, tail = breaker.estimate_tail(Window([*answered], [*timed_out]))
     assert (tail > 420e6) is crowded
 
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -17,7 +17,7 @@
 from lichenspring.balance import ASK_TOKEN
 from lichenspring.breaker import Breaker, Window, pooled_tail
 from lichenspring.interface import Result
-from lichenspring.memory import recall, remembered
+from lichenspring.memory import export_state, restore_state
 
 
 def window(node: Node, count: int, elapsed: int, class_index: int = 0) -> None:
@@ -391,7 +391,7 @@
                 node.end(send, result, 400 * MS)
             else:
                 node.end(send, Result.OK, 100 * MS)
-    assert not backend.ejected_until and backend.doubt
+    assert not backend.ejected_until and backend.failure_log_odds
     node.now += SECOND  # silence is another matter
     for _ in range(3):
         node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
@@ -691,7 +691,7 @@
     for key in keys:
         node.serve(key)
         node.wait(3 * SECOND)
-        for backend in node.balancer._ready:
+        for backend in node.balancer._subset:
             backend.forgive()  # the first losses, not yet understood, eject some
         actions = node.ask(2, key)
         send = actions[-1]
@@ -708,7 +708,7 @@
     assert [type(action) for action in node.ask(2, 1)] == [api.Send]
     node = Node()
     lose_idle(node, result, range(1, 8 if result is Result.RESET else 5))
-    for backend in node.balancer._ready:
+    for backend in node.balancer._subset:
         backend.forgive()
         backend.idle = [node.now]
     node.wait(3 * SECOND)
@@ -716,7 +716,7 @@
     assert isinstance(hang_up, api.CloseIdleConnections) and isinstance(send, api.Send)
     assert hang_up.server == send.server
     node.end(send, Result.OK)
-    for backend in node.balancer._ready:
+    for backend in node.balancer._subset:
         backend.idle = [node.now]
     node.wait(100 * MS)
     assert [type(action) for action in node.ask(2, 5)] == [api.Send]  # it did not idle for long
@@ -768,7 +768,7 @@
         assert isinstance(send, api.Send)
         if len(node.sent[send.request]) == 1:
             node.end(send, Result.OK)
-    assert not [one for one in node.balancer._ready if one.ejected_until]
+    assert not [one for one in node.balancer._subset if one.ejected_until]
     (send,) = node.ask(0, 3)
     assert isinstance(send, api.Send) and send.server in standing
     connected = {name for name, one in node.balancer._backends.items() if one.idle}
@@ -920,7 +920,7 @@
 @pytest.mark.parametrize(("busy", "part"), [(0.0, 0.8), (0.7, 0.8), (0.95, 0.8), (0.4, 1.4), (0.1, 1.6)])
 def test_a_cold_server_with_room_by_its_report_takes_more(busy: float, part: float) -> None:
     node = Node()
-    backend = node.balancer._ready[0]
+    backend = node.balancer._subset[0]
     backend.busy = busy
     assert node.balancer._cold_part(backend) == pytest.approx(part)
 
@@ -940,20 +940,20 @@
     node, other = Node(), Node(seed=2)
     for _ in range(6):
         window(node, 30, 450 * MS)
-    failing = node.balancer._ready[0]
-    failing.doubt, failing.ejected_until = 3.0, node.now + 5 * SECOND
+    failing = node.balancer._subset[0]
+    failing.failure_log_odds, failing.ejected_until = 3.0, node.now + 5 * SECOND
     node.wait(SECOND)  # the caps count without it
     (send,) = node.ask(0, 7)
     other.now = node.now
-    recall(other.balancer, other.now, json.loads(json.dumps(remembered(node.balancer))))
+    restore_state(other.balancer, other.now, json.loads(json.dumps(export_state(node.balancer))))
     assert other.balancer._caps == pytest.approx(node.balancer._caps)
-    assert other.balancer._ready[0].ejected_until == failing.ejected_until
+    assert other.balancer._subset[0].ejected_until == failing.ejected_until
     # What the old one has out counts for its usual time, and no longer.
     assert other.balancer._in_flight.count == 1 and isinstance(send, api.Send)
     other.wait(3 * SECOND)
     assert other.balancer._in_flight.count == 0
     with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
-        recall(other.balancer, other.now, {"breakers": []})
+        restore_state(other.balancer, other.now, {"breakers": []})
 
 
 # A large fleet: a node sees little of any server.
@@ -970,7 +970,7 @@
         server(number, state=api.ServerState.DRAINING) for number in range(6)
     )))  # fmt: skip
     assert node.balancer._caps[0] == pytest.approx(before / 2)
-    for backend in node.balancer._ready[:3]:
+    for backend in node.balancer._subset[:3]:
         backend.ejected_until = node.now + 9 * SECOND
     node.balancer._set_caps(node.now)
     assert node.balancer._caps[0] == pytest.approx(before / 4)
@@ -1029,9 +1029,9 @@
     """Nearly half the requests of a fleet went out on new connections: each trial of a slow server that timed
     out on an idle one counted as a connection that had been dropped, and all idle ones were closed."""
     node = Node(servers=1)
-    (silent,) = node.balancer._ready
+    (silent,) = node.balancer._subset
     node.serve(1)
-    silent.doubt, silent.ejected_until = 9.0, node.now + 1
+    silent.failure_log_odds, silent.ejected_until = 9.0, node.now + 1
     for trial in range(1, 7):
         node.wait(60 * SECOND)
         silent.idle = [node.now - 2 * SECOND]
@@ -1047,7 +1047,7 @@
     node = Node()
     lose_idle(node, Result.TIMEOUT)
     assert node.balancer._distrusted
-    backend = node.balancer._ready[0]
+    backend = node.balancer._subset[0]
     backend.idle = [node.now - 10 * SECOND]
     assert not node.balancer._standing(node.now, backend)
     node.balancer._lost_others = 0.9
@@ -1061,7 +1061,7 @@
     for fleet, ejected in ((0.0, True), (0.15, False)):
         node = Node()
         node.balancer._fleet_failures = fleet
-        backend = node.balancer._ready[0]
+        backend = node.balancer._subset[0]
         backend.answered = node.now - 5 * SECOND
         node.balancer._judge(node.now, backend, Result.TIMEOUT, 0)
         assert bool(backend.ejected_until) is ejected
@@ -1072,7 +1072,7 @@
 def test_doubt_of_a_server_fades_with_its_answers() -> None:
     node = Node()
     node.balancer._fleet_failures = 0.15
-    backend = node.balancer._ready[0]
+    backend = node.balancer._subset[0]
     for _ in range(6):
         for result in (Result.TIMEOUT, Result.OK, Result.OK):
             node.now += 5 * SECOND
@@ -1083,10 +1083,10 @@
 def test_servers_that_told_nothing_yet_are_not_held_to_be_idle() -> None:
     """For its first seconds a node of a large fleet has the reports of a few servers, all of them crowded."""
     node = Node(settings(report_fields=("utilization",)), servers=60)
-    for backend in node.balancer._ready[:5]:
+    for backend in node.balancer._subset[:5]:
         backend.busy = 0.9
     assert not node.balancer._is_idle()
-    for backend in node.balancer._ready[:5]:
+    for backend in node.balancer._subset[:5]:
         backend.busy = 0.3
     assert node.balancer._is_idle()
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -30,7 +30,7 @@
 from driftstair.net import client_connection
 from driftstair.net.system import LONG_AGO, SOCKETS
 from lichenspring import interface as api
-from lichenspring.balance import LATER_TOKEN
+from lichenspring.balance import DEFERRED_TOKEN
 from lichenspring.interface import Result
 
 
@@ -294,7 +294,7 @@
             await until(lambda: rig.spy.outcomes())
             client.writer.close()
             await over(rig)
-            await until(lambda: timers(rig, LATER_TOKEN))  # the back-off is over
+            await until(lambda: timers(rig, DEFERRED_TOKEN))  # the back-off is over
             assert len(one.seen) + len(two.seen) == 1
 
     run(test())
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -253,7 +253,7 @@
                 assert status(await client.ask(request())) == 400
                 assert await client.ended() == b""
             assert len(one.seen) + len(other.seen) == 5
-            assert not any(backend.doubt for backend in rig.spy._balancer._backends.values())
+            assert not any(backend.failure_log_odds for backend in rig.spy._balancer._backends.values())
 
     run(test())
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -66,12 +66,12 @@
 
 
 def test_the_checker_sees_an_effect_that_may_happen_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balance.Open, "may_send_to", lambda self, server, now: True)
+    monkeypatch.setattr(balance.OpenRequest, "may_send_to", lambda self, server, now: True)
     assert broken_rule(RULES) == "duplicate"
 
 
 def test_the_checker_sees_a_refusal_that_invites_a_second_effect(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balance.Open, "may_refuse", lambda self: True)
+    monkeypatch.setattr(balance.OpenRequest, "may_refuse", lambda self: True)
     assert broken_rule(RULES) == "duplicate"
 
 
