--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -75,7 +75,7 @@
         "whole_peak_mb": max(reading.peak_mb, reading.kept_mb + taking.peak_mb),
         "whole_kept_mb": reading.kept_mb + taking.kept_mb, "change_bytes": len(changes[-1]),
         "change_hold_ms": change * 1e3, "servers_in_table": len({one.entry.id for one in table}),
-        "servers_of_own_part": len(node._core._ready), "servers_listed": len(node._core._backends),
+        "servers_of_own_part": len(node._core._subset), "servers_listed": len(node._core._backends),
     }  # fmt: skip
 
 
@@ -86,7 +86,7 @@
     from driftstair.net.identifiers import digest
     from lichenspring import Balancer
     from lichenspring import interface as api
-    from lichenspring.subset import ROUND
+    from lichenspring.subset import NODES_PER_ROUND
 
     settings = load({"BALANCER_CONFIG": str(folder / "platform.json")}).settings
     entries = tuple(
@@ -94,7 +94,7 @@
         for entry in documents.server_list(size)["servers"]
     )
     reached: set[api.ServerId] = set()
-    for number in range(ROUND):
+    for number in range(NODES_PER_ROUND):
         balancer = Balancer(replace(settings, number=number), 1)
         balancer.handle(1, api.ServerList(api.ListKind.FULL, entries))
         reached |= {backend.entry.id for backend in balancer._table}
--- a/driftstair/experiments/runs.py
+++ b/driftstair/experiments/runs.py
@@ -21,6 +21,17 @@
 
 BUILD_WITHIN = 3600.0  # s for one run of another build
 PLACES = ("lichenspring",)
+RENAMED = {
+    "lichenspring.balance.FULL_ABOVE": "lichenspring.balance.FULL_THRESHOLD",
+    "lichenspring.balance.FULL_COUNTS": "lichenspring.balance.FULL_LOAD_PENALTY",
+    "lichenspring.balance.LATER_TOKEN": "lichenspring.balance.DEFERRED_TOKEN",
+    "lichenspring.balance.TRY_AGAIN": "lichenspring.balance.PROBE_INTERVAL_NS",
+    "lichenspring.breaker.KEEP": "lichenspring.breaker.RETAINED_WEIGHT",
+    "lichenspring.breaker.KEEP_FALLING": "lichenspring.breaker.RETAINED_WEIGHT_FALLING",
+    "lichenspring.breaker.PROVEN_PART": "lichenspring.breaker.PROVEN_LOAD_FRACTION",
+    "lichenspring.subset.ROUND": "lichenspring.subset.NODES_PER_ROUND",
+}
+"""Experiment files may name a renamed constant by its old path."""
 
 
 class Played(NamedTuple):
@@ -32,7 +43,7 @@
 
 def constant(path: str) -> Any:
     """Of the decision module, by `MODULE.NAME`. Raises AttributeError, with what would do."""
-    module, _, name = path.rpartition(".")
+    module, _, name = RENAMED.get(path, path).rpartition(".")
     if not module.startswith(PLACES):
         raise AttributeError(f"{path}: a constant of the decision module (lichenspring.MODULE.NAME) would do")
     try:
@@ -52,7 +63,7 @@
     try:
         for path, value in constants:
             before = constant(path)
-            home, _, name = path.rpartition(".")
+            home, _, name = RENAMED.get(path, path).rpartition(".")
             for module in [one for key, one in sys.modules.items() if key.startswith(PLACES)]:
                 # The same object under the same name: it was imported from there.
                 if module.__name__ == home or getattr(module, name, None) is before:
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -31,7 +31,7 @@
 from lichenspring import Balancer
 from lichenspring import interface as api
 from lichenspring.interface import ServerState
-from lichenspring.settings import flat, settings_from
+from lichenspring.settings import flatten, parse_settings
 
 if TYPE_CHECKING:
     from driftstair.model.peers import Peers
@@ -48,7 +48,7 @@
     HostState.GONE: ServerState.GONE,
 }  # fmt: skip
 
-Policy = Callable[[api.Settings, int], api.Module]
+Policy = Callable[[api.Settings, int], api.DecisionModule]
 
 
 class ModelError(Exception):
@@ -119,7 +119,7 @@
         self.policy = policy
         self.clock = Clock()
         self.seed = of.seed
-        self.settings = settings_from(dict(flat(platform.settings(of))))
+        self.settings = parse_settings(dict(flatten(platform.settings(of))))
         self.dial_timeout = int(of.nodes.dial_timeout_ms * 1e6)
         self.dial_trips = 1.5
         self.descriptors = of.nodes.descriptors - int(of.clients.connections_share * of.nodes.descriptors)
@@ -299,7 +299,7 @@
     def tell_list(self, box: Server, state: HostState, silent: bool = False) -> None:
         self.box_list.change(self._entry(box, state), self.silent_notice if silent else self.list_notice)
 
-    def _module(self, name: str) -> api.Module:
+    def _module(self, name: str) -> api.DecisionModule:
         life = self._policy_lives[name] = self._policy_lives.get(name, 0) + 1
         settings = replace(self.settings, number=self.node_names.index(name))
         module = self.policy(settings, seed_for(self.seed, "node", name, life))
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -67,7 +67,7 @@
         self._now = system.monotonic_ns
         self._pools = pools
         self._core = Balancer(config.settings, config.seed)
-        self._balancer: api.Module = self._core
+        self._balancer: api.DecisionModule = self._core
         if limits is not None:
             self._balancer = limits.limited(self._balancer, config.settings, system.time_ns)
         self._loop = asyncio.get_running_loop()
@@ -181,7 +181,7 @@
             self._answer(action.request, 504 if late else 502, [], AnswerReason.FAILED)
         elif isinstance(action, api.SetTimer):
             self._set_timer(action.at, action.token)
-        elif isinstance(action, api.HangUp):
+        elif isinstance(action, api.CloseIdleConnections):
             pool = self._pools.get(action.server)
             if pool is not None:
                 pool.drop_idle()
@@ -449,15 +449,15 @@
 
     def exported_memory(self) -> dict[str, Any]:
         """What the module knows, for a process that takes over on this machine."""
-        from lichenspring.memory import remembered
+        from lichenspring.memory import export_state
 
-        return remembered(self._core)
+        return export_state(self._core)
 
     def restore_memory(self, learned: dict[str, Any]) -> None:
         """Once the list is known; what can't be used is passed over."""
-        from lichenspring.memory import recall
+        from lichenspring.memory import restore_state
 
         try:
-            recall(self._core, self._now(), learned)
+            restore_state(self._core, self._now(), learned)
         except (KeyError, TypeError, ValueError, AttributeError) as problem:
             log.warning("what the old process had learned is not used: %r", problem)
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -112,11 +112,21 @@
 def test_a_constant_is_another_one_for_its_run_alone() -> None:
     from lichenspring import breaker
 
-    before = breaker.KEEP
+    before = breaker.RETAINED_WEIGHT
     with runs.changed((("lichenspring.breaker.KEEP", before / 2),)):
-        assert before / 2 == breaker.KEEP
-        assert getattr(balance, "KEEP", before / 2) == before / 2  # where it was imported
-    assert before == breaker.KEEP
+        assert before / 2 == breaker.RETAINED_WEIGHT
+        assert getattr(balance, "RETAINED_WEIGHT", before / 2) == before / 2  # where it was imported
+    assert before == breaker.RETAINED_WEIGHT
+
+
+@pytest.mark.parametrize("old", runs.RENAMED)
+def test_a_renamed_constant_is_found_by_its_old_path(old: str) -> None:
+    new = runs.RENAMED[old]
+    before = runs.constant(new)
+    assert runs.constant(old) is before
+    with runs.changed(((old, before + 1),)):
+        assert runs.constant(new) == before + 1
+    assert runs.constant(new) is before
 
 
 def test_a_run_that_raises_is_told_and_the_others_go_on(tmp_path: Path) -> None:
