--- a/driftstair/admission/pace.py
+++ b/driftstair/admission/body_progress.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-RATE_LEAST = 48_000  # bytes a second; clients of the platform bring 64 kB
-GRACE = 1.5  # s that a body may be behind that rate
-SILENT_MOST = 2.7  # s without a byte: a client that stops in a request is owed its error within 3 s
+BYTES_PER_S_MIN = 48_000  # bytes a second; clients of the platform bring 64 kB
+GRACE_S = 1.5  # s that a body may be behind that rate
+SILENCE_S_MAX = 2.7  # s without a byte: a client that stops in a request is owed its error within 3 s
 
 
 @dataclass(slots=True)
-class Pace:
+class BodyProgress:
     """Times in s of one clock that does not go back."""
 
     since: float
@@ -24,11 +24,11 @@
         self.received += size
         self.moved_at = now
 
-    def stop(self, now: float) -> None:
+    def pause(self, now: float) -> None:
         if not self.stopped:
             self.stopped = now
 
-    def go_on(self, now: float) -> None:
+    def resume(self, now: float) -> None:
         if self.stopped:
             self.paused += now - self.stopped
             self.stopped = 0.0
@@ -39,6 +39,6 @@
         against those that bring much at once and stop."""
         if self.stopped:
             return False
-        if now - max(self.since, self.moved_at) >= SILENT_MOST:
+        if now - max(self.since, self.moved_at) >= SILENCE_S_MAX:
             return True
-        return self.received < RATE_LEAST * (now - self.since - self.paused - GRACE)
+        return self.received < BYTES_PER_S_MIN * (now - self.since - self.paused - GRACE_S)
--- a/driftstair/admission/places.py
+++ b/driftstair/admission/connection_table.py
@@ -1,13 +1,15 @@
 """The table of client connections: who holds a place, who is asked to give it up, and who goes first.
 
-Nothing is closed early while there is room. There are two bounds: what the node can hold itself (`most`), and
-what clients may hold at it in all (`held`), where the platform tells one; the second binds the clients, so
-idle connections that nobody uses keep others from opening any, and a node only sees that nobody comes. So
-room is kept for those that are expected (`Crowd.need`), under both bounds.
+Nothing is closed early while there is room. There are two bounds: what the node can hold itself
+(`connections_max`), and what clients may hold at it in all (`platform_connections_max`), where the platform
+tells one; the second binds the clients, so idle connections that nobody uses keep others from opening any,
+and a node only sees that nobody comes. So room is kept for those that are expected
+(`Crowd.need`), under both bounds.
 
 Where room is short, connections go in this order, and one with an open request never does:
 
-1. rejected ones, whose answer is out, and those that were told to go and stay (`lingers`, `leaves`);
+1. rejected ones, whose answer is out, and those that were told to go and stay (`mark_lingering`,
+   `mark_leaving`);
 2. newcomers that have brought nothing within their grace;
 3. those that have begun a request and don't go on, after `HEAD_LEAST`, in its body after `BODY_LEAST`;
 4. idle ones, the least worth first, as long as newcomers bring more in the same place, and newcomers hold no
@@ -34,8 +36,8 @@
 from math import ceil
 from typing import Generic, TypeVar
 
-from driftstair.admission.crowd import Crowd
-from driftstair.admission.returns import BUCKETS, ENDS, Returns, bucket_of
+from driftstair.admission.arrival_statistics import Crowd
+from driftstair.admission.return_statistics import BUCKETS, ENDS, Returns, bucket_of
 
 Connection = TypeVar("Connection", bound=Hashable)
 
@@ -50,18 +52,18 @@
 HEAD_LEAST = 0.15  # s for the rest of a request that has begun, where the table is full
 LANE_PART = 0.05  # of the table, for newcomers, however few have come of late
 SPARE_PART = 0.5  # of the bound: below it room is never short, and nothing is reckoned
-HELD_PART = 0.95  # of `held` that is counted on: some stand in the kernel's queue
+HELD_PART = 0.95  # of `platform_connections_max` that is counted on: some stand in the kernel's queue
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ConnectionLimits:
     """Connections and times in s."""
 
-    most: int  # that the node can hold
-    held: int = 0  # that clients may hold at the node; 0: as many as they like
-    new_most: float = 2.7  # from connecting to the first whole head; clients may spend 2 s on one
-    request_most: float = 2.7  # for the head of a later request that has begun
-    idle_most: float = 30.0  # between two requests
+    connections_max: int  # that the node can hold
+    platform_connections_max: int = 0  # that clients may hold at the node; 0: as many as they like
+    first_head_s_max: float = 2.7  # from connecting to the first whole head; clients may spend 2 s on one
+    next_head_s_max: float = 2.7  # for the head of a later request that has begun
+    idle_s_max: float = 30.0  # between two requests
     linger_most: float = 1.0  # for a rejected client to take its answer and go
     linger_part: float = 0.1  # of the table, for such ones
 
@@ -83,7 +85,7 @@
 """What a client sends after its last answer is not read."""
 
 
-class Ending(Enum):
+class CloseMode(Enum):
     """How a connection that is given up is to be closed."""
 
     CLOSE = "with what is written"
@@ -112,16 +114,19 @@
     return KINDS[uses] if uses < USES[-1] else KINDS[-1]
 
 
-class Places(Generic[Connection]):
+class ConnectionTable(Generic[Connection]):
     """What one node's front asks at each event. `now` in s, of one clock that does not go back."""
 
-    def __init__(self, limits: Limits, has_unread: Callable[[Connection], bool] = lambda _: False) -> None:
+    def __init__(
+        self, limits: ConnectionLimits, has_unread: Callable[[Connection], bool] = lambda _: False
+    ) -> None:
         """`has_unread`: whether a client has sent what the node has not read."""
         self.limits = limits
         self._has_unread = has_unread
         self.crowd = Crowd()
         self.returns = tuple(Returns() for _ in USES)
-        self.ending = False  # the node is about to end: clients may find no other, and keep what they have
+        # The node is about to end: clients may find no other, and keep what they have.
+        self.is_stopping = False
         self.closed_early = 0  # idle ones, for room, and answers that told clients to go
         self._places: dict[Connection, Place] = {}
         # Of those that never asked, in the order in which they came: one that began its head first need not
@@ -140,7 +145,7 @@
     def __len__(self) -> int:
         return len(self._places)
 
-    def idle(self) -> int:
+    def idle_count(self) -> int:
         return self._idle_count
 
     def state(self, connection: Connection) -> State | None:
@@ -149,11 +154,11 @@
 
     # What happens to a connection.
 
-    def came(self, connection: Connection, now: float) -> None:
+    def add(self, connection: Connection, now: float) -> None:
         self._places[connection] = Place(State.SILENT, now)
         self._tables[State.SILENT][connection] = self._newcomers[connection] = now
 
-    def reads(self, connection: Connection, now: float) -> None:
+    def mark_reading(self, connection: Connection, now: float) -> None:
         """A part of a request has come. It gives no new time: a slow one's counts from its first byte, a
         newcomer's from when it connected."""
         place = self._places[connection]
@@ -162,8 +167,8 @@
         elif place.state is State.IDLE:
             self._move(connection, place, State.READING, now)
 
-    def receives(self, connection: Connection, now: float) -> None:
-        """A piece of a body has come. How slowly it may come is not decided here (`pace`)."""
+    def mark_receiving_body(self, connection: Connection, now: float) -> None:
+        """A piece of a body has come. How slowly it may come is not decided here (`body_progress`)."""
         place = self._places[connection]
         self._newcomers.pop(connection, None)
         if place.state is State.BODY:
@@ -172,7 +177,7 @@
         elif place.state is not State.BUSY:
             self._move(connection, place, State.BODY, now)
 
-    def works(self, connection: Connection, now: float) -> None:
+    def mark_busy(self, connection: Connection, now: float) -> None:
         """A whole request has come, and is served from now on."""
         place = self._places[connection]
         if place.uses == 0:
@@ -181,23 +186,23 @@
         place.uses += 1
         self._move(connection, place, State.BUSY, now)
 
-    def rests(self, connection: Connection, now: float) -> None:
+    def mark_idle(self, connection: Connection, now: float) -> None:
         """It has been answered, and nothing more has come. Bytes that are no request give no new time."""
         place = self._places[connection]
         if place.state is State.BUSY:
             self._move(connection, place, State.IDLE, now)
 
-    def leaves(self, connection: Connection, now: float) -> None:
+    def mark_leaving(self, connection: Connection, now: float) -> None:
         """It has been answered, and told to go."""
         self._newcomers.pop(connection, None)
         self._move(connection, self._places[connection], State.LEAVING, now)
 
-    def lingers(self, connection: Connection, now: float) -> None:
+    def mark_lingering(self, connection: Connection, now: float) -> None:
         """It is rejected, and told so."""
         self._newcomers.pop(connection, None)
         self._move(connection, self._places[connection], State.LINGERING, now)
 
-    def lost(self, connection: Connection, now: float) -> None:
+    def remove(self, connection: Connection, now: float) -> None:
         """It is closed, by whichever side."""
         place = self._places.pop(connection, None)
         self._newcomers.pop(connection, None)
@@ -232,7 +237,7 @@
 
     # What is decided.
 
-    def keeps(self, connection: Connection, now: float) -> bool:
+    def should_keep(self, connection: Connection, now: float) -> bool:
         """Whether the answer that goes out now should keep the connection, or tell its client to close it.
 
         Told so, nothing of the client's crosses the end, and the place is free a round trip later. One in
@@ -242,7 +247,7 @@
         if place.state is State.BUSY:
             self.crowd.served(now - place.since)
         short = self._short(now)
-        if not short or self.ending:
+        if not short or self.is_stopping:
             return True
         self._grow_older(now)
         worth = self._fresh[kind_of(place.uses)]
@@ -256,9 +261,9 @@
         self.closed_early += 1
         return False
 
-    def surplus(self, now: float) -> list[Connection]:
+    def take_surplus_idle(self, now: float) -> list[Connection]:
         """Idle connections to close now, since their places are wanted; `MOVES` at most in one call."""
-        wanted = 0 if self.ending else min(MOVES, self._short(now), self._idle_count)
+        wanted = 0 if self.is_stopping else min(MOVES, self._short(now), self._idle_count)
         given: list[Connection] = []
         if not wanted:
             return given
@@ -267,12 +272,12 @@
             connection = self._least_worth(self.crowd.worth())
             if connection is None:
                 break
-            self.lost(connection, now)
+            self.remove(connection, now)
             given.append(connection)
         self.closed_early += len(given)
         return given
 
-    def make_room(self, now: float, forced: bool = False) -> tuple[Connection, Ending] | None:
+    def make_room(self, now: float, forced: bool = False) -> tuple[Connection, CloseMode] | None:
         """The connection to close for another that waits at a full table; None: that one has to wait.
         `forced`: no descriptor is left, so an idle one goes whatever it is worth."""
         for state, before in (
@@ -285,56 +290,56 @@
         ):
             connection = self._first_since(state, before)
             if connection is not None:
-                self.lost(connection, now)
-                return connection, Ending.ABORT
+                self.remove(connection, now)
+                return connection, CloseMode.ABORT
         if not forced and len(self._newcomers) >= self._lane(now):
             return None
         self._grow_older(now)
         connection = self._least_worth(float("inf") if forced else self.crowd.worth())
         if connection is None:
             return None
-        self.lost(connection, now)
+        self.remove(connection, now)
         self.closed_early += 1
-        return connection, Ending.CLOSE
+        return connection, CloseMode.CLOSE
 
     def is_full(self) -> bool:
         """No place can be made for another client, but by those that have their answer leaving."""
         held = sum(len(self._tables[state]) for state in (State.BUSY, State.READING, State.BODY))
-        return held >= self.limits.most
+        return held >= self.limits.connections_max
 
-    def overdue(self, now: float) -> list[tuple[Connection, Ending]]:
+    def take_expired(self, now: float) -> list[tuple[Connection, CloseMode]]:
         """Those whose time is over, whatever room there is."""
         limits = self.limits
         late = [
             (connection, ending)
             for table, most, ending in (
-                (self._tables[State.LINGERING], limits.linger_most, Ending.ABORT),
-                (self._tables[State.LEAVING], limits.linger_most, Ending.ABORT),
-                (self._newcomers, limits.new_most, Ending.TIME_OUT),
-                (self._tables[State.READING], limits.request_most, Ending.TIME_OUT),
+                (self._tables[State.LINGERING], limits.linger_most, CloseMode.ABORT),
+                (self._tables[State.LEAVING], limits.linger_most, CloseMode.ABORT),
+                (self._newcomers, limits.first_head_s_max, CloseMode.TIME_OUT),
+                (self._tables[State.READING], limits.next_head_s_max, CloseMode.TIME_OUT),
             )
             for connection in _since(table, now - most)
         ]
         self._grow_older(now, MOVES_SWEEP)
         for kind in self._idle:
-            for bucket in kind[bucket_of(limits.idle_most) :]:
-                idle = _since(bucket, now - limits.idle_most)
-                late += [(one, Ending.CLOSE) for one in idle if not self._has_unread(one)]
+            for bucket in kind[bucket_of(limits.idle_s_max) :]:
+                idle = _since(bucket, now - limits.idle_s_max)
+                late += [(one, CloseMode.CLOSE) for one in idle if not self._has_unread(one)]
         for connection, ending in late:
-            if ending is not Ending.TIME_OUT:  # which is still told so
-                self.lost(connection, now)
+            if ending is not CloseMode.TIME_OUT:  # which is still told so
+                self.remove(connection, now)
         return late
 
-    def crowded_out(self, now: float) -> Connection | None:
+    def take_excess_lingering(self, now: float) -> Connection | None:
         """A rejected connection to abort, since too many of them linger."""
         lingering = self._tables[State.LINGERING]
-        if len(lingering) <= self.limits.linger_part * self.limits.most:
+        if len(lingering) <= self.limits.linger_part * self.limits.connections_max:
             return None
         first = next(iter(lingering))
-        self.lost(first, now)
+        self.remove(first, now)
         return first
 
-    def unused(self) -> list[Connection]:
+    def connections_without_request(self) -> list[Connection]:
         """Those with no request, at the node's end."""
         idle = [connection for kind in self._idle for bucket in kind for connection in bucket]
         return [*self._tables[State.SILENT], *idle]
@@ -343,17 +348,19 @@
 
     def _lane(self, now: float) -> float:
         """Places for newcomers, that others leave free."""
-        return LANE_PART * self.limits.most + self.crowd.need(now)
+        return LANE_PART * self.limits.connections_max + self.crowd.need(now)
 
     def _short(self, now: float) -> int:
         """Places more that the others should leave to newcomers."""
-        if len(self._places) < SPARE_PART * (self.limits.held or self.limits.most):
+        if len(self._places) < SPARE_PART * (
+            self.limits.platform_connections_max or self.limits.connections_max
+        ):
             return 0
         others = len(self._places) - len(self._newcomers)
-        short = others + self._lane(now) - self.limits.most
-        if self.limits.held:
+        short = others + self._lane(now) - self.limits.connections_max
+        if self.limits.platform_connections_max:
             held = others - len(self._tables[State.LINGERING]) - len(self._tables[State.LEAVING])
-            short = max(short, held + self.crowd.need(now) - HELD_PART * self.limits.held)
+            short = max(short, held + self.crowd.need(now) - HELD_PART * self.limits.platform_connections_max)
         return ceil(short) if short > 0 else 0
 
     def _least_worth(self, below: float) -> Connection | None:
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from driftstair.admission.places import Limits
+from driftstair.admission.connection_table import ConnectionLimits
 from driftstair.config import ConfigError
 from driftstair.net.connection_pools import Pools
 from driftstair.net.front import Front
@@ -57,7 +57,7 @@
     pools = Pools(servers, config.dial_timeout, config.idle_close, system)
     node = Node(config, pools, system, limits, roster)
     held = int(config.sockets * HELD_PART) if config.sockets < UNBOUND else 0
-    return node, Front(node, config, Limits(clients, held), system)
+    return node, Front(node, config, ConnectionLimits(clients, held), system)
 
 
 def operate(config: Config, system: System) -> Operations | None:
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -218,11 +218,11 @@
                 transport.pause_reading()
                 self._arrivals.pause(self._front.now())
                 if pace is not None:
-                    pace.stop(self._loop.time())
+                    pace.pause(self._loop.time())
             else:
                 transport.resume_reading()
                 if pace is not None:
-                    pace.go_on(self._loop.time())
+                    pace.resume(self._loop.time())
         if self._busy:
             return
         if self._half_closed:
--- a/driftstair/net/front.py
+++ b/driftstair/net/front.py
@@ -8,8 +8,8 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from driftstair.admission.pace import Pace
-from driftstair.admission.places import Ending, Limits, Places
+from driftstair.admission.body_progress import BodyProgress
+from driftstair.admission.connection_table import CloseMode, ConnectionLimits, ConnectionTable
 from driftstair.net.client_connection import ClientConnection
 from driftstair.net.flow import SILENCE_MOST, Budget
 from driftstair.net.loop_monitor import LoopMonitor
@@ -38,7 +38,9 @@
 class Front:
     """The listening socket and all connections that came from it."""
 
-    def __init__(self, node: Node, config: Config, limits: Limits, system: System = SOCKETS) -> None:
+    def __init__(
+        self, node: Node, config: Config, limits: ConnectionLimits, system: System = SOCKETS
+    ) -> None:
         self.node = node
         self.config = config
         self.now = system.monotonic_ns
@@ -55,9 +57,9 @@
         self._handed_over = False  # another process of this node takes the clients
         self._ended = False  # what is begun from now on would not be finished
         self._limits = limits
-        self.places: Places[ClientConnection] = Places(limits, ClientConnection.has_unread)
+        self.places: ConnectionTable[ClientConnection] = ConnectionTable(limits, ClientConnection.has_unread)
         self.budget = Budget(config.memory)  # for bodies that are held until they are whole
-        self.bodies: dict[ClientConnection, Pace] = {}  # that are on their way from clients
+        self.bodies: dict[ClientConnection, BodyProgress] = {}  # that are on their way from clients
         self.flows: dict[ClientConnection, float] = {}  # long answers, and since when each stands still
         self._loop = asyncio.get_running_loop()
         self._listener: Listener | None = None
@@ -97,7 +99,7 @@
         if listener is None or self._handed_over:
             return
         for _ in range(ACCEPTS):
-            if self._open >= self.places.limits.most and not self._make_room():
+            if self._open >= self.places.limits.connections_max and not self._make_room():
                 self._pause()
                 self._look_again()  # soon: the usual clients wait in the same queue
                 return
@@ -139,17 +141,17 @@
             self._end(*found)
         return found is not None
 
-    def _end(self, connection: ClientConnection, how: Ending) -> None:
-        if how is Ending.ABORT:
+    def _end(self, connection: ClientConnection, how: CloseMode) -> None:
+        if how is CloseMode.ABORT:
             connection.abort(CloseReason.TOO_SLOW)
-        elif how is Ending.TIME_OUT:
+        elif how is CloseMode.TIME_OUT:
             connection.time_out()
         else:
             connection.close(CloseReason.IDLE)
 
     def _left(self) -> None:
         self._open -= 1
-        if self._open < self.places.limits.most:
+        if self._open < self.places.limits.connections_max:
             self._resume()
 
     def _sweep(self) -> None:
@@ -161,7 +163,7 @@
             self._loop.call_later(LOOK, self._sweep)
             return
         self._sweep_put_off = False
-        for connection, how in self.places.overdue(self._loop.time()):
+        for connection, how in self.places.take_expired(self._loop.time()):
             self._end(connection, how)
         now = self._loop.time()
         for connection in [one for one, pace in self.bodies.items() if pace.is_too_slow(now)]:
@@ -191,7 +193,7 @@
                 connection.refuse()
 
     def _thin_out(self) -> None:
-        for connection in self.places.surplus(self._loop.time()):
+        for connection in self.places.take_surplus_idle(self._loop.time()):
             connection.close(CloseReason.IDLE)
 
     # What the connections tell.
@@ -199,7 +201,7 @@
     def on_connect(self, connection: ClientConnection) -> None:
         """It is up."""
         self._connections.add(connection)
-        self.places.came(connection, self._loop.time())
+        self.places.add(connection, self._loop.time())
         self._thin_out()
 
     def on_disconnect(self, connection: ClientConnection) -> None:
@@ -207,26 +209,26 @@
         self._connections.discard(connection)
         self.bodies.pop(connection, None)
         self.flows.pop(connection, None)
-        self.places.lost(connection, self._loop.time())
+        self.places.remove(connection, self._loop.time())
         self._left()
 
     def on_idle(self, connection: ClientConnection) -> None:
         """All that it has brought is answered."""
-        self.places.rests(connection, self._loop.time())
+        self.places.mark_idle(connection, self._loop.time())
         self._thin_out()
 
     def on_head_bytes(self, connection: ClientConnection) -> None:
         """A request has begun, and its head is not whole."""
-        self.places.reads(connection, self._loop.time())
+        self.places.mark_reading(connection, self._loop.time())
 
     def on_body_bytes(self, connection: ClientConnection, size: int) -> None:
         """Bytes of a body have come, its framing among them."""
         now = self._loop.time()
         pace = self.bodies.get(connection)
         if pace is None:
-            pace = self.bodies[connection] = Pace(now)
+            pace = self.bodies[connection] = BodyProgress(now)
         pace.receive(now, size)
-        self.places.receives(connection, now)
+        self.places.mark_receiving_body(connection, now)
 
     def on_body_end(self, connection: ClientConnection) -> None:
         """No more of a body is waited for."""
@@ -238,12 +240,12 @@
 
     def on_request(self, connection: ClientConnection) -> None:
         """A whole request, or the head of a long one, is served from now on."""
-        self.places.works(connection, self._loop.time())
+        self.places.mark_busy(connection, self._loop.time())
 
     def keeps_alive(self, connection: ClientConnection) -> bool:
         """Whether the answer that is ready keeps the connection."""
         full = self.places.is_full()
-        kept = self.places.keeps(connection, self._loop.time())
+        kept = self.places.should_keep(connection, self._loop.time())
         return kept and not self.closing and not full and self.drain is None
 
     def is_up(self) -> bool:
@@ -263,8 +265,8 @@
     def on_last_answer(self, connection: ClientConnection, rejected: bool) -> None:
         """Its answer, which is written, tells the client to go; `rejected`: by a 4xx."""
         now = self._loop.time()
-        (self.places.lingers if rejected else self.places.leaves)(connection, now)
-        crowded_out = self.places.crowded_out(now)
+        (self.places.mark_lingering if rejected else self.places.mark_leaving)(connection, now)
+        crowded_out = self.places.take_excess_lingering(now)
         if crowded_out is not None:
             crowded_out.abort(CloseReason.TOO_SLOW)
 
@@ -289,14 +291,17 @@
         else:
             # Until it has learned how many connections clients want, and while they hold some at the other
             # process too: guards against idle ones here that leave them none to ask by.
-            self.places.limits = replace(self._limits, held=int(self._limits.held * HELD_BESIDE))
+            self.places.limits = replace(
+                self._limits,
+                platform_connections_max=int(self._limits.platform_connections_max * HELD_BESIDE),
+            )
             self._loop.call_later(BESIDE, setattr, self.places, "limits", self._limits)
             self._resume()
 
     async def stop(self, serve_on: float, within: float, since: int = 0) -> None:
         """Serve on for a while, since clients go on coming; then finish what is held, and end. `serve_on`
         and `within` count, in s, from `since` (monotonic ns; 0: now), when the process was told to end."""
-        self.stopping = self.places.ending = True
+        self.stopping = self.places.is_stopping = True
         self.node.guard.state = ProcessState.STOPPING
         passed = (self.now() - since) / 1e9 if since else 0.0
         end = self._loop.time() + within - passed
@@ -310,7 +315,7 @@
             self._listener = None
         await asyncio.gather(*self._tasks)
         await asyncio.sleep(DRAIN_LOOK)  # what those just taken in have sent already is read first
-        for connection in self.places.unused():
+        for connection in self.places.connections_without_request():
             connection.close_if_unused()
         while self._connections and self._loop.time() < end:
             await asyncio.sleep(DRAIN_LOOK)
--- a/tests/admission/test_hard_cases.py
+++ b/tests/admission/test_hard_cases.py
@@ -7,7 +7,7 @@
 import pytest
 from test_places import Front
 
-from driftstair.admission.places import Limits
+from driftstair.admission.connection_table import ConnectionLimits
 
 
 def crowd(front: Front, clients: int, away: float, seconds: float, settled: float) -> float:
@@ -38,17 +38,17 @@
     clients: int, most: int, held: int
 ) -> None:
     """Closing them early would double the handshakes."""
-    assert crowd(Front(Limits(most, held)), clients, 2.0, 20.0, settled=4.0) == 0.0
+    assert crowd(Front(ConnectionLimits(most, held)), clients, 2.0, 20.0, settled=4.0) == 0.0
 
 
 def test_where_they_are_more_than_the_table_some_keep_theirs_all_the_same() -> None:
     """The least recently used would be the next to come each time: nobody would be served on a kept one."""
-    assert crowd(Front(Limits(60)), 120, 2.0, 40.0, settled=20.0) < 0.9
+    assert crowd(Front(ConnectionLimits(60)), 120, 2.0, 40.0, settled=20.0) < 0.9
 
 
 def test_a_burst_after_silence_finds_places() -> None:
     """Clients that asked once have filled the table; then nobody comes for half a minute, and then all do."""
-    front = Front(Limits(100, held=80))
+    front = Front(ConnectionLimits(100, platform_connections_max=80))
     for index in range(300):
         front.now += 0.02
         front.comes(f"a{index}")
@@ -62,7 +62,7 @@
 
 def test_a_tenth_of_the_clients_makes_nine_tenths_of_the_connections() -> None:
     """Four that open a connection for each request against forty that keep theirs."""
-    front, random = Front(Limits(150, held=100)), Random(2)
+    front, random = Front(ConnectionLimits(150, platform_connections_max=100)), Random(2)
     due = {f"r{index}": random.random() for index in range(40)}
     asked = dialed = 0
     for turn in range(3000):
--- a/tests/admission/test_places.py
+++ b/tests/admission/test_places.py
@@ -9,16 +9,16 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from driftstair.admission.crowd import Crowd
-from driftstair.admission.places import Ending, Limits, Places, State
-from driftstair.admission.returns import BUCKETS, ENDS, Returns, bucket_of
+from driftstair.admission.arrival_statistics import Crowd
+from driftstair.admission.connection_table import CloseMode, ConnectionLimits, ConnectionTable, State
+from driftstair.admission.return_statistics import BUCKETS, ENDS, Returns, bucket_of
 
 
 class Front:
     """A front without sockets: clients come, ask, stay away and come back on a clock of its own."""
 
-    def __init__(self, limits: Limits) -> None:
-        self.places: Places[str] = Places(limits)
+    def __init__(self, limits: ConnectionLimits) -> None:
+        self.places: ConnectionTable[str] = ConnectionTable(limits)
         self.now = 0.0
         self.displaced: list[str] = []  # idle or asking, closed for room or told to go
         self.silenced = 0
@@ -26,53 +26,53 @@
         self.served = 0
 
     def comes(self, name: str) -> bool:
-        if len(self.places) >= self.places.limits.most:
+        if len(self.places) >= self.places.limits.connections_max:
             victim = self.places.make_room(self.now)
             if victim is None:
                 return False
-            if victim[1] is Ending.ABORT:
+            if victim[1] is CloseMode.ABORT:
                 self.silenced += 1
             else:
                 self.displaced.append(victim[0])
-        self.places.came(name, self.now)
+        self.places.add(name, self.now)
         self._thin_out()
         return True
 
     def asks(self, name: str, took: float = 0.0) -> None:
-        self.places.works(name, self.now)
+        self.places.mark_busy(name, self.now)
         self.now += took
         self.served += 1
-        if self.places.keeps(name, self.now):
-            self.places.rests(name, self.now)
+        if self.places.should_keep(name, self.now):
+            self.places.mark_idle(name, self.now)
         else:
             self.displaced.append(name)
-            self.places.leaves(name, self.now)
-            self.places.lost(name, self.now)
+            self.places.mark_leaving(name, self.now)
+            self.places.remove(name, self.now)
         self._thin_out()
 
     def _thin_out(self) -> None:
-        self.displaced += self.places.surplus(self.now)
+        self.displaced += self.places.take_surplus_idle(self.now)
 
     def sweep(self) -> None:
-        for name, _ in self.places.overdue(self.now):
-            self.places.lost(name, self.now)
+        for name, _ in self.places.take_expired(self.now):
+            self.places.remove(name, self.now)
         self._thin_out()
 
 
 def test_with_room_to_spare_nothing_is_closed_early() -> None:
-    front = Front(Limits(1000, held=600))
+    front = Front(ConnectionLimits(1000, platform_connections_max=600))
     for turn in range(400):
         assert front.comes(f"c{turn}")
         front.asks(f"c{turn}")
         front.now += 0.01
         front.sweep()
-    assert not front.displaced and front.places.idle() == 400
+    assert not front.displaced and front.places.idle_count() == 400
 
 
 def test_clients_that_ask_once_and_stay_are_told_to_go_once_room_is_short() -> None:
     """Recorded: 90 to 105 of the 128 connections that clients shared were held by clients that never came
     back, for half a second and a sweep each, and a third of all requests found none."""
-    front = Front(Limits(189, held=128))
+    front = Front(ConnectionLimits(189, platform_connections_max=128))
     for turn in range(3000):
         assert front.comes(f"c{turn}")
         front.asks(f"c{turn}")
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("away", [0.05, 1.0])
 def test_clients_that_come_back_are_kept_before_those_that_never_do(away: float) -> None:
     """Both kinds mixed: the node learns from their kind, the number of their requests, and from their age."""
-    front = Front(Limits(120, held=80))
+    front = Front(ConnectionLimits(120, platform_connections_max=80))
     regulars = {f"r{index}": 0.0 for index in range(20)}
     for name in regulars:
         front.comes(name)
@@ -122,7 +122,7 @@
 ) -> None:
     """Silent newcomers and heads a byte at a time, by hundreds a second, against ten clients at a normal
     pace."""
-    front, random = Front(Limits(most, held=most // 2)), Random(seed)
+    front, random = Front(ConnectionLimits(most, platform_connections_max=most // 2)), Random(seed)
     due = {f"r{index}": random.random() * away for index in range(10)}
     for name in due:
         front.comes(name)
@@ -132,7 +132,7 @@
         for _ in range(int(flood * 0.01 + random.random())):
             name = f"silent{random.random()}"
             if front.comes(name) and heads:
-                front.places.reads(name, front.now)
+                front.places.mark_reading(name, front.now)
         for name, at in due.items():
             if at <= front.now:
                 front.asks(name)  # fails if it was displaced
@@ -143,42 +143,42 @@
 
 
 def test_those_go_first_that_ask_for_least() -> None:
-    front = Front(Limits(7))
+    front = Front(ConnectionLimits(7))
     places = front.places
     for name in ("idle", "busy", "head", "head too", "silent", "leaves", "rejected"):
         front.comes(name)
     front.asks("idle")
-    places.works("busy", front.now)
-    places.reads("head", front.now)
-    places.reads("head too", front.now)
-    places.works("leaves", front.now)
-    places.leaves("leaves", front.now)
-    places.lingers("rejected", front.now)
+    places.mark_busy("busy", front.now)
+    places.mark_reading("head", front.now)
+    places.mark_reading("head too", front.now)
+    places.mark_busy("leaves", front.now)
+    places.mark_leaving("leaves", front.now)
+    places.mark_lingering("rejected", front.now)
     order = []
     for later in (0.0, 0.12, 0.2, 0.0, 0.0):
         front.now += later
         order.append(places.make_room(front.now))
     gone = ("rejected", "silent", "leaves", "head", "head too")
-    assert order == [(name, Ending.ABORT) for name in gone]
-    assert places.make_room(front.now, forced=True) == ("idle", Ending.CLOSE)
+    assert order == [(name, CloseMode.ABORT) for name in gone]
+    assert places.make_room(front.now, forced=True) == ("idle", CloseMode.CLOSE)
     assert places.make_room(front.now, forced=True) is None  # an open request is never given up
     assert places.state("busy") is State.BUSY
 
 
 def test_a_newcomer_has_its_time_from_connecting_whenever_its_head_begins() -> None:
     """One that connected later and began its head sooner stood before it, and it stayed for a second more."""
-    front = Front(Limits(10))
+    front = Front(ConnectionLimits(10))
     front.comes("early")
     front.now = 1.0
     front.comes("late")
-    front.places.reads("late", 1.1)
-    front.places.reads("early", 1.9)
-    assert front.places.overdue(2.75) == [("early", Ending.TIME_OUT)]
+    front.places.mark_reading("late", 1.1)
+    front.places.mark_reading("early", 1.9)
+    assert front.places.take_expired(2.75) == [("early", CloseMode.TIME_OUT)]
 
 
 def test_a_crowd_that_changes_is_learned() -> None:
     """First all come back at once, then nobody does: places are given up within seconds of that."""
-    front = Front(Limits(100, held=60))
+    front = Front(ConnectionLimits(100, platform_connections_max=60))
     for turn in range(600):
         front.now += 0.005
         name = f"r{turn % 15}"
@@ -197,7 +197,7 @@
 
 @pytest.mark.parametrize("most", [50, 50_000])
 def test_work_for_an_event_is_bounded_at_any_size(most: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    front = Front(Limits(most))
+    front = Front(ConnectionLimits(most))
     for index in range(most * 9 // 10):
         front.comes(f"c{index}")
         front.asks(f"c{index}")
@@ -219,8 +219,8 @@
 
 def test_a_node_about_to_end_closes_nobody_early() -> None:
     """Clients may find no other node: while the others restart too, what they have is all there is."""
-    front = Front(Limits(40, held=20))
-    front.places.ending = True
+    front = Front(ConnectionLimits(40, platform_connections_max=20))
+    front.places.is_stopping = True
     for index in range(30):
         front.comes(f"c{index}")
         front.asks(f"c{index}")
--- a/tests/rehearsal/test_worst_days.py
+++ b/tests/rehearsal/test_worst_days.py
@@ -8,7 +8,7 @@
 import pytest
 from stage import Run, small
 
-from driftstair.admission.places import Places
+from driftstair.admission.connection_table import ConnectionTable
 from driftstair.net.front import Front
 from driftstair.rehearsal import wire
 from driftstair.rehearsal.load import load
@@ -25,12 +25,12 @@
 
 def without_the_policy(monkeypatch: pytest.MonkeyPatch) -> None:
     """Idle connections stay for 2.5 s, whoever waits."""
-    monkeypatch.setattr(Places, "keeps", lambda self, connection, now: True)
-    monkeypatch.setattr(Places, "surplus", lambda self, now: [])
+    monkeypatch.setattr(ConnectionTable, "should_keep", lambda self, connection, now: True)
+    monkeypatch.setattr(ConnectionTable, "take_surplus_idle", lambda self, now: [])
     plain = Front.__init__
 
     def init(self: Front, node: Any, config: Any, limits: Any, system: Any) -> None:
-        plain(self, node, config, type(limits)(limits.most, idle_most=2.5), system)
+        plain(self, node, config, type(limits)(limits.connections_max, idle_s_max=2.5), system)
 
     monkeypatch.setattr(Front, "__init__", init)
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -22,7 +22,7 @@
     until,
 )
 
-from driftstair.admission import Limits
+from driftstair.admission import ConnectionLimits
 from driftstair.net import front
 from driftstair.net.system import SocketListener
 from lichenspring import interface as api
@@ -202,12 +202,12 @@
 def test_a_new_connection_has_its_time_from_connecting_and_a_used_one_may_rest(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert Limits(1).new_most + front.SWEEP < 3.0 and Limits(1).idle_most >= 2.0
+    assert ConnectionLimits(1).first_head_s_max + front.SWEEP < 3.0 and ConnectionLimits(1).idle_s_max >= 2.0
     monkeypatch.setattr(front, "SWEEP", 0.02)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = Limits(100, new_most=0.3, request_most=0.3)
+            rig.front.places.limits = ConnectionLimits(100, first_head_s_max=0.3, next_head_s_max=0.3)
             used, idle = await rig.client(), await rig.client()
             for client in (used, idle):
                 assert status(await client.ask(request())) == 200
@@ -231,7 +231,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = Limits(100, idle_most=0.1)
+            rig.front.places.limits = ConnectionLimits(100, idle_s_max=0.1)
             client = await rig.client()
             assert status(await client.ask(request())) == 200
             assert await client.ended() == b""
@@ -242,7 +242,7 @@
 def test_those_that_never_asked_make_room_first_then_idle_ones_and_rejected_ones_at_once() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = Limits(3)
+            rig.front.places.limits = ConnectionLimits(3)
             used = await rig.client()
             assert status(await used.ask(request())) == 200
             rejected = await rig.client()
@@ -264,11 +264,11 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = Limits(400, held=30)
+            rig.front.places.limits = ConnectionLimits(400, platform_connections_max=30)
             clients = [await rig.client() for _ in range(60)]
             for client in clients:
                 assert status(await client.ask(request())) == 200
-            assert rig.front.places.idle() <= 30 and rig.front.places.closed_early >= 30
+            assert rig.front.places.idle_count() <= 30 and rig.front.places.closed_early >= 30
             assert status(await (await rig.client()).ask(request())) == 200
 
     run(test())
@@ -280,7 +280,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = Limits(20)
+            rig.front.places.limits = ConnectionLimits(20)
             used = [await rig.client() for _ in range(10)]
             for client in used:
                 assert status(await client.ask(request())) == 200
@@ -546,7 +546,7 @@
     async def test() -> None:
         async with Rig(configuration()) as rig:
             monkeypatch.setattr(rig.front.monitor, "was_held", lambda: True)
-            monkeypatch.setattr(rig.front.places, "limits", Limits(100, new_most=0.1))
+            monkeypatch.setattr(rig.front.places, "limits", ConnectionLimits(100, first_head_s_max=0.1))
             client = await rig.client()
             assert await client.ended() == b""
             assert rig.node.metrics.closes
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -7,8 +7,8 @@
 import pytest
 from rig import Client, Message, Rig, Server, answer, configuration, request, run, status, until
 
-from driftstair.admission import pace as pace_of_bodies
-from driftstair.admission.pace import GRACE, RATE_LEAST, SILENT_MOST, Pace
+from driftstair.admission import body_progress
+from driftstair.admission.body_progress import BYTES_PER_S_MIN, GRACE_S, SILENCE_S_MAX, BodyProgress
 from driftstair.net import connection_rest, flow, server_connection
 from driftstair.net.flow import HELD_MOST, Budget, Stream
 from driftstair.net.front import SWEEP
@@ -329,37 +329,39 @@
 
 
 def test_the_pace_of_a_body() -> None:
-    for rate, slow in ((64_000, False), (RATE_LEAST / 2, True), (0, True)):
-        pace, seen = Pace(100.0), False
+    for rate, slow in ((64_000, False), (BYTES_PER_S_MIN / 2, True), (0, True)):
+        pace, seen = BodyProgress(100.0), False
         for tenth in range(100):
             pace.receive(100.0 + tenth / 10, int(rate * tenth / 10) - pace.received)
             seen |= pace.is_too_slow(100.0 + tenth / 10)
         assert seen is slow
-    pace = Pace(100.0)
-    pace.stop(100.5)  # the node does not read: no fault of the client's
+    pace = BodyProgress(100.0)
+    pace.pause(100.5)  # the node does not read: no fault of the client's
     assert not pace.is_too_slow(150.0)
-    pace.go_on(150.0)
-    assert not pace.is_too_slow(150.0 + GRACE - 0.6) and pace.is_too_slow(150.0 + GRACE)
+    pace.resume(150.0)
+    assert not pace.is_too_slow(150.0 + GRACE_S - 0.6) and pace.is_too_slow(150.0 + GRACE_S)
 
 
 def test_a_fast_beginning_buys_no_silence() -> None:
     """Guards against a client that brings much at once and stops: it is owed its error within 3 s."""
-    pace = Pace(100.0)
+    pace = BodyProgress(100.0)
     pace.receive(100.0, 10_000_000)
-    assert not pace.is_too_slow(100.0 + SILENT_MOST - 0.1) and pace.is_too_slow(100.0 + SILENT_MOST + 0.01)
+    assert not pace.is_too_slow(100.0 + SILENCE_S_MAX - 0.1)
+    assert pace.is_too_slow(100.0 + SILENCE_S_MAX + 0.01)
     pace.receive(102.0, 1)
-    assert not pace.is_too_slow(102.0 + SILENT_MOST - 0.1)
-    pace.stop(102.5)  # the node does not read: what it does not take is no silence
-    pace.go_on(150.0)
-    assert not pace.is_too_slow(150.0 + SILENT_MOST - 0.1) and pace.is_too_slow(150.0 + SILENT_MOST + 0.01)
-    assert SILENT_MOST < 3.0 - 2 * SWEEP
+    assert not pace.is_too_slow(102.0 + SILENCE_S_MAX - 0.1)
+    pace.pause(102.5)  # the node does not read: what it does not take is no silence
+    pace.resume(150.0)
+    assert not pace.is_too_slow(150.0 + SILENCE_S_MAX - 0.1)
+    assert pace.is_too_slow(150.0 + SILENCE_S_MAX + 0.01)
+    assert SILENCE_S_MAX < 3.0 - 2 * SWEEP
 
 
 @pytest.mark.parametrize("sent", [100_000, 399_999])
 def test_a_client_that_stops_in_a_long_body_is_told(sent: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """However much it has brought before. By its rate alone it would have seconds more."""
-    monkeypatch.setattr(pace_of_bodies, "SILENT_MOST", 0.05)
-    monkeypatch.setattr(pace_of_bodies, "RATE_LEAST", 1)
+    monkeypatch.setattr(body_progress, "SILENCE_S_MAX", 0.05)
+    monkeypatch.setattr(body_progress, "BYTES_PER_S_MIN", 1)
 
     async def test() -> None:
         head, body = upload(400_000)
