--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -22,7 +22,7 @@
     from driftstair.limits.table import RequestTable
     from driftstair.node_configuration.service import NodeConfiguration
     from driftstair.observability.observer import Observer
-    from driftstair.operations.roster import Roster
+    from driftstair.operations.server_overrides import ServerOverrides
     from driftstair.operations.service import Operations
     from driftstair.service.use import ServiceFile
     from driftstair.tier.service import Tier
@@ -51,7 +51,7 @@
     config: Config,
     system: System = SOCKETS,
     limits: RequestTable | None = None,
-    roster: Roster | None = None,
+    roster: ServerOverrides | None = None,
 ) -> tuple[Node, Front]:
     clients, servers = shares(config)
     pools = Pools(servers, config.dial_timeout, config.idle_close, system)
--- a/driftstair/net/front.py
+++ b/driftstair/net/front.py
@@ -182,14 +182,14 @@
 
     def _let_go(self, drain: Drain) -> None:
         """Guards against clients that keep what they have for as long as it stays open."""
-        from driftstair.operations.drain import Rests, Way
+        from driftstair.operations.drain import ConnectionActivity, DrainAction
 
         now = self._loop.time()
         for connection in list(self._connections):
-            way = drain.way(Rests[connection.activity()], now - connection.since, now)
-            if way is Way.CLOSE:
+            way = drain.action_for(ConnectionActivity[connection.activity()], now - connection.since, now)
+            if way is DrainAction.CLOSE:
                 connection.close_if_unused()  # what it has sent meanwhile is read first, and looked at again
-            elif way is Way.REFUSE:
+            elif way is DrainAction.REFUSE:
                 connection.refuse()
 
     def _thin_out(self) -> None:
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -36,7 +36,7 @@
     from driftstair.limits.table import RequestTable
     from driftstair.node_configuration.tenant_limits import TenantLimits
     from driftstair.observability.observer import Observer
-    from driftstair.operations.roster import Roster
+    from driftstair.operations.server_overrides import ServerOverrides
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
 
     def __init__(
         self, config: Config, pools: Pools, system: System = SOCKETS, limits: RequestTable | None = None,
-        roster: Roster | None = None,
+        roster: ServerOverrides | None = None,
     ) -> None:  # fmt: skip
         self.limits = limits  # routes of the service file
         self.ledger: Keeper | None = None
--- a/driftstair/net/server_directory.py
+++ b/driftstair/net/server_directory.py
@@ -21,7 +21,7 @@
 from lichenspring.interface import ListKind, ListMode, ServerState
 
 if TYPE_CHECKING:
-    from driftstair.operations.roster import Roster
+    from driftstair.operations.server_overrides import ServerOverrides
 
 # s, where lists are pushed: from the end of a watch to the next, and its longest. The agent stands on this
 # machine, and answers at no cost; what it has after an outage counts as told at once, read or not.
@@ -32,7 +32,7 @@
     """Of one node. What changes goes to the pools, to the guard and, as events, to the module."""
 
     def __init__(
-        self, config: Config, pools: Pools, guard: RequestGuard, roster: Roster | None,
+        self, config: Config, pools: Pools, guard: RequestGuard, roster: ServerOverrides | None,
         tell: Callable[[api.Event], None], system: System,
     ) -> None:  # fmt: skip
         """`roster`: what operators have ordered of servers, where they can; `tell`: the module's ear."""
@@ -93,7 +93,7 @@
 
     def _list(self, kind: ListKind, hosts: tuple[Host, ...]) -> None:
         if self._roster is not None:
-            hosts = self._roster.follow(kind is not ListKind.DELTA, hosts)
+            hosts = self._roster.apply_list(kind is not ListKind.DELTA, hosts)
         self._follow(kind, hosts)
 
     def _on_watch_failed(self) -> None:
--- a/driftstair/node_configuration/service.py
+++ b/driftstair/node_configuration/service.py
@@ -26,7 +26,7 @@
 from driftstair.node_configuration.request_tables import CombinedTable, RequestTables
 from driftstair.node_configuration.servers import Address
 from driftstair.node_configuration.tenant_limits import TenantLimits
-from driftstair.operations.roster import Roster
+from driftstair.operations.server_overrides import ServerOverrides
 from driftstair.service.schema import FleetBudget, Service
 from driftstair.settings import Config
 
@@ -51,7 +51,7 @@
         self, config: Config, wanted: Wanted, platform: Platform, own: Service, system: System,
         respec: Callable[[dict[str, FleetBudget]], None],
     ) -> None:  # fmt: skip
-        self.roster = Roster()
+        self.roster = ServerOverrides()
         self._name = config.name
         self._generation = system.time_ns() // 1_000_000
         self._node: Node | None = None
@@ -76,7 +76,7 @@
     def _given(self, platform: Platform, own: Service) -> Circumstances:
         return Circumstances(platform, own, self._effects.check)
 
-    def share(self, cluster: Cluster | None, roster: Roster | None) -> Roster:
+    def share(self, cluster: Cluster | None, roster: ServerOverrides | None) -> ServerOverrides:
         """Whom budgets are shared with, and the roster of the operators' orders; which one the node has to
         show servers by."""
         self._effects.cluster = cluster
@@ -127,7 +127,9 @@
     # What follows.
 
     def _show_drained(self, servers: list[str]) -> None:
-        hosts: tuple[Host, ...] = self.roster.configure(servers, self._system.time_ns() // 1_000_000)
+        hosts: tuple[Host, ...] = self.roster.set_configured_drains(
+            servers, self._system.time_ns() // 1_000_000
+        )
         if hosts and self._node is not None:
             self._node.servers.show(hosts)
 
--- a/driftstair/operations/calls.py
+++ b/driftstair/operations/calls.py
@@ -37,7 +37,7 @@
 class Call:
     order: Order
     server: str = ""  # its id, where the order is about one
-    words: tuple[str, ...] = ()  # of an order on the tier: for what; or the task, and a node or a token
+    arguments: tuple[str, ...] = ()  # of an order on the tier: for what; or the task, and a node or a token
 
 
 class Refused(Exception):
@@ -70,9 +70,9 @@
     elif len(words) == 3 and words[0] == b"servers" and words[2] in _OF_A_SERVER:
         call = Call(_OF_A_SERVER[words[2]], _text(words[1]))
     elif len(words) == 3 and words[:2] == [b"tier", b"permit"]:
-        call = Call(Order.PERMIT, words=(_text(words[2]),))
+        call = Call(Order.PERMIT, arguments=(_text(words[2]),))
     elif len(words) == 5 and words[:2] == [b"tier", b"owners"] and words[3] in (b"hand-over", b"release"):
-        call = Call(Order(words[3]), words=(_text(words[2]), _text(words[4])))
+        call = Call(Order(words[3]), arguments=(_text(words[2]), _text(words[4])))
     else:
         raise Refused(404)
     if method != (b"GET" if call.order in READS else b"POST"):
--- a/driftstair/operations/drain.py
+++ b/driftstair/operations/drain.py
@@ -17,7 +17,7 @@
 HEADS_UNTIL = 3.2  # s: what has begun a request by then and is not whole is told to go elsewhere
 
 
-class Rests(Enum):
+class ConnectionActivity(Enum):
     """What a client's connection is at, as far as a drain goes."""
 
     SILENT = "has brought nothing yet"
@@ -26,7 +26,7 @@
     BUSY = "waits for an answer"
 
 
-class Way(Enum):
+class DrainAction(Enum):
     STAY = "stays"
     CLOSE = "is closed"
     REFUSE = "is refused and closed"
@@ -42,11 +42,15 @@
         """Whether a request that is whole now is refused."""
         return now - self.begun >= REFUSES_FROM
 
-    def way(self, rests: Rests, age: float, now: float) -> Way:
+    def action_for(self, rests: ConnectionActivity, age: float, now: float) -> DrainAction:
         """What becomes of a connection that came `age` s ago."""
         since = now - self.begun
-        if rests is Rests.BUSY or since < FRONT_KNOWS:
-            return Way.STAY
-        if rests is Rests.IDLE or (rests is Rests.SILENT and age >= SPOKEN_BY):
-            return Way.CLOSE
-        return Way.REFUSE if rests is Rests.PARTIAL and since >= HEADS_UNTIL else Way.STAY
+        if rests is ConnectionActivity.BUSY or since < FRONT_KNOWS:
+            return DrainAction.STAY
+        if rests is ConnectionActivity.IDLE or (rests is ConnectionActivity.SILENT and age >= SPOKEN_BY):
+            return DrainAction.CLOSE
+        return (
+            DrainAction.REFUSE
+            if rests is ConnectionActivity.PARTIAL and since >= HEADS_UNTIL
+            else DrainAction.STAY
+        )
--- a/driftstair/operations/roster.py
+++ b/driftstair/operations/server_overrides.py
@@ -42,7 +42,7 @@
         return Orders(dict(self.out), dict(self.back), self.drained)
 
 
-class Roster:
+class ServerOverrides:
     """One node's servers. Entries that the list has named gone are forgotten, orders about them are not."""
 
     def __init__(self, orders: Orders | None = None) -> None:
@@ -59,7 +59,7 @@
         host = self.hosts.get(server)
         return 0 if host is None else host.started_ms
 
-    def follow(self, full: bool, hosts: Iterable[Host]) -> tuple[Host, ...]:
+    def apply_list(self, full: bool, hosts: Iterable[Host]) -> tuple[Host, ...]:
         """A list or a change of it has come: its entries as they are to be shown."""
         hosts = tuple(hosts)
         if full:
@@ -81,7 +81,7 @@
         after = self.listed()
         return after if after != before else ()
 
-    def configure(self, drained: Iterable[str], now: int) -> tuple[Host, ...]:
+    def set_configured_drains(self, drained: Iterable[str], now: int) -> tuple[Host, ...]:
         """The servers that the configuration drains, all of them: the whole list as it is to be shown now;
         nothing if it is as before. `now` in ms, Unix time."""
         before = self.listed()
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -15,10 +15,10 @@
 from driftstair.net.node import Node
 from driftstair.net.system import SocketListener, System, bound
 from driftstair.operations.calls import OF_THE_TIER, Call, Order
-from driftstair.operations.desk import Answer, Desk
 from driftstair.operations.drain import Drain
 from driftstair.operations.handover import Link, Predecessor, Store, find_predecessor
-from driftstair.operations.roster import Orders, Roster
+from driftstair.operations.operator_server import Answer, Desk
+from driftstair.operations.server_overrides import Orders, ServerOverrides
 from driftstair.operations.state import State
 from driftstair.settings import Config
 
@@ -51,7 +51,7 @@
         if self._store is not None:
             self._predecessor = find_predecessor(self._store)
             state = self._store.read()
-        self.roster = Roster(state.orders)
+        self.roster = ServerOverrides(state.orders)
         self.config = config
         if self._predecessor is not None:
             log.info("taking over from the process before this one")
--- a/driftstair/operations/state.py
+++ b/driftstair/operations/state.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from driftstair.hosts import STATES, Host, HostList, ListError, parse_list
-from driftstair.operations.roster import Orders
+from driftstair.operations.server_overrides import Orders
 
 MAGIC = b"driftstair-state"
 VERSION = 1
--- a/driftstair/tier/ordered.py
+++ b/driftstair/tier/ordered.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from driftstair.operations.calls import Call, Order
-from driftstair.operations.desk import Answer
+from driftstair.operations.operator_server import Answer
 
 if TYPE_CHECKING:
     from driftstair.tier.ownership.permits import Kind
@@ -23,8 +23,8 @@
 
     try:
         if call.order is Order.PERMIT:
-            return 200, tier.sharing.want(_kind(call.words[0]))
-        task, about = call.words
+            return 200, tier.sharing.want(_kind(call.arguments[0]))
+        task, about = call.arguments
         if call.order is Order.HAND_OVER:
             return 200, {"task": task, "over": tier.sharing.hand_over(task, _number(about, 1 << 16))}
         return 200, {"task": task, "over": tier.sharing.let_go(task, _number(about, TOKEN_MOST))}
--- a/tests/operations/test_orders.py
+++ b/tests/operations/test_orders.py
@@ -13,8 +13,8 @@
 
 from driftstair.hosts import Host, HostList
 from driftstair.operations.calls import Call, Order, Refused, parse
-from driftstair.operations.drain import HEADS_UNTIL, REFUSES_FROM, Drain, Rests, Way
-from driftstair.operations.roster import Orders, Roster
+from driftstair.operations.drain import HEADS_UNTIL, REFUSES_FROM, ConnectionActivity, Drain, DrainAction
+from driftstair.operations.server_overrides import Orders, ServerOverrides
 from driftstair.operations.service import Operations
 from driftstair.operations.state import State, StateError, decode, encode
 from lichenspring.interface import ServerState
@@ -55,17 +55,17 @@
 
 
 def test_a_server_that_is_out_drains_whatever_the_list_says() -> None:
-    roster = Roster()
-    roster.follow(True, [host("a"), host("b")])
+    roster = ServerOverrides()
+    roster.apply_list(True, [host("a"), host("b")])
     orders = roster.orders.copy()
     orders.take_out("a", 1000)
     orders.take_out("a", 2000)  # two calls out take one call back
     assert [(one.id, one.state) for one in roster.order(orders)] == [("a", DRAINING), ("b", READY)]
     assert orders.out == {"a": 1000}
     # It leaves the list and comes back, ready and restarted: still out.
-    assert roster.follow(False, [host("a", GONE)])[0].state is GONE and roster.holds("a")
-    assert roster.follow(False, [host("a", started=1500)])[0].state is DRAINING
-    assert [one.state for one in roster.follow(True, [host("a", started=1500)])] == [DRAINING]
+    assert roster.apply_list(False, [host("a", GONE)])[0].state is GONE and roster.holds("a")
+    assert roster.apply_list(False, [host("a", started=1500)])[0].state is DRAINING
+    assert [one.state for one in roster.apply_list(True, [host("a", started=1500)])] == [DRAINING]
     orders = roster.orders.copy()
     orders.put_back("a", 3000, roster.hosts["a"].started_ms)
     # The list told of its start: that is when it started.
@@ -73,8 +73,8 @@
 
 
 def test_a_server_put_back_is_cold_until_the_list_tells_more() -> None:
-    roster = Roster()
-    roster.follow(True, [host("a", started=10)])
+    roster = ServerOverrides()
+    roster.apply_list(True, [host("a", started=10)])
     orders = roster.orders.copy()
     orders.take_out("a", 1000)
     roster.order(orders)
@@ -82,9 +82,9 @@
     orders.put_back("a", 3000, roster.hosts["a"].started_ms)
     assert roster.order(orders) == (host("a", started=3000),)
     # Discovery is late: the start that it tells of now was that one. A later one counts.
-    assert roster.follow(False, [host("a", started=2500)]) == (host("a", started=3000),)
-    assert roster.follow(False, [host("a", started=9000)]) == (host("a", started=9000),)
-    roster.follow(True, [])
+    assert roster.apply_list(False, [host("a", started=2500)]) == (host("a", started=3000),)
+    assert roster.apply_list(False, [host("a", started=9000)]) == (host("a", started=9000),)
+    roster.apply_list(True, [])
     assert not roster.holds("a") and roster.orders.back == {}
 
 
@@ -98,8 +98,8 @@
     started, now = 10 * HOUR_MS, 10 * HOUR_MS + HOUR_MS // 2
     if off == -5000:
         now = started + 1000  # it had just started, and the clock is seconds off
-    roster = Roster()
-    roster.follow(True, [host("a", started=started)])
+    roster = ServerOverrides()
+    roster.apply_list(True, [host("a", started=started)])
     if how == "order":
         orders = roster.orders.copy()
         orders.take_out("a", now + off, started)
@@ -108,20 +108,20 @@
         orders.put_back("a", now + off + 3000, started)
         (shown,) = roster.order(orders)
     else:
-        roster.configure(["a"], now + off)
-        (shown,) = roster.configure([], now + off + 3000)
+        roster.set_configured_drains(["a"], now + off)
+        (shown,) = roster.set_configured_drains([], now + off + 3000)
     assert shown.state is READY and shown.started_ms > started
 
 
 def test_a_server_that_the_configuration_drains_is_shown_so_beside_the_operators_orders() -> None:
-    roster = Roster()
-    roster.follow(True, [host("a", started=50), host("b"), host("c", GONE)])
-    assert [one.state for one in roster.configure(["a", "elsewhere"], 100)] == [DRAINING, READY]
-    assert roster.configure(["a", "elsewhere"], 110) == ()
+    roster = ServerOverrides()
+    roster.apply_list(True, [host("a", started=50), host("b"), host("c", GONE)])
+    assert [one.state for one in roster.set_configured_drains(["a", "elsewhere"], 100)] == [DRAINING, READY]
+    assert roster.set_configured_drains(["a", "elsewhere"], 110) == ()
     orders = roster.orders.copy()
     orders.take_out("a", 120)
     assert roster.order(orders) == ()  # as it is
-    assert roster.configure([], 130) == ()  # the operators' order stands
+    assert roster.set_configured_drains([], 130) == ()  # the operators' order stands
     back = orders.copy()
     back.put_back("a", 140, 50)
     shown = roster.order(back)
@@ -129,22 +129,27 @@
 
 
 def test_a_server_whose_configured_drain_ends_is_cold_until_the_list_tells_more() -> None:
-    roster = Roster()
-    roster.follow(True, [host("a", started=50)])
-    roster.configure(["a"], 100)
-    assert [one.started_ms for one in roster.configure([], 200)] == [200]
-    assert [one.started_ms for one in roster.follow(False, [host("a", started=300)])] == [300]
+    roster = ServerOverrides()
+    roster.apply_list(True, [host("a", started=50)])
+    roster.set_configured_drains(["a"], 100)
+    assert [one.started_ms for one in roster.set_configured_drains([], 200)] == [200]
+    assert [one.started_ms for one in roster.apply_list(False, [host("a", started=300)])] == [300]
 
 
 @pytest.mark.parametrize(("rests", "age", "since", "way"), [
-    (Rests.IDLE, 9.0, 0.4, Way.STAY), (Rests.IDLE, 9.0, 0.6, Way.CLOSE),
-    (Rests.SILENT, 0.1, 0.6, Way.STAY), (Rests.SILENT, 0.5, 0.6, Way.CLOSE),
-    (Rests.PARTIAL, 1.0, 2.0, Way.STAY), (Rests.PARTIAL, 1.0, HEADS_UNTIL, Way.REFUSE),
-    (Rests.BUSY, 9.0, 9.0, Way.STAY),
+    (ConnectionActivity.IDLE, 9.0, 0.4, DrainAction.STAY),
+    (ConnectionActivity.IDLE, 9.0, 0.6, DrainAction.CLOSE),
+    (ConnectionActivity.SILENT, 0.1, 0.6, DrainAction.STAY),
+    (ConnectionActivity.SILENT, 0.5, 0.6, DrainAction.CLOSE),
+    (ConnectionActivity.PARTIAL, 1.0, 2.0, DrainAction.STAY),
+    (ConnectionActivity.PARTIAL, 1.0, HEADS_UNTIL, DrainAction.REFUSE),
+    (ConnectionActivity.BUSY, 9.0, 9.0, DrainAction.STAY),
 ])  # fmt: skip
-def test_an_emptied_node_lets_go_in_order(rests: Rests, age: float, since: float, way: Way) -> None:
+def test_an_emptied_node_lets_go_in_order(
+    rests: ConnectionActivity, age: float, since: float, way: DrainAction
+) -> None:
     drain = Drain(100.0)
-    assert drain.way(rests, age, 100.0 + since) is way
+    assert drain.action_for(rests, age, 100.0 + since) is way
     assert not drain.refuses(100.0 + REFUSES_FROM - 0.1) and drain.refuses(100.0 + REFUSES_FROM)
 
 
