--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -46,7 +46,9 @@
     """What the platform tells any of the nodes."""
     scenario = load.load("calm", {"seed": 1})
     known = {"version": 1, "full": True, "servers": []}
-    return config.read({}, platform.document(scenario, "n0", ("127.0.0.1", 0), ("127.0.0.1", 9), 1, known))
+    return config.parse_document(
+        {}, platform.document(scenario, "n0", ("127.0.0.1", 0), ("127.0.0.1", 9), 1, known)
+    )
 
 
 def write_member_list(path: Path, plan: Plan, own: int) -> None:
--- a/benchmarks/scale/in_force.py
+++ b/benchmarks/scale/in_force.py
@@ -14,7 +14,7 @@
 from benchmarks.scale import documents
 from benchmarks.scale.meter import Step, cpu_each, measured
 
-CLIENTS = 541  # connections that the node holds, as `daemon.shares` gives them for 1,024 descriptors
+CLIENTS = 541  # connections that the node holds: `daemon.split_descriptors` of 1,024 descriptors
 CHANGES = 200
 LOOK_UPS = 20_000
 PART_RESOURCES = 64  # in one line of a snapshot
@@ -232,14 +232,14 @@
 
 
 async def _taken_in(lines: list[bytes], given: Any) -> dict[str, float]:
-    from driftstair.__main__ import settle
+    from driftstair.__main__ import freeze_gc
     from driftstair.net.system import SOCKETS
     from driftstair.node_configuration.application import Application
 
     application = Application(SOCKETS, given, _Effects(), None)
     watch = _Watch()
     application.watch = watch  # type: ignore[assignment]
-    settle()  # as a daemon does once it serves
+    freeze_gc()  # as a daemon does once it serves
     working = asyncio.create_task(application.run())
     began = time.process_time()
     hold = LoopHold()
--- a/benchmarks/scale/routes.py
+++ b/benchmarks/scale/routes.py
@@ -9,7 +9,7 @@
 from benchmarks.scale import documents
 from benchmarks.scale.meter import cpu_each, measured
 
-CLIENTS = 541  # connections that the node holds, as `daemon.shares` gives them for 1,024 descriptors
+CLIENTS = 541  # connections that the node holds: `daemon.split_descriptors` of 1,024 descriptors
 LOOK_UPS = 20_000
 REQUEST_SERVICE = 0  # requests are for this service's routes, which are there at every size
 BUCKETS_EACH = 1_000  # tenants that one route counts
@@ -24,7 +24,7 @@
 def measure(size: int, folder: Path) -> dict[str, float]:
     """A first load of the file, and a second one in which one route differs, as SIGHUP takes it in."""
     from driftstair.config import load
-    from driftstair.files import SETTINGS_MOST
+    from driftstair.files import SETTINGS_BYTES_MAX
     from driftstair.service.load import parse
     from driftstair.service.use import ServiceFile
     from lichenspring import Balancer
@@ -36,7 +36,7 @@
     limited.start(1)
 
     def change() -> None:
-        """What `follow_files` and `Node.limit` do, without the platform's own file."""
+        """What `reload_files` and `Node.limit` do, without the platform's own file."""
         nonlocal table
         table = ServiceFile("service.toml", new).table(config, CLIENTS)
         limited.replace(2, table.rules)
@@ -46,7 +46,7 @@
     parse(new, "service.toml")
     parsing = time.process_time() - began
     return {
-        "file_bytes": len(old.encode()), "accepted": float(len(old.encode()) <= SETTINGS_MOST),
+        "file_bytes": len(old.encode()), "accepted": float(len(old.encode()) <= SETTINGS_BYTES_MAX),
         "load_cpu_s": first.cpu_s, "load_peak_mb": first.peak_mb, "load_kept_mb": first.kept_mb,
         "change_hold_s": again.cpu_s, "change_peak_mb": again.peak_mb, "parse_cpu_s": parsing,
     }  # fmt: skip
--- a/benchmarks/scale/tenants.py
+++ b/benchmarks/scale/tenants.py
@@ -9,7 +9,7 @@
 from benchmarks.scale import documents
 from benchmarks.scale.meter import cpu_each, measured
 
-CLIENTS = 541  # connections that the node holds, as `daemon.shares` gives them for 1,024 descriptors
+CLIENTS = 541  # connections that the node holds: `daemon.split_descriptors` of 1,024 descriptors
 NAMING = 100  # routes that name a tenant
 SHARES = 2_000  # requests whose tenant's share is judged
 
@@ -21,7 +21,7 @@
 def measure(size: int, folder: Path) -> dict[str, float]:
     """The configuration at a start, and again as SIGHUP reads it."""
     from driftstair.config import load
-    from driftstair.files import CONFIGURATION_MOST
+    from driftstair.files import CONFIGURATION_BYTES_MAX
 
     environment = {"BALANCER_CONFIG": str(folder / "platform.json")}
     bytes_ = folder.joinpath("platform.json").stat().st_size
@@ -33,7 +33,7 @@
     hold = time.process_time() - began
     assert not differs
     return {
-        "file_bytes": bytes_, "accepted": float(bytes_ <= CONFIGURATION_MOST), "load_cpu_s": first.cpu_s,
+        "file_bytes": bytes_, "accepted": float(bytes_ <= CONFIGURATION_BYTES_MAX), "load_cpu_s": first.cpu_s,
         "load_peak_mb": first.peak_mb, "load_kept_mb": first.kept_mb, "change_hold_s": hold,
     }  # fmt: skip
 
--- a/driftstair/__main__.py
+++ b/driftstair/__main__.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 
-def settle() -> None:
+def freeze_gc() -> None:
     """What has been made by now stays; the collector need not look at it again."""
     gc.collect()
     gc.freeze()
@@ -41,14 +41,16 @@
     service_file = service_file or os.environ.get("DRIFTSTAIR_SERVICE", "")
     if not service_file:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            return runner.run(serve(config, reread, ready=settle, has_changed=has_changed))
+            return runner.run(serve(config, reread, ready=freeze_gc, has_changed=has_changed))
     from driftstair.service.load import ServiceError  # not loaded without such a file
     from driftstair.service.use import ServiceFile
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             service = ServiceFile(service_file)
-            return runner.run(serve(config, reread, ready=settle, service=service, has_changed=has_changed))
+            return runner.run(
+                serve(config, reread, ready=freeze_gc, service=service, has_changed=has_changed)
+            )
     except ServiceError as problem:
         for one in problem.problems:
             print(f"driftstair: {one}", file=sys.stderr)
--- a/driftstair/config.py
+++ b/driftstair/config.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from driftstair.files import CONFIGURATION_MOST, FileProblem, parsed, read_text
+from driftstair.files import CONFIGURATION_BYTES_MAX, FileError, parse_text, read_text
 from driftstair.hosts import HostList, ListError, parse_address, parse_list
 from driftstair.settings import Config
 from lichenspring.settings import SettingsError, Values, flat, settings_from
@@ -25,14 +25,14 @@
     if not path:
         raise ConfigError("BALANCER_CONFIG is not set")
     try:
-        document = parsed(read_text(path, CONFIGURATION_MOST), json.loads)
-    except FileProblem as problem:
+        document = parse_text(read_text(path, CONFIGURATION_BYTES_MAX), json.loads)
+    except FileError as problem:
         raise ConfigError(f"BALANCER_CONFIG {problem}") from None
     except ValueError:
         raise ConfigError("BALANCER_CONFIG is no JSON text") from None
     if not isinstance(document, dict):
         raise ConfigError("BALANCER_CONFIG holds no JSON object")
-    return read(environment, document)
+    return parse_document(environment, document)
 
 
 def stamp(environment: Mapping[str, str]) -> tuple[int, int, int] | None:
@@ -50,7 +50,7 @@
     return load({name: text for name, text in environment.items() if name != "BALANCER_DISCOVERY"})
 
 
-def read(environment: Mapping[str, str], document: dict[str, Any]) -> Config:
+def parse_document(environment: Mapping[str, str], document: dict[str, Any]) -> Config:
     """The configuration from the object that its file holds; raises ConfigError."""
     try:
         return _checked(environment, document)
@@ -70,7 +70,7 @@
         discovery=_address(environment, "BALANCER_DISCOVERY", document, "discovery"),
         seed=_seed(document),
         sockets=_sockets(document),
-        known=_known(document),
+        initial_list=_known(document),
         settings=settings,
         classes={name.encode(): index for index, name in enumerate(_names(tree, "Grades"))},
         deadlines=values.each("Grades", lambda found, path: found.whole(f"{path}.Deadline", least=1)),
@@ -81,9 +81,9 @@
         dial_timeout=values.whole("Limits.DialTimeout", least=1),
         idle_close=values.whole("Limits.IdleClose", least=1),
         open_cap=values.whole("Limits.OpenCap", least=1),
-        memory=_memory(document),
+        memory_bytes_max=_memory(document),
         operators=_operators(environment, document),
-        between=_between(document, tree),
+        peer_settings=_between(document, tree),
         name=str(environment.get("BALANCER_NAME") or document.get("name") or ""),
     )
 
--- a/driftstair/control/change_file.py
+++ b/driftstair/control/change_file.py
@@ -14,7 +14,7 @@
     ChangeSetError,
     parse_change_set,
 )
-from driftstair.files import FileProblem, parsed, read_text
+from driftstair.files import FileError, parse_text, read_text
 from driftstair.service import locate
 
 DELETE = "delete"  # a key of a change in TOML, which has no null
@@ -32,7 +32,7 @@
     try:
         text = read_text(path, FILE_BYTES_MAX)
         tree, lines = _parse(path, text)
-    except FileProblem as problem:
+    except FileError as problem:
         raise ChangeFileError(f"{path}:0: the file: {problem}") from None
     if not isinstance(tree, dict):
         raise ChangeFileError(f"{path}:1: the file: is no table of `id` and `changes`; one would do")
@@ -58,14 +58,14 @@
 
 
 def _parse(path: str, text: str) -> tuple[Any, dict[locate.Path, int]]:
-    """Raises ChangeFileError and FileProblem."""
+    """Raises ChangeFileError and FileError."""
     if path.endswith(".json") or text.lstrip().startswith("{"):
         try:
-            return parsed(text, json.loads), {}
+            return parse_text(text, json.loads), {}
         except json.JSONDecodeError as problem:
             raise ChangeFileError(f"{path}:{problem.lineno}: the file: no JSON text: {problem.msg}") from None
     try:
-        tree = parsed(text, tomllib.loads)
+        tree = parse_text(text, tomllib.loads)
     except tomllib.TOMLDecodeError as problem:
         found = [int(word.rstrip(",)")) for word in str(problem).split() if word.rstrip(",)").isdigit()]
         line = found[0] if found else 0
--- a/driftstair/control/settings.py
+++ b/driftstair/control/settings.py
@@ -9,7 +9,7 @@
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field
 
-from driftstair.files import FileProblem, read_text
+from driftstair.files import FileError, read_text
 from driftstair.hosts import ListError, parse_address
 from driftstair.service.load import Problem, ServiceError, validated
 from driftstair.service.schema import Name
@@ -60,7 +60,7 @@
     """Raises ServiceError with every problem that was found."""
     try:
         text = read_text(file)
-    except FileProblem as problem:
+    except FileError as problem:
         raise ServiceError([Problem(file, 0, "the file", str(problem))], unreadable=True) from None
     settings, lines = validated(text, file, ServerSettings)
     problems = [
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -35,25 +35,25 @@
 UNBOUND = 4096  # descriptors: a node that has so many is on an installation without such a bound
 
 SERVE_ON = 0.6  # s after SIGTERM at least: new connections go on coming for up to 0.4 s
-KILLED_AFTER = 0.7  # s after SIGTERM and the longest deadline, at the soonest
-LONGEST_DEADLINE = 3.0  # s, as far as the platform waits
+SIGKILL_DELAY_S = 0.7  # s after SIGTERM and the longest deadline, at the soonest
+DEADLINE_S_MAX = 3.0  # s, as far as the platform waits
 MARGIN = 0.3  # s before SIGKILL
 
 
-def shares(config: Config) -> tuple[int, int]:
+def split_descriptors(config: Config) -> tuple[int, int]:
     """Descriptors for clients and for servers."""
     usable = config.sockets - RESERVED
     clients = int(usable * CLIENTS_PART)
     return clients, usable - clients
 
 
-def assemble(
+def build_node(
     config: Config,
     system: System = SOCKETS,
     limits: RequestTable | None = None,
     roster: ServerOverrides | None = None,
 ) -> tuple[Node, Front]:
-    clients, servers = shares(config)
+    clients, servers = split_descriptors(config)
     pools = Pools(servers, config.dial_timeout, config.idle_close, system)
     node = Node(config, pools, system, limits, roster)
     held = int(config.sockets * HELD_PART) if config.sockets < UNBOUND else 0
@@ -73,13 +73,13 @@
     """Until when after SIGTERM all is served on, and when all must be answered, in s. Clients go on using the
     connections that they have, and the nodes that take over may be restarting too: so what can still be
     answered in time is taken. Guards against seconds in which no node of the tier serves."""
-    held = [kind.aim / 1e9 if not kind.late_worth else LONGEST_DEADLINE for kind in config.settings.classes]
-    longest = min(LONGEST_DEADLINE, max(config.deadlines) / 1e9)
-    within = longest + KILLED_AFTER - MARGIN
+    held = [kind.aim / 1e9 if not kind.late_worth else DEADLINE_S_MAX for kind in config.settings.classes]
+    longest = min(DEADLINE_S_MAX, max(config.deadlines) / 1e9)
+    within = longest + SIGKILL_DELAY_S - MARGIN
     return max(SERVE_ON, within - min(longest, max(held))), within
 
 
-def follow_files(
+def reload_files(
     node: Node, config: Config, reread: Callable[[], Config], service: ServiceFile | None, tier: Tier | None,
     configuration: NodeConfiguration | None = None,
 ) -> None:  # fmt: skip
@@ -96,13 +96,13 @@
         from driftstair.service.load import ServiceError
 
         try:
-            table = service.table(config, shares(config)[0])
+            table = service.table(config, split_descriptors(config)[0])
             node.limit(table if configuration is None else configuration.combined(table))
         except ServiceError as problem:
             for one in problem.problems:
                 log.error("the new service file is not used: %s", one)
         if configuration is not None:
-            configuration.reload(*service.circumstances(config, shares(config)[0]))
+            configuration.reload(*service.circumstances(config, split_descriptors(config)[0]))
 
 
 def report_metrics(node: Node, observer: Observer, every: float) -> None:
@@ -134,7 +134,7 @@
     `has_changed`: whether its file is another one by now than `config` was read from;
     `ready` is called once clients are served; `service`: what the platform does not tell. Raises ServiceError
     if that can't be used at the start."""
-    table = None if service is None else service.table(config, shares(config)[0])
+    table = None if service is None else service.table(config, split_descriptors(config)[0])
     loop = asyncio.get_running_loop()
     told_to_end: asyncio.Future[int] = loop.create_future()  # when, at the soonest, monotonic ns
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -145,13 +145,15 @@
     tier = None if service is None else service.tier(config, system)
     if table is not None and tier is not None:
         table.fleet, table.around = tier.tokens, tier.around
-    configuration = None if service is None else service.configuration(config, shares(config)[0], system)
+    configuration = (
+        None if service is None else service.configuration(config, split_descriptors(config)[0], system)
+    )
     roster = None if operations is None else operations.roster
     limits: RequestTable | None = table
     if configuration is not None and table is not None:
         roster = configuration.share(tier, roster)
         limits = configuration.combined(table)
-    node, front = assemble(config, system, limits, roster)
+    node, front = build_node(config, system, limits, roster)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, note_end, told_to_end, front.monitor.earliest)
     event_log = None if service is None else service.event_log(config, system)
@@ -159,7 +161,7 @@
         node.observe(event_log[0])
         report_metrics(node, *event_log)
     # Guards against the default, which ends the process and all that it holds.
-    loop.add_signal_handler(signal.SIGHUP, follow_files, node, config, reread, service, tier, configuration)
+    loop.add_signal_handler(signal.SIGHUP, reload_files, node, config, reread, service, tier, configuration)
     if configuration is not None:
         await configuration.start(node)
     try:
@@ -178,7 +180,7 @@
     node.start()
     if has_changed():
         # SIGHUP was ignored until its handler stood.
-        follow_files(node, config, reread, service, tier, configuration)
+        reload_files(node, config, reread, service, tier, configuration)
     if operations is not None:
         try:
             await operations.start(node, front)
--- a/driftstair/experiments/design.py
+++ b/driftstair/experiments/design.py
@@ -17,7 +17,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from driftstair.files import FileProblem, parsed, read_text
+from driftstair.files import FileError, parse_text, read_text
 from driftstair.model.baselines import POLICIES
 from driftstair.model.world import ModelError, World
 from driftstair.rehearsal.load import ScenarioError, by_path, load
@@ -96,8 +96,8 @@
 def read(path: str) -> Design:
     """Raises DesignError."""
     try:
-        tree = parsed(read_text(path), tomllib.loads)
-    except FileProblem as problem:
+        tree = parse_text(read_text(path), tomllib.loads)
+    except FileError as problem:
         raise DesignError(f"{path}: {problem}") from None
     except tomllib.TOMLDecodeError as problem:
         raise DesignError(f"{path}: no TOML text: {problem}") from None
--- a/driftstair/ledger/command.py
+++ b/driftstair/ledger/command.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from driftstair.files import FileProblem, parsed, read_text
+from driftstair.files import FileError, parse_text, read_text
 from driftstair.ledger.book import Book
 from driftstair.ledger.entries import Entry, EntryError, Word
 from driftstair.ledger.periods import Calendar, Period, PeriodError
@@ -87,10 +87,10 @@
     """What someone else saw, by rows: `{"totals": [{"period", "tenant", "word", "count"}, ...]}`.
     Raises StoreError, PeriodError."""
     try:
-        tree = parsed(read_text(file), json.loads)
+        tree = parse_text(read_text(file), json.loads)
         rows = tree["totals"]
         seen = {Account(row["period"], row["tenant"], row["word"]): row["count"] for row in rows}
-    except FileProblem as problem:
+    except FileError as problem:
         raise StoreError(f"{file}: {problem}") from None
     except (ValueError, KeyError, TypeError):
         why = 'is no report; {"totals": [{"period": "2026-02", ...}]} would do'
--- a/driftstair/net/front.py
+++ b/driftstair/net/front.py
@@ -58,7 +58,7 @@
         self._ended = False  # what is begun from now on would not be finished
         self._limits = limits
         self.places: ConnectionTable[ClientConnection] = ConnectionTable(limits, ClientConnection.has_unread)
-        self.budget = Budget(config.memory)  # for bodies that are held until they are whole
+        self.budget = Budget(config.memory_bytes_max)  # for bodies that are held until they are whole
         self.bodies: dict[ClientConnection, BodyProgress] = {}  # that are on their way from clients
         self.flows: dict[ClientConnection, float] = {}  # long answers, and since when each stands still
         self._loop = asyncio.get_running_loop()
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -89,8 +89,8 @@
     def reload(self, config: Config) -> None:
         """A new configuration: the watch moves to the address that it names. List and requests stay."""
         kept = replace(
-            config, discovery=self._config.discovery, known=self._config.known, seed=self._config.seed,
-            between=self._config.between,
+            config, discovery=self._config.discovery, initial_list=self._config.initial_list,
+            seed=self._config.seed, peer_settings=self._config.peer_settings,
         )  # fmt: skip
         if kept != self._config:
             log.warning("of the new configuration only discovery is used before a restart")
--- a/driftstair/net/request.py
+++ b/driftstair/net/request.py
@@ -132,7 +132,7 @@
         self, config: Config, now: Callable[[], int], serves: Callable[[bytes], bool] = lambda _: False,
         budget: Budget | None = None,
     ) -> None:  # fmt: skip
-        self._budget = budget or Budget(config.memory)
+        self._budget = budget or Budget(config.memory_bytes_max)
         self.streaming: Stream | None = None  # the body of a request that was handed out before it was whole
         self._now = now
         self._serves = serves
--- a/driftstair/net/server_directory.py
+++ b/driftstair/net/server_directory.py
@@ -49,7 +49,7 @@
         # Where the module is not asked.
         self._watch_again = Backoff(WATCH_PAUSE, WATCH_PAUSE_MOST, config.seed)
         self.discovery = Discovery(
-            config.discovery, config.known.version, ANSWER_PUSHED if self._is_pushed else ANSWER,
+            config.discovery, config.initial_list.version, ANSWER_PUSHED if self._is_pushed else ANSWER,
             self.on_list, self._on_watch_failed, system, self._is_pushed,
         )  # fmt: skip
         self._call_due = 0.0  # when the next call is to be made, by the loop's clock; 0: none waits
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         """With the list that the node is told at its start."""
-        self._list(ListKind.CACHED, self._config.known.hosts)
+        self._list(ListKind.CACHED, self._config.initial_list.hosts)
         if self._is_pushed:
             self.discovery.watch()
 
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -60,7 +60,7 @@
                 # Versions are the other place's own, if the list came from one.
                 same = state.discovery == _text(config.discovery)
                 known = state.list if same else state.list._replace(version=0)
-                self.config = replace(config, known=known)
+                self.config = replace(config, initial_list=known)
 
     def listener(self) -> SocketListener:
         """The clients' listening socket: handed over, or a new one. Raises OSError."""
--- a/driftstair/rehearsal/command.py
+++ b/driftstair/rehearsal/command.py
@@ -142,18 +142,18 @@
 def _check_service(scenario: Scenario) -> None:
     """A file that the nodes would not start with is no rehearsal."""
     if scenario.nodes.service is not None:
-        from driftstair.config import read
-        from driftstair.daemon import shares
+        from driftstair.config import parse_document
+        from driftstair.daemon import split_descriptors
         from driftstair.rehearsal import platform
         from driftstair.service.load import ServiceError
         from driftstair.service.use import ServiceFile
 
         known = {"version": 1, "full": True, "servers": []}
         nowhere = ("127.0.0.1", 1)
-        config = read({}, platform.document(scenario, "n0", nowhere, nowhere, 1, known))
+        config = parse_document({}, platform.document(scenario, "n0", nowhere, nowhere, 1, known))
         try:
             file = ServiceFile(scenario.nodes.service)
-            file.table(config, shares(config)[0])
+            file.table(config, split_descriptors(config)[0])
             if scenario.nodes.tier is not None and file.load().service.tier is not None:
                 raise UseError(f"{file.file}: tier: the scenario's [nodes.tier] says the same")
         except ServiceError as problem:
--- a/driftstair/rehearsal/load.py
+++ b/driftstair/rehearsal/load.py
@@ -13,7 +13,7 @@
 from pydantic import BaseModel, ValidationError
 from pydantic_core import ErrorDetails
 
-from driftstair.files import FileProblem, parsed, read_text
+from driftstair.files import FileError, parse_text, read_text
 from driftstair.rehearsal import scenario as model
 from driftstair.rehearsal.scenario import Scenario
 
@@ -105,8 +105,8 @@
     if not path.suffix and not path.exists():
         raise ScenarioError(f"{source}: no such scenario{_nearest(source, known)}; --list names them")
     try:
-        return source, parsed(read_text(source), tomllib.loads)
-    except FileProblem as problem:
+        return source, parse_text(read_text(source), tomllib.loads)
+    except FileError as problem:
         raise ScenarioError(f"{source}: {problem}") from None
     except tomllib.TOMLDecodeError as problem:
         raise ScenarioError(f"{source}: no TOML text: {problem}") from None
--- a/driftstair/rehearsal/runner.py
+++ b/driftstair/rehearsal/runner.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from driftstair.daemon import KILLED_AFTER, LONGEST_DEADLINE
+from driftstair.daemon import DEADLINE_S_MAX, SIGKILL_DELAY_S
 from driftstair.rehearsal import load, platform, wire
 from driftstair.rehearsal import scenario as model
 from driftstair.rehearsal.account import Account
@@ -357,8 +357,8 @@
         self._ending[name] = True
         self.front.node_ends(name)
         self.nodes[name].terminate()
-        longest = min(LONGEST_DEADLINE, max(one.given_up_ms for one in load.classes(self.scenario)) / 1e3)
-        self.after(longest + KILLED_AFTER, self._kill_if_it_stays, name)
+        longest = min(DEADLINE_S_MAX, max(one.given_up_ms for one in load.classes(self.scenario)) / 1e3)
+        self.after(longest + SIGKILL_DELAY_S, self._kill_if_it_stays, name)
 
     def _kill_if_it_stays(self, name: str) -> None:
         if self.nodes[name].running and self._ending[name]:
--- a/driftstair/rehearsal/virtual.py
+++ b/driftstair/rehearsal/virtual.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from driftstair.config import read
+from driftstair.config import parse_document
 from driftstair.daemon import serve
 from driftstair.rehearsal.platform import Peers
 from driftstair.rehearsal.runner import Rehearsal
@@ -101,12 +101,12 @@
         loop.call_later(STARTED, self._main, loop, system)
 
     def _main(self, loop: ProcessLoop, system: SimulatedSystem) -> None:
-        config = read({}, self._document)
+        config = parse_document({}, self._document)
         task = loop.create_task(serve(config, self._reread, system, service=self._environment.service))
         task.add_done_callback(lambda done: self._over(loop, done))
 
     def _reread(self) -> Config:
-        return read({}, self._document)
+        return parse_document({}, self._document)
 
     def _over(self, loop: ProcessLoop, task: asyncio.Task[int]) -> None:
         if task.cancelled() or loop.dead:
--- a/driftstair/service/command.py
+++ b/driftstair/service/command.py
@@ -11,7 +11,7 @@
 from pydantic import BaseModel
 
 from driftstair.config import ConfigError, load
-from driftstair.daemon import shares
+from driftstair.daemon import split_descriptors
 from driftstair.limits.proof import prove
 from driftstair.service.load import Problem, ServiceError, read
 from driftstair.service.schema import Service
@@ -34,7 +34,7 @@
     try:
         config = _platform(options)
         loaded = read(options.file)
-        found = prove(loaded, None if config is None else platform_of(config, shares(config)[0]))
+        found = prove(loaded, None if config is None else platform_of(config, split_descriptors(config)[0]))
         status = PROBLEMS if any(not one.warning for one in found) else FINE
     except ConfigError as problem:
         print(f"driftstair: {options.config}: {problem}", file=sys.stderr)
@@ -109,7 +109,7 @@
     rows: list[tuple[str, Any, str]] = [
         ("platform.attempts", settings.max_attempts, "platform"),
         ("platform.nodes", settings.nodes, "platform"),
-        ("platform.clients", shares(config)[0], "platform"),
+        ("platform.clients", split_descriptors(config)[0], "platform"),
         ("platform.open", config.open_cap, "platform"),
     ]
     for name, index in config.classes.items():
--- a/driftstair/service/load.py
+++ b/driftstair/service/load.py
@@ -11,7 +11,7 @@
 from pydantic import BaseModel, ValidationError
 from pydantic_core import ErrorDetails
 
-from driftstair.files import FileProblem, parsed, read_text
+from driftstair.files import FileError, parse_text, read_text
 from driftstair.service import locate
 from driftstair.service.schema import Service
 
@@ -70,7 +70,7 @@
     """Raises ServiceError. What types can't say is for `driftstair.limits.proof`."""
     try:
         text = read_text(file)
-    except FileProblem as problem:
+    except FileError as problem:
         raise ServiceError([Problem(file, 0, "the file", str(problem))], unreadable=True) from None
     return parse(text, file)
 
@@ -83,8 +83,8 @@
 def validated(text: str, file: str, schema: type[Schema]) -> tuple[Schema, dict[locate.Path, int]]:
     """A TOML text by any schema, and the lines on which its keys stand. Raises ServiceError."""
     try:
-        tree = parsed(text, tomllib.loads)
-    except FileProblem as problem:
+        tree = parse_text(text, tomllib.loads)
+    except FileError as problem:
         raise ServiceError([Problem(file, 0, "the file", str(problem))], unreadable=True) from None
     except tomllib.TOMLDecodeError as problem:
         found = [int(word.rstrip(",")) for word in str(problem).split() if word.rstrip(",").isdigit()]
--- a/driftstair/service/use.py
+++ b/driftstair/service/use.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from driftstair.files import FileProblem
+from driftstair.files import FileError
 from driftstair.hosts import ListError, parse_address
 from driftstair.limits.fleetwide import spent_by
 from driftstair.limits.proof import Platform, prove
@@ -262,7 +262,7 @@
         self._enough(loaded, len(peers.peers))
         try:
             key = read_key(wanted.key)
-        except FileProblem as problem:
+        except FileError as problem:
             raise ServiceError([loaded.problem(("tier", "key"), f"{wanted.key} {problem}")]) from None
         folder = None if wanted.folder is None else Path(wanted.folder)
         if folder is not None and not folder.is_dir():
--- a/driftstair/settings.py
+++ b/driftstair/settings.py
@@ -15,7 +15,7 @@
     discovery: tuple[str, int]
     seed: int
     sockets: int  # file descriptors that the process may hold
-    known: HostList
+    initial_list: HostList
     settings: api.Settings
     classes: dict[bytes, int]  # by the names that stand on the wire
     deadlines: tuple[int, ...]  # ns, of each class
@@ -26,7 +26,8 @@
     dial_timeout: int  # ns
     idle_close: int  # ns
     open_cap: int  # requests that the node may hold
-    memory: int = 64 << 20  # bytes that the process may take
+    memory_bytes_max: int = 64 << 20  # bytes that the process may take
     operators: tuple[str, int] | None = None  # where they call
     name: str = ""  # the node's, the same after a restart
-    between: dict[str, Any] | None = None  # what is told of the other nodes, unread: for `driftstair.tier`
+    # What is told of the other nodes, unread: for `driftstair.tier`.
+    peer_settings: dict[str, Any] | None = None
--- a/driftstair/tier/kept.py
+++ b/driftstair/tier/kept.py
@@ -8,7 +8,7 @@
 from hashlib import blake2b
 from pathlib import Path
 
-from driftstair.files import FileProblem, parsed, read_text
+from driftstair.files import FileError, parse_text, read_text
 from driftstair.tier.membership.members import Claim, State, Traits
 from driftstair.tier.wire import fits
 
@@ -44,8 +44,8 @@
     if not path.exists():
         return ()
     try:
-        tree = parsed(read_text(str(path)), json.loads)
-    except (FileProblem, ValueError) as problem:
+        tree = parse_text(read_text(str(path)), json.loads)
+    except (FileError, ValueError) as problem:
         raise KeptError(str(problem)) from None
     if not isinstance(tree, dict) or tree.get("format") != FORMAT:
         raise KeptError(f"is no {FORMAT}")
--- a/driftstair/tier/key.py
+++ b/driftstair/tier/key.py
@@ -5,30 +5,30 @@
 import os
 import stat
 
-from driftstair.files import FileProblem
+from driftstair.files import FileError
 from driftstair.tier.wire import KEY_LEAST, KEY_MOST
 
 OTHERS = stat.S_IRWXG | stat.S_IRWXO
 
 
 def read_key(path: str) -> bytes:
-    """What stands in the file, without white space at its ends. Raises FileProblem."""
+    """What stands in the file, without white space at its ends. Raises FileError."""
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     except (OSError, ValueError) as problem:
         why = problem.strerror if isinstance(problem, OSError) else "no path has a zero byte"
-        raise FileProblem(f"can't be read: {why}") from None
+        raise FileError(f"can't be read: {why}") from None
     try:
         found = os.fstat(descriptor)
         if not stat.S_ISREG(found.st_mode):
-            raise FileProblem("can't be read: it is no regular file; a path of one would do")
+            raise FileError("can't be read: it is no regular file; a path of one would do")
         if found.st_mode & OTHERS:
-            raise FileProblem(f"is open to others (mode {found.st_mode & 0o777:o}); mode 600 would do")
+            raise FileError(f"is open to others (mode {found.st_mode & 0o777:o}); mode 600 would do")
         key = os.read(descriptor, KEY_MOST + 64).strip()
     except OSError as problem:
-        raise FileProblem(f"can't be read: {problem.strerror}") from None
+        raise FileError(f"can't be read: {problem.strerror}") from None
     finally:
         os.close(descriptor)
     if not KEY_LEAST <= len(key) <= KEY_MOST:
-        raise FileProblem(f"holds a key of {len(key)} bytes; {KEY_LEAST} to {KEY_MOST} would do")
+        raise FileError(f"holds a key of {len(key)} bytes; {KEY_LEAST} to {KEY_MOST} would do")
     return key
--- a/driftstair/tier/lent.py
+++ b/driftstair/tier/lent.py
@@ -10,7 +10,7 @@
 import logging
 from pathlib import Path
 
-from driftstair.files import FileProblem, parsed, read_text
+from driftstair.files import FileError, parse_text, read_text
 from driftstair.tier.kept import put
 
 log = logging.getLogger(__name__)
@@ -43,8 +43,8 @@
     except OSError:
         return None
     try:
-        tree = parsed(read_text(str(mine)), json.loads)
-    except (FileProblem, ValueError) as problem:
+        tree = parse_text(read_text(str(mine)), json.loads)
+    except (FileError, ValueError) as problem:
         log.warning("%s tells nothing of loans: %s", path.name, problem)
         return None
     finally:
--- a/driftstair/tier/told.py
+++ b/driftstair/tier/told.py
@@ -25,7 +25,7 @@
 
 def read(config: Config) -> Told:
     """Raises ToldError."""
-    between = config.between
+    between = config.peer_settings
     if between is None:
         raise ToldError("the platform's settings allow no peers (Limits.Peers)")
     peers = between.get("peers")
--- a/tests/acceptance/test_told_under_reload.py
+++ b/tests/acceptance/test_told_under_reload.py
@@ -9,7 +9,7 @@
 import pytest
 from rig import Discovery, Rig, Server, configuration, request, run, status, until
 
-from driftstair.daemon import follow_files
+from driftstair.daemon import reload_files
 from driftstair.hosts import parse_address
 from driftstair.settings import Config
 from lichenspring.interface import ListKind
@@ -58,7 +58,7 @@
                         push_now(old, 9, drained)
                     return moved(rig, new)
 
-                follow_files(rig.node, rig.config, reread, None, None)
+                reload_files(rig.node, rig.config, reread, None, None)
                 await until(lambda: new.targets)
                 if when == "before the new place answers":
                     push_now(old, 9, drained)
@@ -87,7 +87,7 @@
                 await until(lambda: old.targets)
                 old.push(8, one, full=True)
                 await until(lambda: rig.spy.lists(ListKind.FULL))
-                follow_files(rig.node, rig.config, lambda: moved(rig, new), None, None)
+                reload_files(rig.node, rig.config, lambda: moved(rig, new), None, None)
                 await until(lambda: new.targets)
                 if end == "answered":
                     new.push(3, two, full=True)
--- a/tests/node_configuration/test_in_the_daemon.py
+++ b/tests/node_configuration/test_in_the_daemon.py
@@ -354,7 +354,7 @@
 WITH_A_FILE = (
     "import sys, asyncio\n"
     "from driftstair.config import load\n"
-    "from driftstair.daemon import assemble\n"
+    "from driftstair.daemon import build_node\n"
     "from driftstair.net.system import SOCKETS\n"
     "from driftstair.service.use import ServiceFile\n"
     "async def main():\n"
@@ -363,7 +363,7 @@
     "    table = file.table(config, 500)\n"
     "    assert file.tier(config, SOCKETS) is None\n"
     "    assert file.configuration(config, 500, SOCKETS) is None\n"
-    "    assemble(config, limits=table)\n"
+    "    build_node(config, limits=table)\n"
     "asyncio.run(main())\n"
 )
 OURS = ("driftstair.configuration", "driftstair.node_configuration", "driftstair.record_file", "msgspec")
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from driftstair.config import load
-from driftstair.daemon import assemble
+from driftstair.daemon import build_node
 from driftstair.net.front import Front
 from driftstair.net.node import Node
 from driftstair.net.system import SOCKETS, Factory, SocketSystem
@@ -258,7 +258,7 @@
             from driftstair.service.use import ServiceFile
 
             limits = ServiceFile("service.toml", self._service).table(self.config, 541)
-        self.node, self.front = assemble(self.config, SYSTEM, limits)
+        self.node, self.front = build_node(self.config, SYSTEM, limits)
         self.node.guard.strict = True
         self.spy = Spy(self.node)
         self.node._balancer.start = self.spy._balancer.start  # type: ignore[method-assign]
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -12,7 +12,7 @@
 
 from driftstair.config import ConfigError
 from driftstair.config import load as load_config
-from driftstair.files import SETTINGS_MOST, FileProblem, parsed, read_text
+from driftstair.files import SETTINGS_BYTES_MAX, FileError, parse_text, read_text
 from driftstair.rehearsal.load import ScenarioError
 from driftstair.rehearsal.load import load as load_scenario
 from driftstair.service.load import ServiceError
@@ -108,8 +108,8 @@
 
 def test_a_file_of_the_most_is_read_and_what_is_read_is_parsed(tmp_path: Path) -> None:
     path = tmp_path / "a"
-    path.write_bytes(b"x" * SETTINGS_MOST)
-    assert len(read_text(str(path))) == SETTINGS_MOST
-    with pytest.raises(FileProblem, match="zero byte"):
+    path.write_bytes(b"x" * SETTINGS_BYTES_MAX)
+    assert len(read_text(str(path))) == SETTINGS_BYTES_MAX
+    with pytest.raises(FileError, match="zero byte"):
         read_text("a\0b")
-    assert parsed("3", int) == 3
+    assert parse_text("3", int) == 3
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -230,7 +230,8 @@
                 # It is read on after that, and nothing of the budget is kept.
                 client.writer.write(request(target="/up", method="GET"))
                 assert status(await client.read()) == 200
-                assert rig.front.budget.left == Budget(rig.config.memory).left and not rig.front.bodies
+                assert rig.front.budget.left == Budget(rig.config.memory_bytes_max).left
+                assert not rig.front.bodies
 
     run(test())
 
--- a/tests/tier/test_tier_parts.py
+++ b/tests/tier/test_tier_parts.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftstair.files import FileProblem
+from driftstair.files import FileError
 from driftstair.tier import history, kept, wire
 from driftstair.tier.history import History, HistoryError
 from driftstair.tier.kept import KeptError
@@ -170,7 +170,7 @@
     path = tmp_path / "key"
     path.write_bytes(content)
     path.chmod(mode)
-    with pytest.raises(FileProblem) as found:
+    with pytest.raises(FileError) as found:
         read_key(str(path))
     assert why in str(found.value)
 
@@ -178,7 +178,7 @@
 def test_a_key_from_no_regular_file_is_refused_at_once(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "pipe", 0o600)
     for path in (tmp_path / "none", tmp_path / "pipe", tmp_path, Path("/dev/zero"), Path("a\0b")):
-        with pytest.raises(FileProblem):
+        with pytest.raises(FileError):
             read_key(str(path))
     (tmp_path / "key").write_bytes(KEY + b"\n")
     (tmp_path / "key").chmod(0o600)
