--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -36,7 +36,7 @@
     from driftstair.limits.table import RequestTable
     from driftstair.node_configuration.tenant_limits import TenantLimits
     from driftstair.observability.observer import Observer
-    from driftstair.operations.roster import Roster
+    from driftstair.operations.server_overrides import ServerOverrides
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
 
     def __init__(
         self, config: Config, pools: Pools, system: System = SOCKET_SYSTEM,
-        limits: RequestTable | None = None, roster: Roster | None = None,
+        limits: RequestTable | None = None, roster: ServerOverrides | None = None,
     ) -> None:  # fmt: skip
         self.limits = limits  # routes of the service file
         self.ledger: Keeper | None = None
@@ -89,8 +89,8 @@
     def reload(self, config: Config) -> None:
         """A new configuration: the watch moves to the address that it names. List and requests stay."""
         kept = replace(
-            config, discovery=self._config.discovery, known=self._config.known, seed=self._config.seed,
-            between=self._config.between,
+            config, discovery=self._config.discovery, initial_list=self._config.initial_list,
+            seed=self._config.seed, peer_settings=self._config.peer_settings,
         )  # fmt: skip
         if kept != self._config:
             log.warning("of the new configuration only discovery is used before a restart")
--- a/tests/node_configuration/test_in_the_daemon.py
+++ b/tests/node_configuration/test_in_the_daemon.py
@@ -356,7 +356,7 @@
 WITH_A_FILE = (
     "import sys, asyncio\n"
     "from driftstair.config import load\n"
-    "from driftstair.daemon import assemble\n"
+    "from driftstair.daemon import build_node\n"
     "from driftstair.net.system import SOCKET_SYSTEM\n"
     "from driftstair.service.use import ServiceFile\n"
     "async def main():\n"
@@ -365,7 +365,7 @@
     "    table = file.table(config, 500)\n"
     "    assert file.tier(config, SOCKET_SYSTEM) is None\n"
     "    assert file.configuration(config, 500, SOCKET_SYSTEM) is None\n"
-    "    assemble(config, limits=table)\n"
+    "    build_node(config, limits=table)\n"
     "asyncio.run(main())\n"
 )
 OURS = ("driftstair.configuration", "driftstair.node_configuration", "driftstair.record_file", "msgspec")
