--- a/driftstair/net/server_directory.py
+++ b/driftstair/net/server_directory.py
@@ -49,7 +49,8 @@
         # Where the module is not asked.
         self._watch_again = Backoff(WATCH_PAUSE, WATCH_PAUSE_MOST, config.seed)
         self.discovery = Discovery(
-            config.discovery, config.initial_list.version, ANSWER_PUSHED if self._is_pushed else ANSWER_TIMEOUT_S,
+            config.discovery, config.initial_list.version,
+            ANSWER_PUSHED if self._is_pushed else ANSWER_TIMEOUT_S,
             self.on_list, self._on_watch_failed, system, self._is_pushed,
         )  # fmt: skip
         self._call_due = 0.0  # when the next call is to be made, by the loop's clock; 0: none waits
