--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -237,7 +237,7 @@
 
 def look_up(routes: int, rounds: int) -> dict[str, Any]:
     """Of one service's routes beside those of others; answers that were given before, and new ones."""
-    from driftstair.limits.routes import Asked
+    from driftstair.limits.routes import RouteQuery
 
     held = Held()
     own = [one for one in resources(21_000, 0) if one.name.startswith("service-0007-")]
@@ -248,10 +248,10 @@
         held.steps.run(held.validator.taking(assessment))
     index = held.validator.routes
 
-    def asked(place: int, number: int) -> Asked:
+    def asked(place: int, number: int) -> RouteQuery:
         path = f"/service-0007/api/v{place}/items"
         tail = ("/x", f"/{number}", "", f"/all-{number}")[place % 4]
-        return Asked(CLASSES[(7 + 1_000 * place) % 3], "acme", "GET", path + tail, {}, "")
+        return RouteQuery(CLASSES[(7 + 1_000 * place) % 3], "acme", "GET", path + tail, {}, "")
 
     requests = [asked(place, number) for number in range(20) for place in range(21)]
     assert all(index.find(one) is not None for one in requests)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -35,13 +35,13 @@
 
 
 def match_cost(routes: int) -> dict[str, float]:
-    from driftstair.limits.proof import prove
-    from driftstair.limits.routes import Asked, Pattern, Routes
+    from driftstair.limits.routes import Pattern, RouteQuery, Routes
+    from driftstair.limits.validation import find_problems
     from driftstair.service.load import parse
 
     began = time.perf_counter()
     loaded = parse(text(routes), "f")
-    problems = prove(loaded, None)
+    problems = find_problems(loaded, None)
     loading = time.perf_counter() - began
     assert not problems, problems[:1]
     tracemalloc.start()
@@ -49,7 +49,9 @@
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     fields: dict[bytes, bytes] = {}
-    asked = [Asked("page", "a", "GET", "/api", fields, f"video-{number:05d}") for number in range(0, 5000, 7)]
+    asked = [
+        RouteQuery("page", "a", "GET", "/api", fields, f"video-{number:05d}") for number in range(0, 5000, 7)
+    ]
     rounds = []
     for _ in range(7):
         began = time.perf_counter()
--- a/benchmarks/node_configuration.py
+++ b/benchmarks/node_configuration.py
@@ -224,8 +224,8 @@
     from control_server import Log, change
     from harness import SETTINGS, given
 
-    from driftstair.limits.routes import Asked
-    from driftstair.limits.table import Table
+    from driftstair.limits.request_table import FileRequestTable
+    from driftstair.limits.routes import RouteQuery
     from driftstair.node_configuration.in_force import ConfigurationInForce
     from driftstair.node_configuration.request_tables import CombinedTable, RequestTables
     from driftstair.node_configuration.tenant_limits import TenantLimits, TenantUse
@@ -238,10 +238,10 @@
     for _ in in_force.applying(Log().put(change(KIND, "pages", ROUTE)), lambda keys: None):
         pass
     tables = RequestTables(lambda: in_force, 5)
-    of_the_file = Table(parse("version = 1\n" + ROUTE_OF_THE_FILE, "f").service, SETTINGS)
-    combined = CombinedTable(Table(parse("version = 1\n", "f").service, SETTINGS), tables)
+    of_the_file = FileRequestTable(parse("version = 1\n" + ROUTE_OF_THE_FILE, "f").service, SETTINGS)
+    combined = CombinedTable(FileRequestTable(parse("version = 1\n", "f").service, SETTINGS), tables)
     tenants, request = TenantLimits(tables.tenants.find), Admitted()
-    asked = [Asked("page", f"t{n % 20}", "GET", "/api", {}, f"k{n}") for n in range(997)]
+    asked = [RouteQuery("page", f"t{n % 20}", "GET", "/api", {}, f"k{n}") for n in range(997)]
     rows = {"one route of the file": float("inf"), "the same route from control": float("inf")}
     for _ in range(200):
         began = time.perf_counter()
--- a/benchmarks/scale/in_force.py
+++ b/benchmarks/scale/in_force.py
@@ -56,7 +56,7 @@
     from driftstair.config import load
     from driftstair.node_configuration.in_force import Circumstances
     from driftstair.service.schema import Service
-    from driftstair.service.use import platform_of
+    from driftstair.service.service_file import platform_of
 
     config = load({"BALANCER_CONFIG": str(folder / "platform.json")})
     return Circumstances(platform_of(config, CLIENTS), Service(version=1), lambda change_set: [])
@@ -143,11 +143,11 @@
 
 def measure_look_up(size: int, folder: Path) -> dict[str, float]:
     """One request's look-up, by the routes of other services."""
-    from driftstair.limits.routes import Asked
+    from driftstair.limits.routes import RouteQuery
 
     in_force, _ = _built(folder, size, 0)
     asked = [
-        Asked("page", "", "GET", f"/svc-0000/r{own:02}/item", {}, "k")
+        RouteQuery("page", "", "GET", f"/svc-0000/r{own:02}/item", {}, "k")
         for own in range(min(size, documents.ROUTES_EACH))
     ]
     assert all(in_force.find_route(one) for one in asked)
--- a/benchmarks/scale/routes.py
+++ b/benchmarks/scale/routes.py
@@ -26,20 +26,20 @@
     from driftstair.config import load
     from driftstair.files import SETTINGS_MOST
     from driftstair.service.load import parse
-    from driftstair.service.use import ServiceFile
+    from driftstair.service.service_file import ServiceFile
     from lichenspring import Balancer
 
     config = load({"BALANCER_CONFIG": str(folder / "platform.json")})
     old, new = ((folder / name).read_text() for name in ("old.toml", "new.toml"))
     table, first = measured(lambda: ServiceFile("service.toml", old).table(config, CLIENTS))
-    limited = table.limited(Balancer(config.settings, config.seed), config.settings, time.time_ns)
+    limited = table.limiting_module(Balancer(config.settings, config.seed), config.settings, time.time_ns)
     limited.start(1)
 
     def change() -> None:
         """What `follow_files` and `Node.limit` do, without the platform's own file."""
         nonlocal table
         table = ServiceFile("service.toml", new).table(config, CLIENTS)
-        limited.replace(2, table.rules)
+        limited.replace_rules(2, table.rules)
 
     _, again = measured(change)
     began = time.process_time()
@@ -54,7 +54,7 @@
 
 def measure_look_up(size: int, folder: Path) -> dict[str, float]:
     """One request's look-up, by the routes of other services; routes made without a file."""
-    from driftstair.limits.routes import Asked, Pattern, Routes
+    from driftstair.limits.routes import Pattern, RouteQuery, Routes
     from driftstair.service.schema import Match
 
     def pattern(number: int) -> Pattern:
@@ -63,7 +63,7 @@
 
     index, kept = measured(lambda: Routes(pattern(number) for number in range(size)))
     asked = [
-        Asked("page", "", "GET", f"/svc-{REQUEST_SERVICE:04}/r{own:02}/item", {}, "k")
+        RouteQuery("page", "", "GET", f"/svc-{REQUEST_SERVICE:04}/r{own:02}/item", {}, "k")
         for own in range(documents.ROUTES_EACH)
     ]
     found = {index.find(one) for one in asked}
@@ -77,12 +77,13 @@
 def measure_buckets(size: int, folder: Path) -> dict[str, float]:
     """Token buckets of tenants on routes with `admit.rate.by = "tenant"`: `size` of them, on as many routes
     as that takes at `BUCKETS_EACH` a route."""
-    from driftstair.limits.budgets import Bucket
+    from driftstair.limits.budgets import TokenBucket
 
-    def fill() -> list[dict[int, Bucket]]:
+    def fill() -> list[dict[int, TokenBucket]]:
         routes = max(1, size // BUCKETS_EACH)
         return [
-            {tenant: Bucket(80.0, 20.0, tenant) for tenant in range(size // routes)} for _ in range(routes)
+            {tenant: TokenBucket(80.0, 20.0, tenant) for tenant in range(size // routes)}
+            for _ in range(routes)
         ]
 
     _, step = measured(fill)
--- a/benchmarks/scale/tenants.py
+++ b/benchmarks/scale/tenants.py
@@ -42,17 +42,17 @@
     """The proof of a small service file beside many tenants: 21 routes that name none, and 100 that name one
     each."""
     from driftstair.config import load
-    from driftstair.limits.proof import prove
+    from driftstair.limits.validation import find_problems
     from driftstair.service.load import parse
-    from driftstair.service.use import platform_of
+    from driftstair.service.service_file import platform_of
 
     config = load({"BALANCER_CONFIG": str(folder / "platform.json")})
     plain = parse(documents.service_file(documents.ROUTES_EACH), "service.toml")
     naming = parse(documents.service_file(NAMING, tenants=size), "service.toml")
     _, known = measured(lambda: platform_of(config, CLIENTS))
     platform = platform_of(config, CLIENTS)
-    _, alone = measured(lambda: prove(plain, platform))
-    _, by_name = measured(lambda: prove(naming, platform))
+    _, alone = measured(lambda: find_problems(plain, platform))
+    _, by_name = measured(lambda: find_problems(naming, platform))
     return {
         "platform_cpu_s": known.cpu_s, "proof_21_routes_cpu_s": alone.cpu_s,
         "proof_100_naming_routes_cpu_s": by_name.cpu_s, "proof_peak_mb": alone.peak_mb,
--- a/benchmarks/scale/watched/node.py
+++ b/benchmarks/scale/watched/node.py
@@ -14,7 +14,7 @@
 from driftstair.net.node import Node
 from driftstair.node_configuration.service import NodeConfiguration, Wanted
 from driftstair.service.load import parse
-from driftstair.service.use import platform_of
+from driftstair.service.service_file import platform_of
 
 CLIENTS = 500  # connections that a node may hold
 OWN = parse("version = 1\n", "hollow").service  # a service file without routes
--- a/driftstair/__main__.py
+++ b/driftstair/__main__.py
@@ -43,7 +43,7 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             return runner.run(serve(config, reread, ready=settle, has_changed=has_changed))
     from driftstair.service.load import ServiceError  # not loaded without such a file
-    from driftstair.service.use import ServiceFile
+    from driftstair.service.service_file import ServiceFile
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/driftstair/configuration/assessment.py
+++ b/driftstair/configuration/assessment.py
@@ -12,7 +12,7 @@
 from driftstair.configuration.route_index import RouteIndex
 from driftstair.configuration.route_overlap import RouteView
 from driftstair.configuration.schema import ContentError, Fault, parse_content
-from driftstair.limits.findings import Circumstances, Finding
+from driftstair.limits.findings import Finding, ValidationContext
 from driftstair.service.schema import FleetBudget, Match, Route, Table
 
 # Of one route, so that no step of a check is long. Each combination is a line of the index.
@@ -77,7 +77,7 @@
                 self.violate(change.key, fault.where, fault.why)
             return None
 
-    def facts(self, key: ResourceKey, route: Route, given: Circumstances) -> RouteFacts | None:
+    def facts(self, key: ResourceKey, route: Route, given: ValidationContext) -> RouteFacts | None:
         """Of a route that can be indexed; what stands in the way is a violation."""
         fault = oversize(route.match)
         if fault is not None:
--- a/driftstair/configuration/route_facts.py
+++ b/driftstair/configuration/route_facts.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from fractions import Fraction
 
-from driftstair.limits.findings import Circumstances
-from driftstair.limits.fleetwide import places
+from driftstair.limits.findings import ValidationContext
+from driftstair.limits.fleet_budgets import budget_references
 from driftstair.limits.routes import Pattern
 from driftstair.service.schema import FleetBudget, Route
 
@@ -24,11 +24,11 @@
     retry_budget: str | None  # that its retries spend, if it makes any
 
     @staticmethod
-    def of(route: Route, given: Circumstances) -> RouteFacts:
+    def of(route: Route, given: ValidationContext) -> RouteFacts:
         """Raises ValueError for a path that is none."""
         rate, retry = route.admit.rate, route.retry
         attempts = retry.attempts if retry.attempts is not None else given.attempts_max
-        budgets = (one.fleet for _, one in places(route))
+        budgets = (one.fleet for _, one in budget_references(route))
         return RouteFacts(
             Pattern.of(route.match), _promised(route, given),
             frozenset(name for name in budgets if name is not None),
@@ -37,7 +37,7 @@
         )  # fmt: skip
 
 
-def _promised(route: Route, given: Circumstances) -> Fraction:
+def _promised(route: Route, given: ValidationContext) -> Fraction:
     rate = route.admit.rate
     if rate is None or rate.per_s is None:
         return Fraction(0)
--- a/driftstair/configuration/route_index.py
+++ b/driftstair/configuration/route_index.py
@@ -33,7 +33,7 @@
     unescaped,
 )
 from driftstair.configuration.sorted_lines import SortedLines
-from driftstair.limits.routes import Asked, Pattern, Rank, Shape, Wanted
+from driftstair.limits.routes import LookUpKey, Pattern, Rank, RouteQuery, Shape
 
 MEMO_MAX = 2_048  # answers that are kept: 0.5 KB each
 NOBODY: frozenset[str] = frozenset()
@@ -63,7 +63,7 @@
         self._masks: dict[int, dict[Mask, int]] = {}  # by number of parts: how many templates of each
         self._lengths: dict[str, tuple[int, ...]] = {}  # of prefixes, by their first part; the longest first
         self._known_lengths: dict[tuple[int, ...], tuple[int, ...]] = {}
-        self._memo: dict[tuple[PathId, Shape, Wanted], str | None] = {}
+        self._memo: dict[tuple[PathId, Shape, LookUpKey], str | None] = {}
 
     def __len__(self) -> int:
         """How many lines there are."""
@@ -77,13 +77,13 @@
         if shape not in shapes:
             both = sorted((*shapes, shape), key=lambda one: one.rank, reverse=True)
             self._shapes[path] = self._shared(tuple(both))
-        for wanted in pattern.wanted():
+        for wanted in pattern.look_up_keys():
             self._lines.add(line_prefix(path, shape, wanted) + name.encode())
             self._memo.pop((path, shape, wanted), None)
 
     def remove(self, name: str, pattern: Pattern) -> None:
         path, shape = path_id(pattern.path), Shape.of(pattern)
-        for wanted in pattern.wanted():
+        for wanted in pattern.look_up_keys():
             self._lines.discard(line_prefix(path, shape, wanted) + name.encode())
             self._memo.pop((path, shape, wanted), None)
         if path not in self._shapes or self._has_shape(path, shape):
@@ -104,7 +104,7 @@
                 paths.popitem()
                 yield
 
-    def find(self, asked: Asked, masked: Collection[str] = NOBODY) -> FoundRoute | None:
+    def find(self, asked: RouteQuery, masked: Collection[str] = NOBODY) -> FoundRoute | None:
         """The most specific route that the request matches, without those that are masked."""
         for paths in self._paths(asked.path):
             best = self._find_at(paths[0], asked, masked)
@@ -123,7 +123,7 @@
     def shapes_at(self, path: PathId) -> tuple[Shape, ...]:
         return self._shapes.get(path, ())
 
-    def names_at(self, path: PathId, shape: Shape, wanted: Wanted) -> Iterator[str]:
+    def names_at(self, path: PathId, shape: Shape, wanted: LookUpKey) -> Iterator[str]:
         """The routes that are found by just this."""
         prefix = line_prefix(path, shape, wanted)
         for line in self._lines.all_with(prefix):
@@ -226,9 +226,9 @@
 
     # Routes at a path.
 
-    def _find_at(self, path: PathId, asked: Asked, masked: Collection[str]) -> FoundRoute | None:
+    def _find_at(self, path: PathId, asked: RouteQuery, masked: Collection[str]) -> FoundRoute | None:
         for shape in self._shapes[path]:
-            wanted = shape.wanted(asked)
+            wanted = shape.look_up_key(asked)
             if wanted is None:
                 continue
             try:
@@ -239,7 +239,7 @@
                 return FoundRoute(name, path, shape)
         return None
 
-    def _look_up(self, path: PathId, shape: Shape, wanted: Wanted) -> str | None:
+    def _look_up(self, path: PathId, shape: Shape, wanted: LookUpKey) -> str | None:
         try:
             name = next(self.names_at(path, shape, wanted), None)
         except UnicodeError:
--- a/driftstair/configuration/route_lines.py
+++ b/driftstair/configuration/route_lines.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple, NewType
 
-from driftstair.limits.routes import PathPattern, Rank, Shape, Wanted
+from driftstair.limits.routes import LookUpKey, PathPattern, Rank, Shape
 
 ANY_PATH, PREFIX, TEMPLATE, EXACT = range(4)  # PathPattern.shape
 
@@ -62,7 +62,7 @@
     return joined((path_field(path), rank_field(shape.rank), names_field(shape)))
 
 
-def line_prefix(path: PathId, shape: Shape, wanted: Wanted) -> bytes:
+def line_prefix(path: PathId, shape: Shape, wanted: LookUpKey) -> bytes:
     """A line without the route's name."""
     kind, tenant, method, values, key = wanted
     fields = (kind, tenant, method, key)
--- a/driftstair/configuration/route_overlap.py
+++ b/driftstair/configuration/route_overlap.py
@@ -1,4 +1,5 @@
-"""Ties and shadows among routes by look-ups in their index: what `limits.proof` finds by a look at all pairs.
+"""Ties and shadows among routes by look-ups in their index: what `limits.validation` finds by a look at all
+pairs.
 
 A tie: a request can match both, and neither is more specific. A shadow: all that a route can match goes to
 more specific ones. Those that come before a route and take any of it stand at the same path, with the same
@@ -15,8 +16,8 @@
 from driftstair.configuration.route_index import RouteIndex
 from driftstair.configuration.route_lines import TEMPLATE, Entry, PathId, escaped, path_id, values_of
 from driftstair.limits.findings import Platform
-from driftstair.limits.overlap import Header, cells, headers_can_meet
-from driftstair.limits.routes import ANY, Pattern, Shape, Wanted
+from driftstair.limits.overlap import Header, cells, headers_compatible
+from driftstair.limits.routes import ANY, LookUpKey, Pattern, Shape
 
 STEP_LOOKS = 32  # lines or look-ups between two yields
 
@@ -29,7 +30,7 @@
     routes: RouteIndex
     masked: Collection[str]
 
-    def names_at(self, path: PathId, shape: Shape, wanted: Wanted) -> Iterator[str]:
+    def names_at(self, path: PathId, shape: Shape, wanted: LookUpKey) -> Iterator[str]:
         return (name for name in self.routes.names_at(path, shape, wanted) if name not in self.masked)
 
 
@@ -113,7 +114,7 @@
     for shape in part.routes.shapes_at(path):
         if shape.rank != own.rank:
             continue
-        for wanted in pattern.wanted():
+        for wanted in pattern.look_up_keys():
             looks += 1
             if looks % STEP_LOOKS == 0:
                 yield
@@ -127,14 +128,14 @@
 
 
 def _tie_by_headers(
-    part: _Part, path: PathId, shape: Shape, wanted: Wanted, pattern: Pattern
+    part: _Part, path: PathId, shape: Shape, wanted: LookUpKey, pattern: Pattern
 ) -> Generator[None, None, str | None]:
     """Other header names, or others that may have any value: each route has to be looked at."""
     kind, tenant, method, _, key = wanted
     for looks, entry in enumerate(part.routes.entries(path, shape, kind, tenant, method, key), 1):
         if looks % STEP_LOOKS == 0:
             yield
-        if entry.name not in part.masked and headers_can_meet(pattern.headers, _headers(shape, entry)):
+        if entry.name not in part.masked and headers_compatible(pattern.headers, _headers(shape, entry)):
             return entry.name
     return None
 
@@ -156,7 +157,7 @@
     return tuple(b"*" if free else value for value, free in zip(values, shape.any_value, strict=True))
 
 
-def _wanted(shape: Shape, cell: tuple[str, str, str], values: tuple[bytes, ...], key: str) -> Wanted:
+def _wanted(shape: Shape, cell: tuple[str, str, str], values: tuple[bytes, ...], key: str) -> LookUpKey:
     kind, tenant, method = (name if named else ANY for name, named in zip(cell, shape.rank[2:], strict=True))
     return kind, tenant, method, values, key
 
--- a/driftstair/configuration/route_table.py
+++ b/driftstair/configuration/route_table.py
@@ -10,7 +10,7 @@
 
 from driftstair.configuration.resources import ResourceKey, ResourceKind
 from driftstair.configuration.schema import ContentError, parse_route
-from driftstair.limits.narrow import Rules, rules_of
+from driftstair.limits.compiled_route import RouteRules, compile_rules
 
 COMPILED_MAX = 2_048  # routes: some 4 MB
 LOOKS_MAX = 16  # at routes that might be forgotten, for one that comes: no look at all of them
@@ -27,7 +27,7 @@
     return None
 
 
-class CompiledRoutes(Mapping[int, Rules]):
+class CompiledRoutes(Mapping[int, RouteRules]):
     """Rules by the number that requests carry. A route keeps its number while it is kept here, so that what
     is counted of it outlives its changes; no number is used twice."""
 
@@ -42,10 +42,10 @@
         self._may_forget = may_forget
         self._on_forget = on_forget
         self._numbers: OrderedDict[str, int] = OrderedDict()  # by name, the one used last at the end
-        self._rules: dict[int, Rules] = {}
+        self._rules: dict[int, RouteRules] = {}
         self._stale: set[str] = set()  # routes that have changed since they were compiled
 
-    def __getitem__(self, number: int) -> Rules:
+    def __getitem__(self, number: int) -> RouteRules:
         return self._rules[number]
 
     def __iter__(self) -> Iterator[int]:
@@ -55,11 +55,11 @@
         return len(self._rules)
 
     @property
-    def by_number(self) -> Mapping[int, Rules]:
+    def by_number(self) -> Mapping[int, RouteRules]:
         """What this is a mapping of, without a call for each look-up of a request."""
         return self._rules
 
-    def rules(self, name: str) -> Rules | None:
+    def rules(self, name: str) -> RouteRules | None:
         """Of a route in force; None if there is none of this name."""
         number = self._numbers.get(name)
         if number is None or name in self._stale:
@@ -80,7 +80,7 @@
         """Another whole configuration is in force. Numbers stay: most of its routes are the same ones."""
         self._stale.update(self._numbers)
 
-    def _compile(self, name: str) -> Rules | None:
+    def _compile(self, name: str) -> RouteRules | None:
         content = self._content_of(_key(name))
         if content is None:
             if name in self._numbers:
@@ -90,8 +90,8 @@
             route = parse_route(name, content)
         except ContentError:
             return None  # nothing that was proved
-        rules = rules_of(route, self._number(name), self._attempts_max)
-        self._rules[rules.handed.route] = rules
+        rules = compile_rules(route, self._number(name), self._attempts_max)
+        self._rules[rules.module_limits.route] = rules
         self._stale.discard(name)
         return rules
 
--- a/driftstair/configuration/schema.py
+++ b/driftstair/configuration/schema.py
@@ -11,9 +11,9 @@
 from pydantic_core import ErrorDetails
 
 from driftstair.configuration.resources import ResourceKey, ResourceKind
-from driftstair.service.load import shown
+from driftstair.service.load import format_path
 from driftstair.service.schema import FleetBudget, Name, Route, Table
-from driftstair.service.units import Positive, Whole
+from driftstair.service.units import Positive, WholeNumber
 
 REASON_LETTERS_MAX = 200
 BURST = 10.0  # requests, where a tenant's limit says nothing; as a route's rate
@@ -26,7 +26,7 @@
 
     per_s: Positive | None = None  # requests
     burst: Annotated[float, Field(strict=True, ge=1, allow_inf_nan=False)] | None = None  # BURST if left out
-    in_flight: Annotated[Whole, Field(ge=1)] | None = None  # requests
+    in_flight: Annotated[WholeNumber, Field(ge=1)] | None = None  # requests
 
     @model_validator(mode="after")
     def _says_something(self) -> TenantLimits:
@@ -122,7 +122,7 @@
 
 def _fault(problem: ErrorDetails) -> Fault:
     path = tuple(step for step in problem["loc"] if not (isinstance(step, str) and "[" in step))
-    where = shown(path) if path else WHOLE
+    where = format_path(path) if path else WHOLE
     if problem["type"] == "extra_forbidden":
         return Fault(where, "no such key")
     if problem["type"] == "missing":
--- a/driftstair/configuration/validation.py
+++ b/driftstair/configuration/validation.py
@@ -17,9 +17,9 @@
 from driftstair.configuration.route_index import RouteIndex
 from driftstair.configuration.schema import WHOLE, ContentError, parse_route
 from driftstair.configuration.state import ConfigurationState
-from driftstair.limits.findings import Circumstances, Platform
-from driftstair.limits.route_rules import cold, route_findings
-from driftstair.service.load import shown
+from driftstair.limits.findings import Platform, ValidationContext
+from driftstair.limits.route_rules import cold_burst_findings, route_findings
+from driftstair.service.load import format_path
 from driftstair.service.schema import Budget, FleetBudget, Retry, Route, Service
 
 __all__ = ["Contents", "IncrementalValidator", "Violation", "run"]
@@ -131,15 +131,15 @@
         if judge:
             for finding in route_findings(route, given):
                 if not finding.warning:
-                    assessment.violate(change.key, shown(finding.path), explained(finding))
+                    assessment.violate(change.key, format_path(finding.path), explained(finding))
             yield
             yield from self._judge_tie(assessment, change.key, after)
         assessment.staged.add(change.name, after.pattern)
 
-    def _circumstances(self, assessment: Assessment) -> Circumstances:
-        return Circumstances(self._platform, self._own.fleet, assessment.budgets)
+    def _circumstances(self, assessment: Assessment) -> ValidationContext:
+        return ValidationContext(self._platform, self._own.fleet, assessment.budgets)
 
-    def _facts_in_force(self, key: ResourceKey, given: Circumstances) -> RouteFacts | None:
+    def _facts_in_force(self, key: ResourceKey, given: ValidationContext) -> RouteFacts | None:
         content = self._contents.content(key)
         if content is None:
             return None
@@ -203,7 +203,7 @@
     def _judge_cold(self, assessment: Assessment, change: Change) -> None:
         """Whether routes may still retry on a budget: by one that does nothing else."""
         route = Route(name="any", retry=Retry(attempts=2, budget=Budget(fleet=change.name)))
-        for finding in cold(route, self._circumstances(assessment)):
+        for finding in cold_burst_findings(route, self._circumstances(assessment)):
             assessment.violate(change.key, "burst", explained(finding))
 
     def _judge_promises(self, assessment: Assessment) -> None:
@@ -229,7 +229,7 @@
         return after is not None and (after.promised_per_s > 0 or after.rate_budget is not None)
 
     def _own_promise(self) -> float:
-        given = Circumstances(self._platform, self._own.fleet, _own_budgets(self._own))
+        given = ValidationContext(self._platform, self._own.fleet, _own_budgets(self._own))
         sums = RouteSums()
         for route in self._own.route:
             sums.add(RouteFacts.of(route, given))
--- a/driftstair/control/change_file.py
+++ b/driftstair/control/change_file.py
@@ -15,7 +15,7 @@
     parse_change_set,
 )
 from driftstair.files import FileProblem, parsed, read_text
-from driftstair.service import locate
+from driftstair.service import toml_lines
 
 DELETE = "delete"  # a key of a change in TOML, which has no null
 FILE_BYTES_MAX = 2 * CHANGE_SET_BYTES_MAX  # as people write it, with white space
@@ -43,7 +43,7 @@
     try:
         return parse_change_set(json.dumps(tree).encode())
     except ChangeSetError as problem:
-        line = locate.line_of(lines, _steps(problem.where))
+        line = toml_lines.line_of(lines, _steps(problem.where))
         raise ChangeFileError(
             f"{path}:{line}: {problem.where.lstrip('$.') or 'the file'}: {problem.why}"
         ) from None
@@ -57,7 +57,7 @@
     return f"{blake2b(text, digest_size=6).hexdigest()}-{secrets.token_hex(NONCE_BYTES)}"
 
 
-def _parse(path: str, text: str) -> tuple[Any, dict[locate.Path, int]]:
+def _parse(path: str, text: str) -> tuple[Any, dict[toml_lines.KeyPath, int]]:
     """Raises ChangeFileError and FileProblem."""
     if path.endswith(".json") or text.lstrip().startswith("{"):
         try:
@@ -70,19 +70,19 @@
         found = [int(word.rstrip(",)")) for word in str(problem).split() if word.rstrip(",)").isdigit()]
         line = found[0] if found else 0
         raise ChangeFileError(f"{path}:{line}: the file: no TOML text: {problem}") from None
-    lines = locate.lines(text)
+    lines = toml_lines.key_lines(text)
     _take_deletions(path, tree, lines)
     return tree, lines
 
 
-def _take_deletions(path: str, tree: dict[str, Any], lines: dict[locate.Path, int]) -> None:
+def _take_deletions(path: str, tree: dict[str, Any], lines: dict[toml_lines.KeyPath, int]) -> None:
     """Puts null for the content of changes that say `delete = true`. Raises ChangeFileError."""
     changes = tree.get("changes")
     for index, change in enumerate(changes if isinstance(changes, list) else ()):
         if not isinstance(change, dict):
             continue
         deletes = change.pop(DELETE, None)
-        line = locate.line_of(lines, ("changes", index))
+        line = toml_lines.line_of(lines, ("changes", index))
         where = f"{path}:{line}: changes[{index}]"
         if deletes is not None and (deletes is not True or "content" in change):
             raise ChangeFileError(f"{where}.{DELETE}: {deletes!r:.40}; true and no content would do")
@@ -92,7 +92,7 @@
             change["content"] = None
 
 
-def _steps(where: str) -> locate.Path:
+def _steps(where: str) -> toml_lines.KeyPath:
     """The path of a key as msgspec writes it: `$.changes[0].name`."""
     steps: list[str | int] = []
     for word in where.lstrip("$").split("."):
--- a/driftstair/control/settings.py
+++ b/driftstair/control/settings.py
@@ -11,9 +11,9 @@
 
 from driftstair.files import FileProblem, read_text
 from driftstair.hosts import ListError, parse_address
-from driftstair.service.load import Problem, ServiceError, validated
+from driftstair.service.load import Problem, ServiceError, parse_as
 from driftstair.service.schema import Name
-from driftstair.service.units import Size, Version, Whole
+from driftstair.service.units import Size, Version, WholeNumber
 
 SERVERS_MAX = 7
 SNAPSHOT_BYTES_PER_S = 3_000  # what the operators allow a node for all control together
@@ -42,7 +42,7 @@
     folder: Annotated[str, Field(min_length=1)]  # of this server's log and snapshot; it outlives the process
     # All control servers, this one too, in the same order in the file of each; left out: there is one.
     peers: Annotated[tuple[AddressText, ...], Field(max_length=SERVERS_MAX)] = ()
-    number: Annotated[Whole, Field(ge=0, lt=SERVERS_MAX)] | None = None  # own place in `peers`, from 0
+    number: Annotated[WholeNumber, Field(ge=0, lt=SERVERS_MAX)] | None = None  # own place in `peers`, from 0
     snapshot_rate: Annotated[Size, Field(ge=1)] = SNAPSHOT_BYTES_PER_S  # a second and watch
 
     @property
@@ -62,7 +62,7 @@
         text = read_text(file)
     except FileProblem as problem:
         raise ServiceError([Problem(file, 0, "the file", str(problem))], unreadable=True) from None
-    settings, lines = validated(text, file, ServerSettings)
+    settings, lines = parse_as(text, file, ServerSettings)
     problems = [
         Problem(file, lines.get((key,), 1), key, why, instead=remedy)
         for key, why, remedy in _contradictions(settings)
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -19,12 +19,12 @@
 from driftstair.settings import Config
 
 if TYPE_CHECKING:
-    from driftstair.limits.table import RequestTable
+    from driftstair.limits.request_table import RequestTable
     from driftstair.node_configuration.service import NodeConfiguration
     from driftstair.observability.observer import Observer
     from driftstair.operations.roster import Roster
     from driftstair.operations.service import Operations
-    from driftstair.service.use import ServiceFile
+    from driftstair.service.service_file import ServiceFile
     from driftstair.tier.service import Tier
 
 log = logging.getLogger("driftstair")
@@ -102,7 +102,7 @@
             for one in problem.problems:
                 log.error("the new service file is not used: %s", one)
         if configuration is not None:
-            configuration.reload(*service.circumstances(config, shares(config)[0]))
+            configuration.reload(*service.platform_and_service(config, shares(config)[0]))
 
 
 def report_metrics(node: Node, observer: Observer, every: float) -> None:
@@ -144,7 +144,7 @@
         config = operations.config
     tier = None if service is None else service.tier(config, system)
     if table is not None and tier is not None:
-        table.fleet, table.around = tier.tokens, tier.around
+        table.fleet_budget, table.wrap_module = tier.tokens, tier.around
     configuration = None if service is None else service.configuration(config, shares(config)[0], system)
     roster = None if operations is None else operations.roster
     limits: RequestTable | None = table
@@ -170,7 +170,7 @@
     except OSError as problem:
         print(f"driftstair: BALANCER_LISTEN can't be used: {problem.strerror}", file=sys.stderr)
         return 2
-    kept = None if service is None else service.keeper(config, system)
+    kept = None if service is None else service.open_ledger(config, system)
     ended = asyncio.Event()
     if kept is not None:
         node.ledger = kept[0]
--- a/driftstair/limits/attempt_rules.py
+++ b/driftstair/limits/attempt_rules.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterator
 
-from driftstair.limits.findings import LOST, MS, TWICE, Circumstances, Finding, classes_of, shown_number
-from driftstair.limits.narrow import MAY_HAVE_RUN, rules_of
+from driftstair.limits.compiled_route import MAY_HAVE_RUN, compile_rules
+from driftstair.limits.findings import LOST, MS, TWICE, Finding, ValidationContext, classes_of, shown_number
 from driftstair.service.schema import Route
 from driftstair.service.units import shown_duration
 from lichenspring.interface import Repeat
@@ -13,7 +13,7 @@
 TRANSIT = 5 * MS  # that the node keeps back for its answer to be there in time
 
 
-def attempts(route: Route, given: Circumstances) -> Iterator[Finding]:
+def attempts(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """More attempts than there may be, or than there is time and budget for."""
     retry, times = route.retry, route.timeout
     number = retry.attempts
@@ -67,7 +67,7 @@
             return
 
 
-def limits_of(route: Route, given: Circumstances) -> list[tuple[str, int]]:
+def limits_of(route: Route, given: ValidationContext) -> list[tuple[str, int]]:
     """What attempts have to fit into, the nearest first."""
     found = [("total", route.timeout.total)] if route.timeout.total else []
     for name, kind, wait in classes_of(route, given):
@@ -77,7 +77,7 @@
     return sorted(found, key=lambda one: one[1])
 
 
-def effects(route: Route, given: Circumstances) -> Iterator[Finding]:
+def effects(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """Attempts and copies by which an effect could happen twice."""
     retry = route.retry
     number = retry.attempts if retry.attempts is not None else given.attempts_max
@@ -106,7 +106,7 @@
             )  # fmt: skip
 
 
-def copies(route: Route, given: Circumstances) -> Iterator[Finding]:
+def copies(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """Second copies that can never be sent."""
     copy = route.copy_
     if copy is None:
@@ -151,5 +151,5 @@
 
 def back_offs(route: Route, attempts: int) -> list[int]:
     """The longest that each wait between attempts can be, ns."""
-    handed = rules_of(route, 0, attempts).handed
+    handed = compile_rules(route, 0, attempts).module_limits
     return [min(handed.back_off << place, handed.back_off_most) for place in range(attempts - 1)]
--- a/driftstair/limits/budgets.py
+++ b/driftstair/limits/budgets.py
@@ -7,7 +7,7 @@
 SECOND = 1_000_000_000
 
 
-class Tokens(Protocol):
+class TokenBudget(Protocol):
     """What a route spends on: a bucket of its own, or a budget of the fleet."""
 
     def earn(self, now: int, tokens: float) -> None: ...
@@ -16,12 +16,12 @@
 
     def take(self, now: int, tokens: float = 1.0) -> bool: ...
 
-    def until(self, now: int, tokens: float = 1.0) -> int: ...
+    def ns_until(self, now: int, tokens: float = 1.0) -> int: ...
 
     def carry_over(self, other: Any, now: int) -> None: ...
 
 
-class Bucket:
+class TokenBucket:
     """Holds `burst` at most, is full at first, and earns `per_s` each second and whatever `earn` adds."""
 
     __slots__ = ("_at", "burst", "per_s", "tokens")
@@ -52,13 +52,13 @@
         self.tokens -= tokens
         return True
 
-    def until(self, now: int, tokens: float = 1.0) -> int:
+    def ns_until(self, now: int, tokens: float = 1.0) -> int:
         """ns until so many are there; 0 if they are, or if time alone never brings them."""
         self.refill(now)
         missing = tokens - self.tokens
         return int(missing / self.per_s * SECOND) + 1 if missing > 0 and self.per_s > 0 else 0
 
-    def carry_over(self, other: Bucket, now: int) -> None:
+    def carry_over(self, other: TokenBucket, now: int) -> None:
         """What another one, of an earlier file, had left: a reload is no new burst."""
         other.refill(now)
         self.tokens = min(self.burst, other.tokens)
--- a/driftstair/limits/narrow.py
+++ b/driftstair/limits/compiled_route.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from driftstair.limits.budgets import Bucket, Tokens
+from driftstair.limits.budgets import TokenBucket, TokenBudget
 from driftstair.limits.latency import Latencies
 from driftstair.service import schema
 from lichenspring import interface as api
@@ -23,11 +23,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class RouteRules:
     """The figures of one route, fixed for as long as a request has them. Durations in ns; 0: none."""
 
     name: str
-    handed: api.Limits
+    module_limits: api.Limits
     total: int
     body: int  # bytes; 0: as the node's own limit
     in_flight: int
@@ -41,7 +41,7 @@
         return self.copy_budget is not None
 
 
-def rules_of(route: schema.Route, index: int, attempts_most: int) -> Rules:
+def compile_rules(route: schema.Route, index: int, attempts_most: int) -> RouteRules:
     retry, times, copy = route.retry, route.timeout, route.copy_
     again = EVERY if retry.on is None else ALWAYS | {RESULTS[name] for name in retry.on}
     most = retry.backoff_most if retry.backoff_most is not None else BACK_OFF_MOST * retry.backoff
@@ -51,22 +51,24 @@
         again=again, back_off=retry.backoff, back_off_most=most, jitter=retry.jitter,
         admitted=ADMITTED[route.admit.priority], route=index,
     )  # fmt: skip
-    return Rules(
+    return RouteRules(
         route.name, handed, times.total or 0, route.admit.body or 0, route.admit.in_flight or 0,
         route.admit.rate, retry.budget, (copy.after or 0) if copy else 0,
         (copy.at or 0.0) if copy else 0.0, copy.budget if copy else None,
     )  # fmt: skip
 
 
-def no_fleet(name: str) -> Tokens:
+def no_fleet(name: str) -> TokenBudget:
     """Of a node that shares no budget with others."""
     raise KeyError(name)
 
 
-def _tokens(budget: schema.Budget | None, now: int, fleet: Callable[[str], Tokens]) -> Tokens | None:
+def _tokens(
+    budget: schema.Budget | None, now: int, fleet: Callable[[str], TokenBudget]
+) -> TokenBudget | None:
     if budget is None:
         return None
-    return fleet(budget.fleet) if budget.fleet else Bucket(budget.floor, budget.burst, now)
+    return fleet(budget.fleet) if budget.fleet else TokenBucket(budget.floor, budget.burst, now)
 
 
 class State:
@@ -75,16 +77,16 @@
 
     __slots__ = ("copies", "in_flight", "latencies", "rate", "rates", "retries", "rules")
 
-    def __init__(self, rules: Rules, now: int, fleet: Callable[[str], Tokens] = no_fleet) -> None:
+    def __init__(self, rules: RouteRules, now: int, fleet: Callable[[str], TokenBudget] = no_fleet) -> None:
         self.rules = rules
         self.in_flight = 0
         self.latencies = Latencies()
-        self.rates: dict[int, Bucket] = {}
+        self.rates: dict[int, TokenBucket] = {}
         self.retries = _tokens(rules.retry_budget, now, fleet)
         self.copies = _tokens(rules.copy_budget, now, fleet)
         self.rate = fleet(rules.rate.fleet) if rules.rate is not None and rules.rate.fleet else None
 
-    def change(self, rules: Rules, now: int, fleet: Callable[[str], Tokens] = no_fleet) -> None:
+    def change(self, rules: RouteRules, now: int, fleet: Callable[[str], TokenBudget] = no_fleet) -> None:
         """Other figures for the same route, for whoever counts here already too."""
         changed = State(rules, now, fleet)
         changed.take_over(self, now)
@@ -96,12 +98,12 @@
         self.in_flight = old.in_flight
         self.latencies = old.latencies
         for mine, its in ((self.retries, old.retries), (self.copies, old.copies)):
-            if isinstance(its, Bucket) and mine is not None:
+            if isinstance(its, TokenBucket) and mine is not None:
                 mine.carry_over(its, now)
         rate = self.rules.rate
         if rate is None or rate.per_s is None:
             return
         if old.rules.rate is not None and rate.by == old.rules.rate.by:
             for who, bucket in old.rates.items():
-                self.rates[who] = Bucket(rate.per_s, rate.burst, now)
+                self.rates[who] = TokenBucket(rate.per_s, rate.burst, now)
                 self.rates[who].carry_over(bucket, now)
--- a/driftstair/limits/findings.py
+++ b/driftstair/limits/findings.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Circumstances:
+class ValidationContext:
     """What a route is judged by beside itself."""
 
     platform: Platform | None
@@ -54,7 +54,7 @@
         return self.platform.settings.max_attempts if self.platform else ATTEMPTS_MAX
 
 
-def classes_of(route: Route, given: Circumstances) -> list[tuple[str, api.RequestClass, int]]:
+def classes_of(route: Route, given: ValidationContext) -> list[tuple[str, api.RequestClass, int]]:
     """Classes that the route may serve, with their clients' wait in ns; none without a platform."""
     platform = given.platform
     if platform is None:
--- a/driftstair/limits/fleetwide.py
+++ b/driftstair/limits/fleet_budgets.py
@@ -6,13 +6,13 @@
 from difflib import get_close_matches
 
 from driftstair.limits.findings import Finding
-from driftstair.service.load import Loaded
+from driftstair.service.load import LoadedService
 from driftstair.service.schema import Budget, Rate, Route
 
 Place = tuple[str | int, ...]
 
 
-def places(route: Route) -> Iterator[tuple[tuple[str, ...], Budget | Rate]]:
+def budget_references(route: Route) -> Iterator[tuple[tuple[str, ...], Budget | Rate]]:
     """The tables of a route that may name a budget of the fleet, by their path in it."""
     if route.retry.budget is not None:
         yield ("retry", "budget"), route.retry.budget
@@ -22,17 +22,17 @@
         yield ("admit", "rate"), route.admit.rate
 
 
-def spent_by(loaded: Loaded) -> Iterator[tuple[Place, str]]:
+def spent_by(loaded: LoadedService) -> Iterator[tuple[Place, str]]:
     """Where a budget of the fleet is named in a file, and its name."""
     for index, route in enumerate(loaded.service.route):
-        for path, one in places(route):
+        for path, one in budget_references(route):
             if one.fleet is not None:
                 yield ("route", index, *path, "fleet"), one.fleet
 
 
 def budget_findings(route: Route, known: Collection[str]) -> Iterator[Finding]:
     """What a route says of budgets of the fleet; `known` are the names of those that there are."""
-    for path, one in places(route):
+    for path, one in budget_references(route):
         if one.fleet is None:
             if isinstance(one, Rate) and one.per_s is None:
                 yield Finding(path, "wants per_s, or fleet and the name of a budget of the fleet")
--- a/driftstair/limits/limited.py
+++ b/driftstair/limits/limiting_module.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable, Mapping, Sequence
 from heapq import heappop, heappush
 
-from driftstair.limits.budgets import Bucket, Tokens
-from driftstair.limits.narrow import Rules, State, no_fleet
+from driftstair.limits.budgets import TokenBucket, TokenBudget
+from driftstair.limits.compiled_route import RouteRules, State, no_fleet
 from lichenspring import interface as api
 from lichenspring.interface import Result
 
-COPY_TOKEN = 1 << 20  # of this layer's timers; the module's own are small
-ADDED_FIRST = 1 << 20  # the routes beside the file's have numbers from here on; a file has fewer
+COPY_TIMER_TOKEN = 1 << 20  # of this layer's timers; the module's own are small
+FIRST_ADDED_ROUTE = 1 << 20  # the routes beside the file's have numbers from here on; a file has fewer
 TENANTS_MOST = 10_000  # buckets of one route: names that clients make up shall not fill the memory
 
 
@@ -35,15 +35,15 @@
         self.in_flight = True
 
 
-NONE_ADDED: Mapping[int, Rules] = {}
+NONE_ADDED: Mapping[int, RouteRules] = {}
 
 
-class Limited:
+class LimitingModule:
     def __init__(
-        self, module: api.Module, settings: api.Settings, rules: Sequence[Rules],
-        fleet: Callable[[str], Tokens] = no_fleet, added: Mapping[int, Rules] = NONE_ADDED,
+        self, module: api.Module, settings: api.Settings, rules: Sequence[RouteRules],
+        fleet: Callable[[str], TokenBudget] = no_fleet, added: Mapping[int, RouteRules] = NONE_ADDED,
     ) -> None:  # fmt: skip
-        """`added`: the routes beside the file's as they are now, by number from ADDED_FIRST on. What is
+        """`added`: the routes beside the file's as they are now, by number from FIRST_ADDED_ROUTE on. What is
         counted of one is made with its first request, and changed with the first one after its change."""
         self._module = module
         self._settings = settings
@@ -59,7 +59,7 @@
         self._states = [State(rules, now, self._fleet) for rules in self._rules]
         return self._module.start(now)
 
-    def replace(self, now: int, rules: Sequence[Rules]) -> None:
+    def replace_rules(self, now: int, rules: Sequence[RouteRules]) -> None:
         """Another file: for new requests, all at once. Those that are open keep what they came with."""
         old = {state.rules.name: state for state in self._states}
         self._states = [State(one, now, self._fleet) for one in rules]
@@ -74,19 +74,19 @@
             entry.state = moved.get(id(entry.state), entry.state)
 
     def state(self, route: int) -> State:
-        return self._states[route] if route < ADDED_FIRST else self._added_states[route]
+        return self._states[route] if route < FIRST_ADDED_ROUTE else self._added_states[route]
 
     def is_idle(self, route: int) -> bool:
         """Whether no request is in flight on an added route."""
         state = self._added_states.get(route)
         return state is None or not state.in_flight
 
-    def forget(self, route: int) -> None:
+    def remove_route(self, route: int) -> None:
         """An added route is gone. Requests that are open on it keep what they came with."""
         self._added_states.pop(route, None)
 
     def _state_of(self, now: int, route: int) -> State:
-        if route < ADDED_FIRST:
+        if route < FIRST_ADDED_ROUTE:
             return self._states[route]
         rules = self._added[route]
         state = self._added_states.get(route)
@@ -101,7 +101,7 @@
             return self._request(now, event)
         if isinstance(event, api.Outcome):
             return self._outcome(now, event)
-        if isinstance(event, api.Timer) and event.token == COPY_TOKEN:
+        if isinstance(event, api.Timer) and event.token == COPY_TIMER_TOKEN:
             return self._copies(now)
         actions = self._module.handle(now, event)
         if isinstance(event, api.ClientGone):
@@ -120,7 +120,7 @@
         if rules.rate is not None:
             bucket = self._bucket(now, state, request.tenant)
             if not bucket.take(now):
-                return self._refuse(request, bucket.until(now))
+                return self._refuse(request, bucket.ns_until(now))
         if rules.total:
             request = request._replace(time_left=min(request.time_left, rules.total))
         entry = self._entries[request.id] = _Entry(state)
@@ -133,7 +133,7 @@
             self._want_copy(now, request.id, entry, actions)
         return actions
 
-    def _bucket(self, now: int, state: State, tenant: int) -> Tokens:
+    def _bucket(self, now: int, state: State, tenant: int) -> TokenBudget:
         if state.rate is not None:
             return state.rate
         rate = state.rules.rate
@@ -143,7 +143,7 @@
         if bucket is None:
             if len(state.rates) >= TENANTS_MOST:
                 state.rates.pop(next(iter(state.rates)))
-            bucket = state.rates[who] = Bucket(rate.per_s, rate.burst, now)
+            bucket = state.rates[who] = TokenBucket(rate.per_s, rate.burst, now)
         return bucket
 
     def _refuse(self, request: api.Request, wait: int) -> list[api.Action]:
@@ -224,7 +224,7 @@
             after = entry.state.latencies.percentile(rules.copy_at)
         if after:
             heappush(self._wanted, (now + after, request))
-            actions.append(api.SetTimer(now + after, COPY_TOKEN))
+            actions.append(api.SetTimer(now + after, COPY_TIMER_TOKEN))
 
     def _copies(self, now: int) -> list[api.Action]:
         actions: list[api.Action] = []
--- a/driftstair/limits/overlap.py
+++ b/driftstair/limits/overlap.py
@@ -40,10 +40,10 @@
 def can_meet(one: Pattern, other: Pattern) -> bool:
     """Whether some request matches both, as far as path, headers and key go; classes and the rest do."""
     keys = one.key.startswith(other.key) or other.key.startswith(one.key)
-    return one.path.meets(other.path) and headers_can_meet(one.headers, other.headers) and keys
+    return one.path.overlaps(other.path) and headers_compatible(one.headers, other.headers) and keys
 
 
-def headers_can_meet(one: Sequence[Header], other: Sequence[Header]) -> bool:
+def headers_compatible(one: Sequence[Header], other: Sequence[Header]) -> bool:
     """Whether some request has the headers of both."""
     its = dict(other)
     return all(name not in its or b"*" in (value, its[name]) or value == its[name] for name, value in one)
--- a/driftstair/limits/route_rules.py
+++ b/driftstair/limits/route_rules.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterator
 
 from driftstair.limits.attempt_rules import TRANSIT, attempts, copies, effects
-from driftstair.limits.findings import COLD, LOST, Circumstances, Finding, classes_of, shown_number
-from driftstair.limits.fleetwide import budget_findings
+from driftstair.limits.findings import COLD, LOST, Finding, ValidationContext, classes_of, shown_number
+from driftstair.limits.fleet_budgets import budget_findings
 from driftstair.service.schema import Route
 from driftstair.service.units import shown_duration
 from lichenspring.interface import Repeat
 
 
-def route_findings(route: Route, given: Circumstances) -> Iterator[Finding]:
+def route_findings(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """All that is wrong in a route by itself: not names, paths and what other routes match."""
     yield from known_names(route, given)
     yield from method(route, given)
@@ -21,12 +21,12 @@
     yield from effects(route, given)
     yield from copies(route, given)
     yield from amplification(route, given)
-    yield from cold(route, given)
+    yield from cold_burst_findings(route, given)
     yield from admission(route, given)
     yield from budget_findings(route, tuple(given.budgets))
 
 
-def known_names(route: Route, given: Circumstances) -> Iterator[Finding]:
+def known_names(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """Classes and tenants that the platform has to know."""
     if given.platform is None:
         return
@@ -42,7 +42,7 @@
                 )  # fmt: skip
 
 
-def method(route: Route, given: Circumstances) -> Iterator[Finding]:
+def method(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """The method follows from the class: GET for one that is safe to repeat."""
     if route.match.method is None:
         return
@@ -55,7 +55,7 @@
         )
 
 
-def timeouts(route: Route, given: Circumstances) -> Iterator[Finding]:
+def timeouts(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """Times that can never act, or that outlast whoever waits."""
     times = route.timeout
     total, attempt, first = times.total, times.attempt, times.first_byte
@@ -88,7 +88,7 @@
             )  # fmt: skip
 
 
-def amplification(route: Route, given: Circumstances) -> Iterator[Finding]:
+def amplification(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """How many attempts one request of a client can become, lastingly."""
     number = route.retry.attempts if route.retry.attempts is not None else given.attempts_max
     if number < 2:
@@ -114,7 +114,7 @@
         )  # fmt: skip
 
 
-def cold(route: Route, given: Circumstances) -> Iterator[Finding]:
+def cold_burst_findings(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """All nodes' saved-up retries at once at one box that has just started. Copies never go there."""
     if given.platform is None or given.fleet.box_per_s is None:
         return
@@ -141,7 +141,7 @@
         )  # fmt: skip
 
 
-def admission(route: Route, given: Circumstances) -> Iterator[Finding]:
+def admission(route: Route, given: ValidationContext) -> Iterator[Finding]:
     """Requests in flight that the node can never hold, and bursts far beyond the rate."""
     admit = route.admit
     if given.platform is not None and admit.in_flight is not None:
--- a/driftstair/limits/routes.py
+++ b/driftstair/limits/routes.py
@@ -2,7 +2,7 @@
 
 The order, first difference decides: an exact path before a template (more fixed parts first) before a prefix
 (the longer first) before none; more headers; a longer key prefix; a class; a tenant; a method. Two routes
-that are equal in all of these and can match the same request are a tie, which `proof` refuses.
+that are equal in all of these and can match the same request are a tie, which `validation` refuses.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 Rank = tuple[int, ...]
 
 
-class Asked(NamedTuple):
+class RouteQuery(NamedTuple):
     """What a request is, as far as routes go by it."""
 
     kind: str  # its class
@@ -90,7 +90,7 @@
             )
         return False
 
-    def meets(self, other: PathPattern) -> bool:
+    def overlaps(self, other: PathPattern) -> bool:
         """Whether some path matches both."""
         if 0 in (self.shape, other.shape):
             return True
@@ -141,7 +141,7 @@
             len(self.headers), len(self.key), bool(self.classes), bool(self.tenants), bool(self.methods),
         )  # fmt: skip
 
-    def wanted(self) -> Iterator[Wanted]:
+    def look_up_keys(self) -> Iterator[LookUpKey]:
         """All that the route is found by."""
         values = tuple(value for _, value in self.headers)
         for kind in self.classes or (ANY,):
@@ -149,7 +149,7 @@
                 for method in self.methods or (ANY,):
                     yield (kind, tenant, method, values, self.key)
 
-    def matches(self, asked: Asked) -> bool:
+    def matches(self, asked: RouteQuery) -> bool:
         """By a look at this one alone; what the index finds must agree."""
         return (
             self.path.matches(asked.path)
@@ -165,7 +165,7 @@
     return given is not None and wanted in (b"*", given)
 
 
-Wanted = tuple[str, str, str, tuple[bytes, ...], str]
+LookUpKey = tuple[str, str, str, tuple[bytes, ...], str]
 """What a route at one path is found by: class, tenant, method, values of headers (b"*" for any) and key. ANY
 stands for what it does not name. A bare tuple, as each request builds some."""
 
@@ -182,7 +182,7 @@
         names = tuple(name for name, _ in pattern.headers)
         return Shape(pattern.rank_at_path(), names, tuple(value == b"*" for _, value in pattern.headers))
 
-    def wanted(self, asked: Asked) -> Wanted | None:
+    def look_up_key(self, asked: RouteQuery) -> LookUpKey | None:
         """What a route of this shape that matches the request is found by; None if none can match."""
         _, key_length, names_class, names_tenant, names_method = self.rank
         if key_length > len(asked.key):
@@ -250,7 +250,7 @@
                 yield [node]
         yield [self._any]
 
-    def find(self, asked: Asked) -> int | None:
+    def find(self, asked: RouteQuery) -> int | None:
         """The index of the route that the request takes."""
         for nodes in self._nodes(asked.path):
             best: Found | None = None
@@ -269,7 +269,7 @@
     __slots__ = ("_buckets", "_shapes")
 
     def __init__(self) -> None:
-        self._buckets: dict[Shape, dict[Wanted, int]] = {}
+        self._buckets: dict[Shape, dict[LookUpKey, int]] = {}
         self._shapes: list[Shape] = []  # the most specific first
 
     def add(self, index: int, pattern: Pattern) -> None:
@@ -279,13 +279,13 @@
             bucket = self._buckets[shape] = {}
             self._shapes.append(shape)
             self._shapes.sort(key=lambda one: one.rank, reverse=True)
-        for wanted in pattern.wanted():
+        for wanted in pattern.look_up_keys():
             bucket.setdefault(wanted, index)
 
-    def find(self, asked: Asked) -> Found | None:
+    def find(self, asked: RouteQuery) -> Found | None:
         """The most specific route here that matches."""
         for shape in self._shapes:
-            wanted = shape.wanted(asked)
+            wanted = shape.look_up_key(asked)
             if wanted is None:
                 continue
             index = self._buckets[shape].get(wanted)
--- a/driftstair/limits/proof.py
+++ b/driftstair/limits/validation.py
@@ -9,25 +9,25 @@
 from collections.abc import Iterable, Iterator
 from itertools import product
 
-from driftstair.limits.findings import Circumstances, Finding, Platform, shown_number
+from driftstair.limits.findings import Finding, Platform, ValidationContext, shown_number
 from driftstair.limits.overlap import MeetingTemplates, can_meet, cells, is_wider
 from driftstair.limits.route_rules import route_findings
 from driftstair.limits.routes import Pattern
-from driftstair.service.load import Loaded, Problem
+from driftstair.service.load import LoadedService, Problem
 
-__all__ = ["Platform", "prove"]
+__all__ = ["Platform", "find_problems"]
 
 SHADOWS_JUDGED_MAX = 400  # routes: what covers what takes a look at each pair
 
 
-def prove(loaded: Loaded, platform: Platform | None) -> list[Problem]:
+def find_problems(loaded: LoadedService, platform: Platform | None) -> list[Problem]:
     """All problems, in the order of the file."""
     found = list(_Proof(loaded, platform).problems())
     return sorted(found, key=lambda one: (one.line, one.key, one.why))
 
 
 class _Proof:
-    def __init__(self, loaded: Loaded, platform: Platform | None) -> None:
+    def __init__(self, loaded: LoadedService, platform: Platform | None) -> None:
         self.loaded = loaded
         self.routes = loaded.service.route
         self.fleet = loaded.service.fleet
@@ -41,7 +41,7 @@
         yield from self.paths()
         if all(pattern is not None for pattern in self.patterns):
             yield from self.ties_and_shadows()
-        given = Circumstances(self.platform, self.fleet, self.budgets)
+        given = ValidationContext(self.platform, self.fleet, self.budgets)
         for index, route in enumerate(self.routes):
             for finding in route_findings(route, given):
                 yield self.problem(index, finding)
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -296,7 +296,7 @@
             resubmitted=fields.get(b"x-retry") == b"1",
             deadline=incoming.arrived + incoming.patience,
             patience=incoming.patience,
-            asked=limits.asked(incoming.method, incoming.path, fields) if limits is not None else None,
+            asked=limits.route_query(incoming.method, incoming.path, fields) if limits is not None else None,
         )
 
     def _answer_itself(self, status: int, reason: AnswerReason) -> None:
--- a/driftstair/net/in_flight.py
+++ b/driftstair/net/in_flight.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from driftstair.ledger.keeper import Counted
-    from driftstair.limits.routes import Asked
+    from driftstair.limits.routes import RouteQuery
     from driftstair.node_configuration.tenant_limits import TenantUse
 
 
@@ -40,7 +40,7 @@
     patience: int  # ns from the last byte to the deadline
     has_gone: Callable[[], bool]  # the client has left: nothing may begin for it
     gone_for: Callable[[], int]  # ns since it closed or ended its sending; 0: it has not
-    asked: Asked | None = None  # in the terms of routes, where there are any
+    asked: RouteQuery | None = None  # in the terms of routes, where there are any
 
 
 @dataclass(slots=True, eq=False)
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -33,7 +33,7 @@
 
 if TYPE_CHECKING:
     from driftstair.ledger.keeper import Keeper
-    from driftstair.limits.table import RequestTable
+    from driftstair.limits.request_table import RequestTable
     from driftstair.node_configuration.tenant_limits import TenantLimits
     from driftstair.observability.observer import Observer
     from driftstair.operations.roster import Roster
@@ -69,7 +69,7 @@
         self._core = Balancer(config.settings, config.seed)
         self._balancer: api.Module = self._core
         if limits is not None:
-            self._balancer = limits.limited(self._balancer, config.settings, system.time_ns)
+            self._balancer = limits.limiting_module(self._balancer, config.settings, system.time_ns)
         self._loop = asyncio.get_running_loop()
         self._events: deque[api.Event] = deque()
         self._telling = False
@@ -100,8 +100,8 @@
 
     def limit(self, limits: RequestTable) -> None:
         """Other routes, for requests from now on. Only where there were some from the start."""
-        assert isinstance(self._balancer, limits.kind)
-        self._balancer.replace(self._now(), limits.rules)
+        assert isinstance(self._balancer, limits.module_type)
+        self._balancer.replace_rules(self._now(), limits.rules)
         self.limits = limits
         log.info("limits of %s", limits.source)
 
@@ -243,7 +243,7 @@
                     call.tenant,
                     call.key,
                     call.resubmitted,
-                    None if rules is None else rules.handed,
+                    None if rules is None else rules.module_limits,
                 )
             )
         return 0 if request.answered or request.number not in self._open else request.number
--- a/driftstair/node_configuration/in_force.py
+++ b/driftstair/node_configuration/in_force.py
@@ -19,7 +19,7 @@
 from driftstair.configuration.state import DIGEST_MODULUS, ConfigurationState
 from driftstair.configuration.validation import IncrementalValidator
 from driftstair.limits.findings import Platform
-from driftstair.limits.routes import Asked
+from driftstair.limits.routes import RouteQuery
 from driftstair.service.schema import Service
 
 NodeCheck = Callable[[ChangeSet], list[Violation]]
@@ -128,7 +128,7 @@
 
     # Look-ups.
 
-    def find_route(self, asked: Asked) -> str | None:
+    def find_route(self, asked: RouteQuery) -> str | None:
         """The name of the route that a request takes."""
         moving = self._moving
         if moving is None:
--- a/driftstair/node_configuration/service.py
+++ b/driftstair/node_configuration/service.py
@@ -14,7 +14,7 @@
 from driftstair.configuration.messages import NodeReport
 from driftstair.hosts import Host
 from driftstair.limits.findings import Platform
-from driftstair.limits.table import Table
+from driftstair.limits.request_table import FileRequestTable
 from driftstair.net.node import Node
 from driftstair.net.system import System
 from driftstair.node_configuration.application import Application
@@ -83,7 +83,7 @@
         self.roster = roster or self.roster
         return self.roster
 
-    def combined(self, file: Table) -> CombinedTable:
+    def combined(self, file: FileRequestTable) -> CombinedTable:
         """The file's routes first, then those of the configuration."""
         return CombinedTable(file, self.tables)
 
--- a/driftstair/node_configuration/tenant_limits.py
+++ b/driftstair/node_configuration/tenant_limits.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from driftstair.limits.budgets import Bucket
+from driftstair.limits.budgets import TokenBucket
 
 USES_MAX = 10_000  # tenants whose requests are counted at once: the idle ones that came first are forgotten
 LOOKS_MAX = 16  # at tenants that might be forgotten, for one that comes: no look at all of them
@@ -27,12 +27,12 @@
     def __init__(self, limit: TenantLimit, now_ns: int) -> None:
         self.limit = limit
         self.in_flight = 0
-        self.bucket = Bucket(limit.per_s, limit.burst, now_ns) if limit.per_s else None
+        self.bucket = TokenBucket(limit.per_s, limit.burst, now_ns) if limit.per_s else None
 
     def change(self, limit: TenantLimit, now_ns: int) -> None:
         """Other figures; a change is no new burst."""
         old, self.limit = self.bucket, limit
-        self.bucket = Bucket(limit.per_s, limit.burst, now_ns) if limit.per_s else None
+        self.bucket = TokenBucket(limit.per_s, limit.burst, now_ns) if limit.per_s else None
         if old is not None and self.bucket is not None:
             self.bucket.carry_over(old, now_ns)
 
@@ -63,7 +63,7 @@
         if limit.in_flight and use.in_flight >= limit.in_flight:
             return 0
         if use.bucket is not None and not use.bucket.take(now_ns):
-            return use.bucket.until(now_ns)
+            return use.bucket.ns_until(now_ns)
         use.in_flight += 1
         request.tenant = use
         return None
--- a/driftstair/rehearsal/command.py
+++ b/driftstair/rehearsal/command.py
@@ -146,7 +146,7 @@
         from driftstair.daemon import shares
         from driftstair.rehearsal import platform
         from driftstair.service.load import ServiceError
-        from driftstair.service.use import ServiceFile
+        from driftstair.service.service_file import ServiceFile
 
         known = {"version": 1, "full": True, "servers": []}
         nowhere = ("127.0.0.1", 1)
--- a/driftstair/rehearsal/tier/inside.py
+++ b/driftstair/rehearsal/tier/inside.py
@@ -8,8 +8,8 @@
 from driftstair.net.system import System
 from driftstair.rehearsal.tier.liar import lie
 from driftstair.rehearsal.tier.stage import KEY
-from driftstair.service.load import Loaded
-from driftstair.service.use import ServiceFile, specs_of
+from driftstair.service.load import LoadedService
+from driftstair.service.service_file import ServiceFile, budget_specs
 from driftstair.settings import Config
 from driftstair.tier import told
 from driftstair.tier.history import History
@@ -45,13 +45,13 @@
         self._period = period
         self._recorded = history
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedService:
         return super().load() if self._base is None else self._base.load()
 
-    def _tier(self, loaded: Loaded, config: Config, system: System) -> Tier:
+    def _tier(self, loaded: LoadedService, config: Config, system: System) -> Tier:
         history = Recorded(self._recorded(config.name))
         tier = Tier(
-            config, told.read(config), self._period, KEY, history, None, system, specs_of(loaded),
+            config, told.read(config), self._period, KEY, history, None, system, budget_specs(loaded),
             self._judges,
         )  # fmt: skip
         if config.name in self._liars and tier.sharing is not None:
--- a/driftstair/rehearsal/virtual.py
+++ b/driftstair/rehearsal/virtual.py
@@ -25,7 +25,7 @@
 from driftstair.rehearsal.tier.histories import Event, of_the_run
 from driftstair.rehearsal.tier.links import Links
 from driftstair.rehearsal.tier.service import budgets
-from driftstair.service.use import ServiceFile
+from driftstair.service.service_file import ServiceFile
 from driftstair.settings import Config
 
 EPOCH = 1_767_225_600_000_000_000  # ns: the wall clock starts at 2026-01-01 00:00 UTC
--- a/driftstair/service/command.py
+++ b/driftstair/service/command.py
@@ -12,11 +12,11 @@
 
 from driftstair.config import ConfigError, load
 from driftstair.daemon import shares
-from driftstair.limits.proof import prove
+from driftstair.limits.validation import find_problems
 from driftstair.service.load import Problem, ServiceError, read
 from driftstair.service.schema import Service
+from driftstair.service.service_file import platform_of
 from driftstair.service.units import shown_duration
-from driftstair.service.use import platform_of
 from driftstair.settings import Config
 
 FINE, PROBLEMS, UNREADABLE = 0, 1, 2
@@ -34,7 +34,7 @@
     try:
         config = _platform(options)
         loaded = read(options.file)
-        found = prove(loaded, None if config is None else platform_of(config, shares(config)[0]))
+        found = find_problems(loaded, None if config is None else platform_of(config, shares(config)[0]))
         status = PROBLEMS if any(not one.warning for one in found) else FINE
     except ConfigError as problem:
         print(f"driftstair: {options.config}: {problem}", file=sys.stderr)
--- a/driftstair/service/load.py
+++ b/driftstair/service/load.py
@@ -12,7 +12,7 @@
 from pydantic_core import ErrorDetails
 
 from driftstair.files import FileProblem, parsed, read_text
-from driftstair.service import locate
+from driftstair.service import toml_lines
 from driftstair.service.schema import Service
 
 Schema = TypeVar("Schema", bound=BaseModel)
@@ -48,26 +48,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedService:
     file: str
     service: Service
-    lines: dict[locate.Path, int]
+    lines: dict[toml_lines.KeyPath, int]
     hash: str
 
-    def problem(self, path: locate.Path, why: str, rule: str = "", instead: str = "",
+    def problem(self, path: toml_lines.KeyPath, why: str, rule: str = "", instead: str = "",
                 warning: bool = False) -> Problem:  # fmt: skip
-        return Problem(self.file, locate.line_of(self.lines, path), shown(path), why, rule, instead, warning)
+        return Problem(
+            self.file, toml_lines.line_of(self.lines, path), format_path(path), why, rule, instead, warning
+        )
 
 
-def shown(path: locate.Path) -> str:
+def format_path(path: toml_lines.KeyPath) -> str:
     return (
         "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in path).lstrip(".")
         or "the file"
     )
 
 
-def read(file: str) -> Loaded:
-    """Raises ServiceError. What types can't say is for `driftstair.limits.proof`."""
+def read(file: str) -> LoadedService:
+    """Raises ServiceError. What types can't say is for `driftstair.limits.validation`."""
     try:
         text = read_text(file)
     except FileProblem as problem:
@@ -75,12 +77,12 @@
     return parse(text, file)
 
 
-def parse(text: str, file: str) -> Loaded:
-    service, lines = validated(text, file, Service)
-    return Loaded(file, service, lines, hashlib.sha256(text.encode()).hexdigest()[:16])
+def parse(text: str, file: str) -> LoadedService:
+    service, lines = parse_as(text, file, Service)
+    return LoadedService(file, service, lines, hashlib.sha256(text.encode()).hexdigest()[:16])
 
 
-def validated(text: str, file: str, schema: type[Schema]) -> tuple[Schema, dict[locate.Path, int]]:
+def parse_as(text: str, file: str, schema: type[Schema]) -> tuple[Schema, dict[toml_lines.KeyPath, int]]:
     """A TOML text by any schema, and the lines on which its keys stand. Raises ServiceError."""
     try:
         tree = parsed(text, tomllib.loads)
@@ -91,7 +93,7 @@
         raise ServiceError(
             [Problem(file, found[0] if found else 0, "the file", f"no TOML text: {problem}")], unreadable=True
         ) from None
-    lines = locate.lines(text)
+    lines = toml_lines.key_lines(text)
     try:
         return schema.model_validate(tree), lines
     except ValidationError as problem:
@@ -99,7 +101,7 @@
 
 
 def _explained(
-    file: str, lines: dict[locate.Path, int], problem: ErrorDetails, schema: type[BaseModel]
+    file: str, lines: dict[toml_lines.KeyPath, int], problem: ErrorDetails, schema: type[BaseModel]
 ) -> Problem:
     path = tuple(step for step in problem["loc"] if not (isinstance(step, str) and "[" in step))
     why = problem["msg"].removeprefix("Value error, ")
@@ -116,10 +118,10 @@
         why = f"{why[:1].lower()}{why[1:]}"
         if not problem["type"].startswith("value_error"):
             why += f", not {given!r:.60}"
-    return Problem(file, locate.line_of(lines, path), shown(path), why, instead=instead)
+    return Problem(file, toml_lines.line_of(lines, path), format_path(path), why, instead=instead)
 
 
-def _keys_at(schema: type[BaseModel], path: locate.Path) -> list[str]:
+def _keys_at(schema: type[BaseModel], path: toml_lines.KeyPath) -> list[str]:
     """The keys of the table at a path."""
     model: Any = schema
     for step in path:
--- a/driftstair/service/schema.py
+++ b/driftstair/service/schema.py
@@ -6,7 +6,16 @@
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field
 
-from driftstair.service.units import Duration, NotNegative, Positive, Share, Size, SomeTime, Version, Whole
+from driftstair.service.units import (
+    Duration,
+    NotNegative,
+    Positive,
+    Share,
+    Size,
+    SomeTime,
+    Version,
+    WholeNumber,
+)
 
 Name = Annotated[str, Field(pattern=r"^[0-9A-Za-z][0-9A-Za-z._-]{0,63}$")]
 Outcome = Literal["error", "full", "timeout", "connect", "reset"]
@@ -52,7 +61,7 @@
 
 
 class Retry(Table):
-    attempts: Annotated[Whole, Field(ge=1, le=16)] | None = None  # copies included
+    attempts: Annotated[WholeNumber, Field(ge=1, le=16)] | None = None  # copies included
     on: tuple[Outcome, ...] | None = None
     backoff: Duration = 0
     backoff_most: SomeTime | None = None  # left out: ten times the first
@@ -78,7 +87,7 @@
 
 
 class Admit(Table):
-    in_flight: Annotated[Whole, Field(ge=1)] | None = None
+    in_flight: Annotated[WholeNumber, Field(ge=1)] | None = None
     rate: Rate | None = None
     body: Size | None = None
     priority: Literal["normal", "low", "lowest"] = "normal"
@@ -98,7 +107,7 @@
 
     box_per_s: Positive | None = None  # requests a second that a warm box carries
     per_s: Positive | None = None  # and the whole fleet
-    client_tries: Annotated[Whole, Field(ge=1, le=16)] = 3  # of one request, by its client
+    client_tries: Annotated[WholeNumber, Field(ge=1, le=16)] = 3  # of one request, by its client
     amplification_most: Annotated[float, Field(strict=True, ge=1, allow_inf_nan=False)] = 6.0
 
 
--- a/driftstair/service/use.py
+++ b/driftstair/service/service_file.py
@@ -9,10 +9,10 @@
 
 from driftstair.files import FileProblem
 from driftstair.hosts import ListError, parse_address
-from driftstair.limits.fleetwide import spent_by
-from driftstair.limits.proof import Platform, prove
-from driftstair.limits.table import Table
-from driftstair.service.load import Loaded, Problem, ServiceError, parse, read
+from driftstair.limits.fleet_budgets import spent_by
+from driftstair.limits.request_table import FileRequestTable
+from driftstair.limits.validation import Platform, find_problems
+from driftstair.service.load import LoadedService, Problem, ServiceError, parse, read
 from driftstair.service.schema import Control, FleetBudget, Service
 from driftstair.settings import Config
 
@@ -38,16 +38,18 @@
     )  # fmt: skip
 
 
-def checked(loaded: Loaded, config: Config, clients_most: int) -> tuple[Table, list[Problem]]:
+def checked(
+    loaded: LoadedService, config: Config, clients_most: int
+) -> tuple[FileRequestTable, list[Problem]]:
     """The routes, and warnings; raises ServiceError with every error."""
-    found = prove(loaded, platform_of(config, clients_most))
+    found = find_problems(loaded, platform_of(config, clients_most))
     errors = [one for one in found if not one.warning]
     if errors:
         raise ServiceError(errors)
-    return Table(loaded.service, config.settings, f"{loaded.file} ({loaded.hash})"), found
+    return FileRequestTable(loaded.service, config.settings, f"{loaded.file} ({loaded.hash})"), found
 
 
-def specs_of(loaded: Loaded) -> tuple[Spec, ...]:
+def budget_specs(loaded: LoadedService) -> tuple[Spec, ...]:
     """The fleet's budgets that a file names."""
     tier = loaded.service.tier
     if tier is None or not tier.budgets:
@@ -57,7 +59,7 @@
     return tuple(Spec(name, one.per_s, one.burst) for name, one in tier.budgets.items())
 
 
-def _collect(loaded: Loaded) -> tuple[Path, tuple[str, int]] | None:
+def _collect(loaded: LoadedService) -> tuple[Path, tuple[str, int]] | None:
     """Where ledgers are collected from, and to. Raises ServiceError."""
     wanted = None if loaded.service.tier is None else loaded.service.tier.collect
     if wanted is None:
@@ -75,7 +77,7 @@
         ) from None
 
 
-def _permits(loaded: Loaded) -> Rules | None:
+def _permits(loaded: LoadedService) -> Rules | None:
     wanted = None if loaded.service.tier is None else loaded.service.tier.permits
     if wanted is None:
         return None
@@ -84,7 +86,7 @@
     return Rules(wanted.at_once, wanted.term)
 
 
-def _control_servers(loaded: Loaded, wanted: Control) -> list[tuple[str, int]]:
+def _control_servers(loaded: LoadedService, wanted: Control) -> list[tuple[str, int]]:
     """Raises ServiceError."""
     addresses = []
     for index, text in enumerate(wanted.servers):
@@ -109,10 +111,10 @@
         self._begun = False
         self._service: Service | None = None  # in use
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedService:
         return read(self.file) if self._text is None else parse(self._text, self.file)
 
-    def table(self, config: Config, clients_most: int) -> Table:
+    def table(self, config: Config, clients_most: int) -> FileRequestTable:
         """As the file is now; raises ServiceError."""
         loaded = self.load()
         table, warnings = checked(loaded, config, clients_most)
@@ -123,16 +125,16 @@
             log.warning("%s", one)
         return table
 
-    def _follow(self, loaded: Loaded, config: Config) -> None:
+    def _follow(self, loaded: LoadedService, config: Config) -> None:
         """A process that runs takes the fleet's budgets of another file; raises ServiceError."""
         shares = self._in_tier is not None and self._in_tier.sharing is not None
         for path, name in spent_by(loaded):
             if not shares:
                 why = f"{name}: this process began without a budget of the fleet; it has to be started anew"
                 raise ServiceError([loaded.problem(path, why)])
-        if shares and self._in_tier is not None and specs_of(loaded):
+        if shares and self._in_tier is not None and budget_specs(loaded):
             self._enough(loaded, self._in_tier.nodes())
-            self._budgets = specs_of(loaded)
+            self._budgets = budget_specs(loaded)
             self._respec()
 
     def _respec(self) -> None:
@@ -149,9 +151,9 @@
         self._configured = tuple(Spec(name, one.per_s, one.burst) for name, one in budgets.items())
         self._respec()
 
-    def _enough(self, loaded: Loaded, count: int) -> None:
+    def _enough(self, loaded: LoadedService, count: int) -> None:
         """Raises ServiceError for a budget of which a node alone never gets one token together."""
-        for spec in specs_of(loaded):
+        for spec in budget_specs(loaded):
             saved = spec.per_s / count * spec.burst / 1e9
             if saved < 1:
                 least = ceil(count / spec.per_s * 10) / 10
@@ -177,7 +179,7 @@
         log_of_events = EventLog(config.name, level, system.monotonic_ns, system.time_ns, handler)
         return log_of_events, wanted.metrics_every / 1e9
 
-    def keeper(self, config: Config, system: System) -> tuple[Keeper, float] | None:
+    def open_ledger(self, config: Config, system: System) -> tuple[Keeper, float] | None:
         """The ledger that the file asks for, opened, and the s between two commits. Raises ServiceError for
         one that can't be kept."""
         loaded = self.load()
@@ -209,7 +211,7 @@
         """This node's part in the tier that the file asks for, not yet started. Raises ServiceError."""
         loaded = self.load()
         self._begun = True
-        self._budgets = specs_of(loaded)
+        self._budgets = budget_specs(loaded)
         self._in_tier = self._tier(loaded, config, system)
         return self._in_tier
 
@@ -238,12 +240,12 @@
             self.configure_budgets,
         )  # fmt: skip
 
-    def circumstances(self, config: Config, clients_most: int) -> tuple[Platform, Service]:
+    def platform_and_service(self, config: Config, clients_most: int) -> tuple[Platform, Service]:
         """What the configuration is judged by after a SIGHUP: the file that is in use, good or not."""
         assert self._service is not None
         return platform_of(config, clients_most), self._service
 
-    def _tier(self, loaded: Loaded, config: Config, system: System) -> Tier | None:
+    def _tier(self, loaded: LoadedService, config: Config, system: System) -> Tier | None:
         wanted = loaded.service.tier
         if wanted is None:
             return None
@@ -273,6 +275,6 @@
         except HistoryError as problem:
             raise ServiceError([loaded.problem(("tier", "history"), str(problem))]) from None
         return Tier(
-            config, peers, wanted.period, key, history, folder, system, specs_of(loaded), wanted.judge,
+            config, peers, wanted.period, key, history, folder, system, budget_specs(loaded), wanted.judge,
             _collect(loaded), _permits(loaded), loaded.service.control is not None,
         )  # fmt: skip
--- a/driftstair/service/locate.py
+++ b/driftstair/service/toml_lines.py
@@ -4,7 +4,7 @@
 
 import re
 
-Path = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 
 HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(?:#.*)?$")
 KEY = re.compile(
@@ -18,11 +18,11 @@
     return [found[0].strip("\"'") for found in PART.finditer(text)]
 
 
-def lines(text: str) -> dict[Path, int]:
+def key_lines(text: str) -> dict[KeyPath, int]:
     """Each table's and key's line, from 1. Arrays of tables count as in the parsed document."""
-    found: dict[Path, int] = {}
-    counts: dict[Path, int] = {}
-    table: Path = ()
+    found: dict[KeyPath, int] = {}
+    counts: dict[KeyPath, int] = {}
+    table: KeyPath = ()
     inside = ""  # a string over several lines
     for number, line in enumerate(text.splitlines(), 1):
         if inside:
@@ -50,7 +50,7 @@
     return found
 
 
-def line_of(where: dict[Path, int], path: Path) -> int:
+def line_of(where: dict[KeyPath, int], path: KeyPath) -> int:
     """The line of a key, or of what holds it: a key of an inline table stands on its table's line."""
     for length in range(len(path), 0, -1):
         for found in (path[:length], (*path[:length], 0)):  # an array of tables begins with its first
--- a/driftstair/service/units.py
+++ b/driftstair/service/units.py
@@ -63,7 +63,7 @@
 Share = Annotated[Number, Field(ge=0, le=1)]
 NotNegative = Annotated[Number, Field(ge=0)]
 Positive = Annotated[Number, Field(gt=0)]
-Whole = Annotated[int, Field(strict=True)]
+WholeNumber = Annotated[int, Field(strict=True)]
 
 
 def _whole(value: Any) -> Any:
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -24,7 +24,7 @@
 from driftstair.tier.wire import Codec, Unreadable
 
 if TYPE_CHECKING:
-    from driftstair.limits.budgets import Tokens
+    from driftstair.limits.budgets import TokenBudget
     from driftstair.tier.collecting import Collecting
     from driftstair.tier.ownership.permits import Rules
     from driftstair.tier.shared.budget import Spec
@@ -151,7 +151,7 @@
             self.sharing.respec(budgets)
             self._set_timer()
 
-    def tokens(self, name: str) -> Tokens:
+    def tokens(self, name: str) -> TokenBudget:
         """A budget of the fleet, for a route. Raises KeyError in a tier without any."""
         if self.sharing is None:
             raise KeyError(name)
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -77,7 +77,7 @@
     def earn(self, now: int, tokens: float) -> None:
         """It is told by the fleet's rate, not by what a route carries."""
 
-    def until(self, now: int, tokens: float = 1.0) -> int:
+    def ns_until(self, now: int, tokens: float = 1.0) -> int:
         budget = self._shared.budgets.get(self._name)
         return 0 if budget is None else budget.purse.until(self._clock(), tokens)
 
--- a/tests/configuration/test_route_index.py
+++ b/tests/configuration/test_route_index.py
@@ -10,7 +10,7 @@
 from driftstair.configuration.route_index import RouteIndex
 from driftstair.configuration.route_lines import escaped, path_id, path_rank, unescaped
 from driftstair.configuration.sorted_lines import BLOCK_LINES, SortedLines
-from driftstair.limits.routes import Asked, PathPattern, Pattern, Routes
+from driftstair.limits.routes import PathPattern, Pattern, RouteQuery, Routes
 from driftstair.service.schema import Match
 
 SOME = st.sampled_from
@@ -30,7 +30,7 @@
     },
 )
 REQUESTS = st.builds(
-    Asked,
+    RouteQuery,
     SOME(["page", "order", "cart"]), SOME(["acme", "series", "", "tab\tnew\nline"]), SOME(["GET", "POST"]),
     SOME(["/api", "/a", "/a/b", "/apix", "/x/b", "/a/c", "/a/x/c", "/q/r/s", "/a\n/x", "/", "", "//b", "/é"]),
     st.dictionaries(SOME([b"x-app", b"x-room"]), SOME([b"tv", b"a\tb", b"\xff\xfe"])),
@@ -42,7 +42,7 @@
     return Pattern.of(Match.model_validate(match))
 
 
-def best_rank(patterns: list[Pattern], asked: Asked) -> object:
+def best_rank(patterns: list[Pattern], asked: RouteQuery) -> object:
     return max((one.rank() for one in patterns if one.matches(asked)), default=None)
 
 
@@ -51,7 +51,7 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=500)
 def test_it_finds_what_the_routes_of_a_file_find(
-    changes: list[tuple[str, dict[str, Any] | None]], requests: list[Asked]
+    changes: list[tuple[str, dict[str, Any] | None]], requests: list[RouteQuery]
 ) -> None:
     index, routes = RouteIndex(), dict[str, Pattern]()
     for name, match in changes:
@@ -77,12 +77,14 @@
 
 @given(st.lists(MATCHES, max_size=10), st.sets(SOME("0123456789")), REQUESTS)
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_masked_routes_are_passed_over(matches: list[dict[str, Any]], masked: set[str], asked: Asked) -> None:
+def test_masked_routes_are_passed_over(
+    matches: list[dict[str, Any]], masked: set[str], asked: RouteQuery
+) -> None:
     index, patterns = RouteIndex(), dict[str, Pattern]()
     taken = set()
     for number, match in enumerate(matches):
         pattern = pattern_of(match)
-        entries = {(path_id(pattern.path), pattern.rank(), one) for one in pattern.wanted()}
+        entries = {(path_id(pattern.path), pattern.rank(), one) for one in pattern.look_up_keys()}
         if not taken & entries:  # as the proof has it: two routes are never found by the same
             taken |= entries
             patterns[str(number)] = pattern
@@ -102,7 +104,7 @@
     template = PathPattern.parse(one)
     found = {path for path in index.templates_that_meet(path_id(template)) if path is not None}
     alike = [path for path in paths if path.shape == 2 and path.rank() == template.rank()]
-    assert found == {path_id(path) for path in alike if path.meets(template)}
+    assert found == {path_id(path) for path in alike if path.overlaps(template)}
 
 
 @given(SOME(PATHS))
@@ -137,7 +139,7 @@
             index.add(f"template-{service}", pattern_of({"path": f"/service-{service:04d}/items/{{id}}"}))
         index._shapes = Counting(index._shapes)
         Counting.looks = 0
-        found = index.find(Asked("page", "", "GET", "/service-0007/items/9", {}, ""))
+        found = index.find(RouteQuery("page", "", "GET", "/service-0007/items/9", {}, ""))
         assert found is not None and found.name == "template-7"
         return Counting.looks
 
--- a/tests/configuration/test_route_table.py
+++ b/tests/configuration/test_route_table.py
@@ -37,7 +37,7 @@
     assert len(routes) == 0
     first = routes.rules("a")
     assert first is not None and first is routes.rules("a") and contents.asked == 1
-    assert (first.name, first.total, first.handed.route) == ("a", 1_000_000_000, FIRST)
+    assert (first.name, first.total, first.module_limits.route) == ("a", 1_000_000_000, FIRST)
     assert routes[FIRST] is first and list(routes) == [FIRST]
     assert routes.rules("nobody") is None
 
@@ -49,11 +49,11 @@
     contents.route("a", "2s")
     routes.on_change("a")
     changed = routes.rules("a")
-    assert changed is not None and (changed.total, changed.handed.route) == (2_000_000_000, FIRST)
+    assert changed is not None and (changed.total, changed.module_limits.route) == (2_000_000_000, FIRST)
     contents.route("b", "3s")
     routes.on_change_of_all()
     other = routes.rules("b")
-    assert other is not None and (other.total, other.handed.route) == (3_000_000_000, FIRST + 1)
+    assert other is not None and (other.total, other.module_limits.route) == (3_000_000_000, FIRST + 1)
 
 
 def test_a_route_that_is_gone_is_forgotten_and_its_number_is_not_used_again(contents: Contents) -> None:
@@ -66,7 +66,7 @@
     assert over == [FIRST] and len(routes) == 0
     contents.route("a", "1s")
     again = routes.rules("a")
-    assert again is not None and again.handed.route == FIRST + 1
+    assert again is not None and again.module_limits.route == FIRST + 1
     del contents["a"]
     routes.on_change_of_all()
     assert routes.rules("a") is None and over == [FIRST, FIRST + 1]
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -18,8 +18,8 @@
 from driftstair.configuration.state import ConfigurationState
 from driftstair.configuration.validation import BUDGETS_MAX, IncrementalValidator, Violation, run
 from driftstair.limits.findings import Platform
-from driftstair.limits.proof import prove
-from driftstair.service.load import Loaded
+from driftstair.limits.validation import find_problems
+from driftstair.service.load import LoadedService
 from driftstair.service.schema import Fleet, FleetBudget, Service
 
 ROUTE, BUDGET, TENANT, DRAIN = (
@@ -117,8 +117,10 @@
         service = Service.model_validate(tree).model_copy(update={"fleet": FLEET})
     except ValueError:
         return True
-    loaded = Loaded("f", service, {}, "")
-    return any(not one.warning for one in prove(loaded, platform)) or promised(service, platform) > 100.0
+    loaded = LoadedService("f", service, {}, "")
+    return (
+        any(not one.warning for one in find_problems(loaded, platform)) or promised(service, platform) > 100.0
+    )
 
 
 def promised(service: Service, platform: Platform | None) -> float:
--- a/tests/limits/platform_of_tests.py
+++ b/tests/limits/platform_of_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from driftstair.limits.proof import Platform
+from driftstair.limits.validation import Platform
 from lichenspring import interface as api
 from lichenspring.interface import Group, ListMode, Repeat
 
--- a/tests/limits/test_accepted_files.py
+++ b/tests/limits/test_accepted_files.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 from platform_of_tests import CLASSES, MS, PLATFORM, SETTINGS, S
 
-from driftstair.limits.limited import Limited
-from driftstair.limits.narrow import Rules
-from driftstair.limits.proof import prove
-from driftstair.limits.table import Table
-from driftstair.service.load import Loaded
+from driftstair.limits.compiled_route import RouteRules
+from driftstair.limits.limiting_module import LimitingModule
+from driftstair.limits.request_table import FileRequestTable
+from driftstair.limits.validation import find_problems
+from driftstair.service.load import LoadedService
 from driftstair.service.schema import Service
 from lichenspring import Balancer
 from lichenspring import interface as api
@@ -49,14 +49,14 @@
 class Play:
     """The module under limits against boxes that answer by chance; every promise of the rules is counted."""
 
-    def __init__(self, table: Table, seed: int) -> None:
+    def __init__(self, table: FileRequestTable, seed: int) -> None:
         self.random = Random(seed)
         self.table = table
         self.now = 100 * S
-        self.limited = Limited(Balancer(SETTINGS, seed), SETTINGS, table.rules)
+        self.limited = LimitingModule(Balancer(SETTINGS, seed), SETTINGS, table.rules)
         self.events: list[tuple[int, int, api.Event]] = []
         self.number = 0
-        self.rules: dict[int, Rules] = {}
+        self.rules: dict[int, RouteRules] = {}
         self.kinds: dict[int, str] = {}
         self.asked: dict[int, int] = {}
         self.sends: dict[int, list[tuple[int, api.Send]]] = {}
@@ -99,10 +99,10 @@
         if not found:
             return request
         rules = self.rules[request.id] = max(
-            found, key=lambda one: self.table.routes.patterns[one.handed.route].rank()
+            found, key=lambda one: self.table.routes.patterns[one.module_limits.route].rank()
         )
         self.first_tries[rules.name] += 1
-        return request._replace(limits=rules.handed)
+        return request._replace(limits=rules.module_limits)
 
     def settle(self, outcome: api.Outcome) -> api.Outcome:
         self.results[(outcome.request, outcome.attempt)] = (self.now, outcome.result)
@@ -137,14 +137,14 @@
             assert self.now - min(earlier[place][0] for place in maybe_ran) < kind.window
         assert send.server not in {one.server for _, one in earlier}
         if rules is not None:
-            assert index < rules.handed.attempts
+            assert index < rules.module_limits.attempts
             left = rules.total - (self.now - self.asked[number]) if rules.total else S * 100
             assert 0 < send.time_out <= max(1, left)
-            assert not rules.handed.time_out or send.time_out <= rules.handed.time_out
+            assert not rules.module_limits.time_out or send.time_out <= rules.module_limits.time_out
             if out:
                 assert rules.copies() and len(out) == 1 and kind.repeat is Repeat.SAFE
             elif index:
-                assert self.results[(number, index - 1)][1] in rules.handed.again
+                assert self.results[(number, index - 1)][1] in rules.module_limits.again
             if index:
                 self.more[rules.name] += 1
                 last = self.results.get((number, index - 1))
@@ -175,9 +175,9 @@
 def test_what_is_accepted_keeps_its_promises(routes: list[dict[str, object]], seed: int) -> None:
     named = [{"name": f"r{index}", **route} for index, route in enumerate(routes)]
     service = Service.model_validate({"version": 1, "route": named, "fleet": {"amplification_most": 16.0}})
-    loaded = Loaded("f", service, {}, "")
-    assume(not [one for one in prove(loaded, PLATFORM) if not one.warning])
-    play = Play(Table(service, SETTINGS), seed)
+    loaded = LoadedService("f", service, {}, "")
+    assume(not [one for one in find_problems(loaded, PLATFORM) if not one.warning])
+    play = Play(FileRequestTable(service, SETTINGS), seed)
     play.run(60)
     # Rule 1: one final answer each, in its time (a timer of the module's may wait for the next tick).
     assert set(play.final) == set(play.asked)
--- a/tests/limits/test_bad_files.py
+++ b/tests/limits/test_bad_files.py
@@ -7,7 +7,7 @@
 import pytest
 from platform_of_tests import PLATFORM
 
-from driftstair.limits.proof import prove
+from driftstair.limits.validation import find_problems
 from driftstair.service.load import Problem, ServiceError, parse
 
 BAD = sorted((Path(__file__).parent / "bad").glob("*.toml"))
@@ -15,7 +15,7 @@
 
 def problems(text: str) -> list[Problem]:
     try:
-        return [one for one in prove(parse(text, "f"), PLATFORM) if not one.warning]
+        return [one for one in find_problems(parse(text, "f"), PLATFORM) if not one.warning]
     except ServiceError as problem:
         return problem.problems
 
@@ -74,14 +74,14 @@
 
 def test_warnings_are_no_errors() -> None:
     text = 'version = 1\n[[route]]\nname = "a"\nmatch = { class = "page" }\ntimeout = { total = "900ms" }\n'
-    found = prove(parse(text, "f"), PLATFORM)
+    found = find_problems(parse(text, "f"), PLATFORM)
     assert [one.warning for one in found] == [True]
     assert "beyond the wanted time of page" in found[0].why
 
 
 def test_without_a_platform_only_what_the_file_says_of_itself_is_judged() -> None:
     text = 'version = 1\n[[route]]\nname = "a"\nmatch = { class = "anything" }\nretry = { attempts = 9 }\n'
-    assert prove(parse(text, "f"), None) == []
+    assert find_problems(parse(text, "f"), None) == []
     assert problems(text)
 
 
@@ -98,9 +98,9 @@
         "[ route . admit ]\n"
         "in_flight=3\n"
     )
-    from driftstair.service.locate import line_of, lines
+    from driftstair.service.toml_lines import key_lines, line_of
 
-    where = lines(text)
+    where = key_lines(text)
     assert where[("fleet", "client_tries")] == 2
     assert where[("route", 0)] == 4 and where[("route", 1)] == 8
     assert ("route", 0, "not") not in where
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -7,34 +7,34 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftstair.limits.budgets import SECOND, Bucket
+from driftstair.limits.budgets import SECOND, TokenBucket
 from driftstair.limits.latency import FADE_AT, Latencies
 
 MS = 1_000_000
 
 
 def test_a_bucket_is_full_at_first_and_earns_with_time() -> None:
-    bucket = Bucket(2.0, 3.0, 0)
+    bucket = TokenBucket(2.0, 3.0, 0)
     assert [bucket.take(0) for _ in range(4)] == [True, True, True, False]
-    assert bucket.until(0) == SECOND // 2 + 1
+    assert bucket.ns_until(0) == SECOND // 2 + 1
     assert not bucket.take(SECOND // 2 - MS)
     assert bucket.take(SECOND // 2 + MS)
     assert [bucket.take(100 * SECOND) for _ in range(4)] == [True, True, True, False]
 
 
 def test_what_is_earned_by_others_never_passes_the_burst() -> None:
-    bucket = Bucket(0.0, 2.0, 0)
+    bucket = TokenBucket(0.0, 2.0, 0)
     for _ in range(100):
         bucket.earn(0, 0.5)
-    assert bucket.tokens == 2.0 and bucket.until(0) == 0
+    assert bucket.tokens == 2.0 and bucket.ns_until(0) == 0
     bucket.take(0, 2.0)
-    assert bucket.until(0) == 0  # time alone never brings it
+    assert bucket.ns_until(0) == 0  # time alone never brings it
     bucket.earn(0, 0.5)
     assert not bucket.take(0)
 
 
 def test_a_clock_that_jumps_back_earns_nothing_and_goes_on_from_there() -> None:
-    bucket = Bucket(1.0, 5.0, 100 * SECOND)
+    bucket = TokenBucket(1.0, 5.0, 100 * SECOND)
     bucket.take(100 * SECOND, 5.0)
     assert not bucket.take(10 * SECOND)
     assert bucket.take(11 * SECOND + MS)
@@ -51,7 +51,7 @@
     per_s: float, burst: float, steps: list[tuple[int, bool]]
 ) -> None:
     now = forward = taken = 0
-    bucket = Bucket(per_s, burst, 0)
+    bucket = TokenBucket(per_s, burst, 0)
     for step, take in steps:
         now += step
         forward += max(0, step)
@@ -61,12 +61,12 @@
 
 
 def test_a_reload_is_no_new_burst() -> None:
-    old, new = Bucket(0.0, 10.0, 0), Bucket(0.0, 4.0, 0)
+    old, new = TokenBucket(0.0, 10.0, 0), TokenBucket(0.0, 4.0, 0)
     old.take(0, 9.0)
     new.carry_over(old, 0)
     assert new.tokens == 1.0
-    full = Bucket(0.0, 4.0, 0)
-    full.carry_over(Bucket(0.0, 10.0, 0), 0)
+    full = TokenBucket(0.0, 4.0, 0)
+    full.carry_over(TokenBucket(0.0, 10.0, 0), 0)
     assert full.tokens == 4.0
 
 
--- a/tests/limits/test_limited.py
+++ b/tests/limits/test_limited.py
@@ -7,9 +7,9 @@
 
 from platform_of_tests import MS, SETTINGS, S
 
-from driftstair.limits.limited import ADDED_FIRST, COPY_TOKEN, Limited
-from driftstair.limits.narrow import Rules
-from driftstair.limits.table import Table
+from driftstair.limits.compiled_route import RouteRules
+from driftstair.limits.limiting_module import COPY_TIMER_TOKEN, FIRST_ADDED_ROUTE, LimitingModule
+from driftstair.limits.request_table import FileRequestTable
 from driftstair.service.load import parse
 from lichenspring import Balancer
 from lichenspring import interface as api
@@ -19,12 +19,12 @@
 CALM = 100 * S  # boxes have been warm for long
 
 
-def table(*routes: str, settings: api.Settings = ONE_NODE) -> Table:
+def table(*routes: str, settings: api.Settings = ONE_NODE) -> FileRequestTable:
     """Routes named r0, r1, ... by the lines of their tables."""
     text = "version = 1\n" + "".join(
         f'[[route]]\nname = "r{index}"\n{one}\n' for index, one in enumerate(routes)
     )
-    return Table(parse(text, "f").service, settings)
+    return FileRequestTable(parse(text, "f").service, settings)
 
 
 class World:
@@ -33,8 +33,8 @@
     def __init__(self, *routes: str, boxes: int = 5, settings: api.Settings = ONE_NODE) -> None:
         self.table = table(*routes, settings=settings)
         self.now = CALM
-        self.added: dict[int, Rules] = {}
-        self.limited = Limited(Balancer(settings, 1), settings, self.table.rules, added=self.added)
+        self.added: dict[int, RouteRules] = {}
+        self.limited = LimitingModule(Balancer(settings, 1), settings, self.table.rules, added=self.added)
         self.timers: list[tuple[int, int]] = []
         self.sent: dict[int, list[api.Send]] = {}
         self.final: dict[int, api.Action] = {}
@@ -61,15 +61,15 @@
     def add(self, route: int, text: str) -> None:
         """A route beside the file's is as this from now on."""
         rules = table(text).rules[0]
-        self.added[route] = replace(rules, handed=rules.handed._replace(route=route))
+        self.added[route] = replace(rules, module_limits=rules.module_limits._replace(route=route))
 
     def ask_added(self, number: int, route: int) -> None:
-        self.tell(api.Request(number, S, 0, 0, 0, False, self.added[route].handed))
+        self.tell(api.Request(number, S, 0, 0, 0, False, self.added[route].module_limits))
 
     def ask(
         self, number: int, route: int = 0, tenant: int = 0, kind: int = 0, left: int = S
     ) -> list[api.Action]:
-        handed = self.table.rules[route].handed
+        handed = self.table.rules[route].module_limits
         return self.tell(api.Request(number, left, kind, tenant, 0, False, handed))
 
     def end(
@@ -342,7 +342,7 @@
     world.ask(1)
     world.ask(2)
     world.table = table("admit = { in_flight = 3 }\nretry = { attempts = 1 }")
-    world.limited.replace(world.now, world.table.rules)
+    world.limited.replace_rules(world.now, world.table.rules)
     world.ask(3)
     world.ask(4)
     assert 3 in world.sent and 4 in world.final  # the two from before count
@@ -359,7 +359,7 @@
     world.ask(2, route=1)
     world.end(2, Result.ERROR)  # backs off
     world.table = table("")
-    world.limited.replace(world.now, world.table.rules)
+    world.limited.replace_rules(world.now, world.table.rules)
     world.wait(60 * MS)
     assert len(world.sent[1]) == 2 and len(world.sent[2]) == 3  # with its copy
     for number in (1, 2):
@@ -371,7 +371,7 @@
 def test_an_added_route_is_counted_from_its_first_request_and_a_change_is_no_new_burst() -> None:
     """Changing one of thousands of routes may not make what is counted of all the others anew."""
     world = World("admit = { in_flight = 1 }")
-    route, other = ADDED_FIRST, ADDED_FIRST + 7
+    route, other = FIRST_ADDED_ROUTE, FIRST_ADDED_ROUTE + 7
     world.add(route, "admit = { in_flight = 2, rate = { per_s = 0.001, burst = 3.0 } }")
     world.add(other, "admit = { in_flight = 1 }")
     assert world.limited._added_states == {}
@@ -394,21 +394,21 @@
 
 def test_an_added_route_outlives_a_reload_and_may_go_while_it_has_requests() -> None:
     world = World("")
-    route = ADDED_FIRST + 1
+    route = FIRST_ADDED_ROUTE + 1
     world.add(route, "admit = { in_flight = 1 }")
     world.ask_added(1, route)
-    world.limited.replace(world.now, world.table.rules)
+    world.limited.replace_rules(world.now, world.table.rules)
     world.ask_added(2, route)
     assert 2 in world.final
     assert not world.limited.is_idle(route) and world.limited.is_idle(route + 1)
-    world.limited.forget(route)
+    world.limited.remove_route(route)
     del world.added[route]
     world.end(1, Result.OK)
     assert world.limited._entries == {} and world.limited._added_states == {}
 
 
 def test_tenants_that_clients_make_up_fill_no_memory(monkeypatch: Any) -> None:
-    monkeypatch.setattr("driftstair.limits.limited.TENANTS_MOST", 10)
+    monkeypatch.setattr("driftstair.limits.limiting_module.TENANTS_MOST", 10)
     world = World('admit = { rate = { per_s = 1.0, by = "tenant" } }')
     for number in range(1, 100):
         world.ask(number, tenant=number)
@@ -416,4 +416,4 @@
 
 
 def test_the_layers_timer_is_none_of_the_modules() -> None:
-    assert COPY_TOKEN > 1000
+    assert COPY_TIMER_TOKEN > 1000
--- a/tests/limits/test_routes.py
+++ b/tests/limits/test_routes.py
@@ -6,15 +6,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftstair.limits.routes import Asked, PathPattern, Pattern, Routes
+from driftstair.limits.routes import PathPattern, Pattern, RouteQuery, Routes
 from driftstair.service.schema import Match
 
 
 def asked(
     kind: str = "page", tenant: str = "acme", method: str = "GET", path: str = "/api", key: str = "video-7",
     **fields: str,
-) -> Asked:  # fmt: skip
-    return Asked(
+) -> RouteQuery:  # fmt: skip
+    return RouteQuery(
         kind, tenant, method, path, {k.replace("_", "-").encode(): v.encode() for k, v in fields.items()}, key
     )
 
@@ -103,7 +103,7 @@
     st.lists(MATCHES, max_size=12), REQUESTS, st.dictionaries(SOME(["x-app", "x-room"]), SOME(["tv", "a"]))
 )
 def test_the_index_finds_what_a_look_at_each_route_finds(
-    matches: list[dict[str, object]], request: Asked, fields: dict[str, str]
+    matches: list[dict[str, object]], request: RouteQuery, fields: dict[str, str]
 ) -> None:
     patterns = [Pattern.of(Match.model_validate(one)) for one in matches]
     request = request._replace(fields={k.encode(): v.encode() for k, v in fields.items()})
@@ -123,7 +123,7 @@
     tried = ["/a", "/a/", "/b", "/a/b", "/a/c", "/c/b", "/c/d", "/a/b/c", "/a/bx", "/c", "/"]
     both = [path for path in tried if first.matches(path) and second.matches(path)]
     if both:
-        assert first.meets(second)
+        assert first.overlaps(second)
     if first.covers(second):
         assert all(first.matches(path) for path in tried if second.matches(path))
 
--- a/tests/node_configuration/test_in_force.py
+++ b/tests/node_configuration/test_in_force.py
@@ -11,8 +11,8 @@
 from driftstair.configuration.change_sets import Change, LoggedChangeSet
 from driftstair.configuration.resources import Resource, ResourceKey, canonical
 from driftstair.configuration.state import RevisionGapError
-from driftstair.limits.limited import ADDED_FIRST
-from driftstair.limits.routes import Asked
+from driftstair.limits.limiting_module import FIRST_ADDED_ROUTE
+from driftstair.limits.routes import RouteQuery
 from driftstair.node_configuration.effects import ClusterEffects
 from driftstair.node_configuration.in_force import Applied, ConfigurationInForce
 from driftstair.node_configuration.request_tables import RequestTables
@@ -51,8 +51,8 @@
     return None
 
 
-def asked(path: str) -> Asked:
-    return Asked("page", "", "GET", path, {}, "")
+def asked(path: str) -> RouteQuery:
+    return RouteQuery("page", "", "GET", path, {}, "")
 
 
 def many(in_flight: int, path: str) -> list[Change]:
@@ -132,13 +132,14 @@
     put(route(in_flight=2))
     second = tables.find(asked("/a"))
     assert first is not None and second is not None
-    assert first.handed.route == second.handed.route >= ADDED_FIRST
+    assert first.module_limits.route == second.module_limits.route >= FIRST_ADDED_ROUTE
     assert (first.in_flight, second.in_flight) == (1, 2)
     put(None)
     assert tables.find(asked("/a")) is None and len(tables.routes) == 0
     put(route(in_flight=3))
     third = tables.find(asked("/a"))
-    assert third is not None and third.handed.route != first.handed.route  # what was counted is over
+    # What was counted is over.
+    assert third is not None and third.module_limits.route != first.module_limits.route
 
 
 def test_a_set_that_is_not_the_next_one_changes_nothing() -> None:
--- a/tests/node_configuration/test_in_the_daemon.py
+++ b/tests/node_configuration/test_in_the_daemon.py
@@ -356,7 +356,7 @@
     "from driftstair.config import load\n"
     "from driftstair.daemon import assemble\n"
     "from driftstair.net.system import SOCKETS\n"
-    "from driftstair.service.use import ServiceFile\n"
+    "from driftstair.service.service_file import ServiceFile\n"
     "async def main():\n"
     "    config = load({{'BALANCER_CONFIG': {path!r}}})\n"
     "    file = ServiceFile('f', {text!r})\n"
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -255,7 +255,7 @@
             self.config = load({"BALANCER_CONFIG": str(path)})
         limits = None
         if self._service is not None:
-            from driftstair.service.use import ServiceFile
+            from driftstair.service.service_file import ServiceFile
 
             limits = ServiceFile("service.toml", self._service).table(self.config, 541)
         self.node, self.front = assemble(self.config, SYSTEM, limits)
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -17,7 +17,7 @@
 from benchmarks.scale.node import Told, stage
 from benchmarks.scale.series import SERIES
 from benchmarks.scale.slopes import run_point
-from driftstair.limits.routes import Asked, Pattern, Routes
+from driftstair.limits.routes import Pattern, RouteQuery, Routes
 from driftstair.net.documents import Documents
 from driftstair.service.load import parse
 from lichenspring.balance import TABLE_SIZE
@@ -41,7 +41,7 @@
     index = Routes(Pattern.of(match) for match in matches)
     index._exact, index._prefixes = CountingDict(index._exact), CountingDict(index._prefixes)
     CountingDict.looked_up = 0
-    found = index.find(Asked("page", "", "GET", "/svc-0000/r07/item", {}, "k"))
+    found = index.find(RouteQuery("page", "", "GET", "/svc-0000/r07/item", {}, "k"))
     assert found == 7
     return CountingDict.looked_up
 
--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -10,7 +10,7 @@
 import pytest
 from world import MS, SECOND, START, Node, server, settings
 
-from driftstair.limits.table import Table
+from driftstair.limits.request_table import FileRequestTable
 from driftstair.service.load import ServiceError, parse
 from driftstair.tally.tally import Tally
 from lichenspring import Balancer
@@ -162,7 +162,9 @@
 def test_off_it_is_not_there_and_bad_figures_are_refused() -> None:
     rules = settings()
     for text, wrapped in (("version = 1", False), ('version = 1\n[tally]\nevery = "2s"', True)):
-        module = Table(parse(text, "f").service, rules).limited(Balancer(rules, 1), rules, lambda: 0)
+        module = FileRequestTable(parse(text, "f").service, rules).limiting_module(
+            Balancer(rules, 1), rules, lambda: 0
+        )
         assert isinstance(module._module, Tally) is wrapped
     for text in ('every = "0s"', "every = 1", 'evry = "1s"', ""):
         with pytest.raises(ServiceError, match="tally"):
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -26,7 +26,7 @@
     until,
 )
 
-from driftstair.limits.limited import COPY_TOKEN
+from driftstair.limits.limiting_module import COPY_TIMER_TOKEN
 from driftstair.net import client_connection
 from driftstair.net.system import LONG_AGO, SOCKETS
 from lichenspring import interface as api
@@ -313,7 +313,7 @@
             client.writer.write(request())
             await until(lambda: one.seen or two.seen)
             await leave(rig, client)
-            await until(lambda: timers(rig, COPY_TOKEN))
+            await until(lambda: timers(rig, COPY_TIMER_TOKEN))
             held.release.set()
             await over(rig)
             assert len(one.seen) + len(two.seen) == 1
--- a/tests/tier/test_budget_checks.py
+++ b/tests/tier/test_budget_checks.py
@@ -106,7 +106,7 @@
     assert mine.take(0) and spent == ["b"]
     assert sum(mine.take(0) for _ in range(50)) == 9 and len(spent) == 10
     assert not mine.has(0)
-    assert mine.until(0) == pytest.approx(SECOND / 5, rel=1e-3)
+    assert mine.ns_until(0) == pytest.approx(SECOND / 5, rel=1e-3)
     clock.now = SECOND
     assert sum(mine.take(0) for _ in range(50)) == 5
 
@@ -127,7 +127,7 @@
     mine, core, _, spent = tokens()
     assert mine.has(0)
     core.close()
-    assert not mine.has(0) and not mine.take(0) and mine.until(0) == 0 and spent == []
+    assert not mine.has(0) and not mine.take(0) and mine.ns_until(0) == 0 and spent == []
 
 
 def test_the_report_says_what_is_held_lent_and_wanted() -> None:
