--- a/tests/node_configuration/test_in_the_daemon.py
+++ b/tests/node_configuration/test_in_the_daemon.py
@@ -358,7 +358,7 @@
     "from driftstair.config import load\n"
     "from driftstair.daemon import build_node\n"
     "from driftstair.net.system import SOCKET_SYSTEM\n"
-    "from driftstair.service.use import ServiceFile\n"
+    "from driftstair.service.service_file import ServiceFile\n"
     "async def main():\n"
     "    config = load({{'BALANCER_CONFIG': {path!r}}})\n"
     "    file = ServiceFile('f', {text!r})\n"
