--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -27,10 +27,10 @@
 
 def measure_collector(size: int, folder: Path) -> dict[str, float]:
     """One look of the collector at a folder with a ledger of each node, as it takes one a second."""
-    from driftstair.tier.collecting import is_free, ledgers
+    from driftstair.tier.collector import is_free, ledgers
 
     def look() -> int:
-        """What `Collecting._run` does on the event loop where all that is there has been brought in."""
+        """What `LedgerCollector._run` does on the event loop where all that is there has been brought in."""
         return sum(
             sum(path.stat().st_size for path in folder.glob(f"{node}-*.ledger")) for node in ledgers(folder)
         )
@@ -102,11 +102,11 @@
     async def run() -> dict[str, float]:
         from driftstair.config import load
         from driftstair.net.system import SOCKETS
-        from driftstair.tier import told
+        from driftstair.tier import peer_config
         from driftstair.tier.service import Tier
 
         config = load({"BALANCER_CONFIG": str(folder / "old.json")})
-        process = Tier(config, told.read(config), PERIOD, KEY, None, None, SOCKETS)
+        process = Tier(config, peer_config.read(config), PERIOD, KEY, None, None, SOCKETS)
         process._tell(all_alive(size))
         return {
             "report_bytes": len(json.dumps(process.report())),
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -24,12 +24,12 @@
 from driftstair import config
 from driftstair.rehearsal import load, platform
 from driftstair.settings import Config
-from driftstair.tier import kept, wire
+from driftstair.tier import member_list, wire
 from driftstair.tier.membership.members import Claim, State, Traits
 from driftstair.tier.ownership.permits import Rules
+from driftstair.tier.peer_config import PeerConfig
 from driftstair.tier.service import life_at
 from driftstair.tier.shared.budget import Spec
-from driftstair.tier.told import Told
 
 KEY = b"the key of a cluster of hollow nodes"
 BUDGET = "retries"
@@ -56,7 +56,7 @@
         Claim(number, life, 0, State.ALIVE, number, Traits(zone_of(number), wire.VERSION, supports))
         for number in range(plan.count) if number != own
     )  # fmt: skip
-    kept.write(path, claims)
+    member_list.write(path, claims)
 
 
 class HollowNode:
@@ -86,7 +86,7 @@
         )  # fmt: skip
         system.writes = plan.on_disk
         peers = tuple((one.host, one.port) for one in addresses)  # each node has a list of its own
-        told = Told(peers[self.number], peers, self.number, zone_of(self.number))
+        told = PeerConfig(peers[self.number], peers, self.number, zone_of(self.number))
         seed = plan.seed << 32 | self._generation << 16 | self.number
         self._system = system
         self.tier = TimedTier(
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -34,11 +34,11 @@
 def _measure(size: int, folder: Path) -> dict[str, float]:
     from driftstair.config import load
     from driftstair.net.system import SOCKETS
-    from driftstair.tier import told
+    from driftstair.tier import peer_config
     from driftstair.tier.service import Tier
 
     config = load({"BALANCER_CONFIG": str(folder / "old.json")})
-    peers, reading = measured(lambda: told.read(config))
+    peers, reading = measured(lambda: peer_config.read(config))
     claims = all_alive(size)
 
     def start() -> Tier:
--- a/driftstair/control/replication/election.py
+++ b/driftstair/control/replication/election.py
@@ -15,7 +15,7 @@
 from driftstair.tier.ownership import wire
 from driftstair.tier.ownership.leases import Leases, Owns
 from driftstair.tier.ownership.messages import Letters
-from driftstair.tier.shared.wire import Unusable
+from driftstair.tier.shared.wire import InvalidItem
 
 TASK = "configuration"
 ALIVE_AFTER_NS = 3_000_000_000  # a replica that was heard of within this is taken for alive
@@ -72,7 +72,7 @@
             if not message.item or message.item[0] not in wire.KINDS:
                 return ElectionResult()
             read = wire.read(message.item)
-        except Unusable:
+        except InvalidItem:
             return ElectionResult()
         return self._result(now_ns, *self._leases.heard(now_ns, sender, message.generation, read))
 
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -19,7 +19,7 @@
 from driftstair.tier.membership.members import Traits
 from driftstair.tier.service import DOUBTFUL
 from driftstair.tier.sharing import Sharing, Speaks
-from driftstair.tier.wire import Codec, Unreadable
+from driftstair.tier.wire import Codec, InvalidDatagram
 from lichenspring.interface import Module
 
 
@@ -103,7 +103,7 @@
     def came(self, source: int, data: bytes) -> None:
         try:
             message = self._peers.codec.decode(data)
-        except Unreadable:
+        except InvalidDatagram:
             return
         if message.mine.number == source:
             self._tell(api.Heard(message))
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -137,7 +137,7 @@
                 return 404, {"error": "this node watches no configuration"}
             return 200, self.configuration()
         if call.order in OF_THE_TIER:
-            from driftstair.tier.ordered import obey
+            from driftstair.tier.operator_commands import obey
 
             return obey(self.tier, call)
         if call.order is Order.NODE_OUT:
--- a/driftstair/rehearsal/tier/inside.py
+++ b/driftstair/rehearsal/tier/inside.py
@@ -11,7 +11,7 @@
 from driftstair.service.load import Loaded
 from driftstair.service.use import ServiceFile, specs_of
 from driftstair.settings import Config
-from driftstair.tier import told
+from driftstair.tier import peer_config
 from driftstair.tier.history import History
 from driftstair.tier.service import Tier
 
@@ -51,7 +51,7 @@
     def _tier(self, loaded: Loaded, config: Config, system: System) -> Tier:
         history = Recorded(self._recorded(config.name))
         tier = Tier(
-            config, told.read(config), self._period, KEY, history, None, system, specs_of(loaded),
+            config, peer_config.read(config), self._period, KEY, history, None, system, specs_of(loaded),
             self._judges,
         )  # fmt: skip
         if config.name in self._liars and tier.sharing is not None:
--- a/driftstair/rehearsal/tier/judgements.py
+++ b/driftstair/rehearsal/tier/judgements.py
@@ -8,7 +8,7 @@
 
 from driftstair.net.identifiers import digest
 from driftstair.rehearsal.tier.checks import SECOND, Finding
-from driftstair.tier.watching import key
+from driftstair.tier.observed_module import key
 
 FOREVER = 1 << 62
 
--- a/driftstair/service/use.py
+++ b/driftstair/service/use.py
@@ -248,7 +248,7 @@
         if wanted is None:
             return None
         try:
-            from driftstair.tier import told
+            from driftstair.tier import peer_config
             from driftstair.tier.history import History, HistoryError
             from driftstair.tier.key import read_key
             from driftstair.tier.service import Tier
@@ -256,8 +256,8 @@
             why = f"wants {problem.name}: pip install 'driftstair[tier]'"
             raise ServiceError([loaded.problem(("tier",), why)]) from None
         try:
-            peers = told.read(config)
-        except told.ToldError as problem:
+            peers = peer_config.read(config)
+        except peer_config.PeerConfigError as problem:
             raise ServiceError([loaded.problem(("tier",), str(problem), instead="no such table")]) from None
         self._enough(loaded, len(peers.peers))
         try:
--- a/driftstair/tier/collecting.py
+++ b/driftstair/tier/collector.py
@@ -42,7 +42,7 @@
     return sorted(path.name.removesuffix("-00000001.ledger") for path in folder.glob("*-00000001.ledger"))
 
 
-class Collecting:
+class LedgerCollector:
     """`token()`: to act with now, 0 for none; `floor(token)`: the books know a greater one; `write`: for the
     history; `aside`: does what waits, off the loop's turn."""
 
--- a/driftstair/tier/lent.py
+++ b/driftstair/tier/loan_expiry.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from driftstair.files import FileProblem, parsed, read_text
-from driftstair.tier.kept import put
+from driftstair.tier.member_list import put
 
 log = logging.getLogger(__name__)
 
--- a/driftstair/tier/kept.py
+++ b/driftstair/tier/member_list.py
@@ -15,7 +15,7 @@
 FORMAT = "driftstair.members/1"
 
 
-class KeptError(Exception):
+class MemberListError(Exception):
     """A file that tells nothing; the text says why."""
 
 
@@ -40,22 +40,22 @@
 
 
 def read(path: Path) -> tuple[Claim, ...]:
-    """Nothing if there is no file. Raises KeptError."""
+    """Nothing if there is no file. Raises MemberListError."""
     if not path.exists():
         return ()
     try:
         tree = parsed(read_text(str(path)), json.loads)
     except (FileProblem, ValueError) as problem:
-        raise KeptError(str(problem)) from None
+        raise MemberListError(str(problem)) from None
     if not isinstance(tree, dict) or tree.get("format") != FORMAT:
-        raise KeptError(f"is no {FORMAT}")
+        raise MemberListError(f"is no {FORMAT}")
     rows = tree.get("members")
     if not isinstance(rows, list) or tree.get("sum") != _sum(rows):
-        raise KeptError("its sum is not right")
+        raise MemberListError("its sum is not right")
     try:
         return tuple(_claim(row) for row in rows)
     except (TypeError, ValueError) as problem:
-        raise KeptError(f"holds no claim: {problem}") from None
+        raise MemberListError(f"holds no claim: {problem}") from None
 
 
 def _claim(row: list[int]) -> Claim:
--- a/driftstair/tier/membership/core.py
+++ b/driftstair/tier/membership/core.py
@@ -23,9 +23,9 @@
 from driftstair.tier.membership.events import Action, Changed, Kind, Message, Seen, Send
 from driftstair.tier.membership.health import Health
 from driftstair.tier.membership.members import Claim, Member, State, Traits
-from driftstair.tier.membership.news import News
 from driftstair.tier.membership.probing import Probe, Probing
 from driftstair.tier.membership.suspicion import MOST_TIMES, Suspicion, least
+from driftstair.tier.membership.update_queue import News
 from driftstair.tier.replay import Window
 
 NEVER = 1 << 62
--- a/driftstair/tier/watching.py
+++ b/driftstair/tier/observed_module.py
@@ -20,7 +20,7 @@
     return int.from_bytes(server[:4], "big")
 
 
-class Watching:
+class ObservedModule:
     """`judge`: as it is now; None while this process is not that node."""
 
     def __init__(self, module: api.Module, judge: Callable[[], Judge | None]) -> None:
--- a/driftstair/tier/ownership/wire.py
+++ b/driftstair/tier/ownership/wire.py
@@ -13,7 +13,7 @@
     Refused,
     Release,
 )
-from driftstair.tier.shared.wire import NODE_MOST, NS_MOST, Item, Unusable, whole
+from driftstair.tier.shared.wire import NODE_MOST, NS_MOST, InvalidItem, Item, whole
 from driftstair.tier.wire import COUNT_MOST
 
 KINDS: dict[int, type[Message]] = {
@@ -41,10 +41,10 @@
 
 
 def read_permit(found: Item) -> permits.Message:
-    """Raises Unusable. What a later version adds behind the fields is passed over."""
+    """Raises InvalidItem. What a later version adds behind the fields is passed over."""
     kind, ranges = PERMITS[found[0]]
     if len(found) <= len(ranges):
-        raise Unusable("too_few_fields")
+        raise InvalidItem("too_few_fields")
     return kind(*(whole(value, most, least) for value, (least, most) in zip(found[1:], ranges, strict=False)))
 
 
@@ -60,11 +60,11 @@
 
 
 def read(found: Item) -> Message:
-    """Raises Unusable."""
+    """Raises InvalidItem."""
     kind, fields = KINDS[found[0]], found[1:]
     least = {Prepare: 2, Promise: 2, Propose: 3, Accepted: 3, Refused: 5, Release: 3}[kind]
     if len(fields) < least:
-        raise Unusable("too_few_fields")
+        raise InvalidItem("too_few_fields")
     task, token = whole(fields[0], COUNT_MOST), whole(fields[1], TOKEN_MOST)
     if kind is Prepare:
         return Prepare(task, token)
--- a/driftstair/tier/told.py
+++ b/driftstair/tier/peer_config.py
@@ -11,36 +11,36 @@
 ZONE_MOST = 255
 
 
-class ToldError(Exception):
+class PeerConfigError(Exception):
     """What is told is no tier; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class PeerConfig:
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]  # in the order of their numbers, this node's among them
     own: int
     zone: int  # its index in the settings
 
 
-def read(config: Config) -> Told:
-    """Raises ToldError."""
+def read(config: Config) -> PeerConfig:
+    """Raises PeerConfigError."""
     between = config.between
     if between is None:
-        raise ToldError("the platform's settings allow no peers (Limits.Peers)")
+        raise PeerConfigError("the platform's settings allow no peers (Limits.Peers)")
     peers = between.get("peers")
     if not isinstance(peers, list) or not 0 < len(peers) <= NODES_MOST:
-        raise ToldError(f"the platform's peers are no list of 1 to {NODES_MOST} addresses")
+        raise PeerConfigError(f"the platform's peers are no list of 1 to {NODES_MOST} addresses")
     try:
         listen = parse_address(between.get("peer_listen"))
         found = tuple(parse_address(one) for one in peers)
     except ListError as problem:
-        raise ToldError(f"the platform's peers: {problem}") from None
+        raise PeerConfigError(f"the platform's peers: {problem}") from None
     if len(set(found)) < len(found):
-        raise ToldError("the platform's peers: an address stands there twice")
+        raise PeerConfigError("the platform's peers: an address stands there twice")
     own = config.settings.number
     if own >= len(found):
-        raise ToldError(f"the platform's peers are {len(found)}, and SelfIndex is {own}")
+        raise PeerConfigError(f"the platform's peers are {len(found)}, and SelfIndex is {own}")
     zone = between.get("zone")
     known = isinstance(zone, int) and not isinstance(zone, bool) and 0 <= zone <= ZONE_MOST
-    return Told(listen, found, own, zone if known else 0)  # type: ignore[arg-type]
+    return PeerConfig(listen, found, own, zone if known else 0)  # type: ignore[arg-type]
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -15,17 +15,17 @@
 
 from driftstair.net.system import Datagrams, System
 from driftstair.settings import Config
-from driftstair.tier import kept, lent, told, wire
+from driftstair.tier import loan_expiry, member_list, peer_config, wire
 from driftstair.tier.history import History
-from driftstair.tier.kept import KeptError
+from driftstair.tier.member_list import MemberListError
 from driftstair.tier.membership import events as api
 from driftstair.tier.membership.core import NEVER, Membership
 from driftstair.tier.membership.members import Claim, State, Traits
-from driftstair.tier.wire import Codec, Unreadable
+from driftstair.tier.wire import Codec, InvalidDatagram
 
 if TYPE_CHECKING:
     from driftstair.limits.budgets import Tokens
-    from driftstair.tier.collecting import Collecting
+    from driftstair.tier.collector import LedgerCollector
     from driftstair.tier.ownership.permits import Rules
     from driftstair.tier.shared.budget import Spec
     from driftstair.tier.sharing import Sharing
@@ -56,7 +56,7 @@
     shared state is loaded."""
 
     def __init__(
-        self, config: Config, peers: told.Told, period: int, key: bytes, history: History | None,
+        self, config: Config, peers: peer_config.PeerConfig, period: int, key: bytes, history: History | None,
         folder: Path | None, system: System, budgets: Sequence[Spec] = (), judges: bool = False,
         collect: tuple[Path, tuple[str, int]] | None = None, permits: Rules | None = None,
         shares: bool = False,
@@ -91,7 +91,7 @@
             wire.ROOM, wire.size,
         )  # fmt: skip
         self.sharing: Sharing | None = None
-        self._collecting: Collecting | None = None
+        self._collecting: LedgerCollector | None = None
         if shares:
             from driftstair.tier.sharing import Permitted, Sharing, Speaks
 
@@ -102,11 +102,11 @@
                 self._keep_token,
             )  # fmt: skip
         if collect:
-            from driftstair.tier.collecting import TASK, Collecting
+            from driftstair.tier.collector import TASK, LedgerCollector
 
             sharing = self.sharing
             assert sharing is not None
-            self._collecting = Collecting(
+            self._collecting = LedgerCollector(
                 *collect, lambda: sharing.token(TASK), lambda token: sharing.floor(TASK, token), self._write,
                 system.aside,
             )  # fmt: skip
@@ -117,8 +117,8 @@
         claims: tuple[Claim, ...] = ()
         if self._kept is not None:
             try:
-                claims = kept.read(self._kept)
-            except KeptError as problem:
+                claims = member_list.read(self._kept)
+            except MemberListError as problem:
                 log.warning("%s tells of no member: it %s", self._kept.name, problem)
             self._keeping = self._loop.call_later(KEPT_EVERY, self._keep_again)
         self._write("start", nodes=len(self._told.peers))
@@ -138,7 +138,7 @@
             return
         if self.sharing is not None:
             # The machine gives the address to one process alone: whoever has it has the number's rights.
-            lent_until = lent.take(self._lent) if self._lent is not None and not self._opened else None
+            lent_until = loan_expiry.take(self._lent) if self._lent is not None and not self._opened else None
             self._opened = True
             self.sharing.open(
                 self._told.own, self.core.mine.life, len(self._told.peers), lent_until, self._token()
@@ -191,8 +191,8 @@
     def reload(self, config: Config) -> None:
         """The platform may name other peers."""
         try:
-            peers = told.read(config)
-        except told.ToldError as problem:
+            peers = peer_config.read(config)
+        except peer_config.PeerConfigError as problem:
             log.error("the new peers are not used: %s", problem)
             return
         before, self._told = self._told, peers
@@ -228,7 +228,7 @@
         self._unbind()
         if self._lent is not None and lent_until is not None:
             path, until = self._lent, lent_until
-            await self._system.aside(lambda: lent.write(path, until))
+            await self._system.aside(lambda: loan_expiry.write(path, until))
         for task in list(self._tasks):
             await task
         if self._kept is not None:
@@ -317,7 +317,7 @@
             return
         try:
             message = self._codec.decode(data)
-        except Unreadable as problem:
+        except InvalidDatagram as problem:
             self._throw(str(problem))
             return
         if message.mine.number != number:
@@ -355,7 +355,7 @@
         path, claims = self._kept, self.core.held()
         assert path is not None
         try:
-            await self._system.aside(lambda: kept.write(path, claims))
+            await self._system.aside(lambda: member_list.write(path, claims))
         except OSError as problem:
             log.warning("the list of members is not kept: %s", problem.strerror)
 
--- a/driftstair/tier/shared/budget.py
+++ b/driftstair/tier/shared/budget.py
@@ -18,8 +18,8 @@
 from typing import NamedTuple
 
 from driftstair.tier.shared.demand import Demand
-from driftstair.tier.shared.purse import Purse
 from driftstair.tier.shared.rights import Ask, GiveBack, Grant, Rights, Terms
+from driftstair.tier.shared.token_bucket import TokenBucket
 
 TERMS = Terms(shares=32, floor=1, lent=3_000_000_000, drift=0.01)
 ROOM = 1.25  # times its demand that a node wants to hold
@@ -74,7 +74,7 @@
         self.key = spec.key(count)
         self.rights = Rights(own, life, spec.terms, now)
         self.share = spec.per_s / (count * spec.terms.shares)  # tokens a second
-        self.purse = Purse(self.rights, self.share, spec.burst / 1e9, now)
+        self.purse = TokenBucket(self.rights, self.share, spec.burst / 1e9, now)
         self.demand = Demand(now)
         self.notes: list[Note] = []
         self.counts = {"asked": 0, "granted": 0, "refused": 0, "lent": 0, "spent": 0, "denied": 0}
--- a/driftstair/tier/shared/core.py
+++ b/driftstair/tier/shared/core.py
@@ -14,10 +14,10 @@
 from driftstair.tier.ownership import wire as council
 from driftstair.tier.ownership.leases import Leases, Owns
 from driftstair.tier.ownership.messages import Letters
+from driftstair.tier.ownership.permit_manager import TASK as STEWARD
+from driftstair.tier.ownership.permit_manager import Permits
 from driftstair.tier.ownership.permits import Holder, Kind, Rules
 from driftstair.tier.ownership.permits import Letters as PermitLetters
-from driftstair.tier.ownership.permitting import TASK as STEWARD
-from driftstair.tier.ownership.permitting import Permits
 from driftstair.tier.ownership.steward import Living
 from driftstair.tier.shared import wire
 from driftstair.tier.shared.budget import TICKS, Budget, Messages, Spec
@@ -25,7 +25,7 @@
 from driftstair.tier.shared.facts import Facts
 from driftstair.tier.shared.gossip import ROUND, Gossip, Tells
 from driftstair.tier.shared.rights import Ask, GiveBack, Grant
-from driftstair.tier.shared.wire import Unusable
+from driftstair.tier.shared.wire import InvalidItem
 
 NEVER = 1 << 62
 WISH = 10_000_000_000  # ns for which a permit is wanted, unless operators ask again
@@ -305,18 +305,18 @@
                     led += self._permitted(self.permits.heard(now, token, sender, life, said))
                 else:
                     answers += self._take(now, sender, life, item)
-            except Unusable as problem:
+            except InvalidItem as problem:
                 self.thrown[str(problem)] += 1
         self._set_wake(now)
         return self._told(answers) + _sent(tells) + led
 
     def _take(self, now: int, sender: int, life: int, item: wire.Item) -> list[tuple[Budget, Messages]]:
         if item[0] not in (wire.ASK, wire.GRANT, wire.BACK):
-            raise Unusable("other_kind")
+            raise InvalidItem("other_kind")
         key, message = wire.read_right(item, sender, life, self._own)
         budget = self._keys.get(key)
         if budget is None:
-            raise Unusable("other_budget")
+            raise InvalidItem("other_budget")
         match message:
             case Ask():
                 return [(budget, [(sender, grant) for grant in budget.asked(now, message)])]
--- a/driftstair/tier/shared/gossip.py
+++ b/driftstair/tier/shared/gossip.py
@@ -14,7 +14,7 @@
 
 from driftstair.tier.shared import wire
 from driftstair.tier.shared.facts import FAN, KINDS, MS, Fact, Facts
-from driftstair.tier.shared.wire import Item, Unusable, whole
+from driftstair.tier.shared.wire import InvalidItem, Item, whole
 
 ROUND = 250 * MS
 DIGEST_ROUNDS = 4  # rounds between two digests
@@ -64,7 +64,7 @@
         return (wire.FACT, fact.owner, fact.life, fact.version, fact.kind, fact.subject, age, *fact.value)
 
     def take(self, now: int, sender: int, item: Item) -> Tells:
-        """Raises Unusable."""
+        """Raises InvalidItem."""
         if item[0] == wire.FACT:
             self.facts.take(now, _fact(now, item), len(self._others()) + 1)
             return []
@@ -87,20 +87,20 @@
 def _owners(item: Item) -> dict[int, int]:
     numbers = item[1:]
     if len(numbers) % 2 or len(numbers) > 2 * OWNERS_A_DATAGRAM:
-        raise Unusable("no_digest")
+        raise InvalidItem("no_digest")
     owners = [whole(one, wire.NODE_MOST) for one in numbers[::2]]
     return dict(zip(owners, (whole(one, SUBJECT_MOST) for one in numbers[1::2]), strict=True))
 
 
 def _fact(now: int, item: Item) -> Fact:
     if len(item) < 7:
-        raise Unusable("too_few_fields")
+        raise InvalidItem("too_few_fields")
     owner, life, version, kind, subject, age, *value = item[1:]
     known = KINDS.get(kind) if type(kind) is int else None
     if known is None:
-        raise Unusable("other_fact")
+        raise InvalidItem("other_fact")
     if len(value) < known.fields:
-        raise Unusable("too_few_fields")
+        raise InvalidItem("too_few_fields")
     return Fact(
         whole(owner, wire.NODE_MOST), whole(life, LIFE_MOST), whole(version, VERSION_MOST, 1), kind,
         whole(subject, SUBJECT_MOST), now - whole(age, known.lives // MS) * MS,
--- a/driftstair/tier/shared/purse.py
+++ b/driftstair/tier/shared/token_bucket.py
@@ -10,7 +10,7 @@
 from driftstair.tier.shared.rights import Rights
 
 
-class Purse:
+class TokenBucket:
     """`share`: tokens a second that one share gives; `depth`: s of them that are kept. Whoever changes
     `rights` calls `advance` before and after."""
 
--- a/driftstair/tier/shared/wire.py
+++ b/driftstair/tier/shared/wire.py
@@ -25,7 +25,7 @@
 """A kind, then its fields."""
 
 
-class Unusable(Exception):
+class InvalidItem(Exception):
     """An item that is passed over; the text is the count that it goes to."""
 
 
@@ -74,9 +74,9 @@
 
 
 def whole(value: Any, most: int, least: int = 0) -> int:
-    """Raises Unusable."""
+    """Raises InvalidItem."""
     if type(value) is not int or not least <= value <= most:
-        raise Unusable("out_of_range")
+        raise InvalidItem("out_of_range")
     return value
 
 
@@ -90,10 +90,10 @@
 
 
 def read_right(item: Item, sender: int, life: int, own: int) -> tuple[int, Ask | Grant | GiveBack]:
-    """The budget's key, and what is said of it; `life`: the sender's. Raises Unusable."""
+    """The budget's key, and what is said of it; `life`: the sender's. Raises InvalidItem."""
     kind, *fields = item
     if len(fields) < {ASK: 5, GRANT: 5, BACK: 3}[kind]:
-        raise Unusable("too_few_fields")
+        raise InvalidItem("too_few_fields")
     budget = whole(fields[0], COUNT_MOST)
     if kind == ASK:
         at, shares, renews, ease = fields[1:5]
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -7,13 +7,13 @@
 from typing import Any, NamedTuple
 
 from driftstair.net.identifiers import digest
+from driftstair.tier.observed_module import ObservedModule, key
+from driftstair.tier.ownership.permit_manager import TASK as PERMITS
 from driftstair.tier.ownership.permits import Kind, Rules
-from driftstair.tier.ownership.permitting import TASK as PERMITS
 from driftstair.tier.ownership.steward import Living
 from driftstair.tier.shared.budget import Spec
 from driftstair.tier.shared.core import Action, Keep, Shared, Tell
 from driftstair.tier.shared.evidence import Judge
-from driftstair.tier.watching import Watching, key
 from lichenspring.interface import Module
 
 
@@ -179,7 +179,7 @@
 
     def around(self, module: Module) -> Module:
         """The decision module, watched and told on where judgements are shared."""
-        return module if self._speaks is None else Watching(module, lambda: self.core.judge)
+        return module if self._speaks is None else ObservedModule(module, lambda: self.core.judge)
 
     def kept(self, token: int) -> None:
         self._do(self.core.kept(self._clock(), token))
--- a/driftstair/tier/wire.py
+++ b/driftstair/tier/wire.py
@@ -81,7 +81,7 @@
     )  # fmt: skip
 
 
-class Unreadable(Exception):
+class InvalidDatagram(Exception):
     """A datagram that is thrown away; the text is the count that it goes to."""
 
 
@@ -109,29 +109,29 @@
         return data
 
     def decode(self, data: bytes) -> Message:
-        """Raises Unreadable."""
+        """Raises InvalidDatagram."""
         if len(data) > DATAGRAM_MOST:
-            raise Unreadable("too_long")
+            raise InvalidDatagram("too_long")
         if len(data) <= 1 + SEAL:
-            raise Unreadable("too_short")
+            raise InvalidDatagram("too_short")
         if data[0] != VERSION:
-            raise Unreadable("other_version")
+            raise InvalidDatagram("other_version")
         version, seal, body = data[:1], data[1 : 1 + SEAL], data[1 + SEAL :]
         if not compare_digest(seal, self._seal(version, body)):
-            raise Unreadable("wrong_seal")
+            raise InvalidDatagram("wrong_seal")
         try:
             found = self._decode(body)
         except (msgspec.DecodeError, RecursionError):
-            raise Unreadable("no_message") from None
+            raise InvalidDatagram("no_message") from None
         try:
             kind = Kind(found.kind)
         except ValueError:
-            raise Unreadable("other_kind") from None
+            raise InvalidDatagram("other_kind") from None
         numbers = (found.to, found.about)
         if not all(0 <= one <= NUMBER_MOST for one in numbers) or not (
             0 <= found.order <= COUNT_MOST and 0 <= found.seq <= COUNT_MOST
         ):
-            raise Unreadable("out_of_range")
+            raise InvalidDatagram("out_of_range")
         return Message(
             kind, _claim(found.mine), found.to, found.order, found.seq, found.about,
             tuple(_claim(one) for one in found.news), found.items,
@@ -144,11 +144,11 @@
 
 def _claim(bare: _Claim) -> Claim:
     if not 0 <= bare.state <= State.LEFT:
-        raise Unreadable("out_of_range")
+        raise InvalidDatagram("out_of_range")
     traits = Traits(bare.zone, bare.version, bare.supports)
     claim = Claim(bare.number, bare.life, bare.incarnation, State(bare.state), bare.by, traits)
     if not fits(claim):
-        raise Unreadable("out_of_range")
+        raise InvalidDatagram("out_of_range")
     return claim
 
 
--- a/tests/tier/test_collecting.py
+++ b/tests/tier/test_collecting.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from driftstair.tier import collecting
-from driftstair.tier.collecting import Collecting, is_free, ledgers
+from driftstair.tier import collector
+from driftstair.tier.collector import LedgerCollector, is_free, ledgers
 
 
 def test_a_ledger_is_free_once_nobody_writes_it(tmp_path: Path) -> None:
@@ -37,12 +37,12 @@
 def test_a_process_that_ends_does_not_wait_for_a_billing_side_that_is_away(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(collecting, "EVERY", 0.01)
-    monkeypatch.setattr(collecting, "GIVE_UP", 3600.0)  # whoever waits for it never ends
+    monkeypatch.setattr(collector, "EVERY", 0.01)
+    monkeypatch.setattr(collector, "GIVE_UP", 3600.0)  # whoever waits for it never ends
     (tmp_path / "n1-00000001.ledger").write_bytes(b"0" * 64 + b"\n")
 
     async def test() -> None:
-        mine = Collecting(tmp_path, ("127.0.0.1", 1), lambda: 7, nothing, nothing, beside)
+        mine = LedgerCollector(tmp_path, ("127.0.0.1", 1), lambda: 7, nothing, nothing, beside)
         mine.start()
         while mine._exporter is None:
             await asyncio.sleep(0.01)
@@ -55,7 +55,7 @@
 def test_what_is_wrong_with_the_folder_is_said_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(collecting, "EVERY", 0.001)
+    monkeypatch.setattr(collector, "EVERY", 0.001)
     (tmp_path / "n1-00000001.ledger").touch()
     (tmp_path / "n1-00000003.ledger").touch()  # the second is missing
     asked = 0
@@ -66,7 +66,7 @@
         return 7
 
     async def test() -> None:
-        mine = Collecting(tmp_path, ("127.0.0.1", 1), token, nothing, nothing, beside)
+        mine = LedgerCollector(tmp_path, ("127.0.0.1", 1), token, nothing, nothing, beside)
         mine.start()
         while asked < 5:
             await asyncio.sleep(0.005)
--- a/tests/tier/test_evidence.py
+++ b/tests/tier/test_evidence.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from driftstair.tier.observed_module import ObservedModule, key
 from driftstair.tier.shared.evidence import HEARING, OUT_MOST, RUN_LIVES, Judge, judged, token_of
 from driftstair.tier.shared.facts import EVIDENCE, FLIGHT, KINDS, LOAD, MS, PROBE, Fact, Facts
-from driftstair.tier.watching import Watching, key
 from lichenspring import interface as api
 from lichenspring.interface import ListKind, Result, ServerState
 
@@ -268,7 +268,7 @@
 
 def test_a_server_that_is_held_back_is_shown_as_draining_until_it_is_not() -> None:
     node, spy = Node(), Spy()
-    watching = Watching(spy, lambda: node.judge)
+    watching = ObservedModule(spy, lambda: node.judge)
     watching.handle(0, api.ServerList(ListKind.FULL, tuple(server(number) for number in range(10))))
     assert node.judge.ready == set(range(10)) and key(server(3).id) == 3
     for owner in (1, 2, 3, 4):
@@ -291,7 +291,7 @@
 def test_a_process_that_loses_its_number_holds_nothing_back_any_more() -> None:
     node, spy = Node(), Spy()
     judges = [node.judge]
-    watching = Watching(spy, lambda: judges[0] if judges else None)
+    watching = ObservedModule(spy, lambda: judges[0] if judges else None)
     watching.handle(0, api.ServerList(ListKind.FULL, tuple(server(number) for number in range(10))))
     for owner in (1, 2, 3, 4):
         node.hears(SECOND, owner, 3, 9, 9)
@@ -305,7 +305,7 @@
 
 def test_outcomes_are_evidence_but_for_what_is_no_fault_of_the_server() -> None:
     node, spy = Node(), Spy()
-    watching = Watching(spy, lambda: node.judge)
+    watching = ObservedModule(spy, lambda: node.judge)
     for result in Result:
         watching.handle(0, api.Outcome(1, False, result, MS, server(3).id, 0, ()))
     seen = node.judge.sight.all(0)[3]
@@ -314,7 +314,7 @@
 
 def test_requests_in_flight_are_counted_however_they_end() -> None:
     node, spy = Node(), Spy()
-    watching = Watching(spy, lambda: node.judge)
+    watching = ObservedModule(spy, lambda: node.judge)
     for number in range(1, 5):
         watching.handle(0, api.Request(number, 0, 0, 0, False, SECOND))
     assert node.judge.sight.in_flight == 4
@@ -327,7 +327,7 @@
 
 def test_attempts_out_are_told_of_the_busiest_servers_in_steps_of_two() -> None:
     node, spy = Node(), Spy()
-    watching = Watching(spy, lambda: node.judge)
+    watching = ObservedModule(spy, lambda: node.judge)
     for number, count in ((1, 9), (2, 5), (3, 4), (4, 4), (5, 3)):
         spy.actions = [api.Send(one, server(number).id, 0) for one in range(count)]
         watching.handle(SECOND, api.Timer(1))
@@ -346,7 +346,7 @@
 
 def test_without_rights_to_the_number_all_passes_as_it_is() -> None:
     spy = Spy()
-    watching = Watching(spy, lambda: None)
+    watching = ObservedModule(spy, lambda: None)
     for event in (api.Timer(1), api.ServerList(ListKind.FULL, (server(1),))):
         watching.handle(0, event)
         assert spy.seen[-1] == event
--- a/tests/tier/test_lent.py
+++ b/tests/tier/test_loan_expiry.py
@@ -7,34 +7,35 @@
 
 import pytest
 
-from driftstair.tier import lent
+from driftstair.tier import loan_expiry
 from driftstair.tier.shared.budget import TERMS
 from driftstair.tier.shared.rights import Ask, Rights
 
 
 def test_it_is_read_once(tmp_path: Path) -> None:
     path = tmp_path / "n0.lent"
-    assert lent.take(path) is None
-    lent.write(path, 123)
-    assert lent.take(path) == 123 and lent.take(path) is None
+    assert loan_expiry.take(path) is None
+    loan_expiry.write(path, 123)
+    assert loan_expiry.take(path) == 123 and loan_expiry.take(path) is None
     assert list(tmp_path.iterdir()) == []
 
 
 @pytest.mark.parametrize(
     "text",
-    ["", "{", "[]", "null", "[" * 9000, json.dumps({"format": "x", "boot": lent.boot(), "until_ns": 1}),
-     json.dumps({"format": lent.FORMAT, "boot": "another", "until_ns": 1}),
-     json.dumps({"format": lent.FORMAT, "boot": lent.boot(), "until_ns": "1"}),
-     json.dumps({"format": lent.FORMAT, "boot": lent.boot()})],
+    ["", "{", "[]", "null", "[" * 9000,
+     json.dumps({"format": "x", "boot": loan_expiry.boot(), "until_ns": 1}),
+     json.dumps({"format": loan_expiry.FORMAT, "boot": "another", "until_ns": 1}),
+     json.dumps({"format": loan_expiry.FORMAT, "boot": loan_expiry.boot(), "until_ns": "1"}),
+     json.dumps({"format": loan_expiry.FORMAT, "boot": loan_expiry.boot()})],
 )  # fmt: skip
 def test_what_is_none_of_this_boot_tells_nothing(text: str, tmp_path: Path) -> None:
     path = tmp_path / "n0.lent"
     path.write_text(text)
-    assert lent.take(path) is None and not path.exists()
+    assert loan_expiry.take(path) is None and not path.exists()
 
 
 def test_a_folder_that_is_gone_is_one_line(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    lent.write(tmp_path / "none" / "n0.lent", 5)
+    loan_expiry.write(tmp_path / "none" / "n0.lent", 5)
     assert len(caplog.records) == 1
 
 
--- a/tests/tier/test_owner_checks.py
+++ b/tests/tier/test_owner_checks.py
@@ -10,7 +10,7 @@
 from driftstair.rehearsal.tier.owners import check
 from driftstair.tier.ownership import wire
 from driftstair.tier.ownership.messages import Accepted, Message, Prepare, Promise, Propose, Refused, Release
-from driftstair.tier.shared.wire import Unusable
+from driftstair.tier.shared.wire import InvalidItem
 
 SECOND = 1_000_000_000
 
@@ -65,5 +65,5 @@
      ((25, 1, 5, -2), "out_of_range")],
 )  # fmt: skip
 def test_what_is_none_is_counted_and_passed_over(item: tuple[Any, ...], why: str) -> None:
-    with pytest.raises(Unusable, match=why):
+    with pytest.raises(InvalidItem, match=why):
         wire.read(item)
--- a/tests/tier/test_rights.py
+++ b/tests/tier/test_rights.py
@@ -8,8 +8,8 @@
 import pytest
 
 from driftstair.tier.shared import rights as module
-from driftstair.tier.shared.purse import Purse
 from driftstair.tier.shared.rights import Ask, GiveBack, Grant, Rights, Terms
+from driftstair.tier.shared.token_bucket import TokenBucket
 
 SECOND = 1_000_000_000
 NODES = 4
@@ -38,7 +38,7 @@
         self.clocks = [Clock(random) for _ in range(NODES)]
         self.lives = [0] * NODES
         self.stopped: set[int] = set()
-        self.purses: list[Purse | None] = [None] * NODES
+        self.purses: list[TokenBucket | None] = [None] * NODES
         self.flight: list[tuple[int, int, Ask | Grant | GiveBack]] = []
         self.old: list[tuple[int, Ask | Grant | GiveBack]] = []
         self.spent: list[int] = []  # true ns of each token
@@ -48,7 +48,7 @@
     def start(self, number: int) -> None:
         self.lives[number] += 1
         at = self.clocks[number].at(self.now)
-        self.purses[number] = Purse(Rights(number, self.lives[number], TERMS, at), SHARE, DEPTH, at)
+        self.purses[number] = TokenBucket(Rights(number, self.lives[number], TERMS, at), SHARE, DEPTH, at)
 
     def send(self, to: int, message: Ask | Grant | GiveBack) -> None:
         self.old = [*self.old[-40:], (to, message)]
--- a/tests/tier/test_tier_parts.py
+++ b/tests/tier/test_tier_parts.py
@@ -12,15 +12,15 @@
 from hypothesis import strategies as st
 
 from driftstair.files import FileProblem
-from driftstair.tier import history, kept, wire
+from driftstair.tier import history, member_list, wire
 from driftstair.tier.history import History, HistoryError
-from driftstair.tier.kept import KeptError
 from driftstair.tier.key import read_key
+from driftstair.tier.member_list import MemberListError
 from driftstair.tier.membership.events import NOBODY, Kind, Message
 from driftstair.tier.membership.members import Claim, State, Traits
-from driftstair.tier.membership.news import News
+from driftstair.tier.membership.update_queue import News
 from driftstair.tier.replay import WIDE, Window
-from driftstair.tier.wire import Codec, Unreadable
+from driftstair.tier.wire import Codec, InvalidDatagram
 
 KEY = b"sixteen bytes!!!"
 CODEC = Codec(KEY)
@@ -91,7 +91,7 @@
     ],
 )  # fmt: skip
 def test_what_is_no_datagram_is_thrown_away_and_counted_by_why(data: bytes, count: str) -> None:
-    with pytest.raises(Unreadable, match=f"^{count}$"):
+    with pytest.raises(InvalidDatagram, match=f"^{count}$"):
         CODEC.decode(data)
 
 
@@ -138,10 +138,10 @@
 
 def test_a_list_comes_back_and_one_that_is_spoilt_tells_nothing(tmp_path: Path) -> None:
     path = tmp_path / "n3.members"
-    assert kept.read(path) == ()
+    assert member_list.read(path) == ()
     held = (MINE, Claim(4, 9, 0, State.DEAD, 3))
-    kept.write(path, held)
-    assert kept.read(path) == held
+    member_list.write(path, held)
+    assert member_list.read(path) == held
     whole = path.read_text()
     rank = json.loads(whole)["members"]
     spoilt = [
@@ -149,11 +149,13 @@
     ]  # fmt: skip
     for bad in ([[1]], [[3, 77, 2, 9, 3, 1, 1, 1]], [[3, 77, 2, 0, -3, 1, 1, 1]], ["abcdefgh"], [7],
                 [[*rank[0][:7], 1 << 70]]):  # fmt: skip
-        spoilt.append(json.dumps({"format": kept.FORMAT, "sum": kept._sum(bad), "members": bad}))
+        spoilt.append(
+            json.dumps({"format": member_list.FORMAT, "sum": member_list._sum(bad), "members": bad})
+        )
     for text in spoilt:
         path.write_text(text)
-        with pytest.raises(KeptError):
-            kept.read(path)
+        with pytest.raises(MemberListError):
+            member_list.read(path)
 
 
 @pytest.mark.parametrize(
