--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -145,7 +145,7 @@
         return Message(Kind(kind), found[0], to, order, seq, about, tuple(found[1:]))
 
     assert unpack() == message
-    body = len(data) - 1 - wire.SEAL
+    body = len(data) - 1 - wire.MAC_BYTES
     print(f"bytes without version and seal: msgspec {body}, struct {len(packed)}")
     for name, what in (
         ("msgspec encode, sealed", lambda: own.encode(message)), ("struct pack, no seal", pack),
--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -27,23 +27,24 @@
 
 def measure_collector(size: int, folder: Path) -> dict[str, float]:
     """One look of the collector at a folder with a ledger of each node, as it takes one a second."""
-    from driftstair.tier.collector import is_free, ledgers
+    from driftstair.tier.collector import is_unlocked, ledger_nodes
 
     def look() -> int:
         """What `LedgerCollector._run` does on the event loop where all that is there has been brought in."""
         return sum(
-            sum(path.stat().st_size for path in folder.glob(f"{node}-*.ledger")) for node in ledgers(folder)
+            sum(path.stat().st_size for path in folder.glob(f"{node}-*.ledger"))
+            for node in ledger_nodes(folder)
         )
 
     began = time.process_time()
     look()
     spent = time.process_time() - began
-    return {"look_hold_s": spent, "is_free_us": cpu_each(lambda _: is_free(folder, "n0"), ASKS) * 1e6}
+    return {"look_hold_s": spent, "is_free_us": cpu_each(lambda _: is_unlocked(folder, "n0"), ASKS) * 1e6}
 
 
 def measure_controller(size: int, folder: Path) -> dict[str, float]:
     """A controller in office: its first polls, a request for a permit once all have answered, its memory."""
-    from driftstair.tier.ownership.permits import Ask, Held, Rules
+    from driftstair.tier.ownership.permits import Ask, PollReply, Rules
     from driftstair.tier.ownership.steward import Steward
 
     living = {number: (1, number % 8) for number in range(size)}
@@ -53,7 +54,7 @@
 
     def answers() -> None:
         for number in living:
-            controller.heard(3, number, 1, Held(7, 0, 0, 0))
+            controller.heard(3, number, 1, PollReply(7, 0, 0, 0))
 
     _, answering = measured(answers)
     asking = median_each(
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -150,13 +150,13 @@
         if not self._plan.feed or self.tier is None or self.tier.sharing is None or self._system is None:
             return
         now, core = self._system.monotonic_ns(), self.tier.sharing.core
-        if core.judge is not None:
-            judge = core.judge
+        if core.outlier_detector is not None:
+            judge = core.outlier_detector
             judge.ready = set(range(SERVERS))
             for server in {FAILING, self._random.randrange(SERVERS)} - judge.hidden():
                 ok = not (self._plan.failing and server == FAILING)
                 for _ in range(OUTCOMES):
-                    judge.sight.note(now, server, ok, True, ANSWERED_IN)
+                    judge.observations.note(now, server, ok, True, ANSWERED_IN)
         if self.number % BUSY_EVERY == 0 and BUDGET in core.budgets:
             tokens = self.tier.tokens(BUDGET)
             for _ in range(int(WANTED * PER_S / FEEDS_PER_S)):
--- a/benchmarks/scale/hollow/worker.py
+++ b/benchmarks/scale/hollow/worker.py
@@ -164,12 +164,12 @@
         late = sorted(self._late) or [0.0]
         running = [node.tier for node in self.nodes if node.tier is not None]
         shared = [tier.sharing.core for tier in running if tier.sharing is not None]
-        judges = [core.judge for core in shared if core.judge is not None]
+        judges = [core.outlier_detector for core in shared if core.outlier_detector is not None]
         thrown: Counter[str] = Counter()
         for tier in running:
             thrown.update(tier._thrown_all)
         for core in shared:
-            thrown.update({f"shared_{why}": number for why, number in core.thrown.items()})
+            thrown.update({f"shared_{why}": number for why, number in core.discarded.items()})
         out = orders.Figures(
             nodes=len(self.nodes), seconds=seconds, cpu=cpu - self._cpu, resident=resident(),
             bytes_in=spent["bytes_in"], bytes_out=spent["bytes_out"], datagrams_in=spent["datagrams_in"],
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -75,7 +75,14 @@
     from driftstair.tier.membership.members import Traits
 
     core = Membership(
-        0, size, 1_000, Traits(0, wire.VERSION, wire.MEMBERSHIP), PERIOD, Random(1), wire.ROOM, wire.size
+        0,
+        size,
+        1_000,
+        Traits(0, wire.VERSION, wire.MEMBERSHIP),
+        PERIOD,
+        Random(1),
+        wire.MAX_CLAIMS_BYTES,
+        wire.size,
     )
     now = time.monotonic_ns()
     core.handle(now, all_alive(size))
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -65,10 +65,10 @@
                 by_pair.setdefault((source, to), []).append(item)
             inbox = []
             for (source, to), items in by_pair.items():
-                for data in wire.packed(items):
+                for data in wire.pack_items(items):
                     datagrams, size = datagrams + 1, size + HEAD + len(data)
                     if random.random() >= loss:
-                        for item in wire.unpacked(data)[0]:
+                        for item in wire.unpack_items(data)[0]:
                             inbox += [(to, *tell) for tell in nodes[to].take(now, source, item)]
         known = sum(bool(node.facts.read(now, EVIDENCE, 7)) for node in nodes)
         if known >= 0.99 * count:
--- a/driftstair/control/replication/election.py
+++ b/driftstair/control/replication/election.py
@@ -13,8 +13,8 @@
 from driftstair.control.replication.messages import LeaseMessage
 from driftstair.control.replication.replica import Replica
 from driftstair.tier.ownership import wire
-from driftstair.tier.ownership.leases import Leases, Owns
-from driftstair.tier.ownership.messages import Letters
+from driftstair.tier.ownership.leases import LeaseChange, Leases
+from driftstair.tier.ownership.messages import OutgoingMessages
 from driftstair.tier.shared.wire import InvalidItem
 
 TASK = "configuration"
@@ -26,7 +26,7 @@
     """What is to be done, and how leadership changed."""
 
     actions: list[Action] = field(default_factory=list)
-    changes: list[Owns] = field(default_factory=list)
+    changes: list[LeaseChange] = field(default_factory=list)
 
     def __iadd__(self, other: ElectionResult) -> ElectionResult:
         self.actions += other.actions
@@ -71,7 +71,7 @@
         try:
             if not message.item or message.item[0] not in wire.KINDS:
                 return ElectionResult()
-            read = wire.read(message.item)
+            read = wire.decode(message.item)
         except InvalidItem:
             return ElectionResult()
         return self._result(now_ns, *self._leases.heard(now_ns, sender, message.generation, read))
@@ -82,7 +82,7 @@
             return ElectionResult()
         token = self._token_persist[1]
         self._token_persist = None
-        return self._result(now_ns, *self._leases.kept(now_ns, token))
+        return self._result(now_ns, *self._leases.token_persisted(now_ns, token))
 
     def tick(self, now_ns: int) -> ElectionResult:
         self._now_ns = now_ns
@@ -100,11 +100,11 @@
         """This process is about to end."""
         return self._result(now_ns, *self._leases.leave(now_ns))
 
-    def _result(self, now_ns: int, letters: Letters, changes: list[Owns]) -> ElectionResult:
+    def _result(self, now_ns: int, letters: OutgoingMessages, changes: list[LeaseChange]) -> ElectionResult:
         actions: list[Action] = [
-            Send(to, LeaseMessage(self._generation, tuple(wire.item(message)))) for to, message in letters
+            Send(to, LeaseMessage(self._generation, tuple(wire.encode(message)))) for to, message in letters
         ]
-        token = self._leases.keep(now_ns)
+        token = self._leases.token_to_persist(now_ns)
         if token:
             persist = self._replica.persist_lease_token(token)
             self._token_persist = (persist.sequence, token)
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -144,7 +144,7 @@
         config = operations.config
     tier = None if service is None else service.tier(config, system)
     if table is not None and tier is not None:
-        table.fleet, table.around = tier.tokens, tier.around
+        table.fleet, table.around = tier.tokens, tier.wrap_module
     configuration = None if service is None else service.configuration(config, shares(config)[0], system)
     roster = None if operations is None else operations.roster
     limits: RequestTable | None = table
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -17,8 +17,8 @@
 from driftstair.tier.membership import events as api
 from driftstair.tier.membership.core import NEVER, Membership
 from driftstair.tier.membership.members import Traits
-from driftstair.tier.service import DOUBTFUL
-from driftstair.tier.sharing import Sharing, Speaks
+from driftstair.tier.service import DEGRADED_HEALTH_SCORE
+from driftstair.tier.sharing import EvidenceSettings, Sharing
 from driftstair.tier.wire import Codec, InvalidDatagram
 from lichenspring.interface import Module
 
@@ -51,7 +51,7 @@
         peer = Peer(self, number, 100 + self._lives[number])
         self.living[number] = peer
         peer.start()
-        return module if peer.sharing is None else peer.sharing.around(module)
+        return module if peer.sharing is None else peer.sharing.wrap_module(module)
 
     def stop(self, name: str) -> None:
         """Killed."""
@@ -86,13 +86,13 @@
         supports = wire.MEMBERSHIP | (wire.SHARED if shares else 0)
         self.core = Membership(
             number, len(peers.names), life, Traits(self.zone, wire.VERSION, supports),
-            int(peers.of.period_ms * 1e6), Random(random.random()), wire.ROOM, wire.size,
+            int(peers.of.period_ms * 1e6), Random(random.random()), wire.MAX_CLAIMS_BYTES, wire.size,
         )  # fmt: skip
         self.sharing: Sharing | None = None
         if shares:
             self.sharing = Sharing(
                 (), Random(random.random()), lambda: self._clock.now, self._sharers, self._carry,
-                _unwritten, Speaks(self.zone, self._sound, self._zones),
+                _unwritten, EvidenceSettings(self.zone, self._sound, self._zones),
             )  # fmt: skip
 
     def start(self) -> None:
@@ -106,16 +106,16 @@
         except InvalidDatagram:
             return
         if message.mine.number == source:
-            self._tell(api.Heard(message))
+            self._tell(api.Received(message))
 
     def _carry(self, to: int, items: bytes) -> None:
-        self._tell(api.Carry(to, items))
+        self._tell(api.SendPayload(to, items))
 
     def _tell(self, event: api.Event) -> None:
         for action in self.core.handle(self._clock.now, event):
             if isinstance(action, api.Send):
                 self._peers.carry(self._number, action.message.to, self._peers.codec.encode(action.message))
-            elif isinstance(action, api.Carried) and self.sharing is not None:
+            elif isinstance(action, api.PayloadReceived) and self.sharing is not None:
                 self.sharing.heard(action.sender, action.life, action.items)
             elif isinstance(action, api.Superseded) and self.sharing is not None:
                 self.sharing.close()
@@ -146,7 +146,7 @@
         return [number for number, one in self.core.known().items() if one.traits.supports & wire.SHARED]
 
     def _sound(self) -> bool:
-        return not self.core.alone() and self.core.health.score < DOUBTFUL
+        return not self.core.is_isolated() and self.core.health.score < DEGRADED_HEALTH_SCORE
 
     def _zones(self) -> dict[int, int]:
         known = self.core.known().items()
--- a/driftstair/model/tier/budgets.py
+++ b/driftstair/model/tier/budgets.py
@@ -13,7 +13,7 @@
 
 from driftstair.model.tier.world import NEVER, SECOND, Host, Link, World
 from driftstair.tier.shared.budget import Spec
-from driftstair.tier.shared.core import Shared, Tell
+from driftstair.tier.shared.core import SendItems, SharedState
 
 HEAD = 45  # bytes of a datagram beside its items, about
 GOSSIP = SECOND // 4
@@ -25,7 +25,7 @@
     def __init__(self, host: Host, life: int, spec: Spec, count: int, seed: int, alive: set[int]) -> None:
         self.host, self.life, self.count, self.name = host, life, count, spec.name
         random = Random(f"{seed}/{host.number}/{life}")
-        self.core = Shared((spec,), random, lambda: [one for one in alive if one != host.number])
+        self.core = SharedState((spec,), random, lambda: [one for one in alive if one != host.number])
 
     def start(self) -> None:
         self.core.open(self.host.now(), self.host.number, 100 + self.life, self.count)
@@ -54,7 +54,7 @@
 
     def _do(self, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendItems):
                 datagram = (self.host.number, 100 + self.life, action.items)
                 self.host.send(action.to, datagram, HEAD + len(action.items))
 
--- a/driftstair/model/tier/heartbeats.py
+++ b/driftstair/model/tier/heartbeats.py
@@ -5,9 +5,9 @@
 
 from driftstair.model.tier.world import SECOND, Host
 from driftstair.tier.membership.members import State
-from driftstair.tier.wire import SEAL
+from driftstair.tier.wire import MAC_BYTES
 
-SIZE = 1 + SEAL + 4 + 5  # bytes: a version, a seal, a number and a life, as a tier's datagrams have them
+SIZE = 1 + MAC_BYTES + 4 + 5  # bytes: a version, a seal, a number and a life, as a tier's datagrams have them
 
 
 class Heartbeats:
--- a/driftstair/model/tier/ownership.py
+++ b/driftstair/model/tier/ownership.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from driftstair.model.tier.world import SECOND, Host, Link, World
-from driftstair.tier.ownership.leases import Leases, Owns
+from driftstair.tier.ownership.leases import LeaseChange, Leases
 
 
 class Owner:
@@ -39,7 +39,7 @@
     def dead(self) -> set[int]:
         return set()
 
-    def _do(self, letters: list[tuple[int, Any]], changes: list[Owns]) -> None:
+    def _do(self, letters: list[tuple[int, Any]], changes: list[LeaseChange]) -> None:
         for to, message in letters:
             self.host.send(to, (self.host.number, self.life, message), 60)
         for one in changes:
@@ -80,7 +80,7 @@
         self._life += 1
         return self._life
 
-    def changed(self, host: Host, one: Owns) -> None:
+    def changed(self, host: Host, one: LeaseChange) -> None:
         if one.was:
             had = next(had for had in self.had if (had.token, had.task) == (one.was, one.task))
             had.end = self.world.now
--- a/driftstair/model/tier/swim.py
+++ b/driftstair/model/tier/swim.py
@@ -11,7 +11,7 @@
 from driftstair.tier.membership.core import Membership
 from driftstair.tier.membership.members import Claim, State, Traits
 
-HEAD = 1 + wire.SEAL + 10  # bytes of a datagram beside its claims, about
+HEAD = 1 + wire.MAC_BYTES + 10  # bytes of a datagram beside its claims, about
 
 
 class Swim:
@@ -22,7 +22,7 @@
         self.host = host
         self.core = Membership(
             host.number, count, 100 + life, Traits(host.number % 3, 1, wire.MEMBERSHIP), int(period * SECOND),
-            random, wire.ROOM, wire.size,
+            random, wire.MAX_CLAIMS_BYTES, wire.size,
         )  # fmt: skip
 
     def start(self) -> None:
@@ -35,7 +35,7 @@
         return self.core.wake_at
 
     def take(self, datagram: Any) -> None:
-        self._do(self.core.handle(self.host.now(), api.Heard(datagram)))
+        self._do(self.core.handle(self.host.now(), api.Received(datagram)))
 
     def leave(self) -> None:
         self._do(self.core.handle(self.host.now(), api.Leave()))
--- a/driftstair/rehearsal/tier/judgements.py
+++ b/driftstair/rehearsal/tier/judgements.py
@@ -8,7 +8,7 @@
 
 from driftstair.net.identifiers import digest
 from driftstair.rehearsal.tier.checks import SECOND, Finding
-from driftstair.tier.observed_module import key
+from driftstair.tier.observed_module import server_key
 
 FOREVER = 1 << 62
 
@@ -25,7 +25,7 @@
 
 
 def held_back(events: Iterable[dict[str, Any]], servers: Iterable[str]) -> list[Judged]:
-    names = {key(digest(one)): one for one in servers}
+    names = {server_key(digest(one)): one for one in servers}
     out: list[Judged] = []
     open_: dict[tuple[int, int], Judged] = {}
     for one in sorted(events, key=lambda one: int(one["t_ns"])):
--- a/driftstair/rehearsal/tier/liar.py
+++ b/driftstair/rehearsal/tier/liar.py
@@ -8,23 +8,25 @@
 import sys
 from collections.abc import Callable
 
-from driftstair.tier.shared.evidence import Judge, Sight
+from driftstair.tier.shared.evidence import OutlierDetector, ServerObservations
 from driftstair.tier.sharing import Sharing
 
 
 def lie(sharing: Sharing) -> None:
     """From now on; only what it tells is wrong, not what it does."""
-    speak = sharing.core.speak
+    speak = sharing.core.enable_outlier_detection
 
-    def lying(now: int, zone: int, sound: Callable[[], bool], zones: Callable[[], dict[int, int]]) -> Judge:
+    def lying(
+        now: int, zone: int, sound: Callable[[], bool], zones: Callable[[], dict[int, int]]
+    ) -> OutlierDetector:
         judge = speak(now, zone, sound, zones)
-        judge.sight = _Liar(now)
+        judge.observations = _Liar(now)
         return judge
 
-    sharing.core.speak = lying  # type: ignore[method-assign]
+    sharing.core.enable_outlier_detection = lying  # type: ignore[method-assign]
 
 
-class _Liar(Sight):
+class _Liar(ServerObservations):
     def note(self, now: int, server: int, ok: bool, reached: bool, took: int) -> None:
         super().note(now, server, False, reached, 0)
 
@@ -32,8 +34,8 @@
 def main() -> int:
     from driftstair.__main__ import main as daemon
 
-    note = Sight.note
-    Sight.note = (  # type: ignore[method-assign]
+    note = ServerObservations.note
+    ServerObservations.note = (  # type: ignore[method-assign]
         lambda self, now, server, ok, reached, took: note(self, now, server, False, reached, 0)
     )
     return daemon()
--- a/driftstair/service/use.py
+++ b/driftstair/service/use.py
@@ -140,7 +140,7 @@
         if self._in_tier is not None and self._in_tier.sharing is not None:
             names = {spec.name for spec in self._budgets}
             more = (spec for spec in self._configured if spec.name not in names)
-            self._in_tier.respec((*self._budgets, *more))
+            self._in_tier.update_specs((*self._budgets, *more))
 
     def configure_budgets(self, budgets: dict[str, FleetBudget]) -> None:
         """The configuration names these, beside the file's."""
--- a/driftstair/tier/__init__.py
+++ b/driftstair/tier/__init__.py
@@ -2,6 +2,6 @@
 `[tier]`.
 
 `membership` decides who lives (no clock, no socket, no chance of its own); `wire` is the form of a datagram,
-`replay` keeps old ones out, `history` writes down what a process came to hold, `told` is what the platform
-says of the peers, and `service` alone does I/O.
+`replay` keeps old ones out, `history` writes down what a process came to hold, `peer_config` is what the
+platform says of the peers, and `service` alone does I/O.
 """
--- a/driftstair/tier/collector.py
+++ b/driftstair/tier/collector.py
@@ -25,7 +25,7 @@
 GIVE_UP = 5.0  # s without anything new in the books
 
 
-def is_free(folder: Path, node: str) -> bool:
+def is_unlocked(folder: Path, node: str) -> bool:
     """Whether nobody writes that node's ledger. Raises OSError."""
     lock = os.open(folder / f"{node}.lock", os.O_RDWR | os.O_CREAT, 0o644)
     try:
@@ -37,7 +37,7 @@
     return True
 
 
-def ledgers(folder: Path) -> list[str]:
+def ledger_nodes(folder: Path) -> list[str]:
     """The nodes that have one there."""
     return sorted(path.name.removesuffix("-00000001.ledger") for path in folder.glob("*-00000001.ledger"))
 
@@ -75,7 +75,7 @@
         while True:
             await asyncio.sleep(EVERY)
             try:
-                for node in ledgers(self._folder):
+                for node in ledger_nodes(self._folder):
                     if token := self._token():
                         await self._bring_in(node, token)
             except (OSError, StoreError) as problem:
@@ -83,7 +83,7 @@
 
     async def _bring_in(self, node: str, token: int) -> None:
         size = sum(path.stat().st_size for path in self._folder.glob(f"{node}-*.ledger"))
-        if self._brought.get(node) == size or not is_free(self._folder, node):
+        if self._brought.get(node) == size or not is_unlocked(self._folder, node):
             return
         exporter = Exporter(node, Segments(self._folder, node).lines(), token, token, token)
         ended: list[str] = []
--- a/driftstair/tier/key.py
+++ b/driftstair/tier/key.py
@@ -6,7 +6,7 @@
 import stat
 
 from driftstair.files import FileProblem
-from driftstair.tier.wire import KEY_LEAST, KEY_MOST
+from driftstair.tier.wire import MAX_KEY_BYTES, MIN_KEY_BYTES
 
 OTHERS = stat.S_IRWXG | stat.S_IRWXO
 
@@ -24,11 +24,11 @@
             raise FileProblem("can't be read: it is no regular file; a path of one would do")
         if found.st_mode & OTHERS:
             raise FileProblem(f"is open to others (mode {found.st_mode & 0o777:o}); mode 600 would do")
-        key = os.read(descriptor, KEY_MOST + 64).strip()
+        key = os.read(descriptor, MAX_KEY_BYTES + 64).strip()
     except OSError as problem:
         raise FileProblem(f"can't be read: {problem.strerror}") from None
     finally:
         os.close(descriptor)
-    if not KEY_LEAST <= len(key) <= KEY_MOST:
-        raise FileProblem(f"holds a key of {len(key)} bytes; {KEY_LEAST} to {KEY_MOST} would do")
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        raise FileProblem(f"holds a key of {len(key)} bytes; {MIN_KEY_BYTES} to {MAX_KEY_BYTES} would do")
     return key
--- a/driftstair/tier/membership/core.py
+++ b/driftstair/tier/membership/core.py
@@ -20,18 +20,18 @@
 from random import Random
 
 from driftstair.tier.membership import events as api
-from driftstair.tier.membership.events import Action, Changed, Kind, Message, Seen, Send
+from driftstair.tier.membership.events import Action, Changed, Kind, MemberView, Message, Send
 from driftstair.tier.membership.health import Health
 from driftstair.tier.membership.members import Claim, Member, State, Traits
 from driftstair.tier.membership.probing import Probe, Probing
 from driftstair.tier.membership.suspicion import MOST_TIMES, Suspicion, least
-from driftstair.tier.membership.update_queue import News
+from driftstair.tier.membership.update_queue import UpdateQueue
 from driftstair.tier.replay import Window
 
 NEVER = 1 << 62
 
 HELPERS = 3  # nodes that are asked to probe one that did not answer (SWIM's k)
-FAN = 3  # nodes that are told news at once
+FANOUT = 3  # nodes that are told news at once
 SPREADS = 5  # times a period that news may go out
 IN_TURN = 4  # claims in a probe or an answer that are no news: what was lost is learned from them
 LOOKERS = 5  # nodes that probe a suspect beside the one that found it, about
@@ -67,7 +67,7 @@
         self._random = random
         self._room = room
         self._size = size
-        self._news = News()
+        self._news = UpdateQueue()
         self._order = 0  # datagrams sent in this life
         self._probing = Probing(period, random.randrange(1 << 16))
         self._round: list[int] = []  # numbers to probe, the next one last
@@ -107,19 +107,19 @@
                 found[number] = member.claim
         return found
 
-    def alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether nobody has answered for so long that this node holds itself cut off."""
         return self._alone
 
     def leaving(self) -> bool:
         return self._left
 
-    def seen(self, now: int) -> list[Seen]:
+    def seen(self, now: int) -> list[MemberView]:
         out = []
         for member in self.members.values():
             claim = member.claim or Claim(member.number, 0, 0, State.ALIVE, member.number)
             suspicion = member.suspicion
-            out.append(Seen(
+            out.append(MemberView(
                 member.number, member.state, claim.life, claim.incarnation, *claim.traits, now - member.since,
                 now - member.heard if member.heard >= 0 else -1, member.round_trip,
                 tuple(sorted(suspicion.by)) if suspicion else (),
@@ -140,7 +140,7 @@
         if self._started and not isinstance(event, api.Start):
             self._stood_still(now)
         match event:
-            case api.Heard(message):
+            case api.Received(message):
                 self._hear(now, message)
             case api.Wake():
                 pass
@@ -148,7 +148,7 @@
                 self._start(now, kept)
             case api.Leave():
                 self._leave(now)
-            case api.Carry(to, items):
+            case api.SendPayload(to, items):
                 if to in self.members:
                     self._send(Kind.SHARED, to, items=items)
             case api.Peers(count, own, moved):
@@ -235,7 +235,7 @@
         if late <= int(LATE_BEYOND * self._period):
             return
         self.counts["pauses"] += 1
-        self._actions.append(api.StoodStill(late))
+        self._actions.append(api.ProcessStalled(late))
         self.health.worse(2)
         self._probing.clear()
         for number in self._suspects:
@@ -269,7 +269,7 @@
 
     def _patience(self) -> int:
         """ns that a node alone waits before it holds the others dead."""
-        return MOST_TIMES * least(self._period, self._spread, FAN, self._living, self._probing.trip)
+        return MOST_TIMES * least(self._period, self._spread, FANOUT, self._living, self._probing.trip)
 
     def _company(self, now: int) -> None:
         """Somebody has answered."""
@@ -351,7 +351,7 @@
             self._probe(now, target)
 
     def _call_many(self) -> None:
-        for number in self._random.sample(sorted(self.members), min(FAN, len(self.members))):
+        for number in self._random.sample(sorted(self.members), min(FANOUT, len(self.members))):
             self._send(Kind.PING, number, self._probing.new_seq())
 
     def _next_of(self, order: list[int], wanted: Callable[[Member], bool]) -> int | None:
@@ -390,7 +390,7 @@
         self._merge(now, claim._replace(state=State.SUSPECT, by=self.own), "it did not answer", spread=True)
 
     def _answered(self, now: int, message: Message) -> None:
-        about = message.mine.number if message.about == api.NOBODY else message.about
+        about = message.mine.number if message.about == api.NO_NODE else message.about
         itself = message.mine.number == about
         found = self._probing.answered(now, message.seq, about, itself)
         if found is None:
@@ -449,7 +449,7 @@
             case Kind.PING_REQ:
                 self._run_errand(now, message)
             case Kind.SHARED:
-                self._actions.append(api.Carried(number, message.mine.life, message.items))
+                self._actions.append(api.PayloadReceived(number, message.mine.life, message.items))
             case Kind.NEWS:
                 pass
 
@@ -536,7 +536,7 @@
         self._next_spread = min(self._next_spread, max(now, self._last_spread + self._spread))
 
     def _suspect(self, now: int, member: Member, claim: Claim) -> None:
-        times = least(self._period, self._spread, FAN, self._living, self._probing.trip)
+        times = least(self._period, self._spread, FANOUT, self._living, self._probing.trip)
         member.suspicion = Suspicion(now, claim.by, times, self._living - 1)
         member.unheard = False
         self._suspects.add(claim.number)
@@ -584,12 +584,12 @@
             else:
                 self._next_spread = NEVER
             return
-        for number in self._some(FAN, ()):
+        for number in self._some(FANOUT, ()):
             if self._news:
                 self._send(Kind.NEWS, number)
         self._next_spread = now + self._spread if self._news else NEVER
 
-    def _send(self, kind: Kind, to: int, seq: int = 0, about: int = api.NOBODY, items: bytes = b"") -> None:
+    def _send(self, kind: Kind, to: int, seq: int = 0, about: int = api.NO_NODE, items: bytes = b"") -> None:
         """With what is most urgent for whom it goes to: what is held of itself, what of the node that it is
         about, the news, and then claims in turn."""
         claims: list[Claim] = []
--- a/driftstair/tier/membership/events.py
+++ b/driftstair/tier/membership/events.py
@@ -8,7 +8,7 @@
 
 from driftstair.tier.membership.members import Claim, State
 
-NOBODY = 0xFFFF
+NO_NODE = 0xFFFF
 """Where a message is about no third node."""
 
 
@@ -32,7 +32,7 @@
     to: int
     order: int
     seq: int = 0
-    about: int = NOBODY
+    about: int = NO_NODE
     news: tuple[Claim, ...] = ()
     items: bytes = b""
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class Received:
     """A datagram whose seal is right and which came from its sender's address."""
 
     message: Message
@@ -75,14 +75,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Carry:
+class SendPayload:
     """Something of what is built on membership, for another node."""
 
     to: int
     items: bytes
 
 
-Event = Start | Wake | Heard | Leave | Peers | Carry
+Event = Start | Wake | Received | Leave | Peers | SendPayload
 
 
 # Actions.
@@ -111,26 +111,26 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StoodStill:
+class ProcessStalled:
     """This process did not run for so many ns beyond what it had asked for."""
 
     late: int
 
 
 @dataclass(slots=True, frozen=True)
-class Carried:
-    """What another node's `Carry` brought, once, from a life that no newer one is known of."""
+class PayloadReceived:
+    """What another node's `SendPayload` brought, once, from a life that no newer one is known of."""
 
     sender: int
     life: int
     items: bytes
 
 
-Action = Send | Changed | Superseded | StoodStill | Carried
+Action = Send | Changed | Superseded | ProcessStalled | PayloadReceived
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class MemberView:
     """A member for those who ask. Times are ns before now; -1: never."""
 
     number: int
--- a/driftstair/tier/membership/update_queue.py
+++ b/driftstair/tier/membership/update_queue.py
@@ -21,7 +21,7 @@
     return HEAD_START if claim.state is State.ALIVE and not claim.incarnation else 0
 
 
-class News:
+class UpdateQueue:
     """One piece for each member at most, so it is bounded by their number."""
 
     def __init__(self) -> None:
--- a/driftstair/tier/observed_module.py
+++ b/driftstair/tier/observed_module.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Callable
 
-from driftstair.tier.shared.evidence import Judge
+from driftstair.tier.shared.evidence import OutlierDetector
 from lichenspring import interface as api
 from lichenspring.interface import ListKind, Result, ServerState
 
 FAILURES = frozenset((Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CONNECT_FAILED))
 
 
-def key(server: api.ServerId) -> int:
+def server_key(server: api.ServerId) -> int:
     """Names a server between nodes: as much of its identity as fits a datagram well."""
     return int.from_bytes(server[:4], "big")
 
@@ -23,7 +23,7 @@
 class ObservedModule:
     """`judge`: as it is now; None while this process is not that node."""
 
-    def __init__(self, module: api.Module, judge: Callable[[], Judge | None]) -> None:
+    def __init__(self, module: api.Module, judge: Callable[[], OutlierDetector | None]) -> None:
         self._module = module
         self._judge = judge
         self._servers: dict[api.ServerId, api.Server] = {}  # as the list tells them
@@ -48,12 +48,14 @@
         if judge is not None:
             for one in actions:
                 if isinstance(one, api.Send):
-                    judge.sight.sent(key(one.server))
+                    judge.observations.sent(server_key(one.server))
             self._open.difference_update(
                 one.request for one in actions if isinstance(one, api.Refuse | api.Fail)
             )
-            judge.sight.in_flight = len(self._open)
-            judge.ready = {key(one.id) for one in self._servers.values() if one.state is ServerState.READY}
+            judge.observations.in_flight = len(self._open)
+            judge.ready = {
+                server_key(one.id) for one in self._servers.values() if one.state is ServerState.READY
+            }
         out = frozenset() if judge is None else frozenset(judge.hidden()) & judge.ready
         if out != self._out:
             self._out = out
@@ -62,13 +64,13 @@
             actions = actions + self._module.handle(now, api.ServerList(ListKind.CACHED, shown))
         return actions
 
-    def _note(self, now: int, judge: Judge, outcome: api.Outcome) -> None:
-        judge.sight.ended(key(outcome.server))
+    def _note(self, now: int, judge: OutlierDetector, outcome: api.Outcome) -> None:
+        judge.observations.ended(server_key(outcome.server))
         if outcome.closed:
             self._open.discard(outcome.request)
         if outcome.result is Result.OK or outcome.result in FAILURES:
-            judge.sight.note(
-                now, key(outcome.server), outcome.result is Result.OK,
+            judge.observations.note(
+                now, server_key(outcome.server), outcome.result is Result.OK,
                 outcome.result is not Result.CONNECT_FAILED, outcome.elapsed,
             )  # fmt: skip
 
@@ -85,5 +87,5 @@
         return event._replace(servers=tuple(self._shown(one) for one in event.servers))
 
     def _shown(self, server: api.Server) -> api.Server:
-        held_back = server.state is ServerState.READY and key(server.id) in self._out
+        held_back = server.state is ServerState.READY and server_key(server.id) in self._out
         return server._replace(state=ServerState.DRAINING) if held_back else server
--- a/driftstair/tier/operator_commands.py
+++ b/driftstair/tier/operator_commands.py
@@ -12,23 +12,23 @@
     from driftstair.tier.service import Tier
 
 NO_MORE = "none"  # in the place of what a permit is for
-TOKEN_MOST = 1 << 64
+MAX_TOKEN = 1 << 64
 
 
 def obey(tier: Tier | None, call: Call) -> Answer:
     """Status 409: the node is asked for something that it can't do; nothing has changed."""
     if tier is None or tier.sharing is None:
         return 404, {"error": "this node is in no tier that shares anything"}
-    from driftstair.tier.sharing import Unowned
+    from driftstair.tier.sharing import NotOwnerError
 
     try:
         if call.order is Order.PERMIT:
-            return 200, tier.sharing.want(_kind(call.words[0]))
+            return 200, tier.sharing.request_permit(_kind(call.words[0]))
         task, about = call.words
         if call.order is Order.HAND_OVER:
             return 200, {"task": task, "over": tier.sharing.hand_over(task, _number(about, 1 << 16))}
-        return 200, {"task": task, "over": tier.sharing.let_go(task, _number(about, TOKEN_MOST))}
-    except Unowned as problem:
+        return 200, {"task": task, "over": tier.sharing.release_task(task, _number(about, MAX_TOKEN))}
+    except NotOwnerError as problem:
         return 409, {"error": str(problem)}
     except ValueError as problem:
         return 400, {"error": str(problem)}
--- a/driftstair/tier/ownership/acceptor.py
+++ b/driftstair/tier/ownership/acceptor.py
@@ -26,11 +26,11 @@
     Refused,
     Release,
     Terms,
-    ahead,
     first_token,
+    reserve_tokens,
 )
 
-TASKS_MOST = 4096
+MAX_TASKS = 4096
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
     def __init__(self, terms: Terms, life: int, started: int, kept: int | None = None) -> None:
         self.floor = max(first_token(life, NUMBERS - 1), kept or 0)
         self.kept = kept
-        self.to_keep = 0  # a token that has to be on the disk before it says more
+        self.pending_token = 0  # a token that has to be on the disk before it says more
         self.running: dict[int, Running] = {}  # by task
         self.known: dict[int, int] = {}  # by task: the greatest token promised or accepted
         self._terms = terms
@@ -89,7 +89,7 @@
     def _is_kept(self, token: int) -> bool:
         if self.kept is None or token <= self.kept:
             return True
-        self.to_keep = max(self.to_keep, ahead(token))
+        self.pending_token = max(self.pending_token, reserve_tokens(token))
         return False
 
     def _refusal(self, now: int, sender: int, life: int, task: int, token: int) -> Refused | None:
@@ -106,4 +106,4 @@
             del self.running[told.task]
 
     def _full(self, task: int) -> bool:
-        return task not in self.known and len(self.known) >= TASKS_MOST
+        return task not in self.known and len(self.known) >= MAX_TASKS
--- a/driftstair/tier/ownership/leases.py
+++ b/driftstair/tier/ownership/leases.py
@@ -16,8 +16,8 @@
 from driftstair.tier.ownership.acceptor import Acceptor, Running
 from driftstair.tier.ownership.messages import (
     Accepted,
-    Letters,
     Message,
+    OutgoingMessages,
     Prepare,
     Promise,
     Propose,
@@ -27,15 +27,15 @@
 )
 from driftstair.tier.ownership.proposer import Proposer
 
-COUNCIL_MOST = 7
+MAX_COUNCIL_SIZE = 7
 TERMS = Terms()
 STAGGER = 700_000_000  # ns that each further rank waits before it asks
 RANKS_MOST = 4
-KEEP_AGAIN = 1_000_000_000  # ns after a write that failed
+PERSIST_RETRY_NS = 1_000_000_000  # ns after a write that failed
 NEVER = 1 << 62
 
 
-class Owns(NamedTuple):
+class LeaseChange(NamedTuple):
     """This process has a lease from now on, or (`token` 0) has it no more."""
 
     task: str
@@ -54,16 +54,16 @@
     had: int = 0  # token of the lease that was told of
 
 
-def key_of(name: str) -> int:
+def task_key(name: str) -> int:
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
-def council_of(count: int) -> tuple[int, ...]:
+def council_members(count: int) -> tuple[int, ...]:
     """The first numbers: the same whatever number beyond them joins or goes."""
-    return tuple(range(min(count, COUNCIL_MOST)))
+    return tuple(range(min(count, MAX_COUNCIL_SIZE)))
 
 
-def ranked(key: int, numbers: Iterable[int]) -> list[int]:
+def rank_nodes(key: int, numbers: Iterable[int]) -> list[int]:
     """Who should have a task, the first first (Thaler and Ravishankar, 1998)."""
     return sorted(
         numbers, key=lambda number: blake2b(f"{key}/{number}".encode(), digest_size=8).digest(), reverse=True
@@ -78,7 +78,7 @@
         self, tasks: Iterable[str], own: int, life: int, count: int, now: int, random: Random,
         living: Callable[[], list[int]], terms: Terms = TERMS, kept: int | None = None,
     ) -> None:  # fmt: skip
-        self.council = council_of(count)
+        self.council = council_members(count)
         self.acceptor = Acceptor(terms, life, now, kept) if own in self.council else None
         self._held: dict[tuple[int, int], tuple[int, Prepare | Propose]] = {}  # until a token is on the disk
         self._keeping = False
@@ -101,14 +101,14 @@
     def add(self, now: int, name: str) -> None:
         """There is this work from now on, as all nodes find for themselves."""
         if name not in self.tasks:
-            key = key_of(name)
+            key = task_key(name)
             proposer = Proposer(key, self._own, self._life, self.council, self._terms, self._random)
             proposer.floor(self._used)
             self.tasks[name] = self._keys[key] = Task(name, key, proposer, max(now, self._speaks_at))
             self._alive = []
             self.wake_at = now
 
-    def remove(self, now: int, name: str) -> tuple[Letters, list[Owns]]:
+    def remove(self, now: int, name: str) -> tuple[OutgoingMessages, list[LeaseChange]]:
         """There is no such work any more."""
         task = self.tasks.get(name)
         if task is None:
@@ -123,13 +123,13 @@
         one = self.tasks.get(task)
         return 0 if one is None else one.proposer.token(now)
 
-    def tick(self, now: int) -> tuple[Letters, list[Owns]]:
-        letters: Letters = []
+    def tick(self, now: int) -> tuple[OutgoingMessages, list[LeaseChange]]:
+        letters: OutgoingMessages = []
         living = self._living()
         if living != self._alive:
             self._alive = living
             for task in self.tasks.values():
-                order = ranked(task.key, living)[:RANKS_MOST]
+                order = rank_nodes(task.key, living)[:RANKS_MOST]
                 task.rank = order.index(self._own) if self._own in order else RANKS_MOST
         alive = set(living)
         for task in self.tasks.values():
@@ -165,18 +165,18 @@
         if self.tasks:
             self.wake_at = min(self.wake_at, now + STAGGER // 2)
 
-    def _changes(self, now: int) -> list[Owns]:
+    def _changes(self, now: int) -> list[LeaseChange]:
         out = []
         for task in self.tasks.values():
             token = task.proposer.token(now)
             if token != task.had:
-                out.append(Owns(task.name, token, task.had, task.proposer.over_at(now)))
+                out.append(LeaseChange(task.name, token, task.had, task.proposer.over_at(now)))
                 task.had = token
         return out
 
-    def _deliver(self, now: int, letters: Letters) -> Letters:
+    def _deliver(self, now: int, letters: OutgoingMessages) -> OutgoingMessages:
         """What is for this node itself needs no datagram."""
-        out: Letters = []
+        out: OutgoingMessages = []
         waiting = list(letters)
         while waiting:
             to, message = waiting.pop(0)
@@ -186,7 +186,9 @@
                 out.append((to, message))
         return out
 
-    def heard(self, now: int, sender: int, life: int, message: Message) -> tuple[Letters, list[Owns]]:
+    def heard(
+        self, now: int, sender: int, life: int, message: Message
+    ) -> tuple[OutgoingMessages, list[LeaseChange]]:
         letters = self._deliver(now, self._take(now, sender, life, message))
         if isinstance(message, Release) and message.heir == self._own:
             asked, changes = self.tick(now)
@@ -194,7 +196,7 @@
         self._set_wake(now)
         return letters, self._changes(now)
 
-    def _take(self, now: int, sender: int, life: int, message: Message) -> Letters:
+    def _take(self, now: int, sender: int, life: int, message: Message) -> OutgoingMessages:
         if isinstance(message, Release) and message.heir == self._own and message.task in self._keys:
             heir = self._keys[message.task]
             heir.since = now - RANKS_MOST * STAGGER
@@ -213,7 +215,9 @@
                 task.proposer.refused(now, sender, message)
         return []
 
-    def _decide(self, now: int, sender: int, life: int, message: Prepare | Propose | Release) -> Letters:
+    def _decide(
+        self, now: int, sender: int, life: int, message: Prepare | Propose | Release
+    ) -> OutgoingMessages:
         if self.acceptor is None:
             return []
         answer: Promise | Accepted | Refused | None = None
@@ -224,43 +228,44 @@
                 answer = self.acceptor.propose(now, sender, life, message)
             case Release():
                 self.acceptor.release(now, sender, life, message)
-        if answer is None and not isinstance(message, Release) and self.to_keep():
+        if answer is None and not isinstance(message, Release) and self.pending_token():
             self._held[sender, message.task] = life, message
         return [] if answer is None else [(sender, answer)]
 
     # What is on the disk before it is promised.
 
-    def to_keep(self) -> int:
+    def pending_token(self) -> int:
         """The token that has to be on the disk; 0: none."""
         acceptor = self.acceptor
-        if acceptor is None or acceptor.kept is None or acceptor.to_keep <= acceptor.kept:
+        if acceptor is None or acceptor.kept is None or acceptor.pending_token <= acceptor.kept:
             return 0
-        return acceptor.to_keep
+        return acceptor.pending_token
 
-    def keep(self, now: int) -> int:
-        """To be written now, and told of by `kept` or `not_kept`; 0: nothing, or a write is under way."""
-        if self._keeping or now < self._keep_at or not self.to_keep():
+    def token_to_persist(self, now: int) -> int:
+        """To be written now, and told of by `token_persisted` or `persist_failed`; 0: nothing, or a write is
+        under way."""
+        if self._keeping or now < self._keep_at or not self.pending_token():
             return 0
         self._keeping = True
-        return self.to_keep()
+        return self.pending_token()
 
-    def kept(self, now: int, token: int) -> tuple[Letters, list[Owns]]:
+    def token_persisted(self, now: int, token: int) -> tuple[OutgoingMessages, list[LeaseChange]]:
         """It is on the disk: who asked meanwhile is answered."""
         self._keeping = False
         if self.acceptor is None or self.acceptor.kept is None:
             return [], []
         self.acceptor.kept = max(self.acceptor.kept, token)
         held, self._held = self._held, {}
-        letters: Letters = []
+        letters: OutgoingMessages = []
         for (sender, _), (life, message) in held.items():
             letters += self._deliver(now, self._decide(now, sender, life, message))
         self._set_wake(now)
         return letters, self._changes(now)
 
-    def not_kept(self, now: int) -> None:
+    def persist_failed(self, now: int) -> None:
         """The disk takes nothing: this member promises nothing, and tries again some time later."""
         self._keeping = False
-        self._keep_at = now + KEEP_AGAIN
+        self._keep_at = now + PERSIST_RETRY_NS
         self._held.clear()
 
     def report(self, now: int) -> dict[str, Any]:
@@ -287,21 +292,21 @@
         if one is not None:
             one.proposer.floor(token)
 
-    def release(self, now: int, task: str, heir: int = -1) -> tuple[Letters, list[Owns]]:
+    def release(self, now: int, task: str, heir: int = -1) -> tuple[OutgoingMessages, list[LeaseChange]]:
         return self._released(now, self.tasks[task], heir), self._changes(now)
 
-    def _released(self, now: int, task: Task, heir: int) -> Letters:
+    def _released(self, now: int, task: Task, heir: int) -> OutgoingMessages:
         letters = task.proposer.release(now, heir)
         if letters and heir >= 0 and heir not in self.council:
             letters = [*letters, (heir, letters[0][1])]
         return self._deliver(now, letters)
 
-    def leave(self, now: int) -> tuple[Letters, list[Owns]]:
+    def leave(self, now: int) -> tuple[OutgoingMessages, list[LeaseChange]]:
         """All that it holds, each to the next in rank."""
         self._leaving = True
-        letters: Letters = []
+        letters: OutgoingMessages = []
         for task in self.tasks.values():
-            heirs = [number for number in ranked(task.key, self._living()) if number != self._own]
+            heirs = [number for number in rank_nodes(task.key, self._living()) if number != self._own]
             letters += self._released(now, task, heirs[0] if heirs else -1)
             task.proposer.wanted = False
         return letters, self._changes(now)
--- a/driftstair/tier/ownership/messages.py
+++ b/driftstair/tier/ownership/messages.py
@@ -7,7 +7,7 @@
 NUMBERS = 1 << 16
 ATTEMPTS = 1 << 16
 AHEAD = 4096
-TOKEN_MOST = (1 << 64) - 1
+MAX_TOKEN = (1 << 64) - 1
 
 
 def first_token(life: int, number: int) -> int:
@@ -16,15 +16,15 @@
     return life * ATTEMPTS * NUMBERS + number
 
 
-def above(token: int, known: int) -> int:
+def next_token_above(token: int, known: int) -> int:
     """The next token of the same node that is greater than both."""
     number = token % NUMBERS
     return max(token, known) // NUMBERS * NUMBERS + NUMBERS + number
 
 
-def ahead(token: int) -> int:
+def reserve_tokens(token: int) -> int:
     """As many tokens further: what is put on a disk at once, so that few promises wait for one."""
-    return min(token + AHEAD * NUMBERS, TOKEN_MOST)
+    return min(token + AHEAD * NUMBERS, MAX_TOKEN)
 
 
 def outlasting(span: int, drift: float) -> int:
@@ -91,5 +91,5 @@
 
 
 Message = Prepare | Promise | Propose | Accepted | Refused | Release
-Letters = list[tuple[int, Message]]
+OutgoingMessages = list[tuple[int, Message]]
 """With the number of the node that each is for."""
--- a/driftstair/tier/ownership/permit_manager.py
+++ b/driftstair/tier/ownership/permit_manager.py
@@ -7,26 +7,28 @@
 
 from driftstair.tier.ownership.permits import (
     Ask,
-    Back,
-    Held,
     Holder,
     Kind,
-    Letters,
     Message,
-    Noted,
+    OutgoingMessages,
+    PermitEvent,
+    PollReply,
+    ReturnPermit,
     Rules,
-    Why,
+    WaitReason,
 )
-from driftstair.tier.ownership.steward import Living, Steward
+from driftstair.tier.ownership.steward import LiveNodes, Steward
 
 TASK = "permits"
 EVERY = 250_000_000  # ns between two looks of a steward
 
 
-class Permits:
+class PermitManager:
     """`living`: nodes that are held alive and understand this, the own one among them."""
 
-    def __init__(self, rules: Rules, own: int, life: int, count: int, living: Callable[[], Living]) -> None:
+    def __init__(
+        self, rules: Rules, own: int, life: int, count: int, living: Callable[[], LiveNodes]
+    ) -> None:
         self.holder = Holder(rules, life)
         self.steward = Steward(rules, own, count, living)
         self._own = own
@@ -36,7 +38,7 @@
         """ns; `token` of the lease that this process has."""
         return min(self.holder.due(), self._next_look) if token else self.holder.due()
 
-    def tick(self, now: int, token: int) -> Letters:
+    def tick(self, now: int, token: int) -> OutgoingMessages:
         """`token` of the lease on the task, as it is at this moment; 0: another's."""
         self.steward.lead(now, token)
         letters = self._deliver(now, self.holder.tick(now))
@@ -45,18 +47,18 @@
             letters += self._deliver(now, self.steward.tick(now))
         return letters
 
-    def heard(self, now: int, token: int, sender: int, life: int, message: Message) -> Letters:
+    def heard(self, now: int, token: int, sender: int, life: int, message: Message) -> OutgoingMessages:
         self.steward.lead(now, token)
         return self._deliver(now, self._take(now, sender, life, message))
 
-    def _take(self, now: int, sender: int, life: int, message: Message) -> Letters:
-        if isinstance(message, Held | Ask | Back):
+    def _take(self, now: int, sender: int, life: int, message: Message) -> OutgoingMessages:
+        if isinstance(message, PollReply | Ask | ReturnPermit):
             return self.steward.heard(now, sender, life, message)
         return self.holder.heard(now, sender, message)
 
-    def _deliver(self, now: int, letters: Letters) -> Letters:
+    def _deliver(self, now: int, letters: OutgoingMessages) -> OutgoingMessages:
         """What is for this node itself needs no datagram."""
-        out: Letters = []
+        out: OutgoingMessages = []
         waiting = list(letters)
         while waiting:
             to, message = waiting.pop(0)
@@ -66,13 +68,13 @@
                 out.append((to, message))
         return out
 
-    def want(self, now: int, kind: Kind, until: int) -> None:
+    def request_permit(self, now: int, kind: Kind, until: int) -> None:
         self.holder.want(now, kind, until)
 
     def give_back(self, now: int) -> None:
         self.holder.give_back(now)
 
-    def notes(self) -> list[Noted]:
+    def notes(self) -> list[PermitEvent]:
         """What became of this process's permits since the last call."""
         notes, self.holder.notes = self.holder.notes, []
         return notes
@@ -86,7 +88,7 @@
             "state": state, "for": Kind(holder.kind).name.lower() if holder.kind else None,
             "left_s": round(holder.left(now) / 1e9, 3), "token": holder.token(),
             "steward": None if holder.steward < 0 else holder.steward,
-            "why": Why(holder.why).name.lower() if holder.wanted() and holder.why else None,
+            "why": WaitReason(holder.why).name.lower() if holder.wanted() and holder.why else None,
             "before": holder.before if holder.wanted() else 0, "is_steward": bool(token),
             "at_once": holder.rules.at_once, "term_s": holder.rules.term / 1e9,
             "out": [
--- a/driftstair/tier/ownership/permits.py
+++ b/driftstair/tier/ownership/permits.py
@@ -24,7 +24,7 @@
     UPGRADE = 3
 
 
-class Why(IntEnum):
+class WaitReason(IntEnum):
     """Nothing is given yet."""
 
     TURN = 1  # others are before it
@@ -52,7 +52,7 @@
     token: int
 
 
-class Held(NamedTuple):
+class PollReply(NamedTuple):
     """The answer to a poll. `seq` 0: no permit; `left`: ns of it."""
 
     token: int
@@ -90,24 +90,24 @@
     before: int
 
 
-class Back(NamedTuple):
+class ReturnPermit(NamedTuple):
     """The wish or permit `seq` is over."""
 
     seq: int
 
 
-class Done(NamedTuple):
+class ReturnConfirmed(NamedTuple):
     """The steward counts it out no more."""
 
     life: int
     seq: int
 
 
-Message = Poll | Held | Ask | Permit | Wait | Back | Done
-Letters = list[tuple[int, Message]]
+Message = Poll | PollReply | Ask | Permit | Wait | ReturnPermit | ReturnConfirmed
+OutgoingMessages = list[tuple[int, Message]]
 
 
-class Noted(NamedTuple):
+class PermitEvent(NamedTuple):
     """For the history: a permit was `took`, `gave` back or `refused` (an older steward's)."""
 
     what: str
@@ -122,7 +122,7 @@
     def __init__(self, rules: Rules, life: int) -> None:
         self.rules = rules
         self.life = life
-        self.notes: list[Noted] = []
+        self.notes: list[PermitEvent] = []
         self.steward = -1
         self.floor = 0  # token of the greatest steward that it has answered
         self.kind = 0  # of what it wants or holds
@@ -166,24 +166,24 @@
         if not self._wanted and not self._token:
             return
         if self._token:
-            self.notes.append(Noted("gave", self.kind, self._token, now))
+            self.notes.append(PermitEvent("gave", self.kind, self._token, now))
         self._giving, self._next_ask = self._seq, now
         self._wanted, self._token, self.kind = False, 0, 0
 
     def _lapse(self, now: int) -> None:
         if self._token and now >= self._until:
-            self.notes.append(Noted("gave", self.kind, self._token, self._until))
+            self.notes.append(PermitEvent("gave", self.kind, self._token, self._until))
             self._token, self.kind = 0, 0
         if self._wanted and now >= self._wish_until:
             self.give_back(now)
 
-    def tick(self, now: int) -> Letters:
+    def tick(self, now: int) -> OutgoingMessages:
         self._lapse(now)
         if now < self._next_ask:
             return []
-        letters: Letters = []
+        letters: OutgoingMessages = []
         if self.steward >= 0 and self._giving:
-            letters.append((self.steward, Back(self._giving)))
+            letters.append((self.steward, ReturnPermit(self._giving)))
         if self.steward >= 0 and self._wanted:
             letters.append((self.steward, Ask(self._seq, self.kind, now)))
         self._next_ask = now + ASK_EVERY if self._wanted or self._giving else NEVER
@@ -193,7 +193,9 @@
         wish = self._wish_until if self._wanted else NEVER
         return min(self._next_ask, self._until if self._token else wish)
 
-    def heard(self, now: int, sender: int, message: Poll | Permit | Wait | Done) -> Letters:
+    def heard(
+        self, now: int, sender: int, message: Poll | Permit | Wait | ReturnConfirmed
+    ) -> OutgoingMessages:
         self._lapse(now)
         match message:
             case Poll(token):
@@ -203,32 +205,32 @@
                     self.floor, self.steward = token, sender
                     self._next_ask = now if self._wanted or self._giving else self._next_ask
                 seq = self._seq if self._token else 0
-                return [(sender, Held(token, seq, self.kind if seq else 0, self.left(now)))]
+                return [(sender, PollReply(token, seq, self.kind if seq else 0, self.left(now)))]
             case Permit():
                 return self._permitted(now, sender, message)
             case Wait(token, life, seq, why, before):
                 if token >= self.floor and (life, seq) == (self.life, self._seq) and self._wanted:
                     self.steward, self.why, self.before = sender, why, before
-            case Done(life, seq):
+            case ReturnConfirmed(life, seq):
                 if (life, seq) == (self.life, self._giving):
                     self._giving = 0
         return []
 
-    def _permitted(self, now: int, sender: int, message: Permit) -> Letters:
+    def _permitted(self, now: int, sender: int, message: Permit) -> OutgoingMessages:
         token, life, seq, at, term = message
         if life != self.life:
             return []  # of the process before this one, with that one's clock
         if token < self.floor:
-            self.notes.append(Noted("refused", self.kind, token, now))
+            self.notes.append(PermitEvent("refused", self.kind, token, now))
             return []
         if not self._wanted or seq != self._seq:
             taken = self._token and seq == self._seq
-            return [] if taken else [(sender, Back(seq))]  # of a wish that is none any more
+            return [] if taken else [(sender, ReturnPermit(seq))]  # of a wish that is none any more
         until = at + min(term, self.rules.term)
         if now >= until:
             return []  # it was long on its way
         self.floor, self.steward = token, sender
         self._wanted, self._token, self._until = False, token, until
         self._next_ask = NEVER
-        self.notes.append(Noted("took", self.kind, token, self._until))
+        self.notes.append(PermitEvent("took", self.kind, token, self._until))
         return []
--- a/driftstair/tier/ownership/proposer.py
+++ b/driftstair/tier/ownership/proposer.py
@@ -12,15 +12,15 @@
 
 from driftstair.tier.ownership.messages import (
     Accepted,
-    Letters,
+    OutgoingMessages,
     Prepare,
     Promise,
     Propose,
     Refused,
     Release,
     Terms,
-    above,
     first_token,
+    next_token_above,
 )
 
 WITHIN = 400_000_000  # ns: for the council's answers to one question
@@ -75,7 +75,7 @@
 
     # What it does.
 
-    def tick(self, now: int) -> Letters:
+    def tick(self, now: int) -> OutgoingMessages:
         self._lapse(now)
         if self._phase is not Phase.IDLE and now - self._sent_at >= WITHIN:
             self._give_up(now)
@@ -97,13 +97,13 @@
             self._token, self._phase = 0, Phase.IDLE
             self._over_at = self._until - self._terms.margin
 
-    def _propose(self, now: int) -> Letters:
+    def _propose(self, now: int) -> OutgoingMessages:
         self._phase, self._sent_at = Phase.PROPOSING, now
         self._answers, self._refusals = set(), set()
         self._seq += 1
         return self._all(Propose(self.task, self._asked, self._seq))
 
-    def _all(self, message: Prepare | Propose | Release) -> Letters:
+    def _all(self, message: Prepare | Propose | Release) -> OutgoingMessages:
         return [(number, message) for number in self._council]
 
     def _give_up(self, now: int) -> None:
@@ -114,9 +114,9 @@
         if now < self._keen_until:
             most = LEAST_PAUSE // 2
         self._pause_until = now + int(self._random.uniform(most / 4, most))
-        self._next = above(self._next, self._asked)
+        self._next = next_token_above(self._next, self._asked)
 
-    def promised(self, now: int, member: int, answer: Promise) -> Letters:
+    def promised(self, now: int, member: int, answer: Promise) -> OutgoingMessages:
         if self._phase is not Phase.PREPARING or answer.token != self._asked:
             return []
         self._answers.add(member)
@@ -133,7 +133,7 @@
         self._phase, self._failures = Phase.IDLE, 0
         new = not self._token
         self._token, self._until = self._asked, self._sent_at + self._terms.lease
-        self._next = above(self._next, self._asked)
+        self._next = next_token_above(self._next, self._asked)
         if self.token(now) == 0:
             self._token = 0  # the answers took too long
             return False
@@ -152,13 +152,13 @@
     def floor(self, token: int) -> None:
         """Its next attempt is above this: of the council, or of what bears the effect."""
         if token >= self._next:
-            self._next = above(self._next, token)
+            self._next = next_token_above(self._next, token)
 
     def next_token(self) -> int:
         """Greater than all that it has asked for."""
         return self._next
 
-    def release(self, now: int, heir: int = -1) -> Letters:
+    def release(self, now: int, heir: int = -1) -> OutgoingMessages:
         """It acts no more with it from here on."""
         if not self._token:
             return []
--- a/driftstair/tier/ownership/steward.py
+++ b/driftstair/tier/ownership/steward.py
@@ -16,21 +16,21 @@
 from driftstair.tier.ownership.permits import (
     ASK_EVERY,
     Ask,
-    Back,
-    Done,
-    Held,
-    Letters,
+    OutgoingMessages,
     Permit,
     Poll,
+    PollReply,
+    ReturnConfirmed,
+    ReturnPermit,
     Rules,
     Wait,
-    Why,
+    WaitReason,
 )
 
 POLL_EVERY = 10_000_000_000  # ns between two polls of a node that has answered
 POLL_AGAIN = 500_000_000  # ns between two polls of one that has not
 FORGOTTEN = 3 * ASK_EVERY  # ns after its last ask, when a wish is none any more
-Living = dict[int, tuple[int, int]]
+LiveNodes = dict[int, tuple[int, int]]
 """By number: the life and the zone of nodes that are held alive, the steward's own among them."""
 
 
@@ -57,7 +57,7 @@
     """`count` nodes; `living` as membership has it, which may be wrong: it decides whom to ask, and whom to
     count out besides those that the polls tell of."""
 
-    def __init__(self, rules: Rules, own: int, count: int, living: Callable[[], Living]) -> None:
+    def __init__(self, rules: Rules, own: int, count: int, living: Callable[[], LiveNodes]) -> None:
         self.rules = rules
         self.given: dict[int, Given] = {}
         self._own, self._count = own, count
@@ -83,12 +83,12 @@
         for table in (self.given, self._answered, self._cleared, self._polled, self._seen, self._wishes):
             table.clear()
 
-    def tick(self, now: int) -> Letters:
+    def tick(self, now: int) -> OutgoingMessages:
         """Polls, and permits that can be given now."""
         if not self._token:
             return []
         living = self._look(now)
-        letters: Letters = []
+        letters: OutgoingMessages = []
         for number, (life, _) in living.items():
             wait = POLL_EVERY if self._answered.get(number) == life else POLL_AGAIN
             if now - self._polled.get(number, -wait) >= wait:
@@ -98,7 +98,7 @@
             del self._wishes[number]
         return letters + self._give(now, living)
 
-    def _look(self, now: int) -> Living:
+    def _look(self, now: int) -> LiveNodes:
         living = self._living()
         for number, (life, zone) in living.items():
             self._seen[number], self._zones[number] = now, zone
@@ -109,26 +109,28 @@
             del self.given[number]
         return living
 
-    def heard(self, now: int, sender: int, life: int, message: Held | Ask | Back) -> Letters:
+    def heard(
+        self, now: int, sender: int, life: int, message: PollReply | Ask | ReturnPermit
+    ) -> OutgoingMessages:
         if not self._token:
             return []
         living = self._look(now)
         match message:
-            case Held(token, seq, kind, left):
+            case PollReply(token, seq, kind, left):
                 if token != self._token:
                     return []
                 self._told(now, sender, life, seq, kind, left)
                 return self._give(now, living)
             case Ask():
                 return self._asked(now, living, sender, life, message)
-            case Back(seq):
+            case ReturnPermit(seq):
                 wish, given = self._wishes.get(sender), self.given.get(sender)
                 if wish is not None and (wish.life, wish.seq) == (life, seq):
                     del self._wishes[sender]
                 if given is not None and (given.life, given.seq) == (life, seq):
                     del self.given[sender]
                     self._cleared[sender] = life
-                return [(sender, Done(life, seq)), *self._give(now, living)]
+                return [(sender, ReturnConfirmed(life, seq)), *self._give(now, living)]
         return []
 
     def _told(self, now: int, sender: int, life: int, seq: int, kind: int, left: int) -> None:
@@ -149,7 +151,7 @@
             lasts = min(self.rules.waited(), outlasting(left, self.rules.drift))
             self.given[sender] = Given(life, seq, kind, now + lasts)
 
-    def _asked(self, now: int, living: Living, sender: int, life: int, asked: Ask) -> Letters:
+    def _asked(self, now: int, living: LiveNodes, sender: int, life: int, asked: Ask) -> OutgoingMessages:
         if life < self._answered.get(sender, 0) or sender not in living:
             return []
         given = self.given.get(sender)
@@ -178,7 +180,7 @@
         """Who counts as out, and the zone; -1: nobody knows."""
         return self._out(now, self._living())
 
-    def _out(self, now: int, living: Living) -> dict[int, int]:
+    def _out(self, now: int, living: LiveNodes) -> dict[int, int]:
         out = {number: self._zones.get(number, -1) for number in self.given}
         for number in range(self._count):
             # Nothing that was given before its office, or held by a node since gone, lasts any longer.
@@ -208,23 +210,23 @@
 
         return sorted(self._wishes, key=rank)
 
-    def _refused(self, living: Living, out: dict[int, int], number: int) -> Why | None:
+    def _refused(self, living: LiveNodes, out: dict[int, int], number: int) -> WaitReason | None:
         others = {one: zone for one, zone in out.items() if one != number}
         if self._answered.get(number) != living[number][0]:
-            return Why.POLLING
+            return WaitReason.POLLING
         zone = self._zones[number]
         if len(others) >= self.rules.at_once:
             unknown = any(one in living and self._answered.get(one) != living[one][0] for one in others)
-            return Why.POLLING if unknown else Why.OUT
-        return Why.ZONE if any(one != zone for one in others.values()) else None
+            return WaitReason.POLLING if unknown else WaitReason.OUT
+        return WaitReason.ZONE if any(one != zone for one in others.values()) else None
 
-    def _refusal(self, now: int, living: Living, number: int) -> tuple[Why, int]:
+    def _refusal(self, now: int, living: LiveNodes, number: int) -> tuple[WaitReason, int]:
         out = self._out(now, living)
         before = self._order(out).index(number)
-        return self._refused(living, out, number) or Why.TURN, before
+        return self._refused(living, out, number) or WaitReason.TURN, before
 
-    def _give(self, now: int, living: Living) -> Letters:
-        letters: Letters = []
+    def _give(self, now: int, living: LiveNodes) -> OutgoingMessages:
+        letters: OutgoingMessages = []
         while self._wishes:
             out = self._out(now, living)
             number = self._order(out)[0]
--- a/driftstair/tier/peer_config.py
+++ b/driftstair/tier/peer_config.py
@@ -7,8 +7,8 @@
 from driftstair.hosts import ListError, parse_address
 from driftstair.settings import Config
 
-NODES_MOST = 4096
-ZONE_MOST = 255
+MAX_NODES = 4096
+MAX_ZONE = 255
 
 
 class PeerConfigError(Exception):
@@ -29,8 +29,8 @@
     if between is None:
         raise PeerConfigError("the platform's settings allow no peers (Limits.Peers)")
     peers = between.get("peers")
-    if not isinstance(peers, list) or not 0 < len(peers) <= NODES_MOST:
-        raise PeerConfigError(f"the platform's peers are no list of 1 to {NODES_MOST} addresses")
+    if not isinstance(peers, list) or not 0 < len(peers) <= MAX_NODES:
+        raise PeerConfigError(f"the platform's peers are no list of 1 to {MAX_NODES} addresses")
     try:
         listen = parse_address(between.get("peer_listen"))
         found = tuple(parse_address(one) for one in peers)
@@ -42,5 +42,5 @@
     if own >= len(found):
         raise PeerConfigError(f"the platform's peers are {len(found)}, and SelfIndex is {own}")
     zone = between.get("zone")
-    known = isinstance(zone, int) and not isinstance(zone, bool) and 0 <= zone <= ZONE_MOST
+    known = isinstance(zone, int) and not isinstance(zone, bool) and 0 <= zone <= MAX_ZONE
     return PeerConfig(listen, found, own, zone if known else 0)  # type: ignore[arg-type]
--- a/driftstair/tier/replay.py
+++ b/driftstair/tier/replay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-WIDE = 64  # datagrams that may overtake one
+WINDOW_BITS = 64  # datagrams that may overtake one
 
 
 class Window:
@@ -18,10 +18,10 @@
         """Whether it is new; then it counts as taken. One older than the window is not."""
         ahead = count - self._highest
         if ahead > 0:
-            self._seen = (self._seen << ahead | 1) & (1 << WIDE) - 1 if ahead < WIDE else 1
+            self._seen = (self._seen << ahead | 1) & (1 << WINDOW_BITS) - 1 if ahead < WINDOW_BITS else 1
             self._highest = count
             return True
-        if -ahead >= WIDE or self._seen >> -ahead & 1:
+        if -ahead >= WINDOW_BITS or self._seen >> -ahead & 1:
             return False
         self._seen |= 1 << -ahead
         return True
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -38,7 +38,7 @@
 LIVES_PER_S = 16
 BIND_AGAIN = 0.5  # s: the process before this one may hold the address yet
 SAID_EVERY = 60.0  # s between two lines on datagrams that were thrown away
-DOUBTFUL = 4  # of the local health score: by then the fault is likely here
+DEGRADED_HEALTH_SCORE = 4  # of the local health score: by then the fault is likely here
 KEPT_EVERY = 5.0  # s between two writes of the list
 FORMAT = "driftstair.tier/1"
 
@@ -46,7 +46,7 @@
 def life_at(time_ns: int) -> int:
     """The life of a process that starts at that time. A clock that is off is no harm: the tier tells a
     process what its number was called before."""
-    return min(max(1, (time_ns - EPOCH * 1_000_000_000) * LIVES_PER_S // 1_000_000_000), wire.COUNT_MOST - 1)
+    return min(max(1, (time_ns - EPOCH * 1_000_000_000) * LIVES_PER_S // 1_000_000_000), wire.MAX_COUNT - 1)
 
 
 class Tier:
@@ -88,17 +88,17 @@
         self.core = Membership(
             peers.own, len(peers.peers), life_at(system.time_ns()),
             Traits(peers.zone, wire.VERSION, supports), period, Random(config.seed ^ 0x7E12),
-            wire.ROOM, wire.size,
+            wire.MAX_CLAIMS_BYTES, wire.size,
         )  # fmt: skip
         self.sharing: Sharing | None = None
         self._collecting: LedgerCollector | None = None
         if shares:
-            from driftstair.tier.sharing import Permitted, Sharing, Speaks
+            from driftstair.tier.sharing import EvidenceSettings, PermitSettings, Sharing
 
             self.sharing = Sharing(
                 budgets, Random(config.seed ^ 0x54A2), system.monotonic_ns, self._sharers, self._carry,
-                self._write, Speaks(peers.zone, self._sound, self._zones) if judges else None,
-                ("collect",) if collect else (), Permitted(permits, self._lives) if permits else None,
+                self._write, EvidenceSettings(peers.zone, self._sound, self._zones) if judges else None,
+                ("collect",) if collect else (), PermitSettings(permits, self._lives) if permits else None,
                 self._keep_token,
             )  # fmt: skip
         if collect:
@@ -130,7 +130,7 @@
     def _bind(self, first: bool = False) -> None:
         self._binding = None
         try:
-            self._socket = self._system.datagrams(self._told.listen, self._came, wire.DATAGRAM_MOST)
+            self._socket = self._system.datagrams(self._told.listen, self._came, wire.MAX_DATAGRAM_BYTES)
         except OSError as problem:
             if first:
                 log.warning("peer_listen can't be used yet: %s", problem.strerror)
@@ -145,10 +145,10 @@
             )
             self._set_timer()
 
-    def respec(self, budgets: Sequence[Spec]) -> None:
+    def update_specs(self, budgets: Sequence[Spec]) -> None:
         """The service file has been replaced."""
         if self.sharing is not None:
-            self.sharing.respec(budgets)
+            self.sharing.update_specs(budgets)
             self._set_timer()
 
     def tokens(self, name: str) -> Tokens:
@@ -175,18 +175,18 @@
 
     def _sound(self) -> bool:
         """Whether this node's word on servers is worth anything."""
-        return not self.core.alone() and self.core.health.score < DOUBTFUL
+        return not self.core.is_isolated() and self.core.health.score < DEGRADED_HEALTH_SCORE
 
     def _zones(self) -> dict[int, int]:
         """Of those that live, this node among them, by number."""
         known = self.core.known().items()
         return {self._told.own: self._told.zone} | {number: one.traits.zone for number, one in known}
 
-    def around(self, module: Module) -> Module:
-        return module if self.sharing is None else self.sharing.around(module)
+    def wrap_module(self, module: Module) -> Module:
+        return module if self.sharing is None else self.sharing.wrap_module(module)
 
     def _carry(self, to: int, items: bytes) -> None:
-        self._tell(api.Carry(to, items))
+        self._tell(api.SendPayload(to, items))
 
     def reload(self, config: Config) -> None:
         """The platform may name other peers."""
@@ -255,16 +255,16 @@
                     self._send(message)
                 case api.Changed(claim, why, told_too):
                     if claim.number == self._told.own and self.sharing is not None:
-                        self.sharing.renamed(claim.life)
+                        self.sharing.set_life(claim.life)
                     if claim.number != self._told.own:
                         log.info("node %d is %s: %s", claim.number, claim.state.name.lower(), why)
                     self._write(
                         "member", member=claim.number, state=claim.state.name.lower(),
                         incarnation=claim.incarnation, member_life=claim.life, told=told_too, why=why,
                     )  # fmt: skip
-                case api.StoodStill(late):
+                case api.ProcessStalled(late):
                     self._write("stood-still", late_ns=late)
-                case api.Carried(sender, life, items):
+                case api.PayloadReceived(sender, life, items):
                     if self.sharing is not None:
                         self.sharing.heard(sender, life, items)
                 case api.Superseded(life):
@@ -325,7 +325,7 @@
             return
         self._bytes_in += len(data)
         self._datagrams_in += 1
-        self._tell(api.Heard(message))
+        self._tell(api.Received(message))
 
     def _throw(self, why: str) -> None:
         """Counted, and said once a minute at most."""
@@ -390,10 +390,10 @@
             if not self._token_lost:
                 log.error("this member of the council promises nothing: %s", problem.strerror)
             self._token_lost = True
-            sharing.not_kept()
+            sharing.persist_failed()
         else:
             self._token_lost = False
-            sharing.kept(token)
+            sharing.token_persisted(token)
         self._set_timer()
 
     # For those who ask.
@@ -407,7 +407,7 @@
             "node": {
                 "number": mine.number, "life": mine.life, "incarnation": mine.incarnation,
                 "state": mine.state.name.lower(), "zone": mine.traits.zone, "health": core.health.score,
-                "alone": core.alone(), "superseded": core.superseded,
+                "alone": core.is_isolated(), "superseded": core.superseded,
             },
             "members": [
                 {
--- a/driftstair/tier/shared/budget.py
+++ b/driftstair/tier/shared/budget.py
@@ -23,7 +23,7 @@
 
 TERMS = Terms(shares=32, floor=1, lent=3_000_000_000, drift=0.01)
 ROOM = 1.25  # times its demand that a node wants to hold
-EASE_MOST = 255
+MAX_EASE = 255
 WIDE_LEAST, WIDE_MOST = 2, 32  # nodes that are asked for one budget in one tick
 PIECES = 4  # loans that what a node has to lend is cut into
 EASIER = 25  # hundredths of its need that one has to have more for a piece to go to another
@@ -74,7 +74,7 @@
         self.key = spec.key(count)
         self.rights = Rights(own, life, spec.terms, now)
         self.share = spec.per_s / (count * spec.terms.shares)  # tokens a second
-        self.purse = TokenBucket(self.rights, self.share, spec.burst / 1e9, now)
+        self.bucket = TokenBucket(self.rights, self.share, spec.burst / 1e9, now)
         self.demand = Demand(now)
         self.notes: list[Note] = []
         self.counts = {"asked": 0, "granted": 0, "refused": 0, "lent": 0, "spent": 0, "denied": 0}
@@ -91,18 +91,18 @@
         self._idle = 0
         self._leaving = False
 
-    def respec(self, now: int, spec: Spec, count: int) -> None:
+    def update_spec(self, now: int, spec: Spec, count: int) -> None:
         """Another rate or burst, by the same terms and as many nodes."""
-        self.purse.advance(now)
+        self.bucket.advance(now)
         self.spec = spec
         self.share = spec.per_s / (count * spec.terms.shares)
-        self.purse.worth(now, self.share, spec.burst / 1e9)
+        self.bucket.worth(now, self.share, spec.burst / 1e9)
 
     # Spending.
 
     def spend(self, now: int, tokens: float = 1.0) -> bool:
         """Whether it may; then it has. What is refused counts as wanted."""
-        if self.purse.spend(now, tokens):
+        if self.bucket.spend(now, tokens):
             return True
         self.counts["denied"] += 1
         self.demand.note(tokens)
@@ -114,25 +114,25 @@
         self.demand.note(tokens)
 
     def unspent(self, now: int, tokens: float = 1.0) -> None:
-        self.purse.refund(now, tokens)
+        self.bucket.refund(now, tokens)
 
     # A borrower's part.
 
     def need(self) -> int:
         """Shares that it wants to hold: with some room, unless it has much saved up."""
-        room = 1.0 if self.purse.fullness() > 0.5 else ROOM
+        room = 1.0 if self.bucket.fullness() > 0.5 else ROOM
         return min(self._most, ceil(self.demand.per_s * room / self.share)) if self.demand.per_s > 0 else 0
 
     def tick(self, now: int) -> Messages:
         """To be called `TICKS` times in the time of a loan."""
-        self.purse.advance(now)
+        self.bucket.advance(now)
         self.demand.tick(now)
         for number in [number for number, until in self._again.items() if until <= now]:
             del self._again[number]
         out: Messages = []
         need, held, lent = self.need(), self.rights.held(now), self.spec.terms.lent
         surplus, sure = held - need, held
-        ease = min(EASE_MOST, held * 100 // max(1, need))
+        ease = min(MAX_EASE, held * 100 // max(1, need))
         loans = self.rights.loans()
         known = {key for key, _ in loans}
         self._longer = {key: at for key, at in self._longer.items() if key in known}
@@ -175,7 +175,7 @@
     def _give_back(self, now: int, shares: int) -> Messages:
         before = dict(self.rights.loans())
         backs = self.rights.give_back(now, shares)
-        self.purse.advance(now)
+        self.bucket.advance(now)
         for back in backs:
             loan = before[back.lender, back.lender_life, back.loan]
             self.notes.append(Note("gave", back.lender, back.lender_life, back.loan, loan.shares, now))
@@ -194,9 +194,9 @@
             return
         key = lender, grant.lender_life, loan
         known = self.rights.borrowed(key) is not None
-        self.purse.advance(now)
+        self.bucket.advance(now)
         taken = self.rights.take(now, grant)
-        self.purse.advance(now)
+        self.bucket.advance(now)
         loan_now = self.rights.borrowed(key)
         if taken and loan_now is not None:
             self.counts["granted"] += 1
@@ -206,7 +206,7 @@
 
     def leave(self, now: int) -> Messages:
         """The process is about to end: what it has borrowed others may use at once."""
-        self.purse.advance(now)
+        self.bucket.advance(now)
         self._leaving = True
         return self._give_back(now, self._most)
 
@@ -214,7 +214,7 @@
 
     def asked(self, now: int, ask: Ask) -> list[Grant]:
         """A grant of no shares says that there are none to spare."""
-        self.purse.advance(now)
+        self.bucket.advance(now)
         terms, borrower = self.spec.terms, ask.borrower
         self._ease[borrower] = ask.ease
         lent = sum(self.rights.lent_to().values())
@@ -235,7 +235,7 @@
                 self._recall(ask)
             else:
                 self._unmet.pop(borrower, None)
-        self.purse.advance(now)
+        self.bucket.advance(now)
         made = [grant for grant in grants if grant is not None]
         self.counts["lent"] += len(made)
         what, until = "extended" if ask.renews else "lent", now + terms.waited()
@@ -270,10 +270,10 @@
             self._recalled.add(loan)
 
     def returned(self, now: int, back: GiveBack) -> None:
-        self.purse.advance(now)
+        self.bucket.advance(now)
         before = self.rights.lent_to().get(back.borrower, 0)
         self.rights.returned(back)
         shares = before - self.rights.lent_to().get(back.borrower, 0)
-        self.purse.advance(now)
+        self.bucket.advance(now)
         if shares:
             self.notes.append(Note("returned", back.borrower, back.lender_life, back.loan, shares, now))
--- a/driftstair/tier/shared/core.py
+++ b/driftstair/tier/shared/core.py
@@ -12,16 +12,16 @@
 from typing import Any
 
 from driftstair.tier.ownership import wire as council
-from driftstair.tier.ownership.leases import Leases, Owns
-from driftstair.tier.ownership.messages import Letters
+from driftstair.tier.ownership.leases import LeaseChange, Leases
+from driftstair.tier.ownership.messages import OutgoingMessages
 from driftstair.tier.ownership.permit_manager import TASK as STEWARD
-from driftstair.tier.ownership.permit_manager import Permits
+from driftstair.tier.ownership.permit_manager import PermitManager
 from driftstair.tier.ownership.permits import Holder, Kind, Rules
-from driftstair.tier.ownership.permits import Letters as PermitLetters
-from driftstair.tier.ownership.steward import Living
+from driftstair.tier.ownership.permits import OutgoingMessages as OutgoingPermitMessages
+from driftstair.tier.ownership.steward import LiveNodes
 from driftstair.tier.shared import wire
 from driftstair.tier.shared.budget import TICKS, Budget, Messages, Spec
-from driftstair.tier.shared.evidence import Judge
+from driftstair.tier.shared.evidence import OutlierDetector
 from driftstair.tier.shared.facts import Facts
 from driftstair.tier.shared.gossip import ROUND, Gossip, Tells
 from driftstair.tier.shared.rights import Ask, GiveBack, Grant
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendItems:
     """To a node, in one datagram."""
 
     to: int
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wrote:
+class RecordEvent:
     """For the history."""
 
     event: str
@@ -49,16 +49,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Keep:
-    """A token to the disk; then `kept` or `not_kept`."""
+class PersistToken:
+    """A token to the disk; then `token_persisted` or `persist_failed`."""
 
     token: int
 
 
-Action = Tell | Wrote | Keep
+Action = SendItems | RecordEvent | PersistToken
 
 
-class Shared:
+class SharedState:
     """`others`: the numbers of living nodes that understand this, but for the node's own. Times are monotonic
     ns. It holds no rights until `open`: whoever has the node's address among its peers has them."""
 
@@ -66,13 +66,13 @@
         self.specs = {spec.name: spec for spec in specs}
         self.budgets: dict[str, Budget] = {}
         self.wake_at = NEVER
-        self.thrown: Counter[str] = Counter()
+        self.discarded: Counter[str] = Counter()
         self._keys: dict[int, Budget] = {}
         self._random = random
         self._others = others
-        self.judge: Judge | None = None
+        self.outlier_detector: OutlierDetector | None = None
         self.leases: Leases | None = None
-        self.permits: Permits | None = None
+        self.permits: PermitManager | None = None
         self._holder: Holder | None = None  # outlives a change of number
         self._budget_at = self._gossip_at = NEVER
         self._gossip: Gossip | None = None
@@ -94,20 +94,23 @@
         self._set_wake(now)
         return [_described(now, one, count) for one in self.budgets.values()]
 
-    def speak(
+    def enable_outlier_detection(
         self, now: int, zone: int, sound: Callable[[], bool], zones: Callable[[], dict[int, int]]
-    ) -> Judge:
+    ) -> OutlierDetector:
         """Tell others what is seen of servers, from `open` on, and judge by what all have seen."""
         facts = Facts(self._own, self._life, self._random)
-        self._gossip = Gossip(facts, self._random, self._others, self.thrown)
-        before, self.judge = self.judge, Judge(facts, now, zone, sound, zones)
+        self._gossip = Gossip(facts, self._random, self._others, self.discarded)
+        before, self.outlier_detector = self.outlier_detector, OutlierDetector(facts, now, zone, sound, zones)
         if before is not None:
-            self.judge.sight, self.judge.ready = before.sight, before.ready
+            self.outlier_detector.observations, self.outlier_detector.ready = (
+                before.observations,
+                before.ready,
+            )
         self._gossip_at = now
         self._set_wake(now)
-        return self.judge
+        return self.outlier_detector
 
-    def lead(
+    def enable_leases(
         self, now: int, tasks: Iterable[str], living: Callable[[], list[int]], kept: int | None = None
     ) -> Leases:
         """Take part in who has which task, from `open` on; `living`: this node's number among them; `kept`:
@@ -116,9 +119,9 @@
         self._set_wake(now)
         return self.leases
 
-    def permit(self, now: int, rules: Rules, living: Callable[[], Living]) -> Permits:
+    def enable_permits(self, now: int, rules: Rules, living: Callable[[], LiveNodes]) -> PermitManager:
         """Take part in permits to be out, once it takes part in who has which task."""
-        self.permits = Permits(rules, self._own, self._life, self._count, living)
+        self.permits = PermitManager(rules, self._own, self._life, self._count, living)
         if self._holder is not None:  # the same process, under another number or address
             self.permits.holder = self._holder
             self._holder.life = self._life
@@ -126,14 +129,14 @@
         self._set_wake(now)
         return self.permits
 
-    def want(self, now: int, kind: Kind | None) -> list[Action]:
+    def request_permit(self, now: int, kind: Kind | None) -> list[Action]:
         """A permit to be out; None: it is wanted, or needed, no more."""
         if self.permits is None:
             return []
         if kind is None:
             self.permits.give_back(now)
         else:
-            self.permits.want(now, kind, now + WISH)
+            self.permits.request_permit(now, kind, now + WISH)
         out = self._permitted(self.permits.tick(now, self._steward(now)))
         self._set_wake(now)
         return out
@@ -141,16 +144,16 @@
     def _steward(self, now: int) -> int:
         return 0 if self.leases is None else self.leases.token(now, STEWARD)
 
-    def _permitted(self, letters: PermitLetters) -> list[Action]:
+    def _permitted(self, letters: OutgoingPermitMessages) -> list[Action]:
         assert self.permits is not None
         notes: list[Action] = [
-            Wrote("permit", {
+            RecordEvent("permit", {
                 "what": note.what, "kind": Kind(note.kind).name.lower() if note.kind else "",
                 "token": note.token, "until_ns": note.until,
             })
             for note in self.permits.notes()
         ]  # fmt: skip
-        return notes + _sent([(to, council.permit_item(message)) for to, message in letters])
+        return notes + _sent([(to, council.encode_permit(message)) for to, message in letters])
 
     def _add(self, now: int, spec: Spec) -> None:
         self.budgets[spec.name] = Budget(
@@ -160,10 +163,10 @@
     def close(self) -> None:
         """Not that node any more: nothing is held."""
         self.budgets, self._keys, self._is_open, self._gossip = {}, {}, False, None
-        self.leases = self.judge = self.permits = None
+        self.leases = self.outlier_detector = self.permits = None
         self._budget_at = self._gossip_at = self.wake_at = NEVER
 
-    def renamed(self, life: int) -> None:
+    def set_life(self, life: int) -> None:
         """The same process under a later life: it knows all that it has lent."""
         self._life = life
         if self._gossip is not None:
@@ -173,7 +176,7 @@
         if self.permits is not None:
             self.permits.holder.life = life
 
-    def respec(self, now: int, specs: Iterable[Spec]) -> list[Action]:
+    def update_specs(self, now: int, specs: Iterable[Spec]) -> list[Action]:
         """The file has been replaced. A budget that was not there begins as after a start."""
         before, self.specs = self.specs, {spec.name: spec for spec in specs}
         if not self._is_open:
@@ -186,7 +189,7 @@
             if known is None:
                 self._add(now, spec)
             elif known.spec != spec:
-                known.respec(now, spec, self._count)
+                known.update_spec(now, spec, self._count)
             else:
                 continue
             changed.append(self.budgets[name])
@@ -230,27 +233,27 @@
         if self.permits is not None:
             self.wake_at = min(self.wake_at, self.permits.wake_at(self._steward(now)))
 
-    def kept(self, now: int, token: int) -> list[Action]:
+    def token_persisted(self, now: int, token: int) -> list[Action]:
         if self.leases is None:
             return []
-        out = self._led(now, *self.leases.kept(now, token))
+        out = self._led(now, *self.leases.token_persisted(now, token))
         self._set_wake(now)
         return out
 
-    def not_kept(self, now: int) -> None:
+    def persist_failed(self, now: int) -> None:
         if self.leases is not None:
-            self.leases.not_kept(now)
+            self.leases.persist_failed(now)
 
-    def _led(self, now: int, letters: Letters, changes: list[Owns]) -> list[Action]:
+    def _led(self, now: int, letters: OutgoingMessages, changes: list[LeaseChange]) -> list[Action]:
         out: list[Action] = []
-        if self.leases is not None and (token := self.leases.keep(now)):
-            out.append(Keep(token))
+        if self.leases is not None and (token := self.leases.token_to_persist(now)):
+            out.append(PersistToken(token))
         for one in changes:
             if one.was:
-                out.append(Wrote("lost", {"task": one.task, "token": one.was, "over_ns": one.over}))
+                out.append(RecordEvent("lost", {"task": one.task, "token": one.was, "over_ns": one.over}))
             if one.token:
-                out.append(Wrote("own", {"task": one.task, "token": one.token}))
-        return out + _sent([(to, council.item(message)) for to, message in letters])
+                out.append(RecordEvent("own", {"task": one.task, "token": one.token}))
+        return out + _sent([(to, council.encode(message)) for to, message in letters])
 
     def release(self, now: int, task: str, heir: int) -> list[Action]:
         """What this process owns, to `heir` next; -1: to whoever asks."""
@@ -261,7 +264,7 @@
 
     def _probe(self, now: int) -> list[Action]:
         """One node tries each server that is held back, for all."""
-        judge, leases = self.judge, self.leases
+        judge, leases = self.outlier_detector, self.leases
         if judge is None or leases is None:
             return []
         out: list[Action] = []
@@ -274,22 +277,22 @@
             server: token for name, server in wanted.items() if (token := leases.token(now, name))
         }
         for server, token in judge.refused:
-            out.append(Wrote("refused", {"task": f"{PROBING}{server:08x}", "token": token}))
+            out.append(RecordEvent("refused", {"task": f"{PROBING}{server:08x}", "token": token}))
         judge.refused.clear()
         return out
 
     def _judged(self, now: int) -> list[Action]:
-        if self.judge is None:
+        if self.outlier_detector is None:
             return []
-        left_out, back = self.judge.tick(now)
+        left_out, back = self.outlier_detector.tick(now)
         return self._probe(now) + [
-            Wrote("judge", {"server": one.server, "verdict": verdict, "reporters": list(one.reporters)})
+            RecordEvent("judge", {"server": one.server, "verdict": verdict, "reporters": list(one.reporters)})
             for verdict, some in (("out", left_out), ("back", back)) for one in some
         ]  # fmt: skip
 
     def heard(self, now: int, sender: int, life: int, items: bytes) -> list[Action]:
-        found, broken = wire.unpacked(items)
-        self.thrown["unreadable"] += broken
+        found, broken = wire.unpack_items(items)
+        self.discarded["unreadable"] += broken
         answers: list[tuple[Budget, Messages]] = []
         tells: Tells = []
         led: list[Action] = []
@@ -298,22 +301,22 @@
                 if item[0] in (wire.FACT, wire.DIGEST, wire.DIGEST_BACK) and self._gossip is not None:
                     tells += self._gossip.take(now, sender, item)
                 elif item[0] in council.KINDS and self.leases is not None:
-                    led += self._led(now, *self.leases.heard(now, sender, life, council.read(item)))
+                    led += self._led(now, *self.leases.heard(now, sender, life, council.decode(item)))
                 elif item[0] in council.PERMITS and self.permits is not None:
-                    said = council.read_permit(item)
+                    said = council.decode_permit(item)
                     token = self._steward(now)
                     led += self._permitted(self.permits.heard(now, token, sender, life, said))
                 else:
                     answers += self._take(now, sender, life, item)
             except InvalidItem as problem:
-                self.thrown[str(problem)] += 1
+                self.discarded[str(problem)] += 1
         self._set_wake(now)
         return self._told(answers) + _sent(tells) + led
 
     def _take(self, now: int, sender: int, life: int, item: wire.Item) -> list[tuple[Budget, Messages]]:
         if item[0] not in (wire.ASK, wire.GRANT, wire.BACK):
             raise InvalidItem("other_kind")
-        key, message = wire.read_right(item, sender, life, self._own)
+        key, message = wire.decode_right(item, sender, life, self._own)
         budget = self._keys.get(key)
         if budget is None:
             raise InvalidItem("other_budget")
@@ -330,9 +333,9 @@
         out: list[Action] = []
         tells: Tells = []
         for budget, some in messages:
-            tells += [(to, wire.right(message, budget.key)) for to, message in some]
+            tells += [(to, wire.encode_right(message, budget.key)) for to, message in some]
             for note in budget.notes:
-                out.append(Wrote("right", {"budget": budget.spec.name, **_fields(note)}))
+                out.append(RecordEvent("right", {"budget": budget.spec.name, **_fields(note)}))
             budget.notes.clear()
         return out + _sent(tells)
 
@@ -342,7 +345,7 @@
     by_node: dict[int, list[wire.Item]] = {}
     for to, item in tells:
         by_node.setdefault(to, []).append(item)
-    return [Tell(to, data) for to, items in by_node.items() for data in wire.packed(items)]
+    return [SendItems(to, data) for to, items in by_node.items() for data in wire.pack_items(items)]
 
 
 def _fields(note: Any) -> dict[str, Any]:
@@ -352,9 +355,9 @@
     }  # fmt: skip
 
 
-def _described(now: int, budget: Budget, count: int) -> Wrote:
+def _described(now: int, budget: Budget, count: int) -> RecordEvent:
     spec = budget.spec
-    return Wrote("budget", {
+    return RecordEvent("budget", {
         "budget": spec.name, "per_s": spec.per_s, "burst_ns": spec.burst, "nodes": count,
         "shares": spec.terms.shares, "floor": spec.terms.floor, "lent_ns": spec.terms.lent,
         "drift": spec.terms.drift, "own": budget.rights.of_own(now),
--- a/driftstair/tier/shared/evidence.py
+++ b/driftstair/tier/shared/evidence.py
@@ -28,15 +28,15 @@
 BAD = 0.5  # of the tries that fail
 REPORTERS = 3  # that it takes, or all but one of a small tier
 MOST = 0.6  # of those who tried it
-OUT_MOST = 0.2  # of the servers that are ready, left out on others' word
+MAX_HELD_BACK_SHARE = 0.2  # of the servers that are ready, left out on others' word
 OWN_FAULT = 1 / 3  # of the servers that a reporter tried: more of them bad is its own fault
-COUNT_MOST = 255
+MAX_COUNT = 255
 BUSIEST, MANY = 3, 4  # servers that a node tells the attempts of, from so many on
 PROBE_LIVES = 10_000_000_000  # ns that they do where one node tries for all, which it does ever more seldom
 PROBED_MOST = 60_000_000_000  # ns that one node's word alone holds a server back: then all look again
 SOUND = 3  # successes in a row by which a prober finds a server sound
-RUN_LIVES = 6_000_000_000  # ns that failures in a row count after the last
-HEARING = 1_500_000_000  # ns: for those who find nothing wrong with a server to say so
+FAILURE_RUN_LIFETIME_NS = 6_000_000_000  # ns that failures in a row count after the last
+DISSENT_WAIT_NS = 1_500_000_000  # ns: for those who find nothing wrong with a server to say so
 LOOKED = 1_000_000_000  # ns between two looks at the own load
 SOONEST = 1_000_000_000  # ns between two words on the same, unless they say the opposite
 
@@ -54,7 +54,7 @@
     def value(self) -> Value:
         answers = self.tries - self.failed
         slow = int(4 * log2(1 + self.took / answers / 1e6)) if answers else 0
-        most = COUNT_MOST
+        most = MAX_COUNT
         return (
             min(self.tries, most), min(self.failed, most), min(self.unreached, most), min(slow, most),
             min(self.run, most),
@@ -87,7 +87,7 @@
     share: float  # of those who tried it that find it bad
 
 
-class Sight:
+class ServerObservations:
     """What this node has seen, in two spans, of which the older one fades out whole."""
 
     def __init__(self, now: int) -> None:
@@ -143,7 +143,7 @@
                 seen.took += one.took
         self._runs = {server: one for server, one in self._runs.items() if now - one[1] < PROBE_LIVES}
         for server, (count, at) in self._runs.items():
-            if now - at < RUN_LIVES:
+            if now - at < FAILURE_RUN_LIFETIME_NS:
                 out.setdefault(server, Seen()).run = count
         return out
 
@@ -160,7 +160,7 @@
         return rate
 
 
-class Judge:
+class OutlierDetector:
     """`sound`: whether this node may speak of servers at all; `ready`: the servers that its own list names
     ready, by their keys; `zones`: by node, of those that live."""
 
@@ -168,7 +168,7 @@
         self, facts: Facts, now: int, zone: int, sound: Callable[[], bool],
         zones: Callable[[], dict[int, int]],
     ) -> None:  # fmt: skip
-        self.sight = Sight(now)
+        self.observations = ServerObservations(now)
         self.out: dict[int, Verdict] = {}
         self.ready: set[int] = set()
         self._disputed: dict[int, int] = {}  # since when there has been evidence on a server
@@ -184,7 +184,7 @@
     def tick(self, now: int) -> tuple[list[Verdict], list[Verdict]]:
         """Those that are left out from now on, and those that are back."""
         zones = self._zones()
-        seen = self.sight.all(now)
+        seen = self.observations.all(now)
         if self._sound():
             self._tell(now, seen, len(zones))
             self._tell_probes(now, len(zones))
@@ -231,17 +231,17 @@
         tried = sum(map(is_tried, values.values()))
         own = self._facts.published(LOAD, 0)
         if (seen or own is not None) and (own is None or now - own.born >= LOOKED):
-            rate = self.sight.per_s(now)
-            load = (self._zone, min(rate, 0xFFFF), min(self.sight.in_flight, 0xFFFF), tried, bad)
+            rate = self.observations.per_s(now)
+            load = (self._zone, min(rate, 0xFFFF), min(self.observations.in_flight, 0xFFFF), tried, bad)
             self._publish(now, LOAD, 0, load, nodes)
-        busiest = sorted(self.sight.by_server.items(), key=lambda one: (-one[1], one[0]))[:BUSIEST]
+        busiest = sorted(self.observations.by_server.items(), key=lambda one: (-one[1], one[0]))[:BUSIEST]
         for server, number in busiest:
             if number >= MANY:
                 self._publish(now, FLIGHT, server, (number.bit_length(),), nodes)
 
     def _tell_probes(self, now: int, nodes: int) -> None:
         for server, token in self.probing.items():
-            fails = self.sight.found(now, server)
+            fails = self.observations.found(now, server)
             if fails is not None:
                 parts = tuple(token >> shift & 0xFFFF for shift in (48, 32, 16, 0))
                 self._publish(now, PROBE, server, (int(fails), *parts), nodes, lambda value: value[0] > 0)
@@ -289,9 +289,9 @@
             disputed.setdefault(server, [])
         self._disputed = {server: self._disputed.get(server, now) for server in disputed}
         for server, facts in disputed.items():
-            if server not in self.ready or now - self._disputed[server] < HEARING:
+            if server not in self.ready or now - self._disputed[server] < DISSENT_WAIT_NS:
                 continue
-            verdict = judged(server, facts, zones, faulty)
+            verdict = assess_server(server, facts, zones, faulty)
             own = seen.get(server)
             alone = now - self._out_since.get(server, now) < PROBED_MOST
             if alone and server in self.out and (probe := probes.get(server)) is not None:
@@ -299,7 +299,7 @@
                 verdict = Verdict(server, (probe.owner,), 1.0) if probe.value[0] else None
             if verdict is not None and not (own is not None and own.tried() and not own.bad()):
                 found.append(verdict)
-        room = int(OUT_MOST * len(self.ready))
+        room = int(MAX_HELD_BACK_SHARE * len(self.ready))
         # One that is out stays before one that is not: else two of the same kind take turns.
         found.sort(key=lambda one: (one.server not in self.out, -one.share, -len(one.reporters), one.server))
         return found[:room]
@@ -323,7 +323,9 @@
     )
 
 
-def judged(server: int, facts: Iterable[Fact], zones: dict[int, int], faulty: set[int]) -> Verdict | None:
+def assess_server(
+    server: int, facts: Iterable[Fact], zones: dict[int, int], faulty: set[int]
+) -> Verdict | None:
     """A verdict if the server is bad for all. `faulty`: reporters that count for nothing."""
     tried = [one for one in facts if one.owner in zones and one.owner not in faulty and is_tried(one.value)]
     bad = [one.owner for one in tried if is_bad(one.value)]
--- a/driftstair/tier/shared/facts.py
+++ b/driftstair/tier/shared/facts.py
@@ -21,7 +21,7 @@
 MS = 1_000_000
 TRANSIT = 100 * MS  # a datagram's way, at the longest that is reckoned with
 FACTS_MOST = 4096
-FAN = 3  # nodes that are told what is urgent, in one round
+FANOUT = 3  # nodes that are told what is urgent, in one round
 
 
 class Kind(NamedTuple):
--- a/driftstair/tier/shared/gossip.py
+++ b/driftstair/tier/shared/gossip.py
@@ -1,6 +1,6 @@
 """How facts go round: what is news to a few nodes at once, and what was missed by digests, at a bounded rate.
 
-Each round a node tells what is urgent to `FAN` others, one datagram each; once a second it tells one other
+Each round a node tells what is urgent to `FANOUT` others, one datagram each; once a second it tells one other
 what it holds of each owner in one number, some owners at a time, and both send what the other lacks. So a
 node sends FAN datagrams a round at most, one a second for its digest, and ANSWER_MOST and one for each digest
 that it answers, of which there are ANSWERS_A_ROUND at most. Times are monotonic ns.
@@ -13,12 +13,12 @@
 from random import Random
 
 from driftstair.tier.shared import wire
-from driftstair.tier.shared.facts import FAN, KINDS, MS, Fact, Facts
-from driftstair.tier.shared.wire import InvalidItem, Item, whole
+from driftstair.tier.shared.facts import FANOUT, KINDS, MS, Fact, Facts
+from driftstair.tier.shared.wire import InvalidItem, Item, checked_int
 
 ROUND = 250 * MS
 DIGEST_ROUNDS = 4  # rounds between two digests
-FACTS_A_DATAGRAM = 7
+FACTS_PER_DATAGRAM = 7
 OWNERS_A_DATAGRAM = 18
 ANSWER_MOST = 4  # datagrams of facts for one digest
 ANSWERS_A_ROUND = 8
@@ -49,8 +49,8 @@
         if not others:
             return out
         if self.facts.urgent():
-            for to in self._random.sample(others, min(FAN, len(others))):
-                out += [(to, self._item(now, one)) for one in self.facts.news(FACTS_A_DATAGRAM)]
+            for to in self._random.sample(others, min(FANOUT, len(others))):
+                out += [(to, self._item(now, one)) for one in self.facts.news(FACTS_PER_DATAGRAM)]
         if self._rounds % DIGEST_ROUNDS == 0 and len(self.facts):
             digest = self.facts.digest(self._some)
             out.append((self._random.choice(others), _digest(wire.DIGEST, digest)))
@@ -73,7 +73,7 @@
         if not lacking or self._answers >= ANSWERS_A_ROUND:
             return []
         self._answers += 1
-        most = ANSWER_MOST * FACTS_A_DATAGRAM
+        most = ANSWER_MOST * FACTS_PER_DATAGRAM
         out: Tells = [(sender, self._item(now, one)) for one in self.facts.of(lacking, most)]
         if item[0] == wire.DIGEST:  # and what is told there comes in return
             out.append((sender, _digest(wire.DIGEST_BACK, self.facts.digest(lambda owners: lacking))))
@@ -88,8 +88,8 @@
     numbers = item[1:]
     if len(numbers) % 2 or len(numbers) > 2 * OWNERS_A_DATAGRAM:
         raise InvalidItem("no_digest")
-    owners = [whole(one, wire.NODE_MOST) for one in numbers[::2]]
-    return dict(zip(owners, (whole(one, SUBJECT_MOST) for one in numbers[1::2]), strict=True))
+    owners = [checked_int(one, wire.MAX_NODE) for one in numbers[::2]]
+    return dict(zip(owners, (checked_int(one, SUBJECT_MOST) for one in numbers[1::2]), strict=True))
 
 
 def _fact(now: int, item: Item) -> Fact:
@@ -102,7 +102,8 @@
     if len(value) < known.fields:
         raise InvalidItem("too_few_fields")
     return Fact(
-        whole(owner, wire.NODE_MOST), whole(life, LIFE_MOST), whole(version, VERSION_MOST, 1), kind,
-        whole(subject, SUBJECT_MOST), now - whole(age, known.lives // MS) * MS,
-        tuple(whole(one, 0xFFFF) for one in value[: known.fields]),
+        checked_int(owner, wire.MAX_NODE), checked_int(life, LIFE_MOST),
+        checked_int(version, VERSION_MOST, 1), kind, checked_int(subject, SUBJECT_MOST),
+        now - checked_int(age, known.lives // MS) * MS,
+        tuple(checked_int(one, 0xFFFF) for one in value[: known.fields]),
     )  # fmt: skip
--- a/driftstair/tier/shared/wire.py
+++ b/driftstair/tier/shared/wire.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from driftstair.tier.shared.rights import Ask, GiveBack, Grant
-from driftstair.tier.wire import COUNT_MOST, ITEMS_MOST
+from driftstair.tier.wire import MAX_COUNT, MAX_ITEMS_BYTES
 
-NS_MOST = (1 << 63) - 1
-SHARES_MOST = 1 << 24
-EASE_MOST = 255
-NODE_MOST = 0xFFFE
+MAX_NS = (1 << 63) - 1
+MAX_SHARES = 1 << 24
+MAX_EASE = 255
+MAX_NODE = 0xFFFE
 ASK, GRANT, BACK = 1, 2, 3
 FACT, DIGEST, DIGEST_BACK = 10, 11, 12
 
@@ -34,16 +34,16 @@
 _fields = msgspec.msgpack.Decoder[list[Any]](list[Any]).decode
 
 
-def packed(items: Iterable[Item]) -> list[bytes]:
+def pack_items(items: Iterable[Item]) -> list[bytes]:
     """As few datagrams' bytes as the order allows. Raises ValueError for an item that none can hold."""
     out: list[bytes] = []
     held: list[msgspec.Raw] = []
     size = 0
     for item in items:
         data = _encode(item)
-        if len(data) + 1 > ITEMS_MOST:
+        if len(data) + 1 > MAX_ITEMS_BYTES:
             raise ValueError(f"{len(data)} bytes for one item")
-        if held and (size + len(data) + 1 > ITEMS_MOST or len(held) >= 15):
+        if held and (size + len(data) + 1 > MAX_ITEMS_BYTES or len(held) >= 15):
             out.append(_encode(held))
             held, size = [], 0
         held.append(msgspec.Raw(data))
@@ -53,7 +53,7 @@
     return out
 
 
-def unpacked(data: bytes) -> tuple[list[Item], int]:
+def unpack_items(data: bytes) -> tuple[list[Item], int]:
     """Items, and how many could not be read."""
     try:
         parts = _split(data)
@@ -73,14 +73,14 @@
     return out, broken
 
 
-def whole(value: Any, most: int, least: int = 0) -> int:
+def checked_int(value: Any, most: int, least: int = 0) -> int:
     """Raises InvalidItem."""
     if type(value) is not int or not least <= value <= most:
         raise InvalidItem("out_of_range")
     return value
 
 
-def right(message: Ask | Grant | GiveBack, budget: int) -> Item:
+def encode_right(message: Ask | Grant | GiveBack, budget: int) -> Item:
     """What both ends know by the datagram they leave out: who sends it, and who is to have it."""
     if isinstance(message, Ask):
         return ASK, budget, message.at, message.shares, message.renews, message.ease
@@ -89,23 +89,23 @@
     return BACK, budget, message.loan, message.lender_life
 
 
-def read_right(item: Item, sender: int, life: int, own: int) -> tuple[int, Ask | Grant | GiveBack]:
+def decode_right(item: Item, sender: int, life: int, own: int) -> tuple[int, Ask | Grant | GiveBack]:
     """The budget's key, and what is said of it; `life`: the sender's. Raises InvalidItem."""
     kind, *fields = item
     if len(fields) < {ASK: 5, GRANT: 5, BACK: 3}[kind]:
         raise InvalidItem("too_few_fields")
-    budget = whole(fields[0], COUNT_MOST)
+    budget = checked_int(fields[0], MAX_COUNT)
     if kind == ASK:
         at, shares, renews, ease = fields[1:5]
         return budget, Ask(
-            sender, life, whole(at, NS_MOST, -NS_MOST), whole(shares, SHARES_MOST, 1),
-            whole(renews, COUNT_MOST), whole(ease, EASE_MOST),
+            sender, life, checked_int(at, MAX_NS, -MAX_NS), checked_int(shares, MAX_SHARES, 1),
+            checked_int(renews, MAX_COUNT), checked_int(ease, MAX_EASE),
         )  # fmt: skip
     if kind == GRANT:
         loan, at, its_life, shares = fields[1:5]
         return budget, Grant(
-            sender, life, whole(loan, COUNT_MOST), own, whole(its_life, COUNT_MOST),
-            whole(at, NS_MOST, -NS_MOST), whole(shares, SHARES_MOST),
+            sender, life, checked_int(loan, MAX_COUNT), own, checked_int(its_life, MAX_COUNT),
+            checked_int(at, MAX_NS, -MAX_NS), checked_int(shares, MAX_SHARES),
         )  # fmt: skip
     loan, lender_life = fields[1:3]
-    return budget, GiveBack(own, whole(lender_life, COUNT_MOST), whole(loan, COUNT_MOST), sender)
+    return budget, GiveBack(own, checked_int(lender_life, MAX_COUNT), checked_int(loan, MAX_COUNT), sender)
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -7,17 +7,17 @@
 from typing import Any, NamedTuple
 
 from driftstair.net.identifiers import digest
-from driftstair.tier.observed_module import ObservedModule, key
+from driftstair.tier.observed_module import ObservedModule, server_key
 from driftstair.tier.ownership.permit_manager import TASK as PERMITS
 from driftstair.tier.ownership.permits import Kind, Rules
-from driftstair.tier.ownership.steward import Living
+from driftstair.tier.ownership.steward import LiveNodes
 from driftstair.tier.shared.budget import Spec
-from driftstair.tier.shared.core import Action, Keep, Shared, Tell
-from driftstair.tier.shared.evidence import Judge
+from driftstair.tier.shared.core import Action, PersistToken, SendItems, SharedState
+from driftstair.tier.shared.evidence import OutlierDetector
 from lichenspring.interface import Module
 
 
-class Speaks(NamedTuple):
+class EvidenceSettings(NamedTuple):
     """Of a node that shares judgements: its zone, whether it may speak, the zones of those that live."""
 
     zone: int
@@ -25,14 +25,14 @@
     zones: Callable[[], dict[int, int]]
 
 
-class Permitted(NamedTuple):
+class PermitSettings(NamedTuple):
     """Of a node that asks before it is out: the fleet's rules, and the life and zone of those that live."""
 
     rules: Rules
-    living: Callable[[], Living]
+    living: Callable[[], LiveNodes]
 
 
-class Unowned(Exception):
+class NotOwnerError(Exception):
     """An order on a task that this node can't carry out; the text says why."""
 
 
@@ -41,7 +41,7 @@
     itself, since the time that an event came with may be long past."""
 
     def __init__(
-        self, shared: Shared, name: str, clock: Callable[[], int], spent: Callable[[str], None]
+        self, shared: SharedState, name: str, clock: Callable[[], int], spent: Callable[[str], None]
     ) -> None:
         self._shared = shared
         self._name = name
@@ -79,7 +79,7 @@
 
     def until(self, now: int, tokens: float = 1.0) -> int:
         budget = self._shared.budgets.get(self._name)
-        return 0 if budget is None else budget.purse.until(self._clock(), tokens)
+        return 0 if budget is None else budget.bucket.until(self._clock(), tokens)
 
     def carry_over(self, other: object, now: int) -> None:
         """What is saved up is the budget's."""
@@ -88,15 +88,15 @@
 class Sharing:
     """`carry(to, items)`; `write(event, **fields)`; `others`: living nodes that understand this; `speaks`:
     where judgements on servers are shared; `permitted`: where nodes ask before they are out;
-    `keep(token)`: puts it on the disk and then calls `kept`, or `not_kept`."""
+    `keep(token)`: puts it on the disk and then calls `token_persisted`, or `persist_failed`."""
 
     def __init__(
         self, specs: Iterable[Spec], random: Random, clock: Callable[[], int],
         others: Callable[[], list[int]], carry: Callable[[int, bytes], None], write: Callable[..., None],
-        speaks: Speaks | None = None, tasks: Sequence[str] = (), permitted: Permitted | None = None,
-        keep: Callable[[int], None] = lambda token: None,
+        speaks: EvidenceSettings | None = None, tasks: Sequence[str] = (),
+        permitted: PermitSettings | None = None, keep: Callable[[int], None] = lambda token: None,
     ) -> None:  # fmt: skip
-        self.core = Shared(specs, random, others)
+        self.core = SharedState(specs, random, others)
         self._clock = clock
         self._carry = carry
         self._write = write
@@ -121,11 +121,11 @@
         """`token`: that of the council's member on the disk; None: it has no disk."""
         self._do(self.core.open(self._clock(), own, life, count, lent_until))
         if self._speaks is not None:
-            self.core.speak(self._clock(), *self._speaks)
+            self.core.enable_outlier_detection(self._clock(), *self._speaks)
         if self._speaks is not None or self._tasks:
-            self.core.lead(self._clock(), self._tasks, lambda: sorted([own, *self._others()]), token)
+            self.core.enable_leases(self._clock(), self._tasks, lambda: sorted([own, *self._others()]), token)
         if self._permitted is not None:
-            self.core.permit(self._clock(), *self._permitted)
+            self.core.enable_permits(self._clock(), *self._permitted)
 
     def token(self, task: str) -> int:
         """To act with now; 0: the task is not this node's."""
@@ -134,11 +134,11 @@
 
     # What operators order.
 
-    def want(self, kind: Kind | None) -> dict[str, Any]:
-        """A permit to be out, or (None) none any more; what stands. Raises Unowned."""
+    def request_permit(self, kind: Kind | None) -> dict[str, Any]:
+        """A permit to be out, or (None) none any more; what stands. Raises NotOwnerError."""
         if self.core.permits is None:
-            raise Unowned("no permits here: [tier.permits] in the service file would do")
-        self._do(self.core.want(self._clock(), kind))
+            raise NotOwnerError("no permits here: [tier.permits] in the service file would do")
+        self._do(self.core.request_permit(self._clock(), kind))
         return self._permits()
 
     def _permits(self) -> dict[str, Any]:
@@ -146,17 +146,17 @@
         return self.core.permits.report(self._clock(), self.token(PERMITS))
 
     def hand_over(self, task: str, heir: int) -> int:
-        """This node's lease on a task to another; the token that is over. Raises Unowned."""
+        """This node's lease on a task to another; the token that is over. Raises NotOwnerError."""
         token = self._owned(task)
         if heir not in self._others():
-            raise Unowned(f"node {heir} is not among those that live and could have it")
+            raise NotOwnerError(f"node {heir} is not among those that live and could have it")
         return self._release(task, token, heir)
 
-    def let_go(self, task: str, token: int) -> int:
-        """This node's lease to whoever asks next, where it has that token. Raises Unowned."""
+    def release_task(self, task: str, token: int) -> int:
+        """This node's lease to whoever asks next, where it has that token. Raises NotOwnerError."""
         held = self._owned(task)
         if held != token:
-            raise Unowned(f"the token of {task} is {held}, not {token}")
+            raise NotOwnerError(f"the token of {task} is {held}, not {token}")
         return self._release(task, token, -1)
 
     def _release(self, task: str, token: int, heir: int) -> int:
@@ -166,35 +166,37 @@
     def _owned(self, task: str) -> int:
         leases = self.core.leases
         if leases is None or task not in leases.tasks:
-            raise Unowned(f"no task {task} here")
+            raise NotOwnerError(f"no task {task} here")
         token = self.token(task)
         if not token:
             owner = leases.report(self._clock())[task]["owner"]
-            raise Unowned(f"{task} is not this node's" + ("" if owner is None else f", but node {owner}'s"))
+            raise NotOwnerError(
+                f"{task} is not this node's" + ("" if owner is None else f", but node {owner}'s")
+            )
         return token
 
     def floor(self, task: str, token: int) -> None:
         if self.core.leases is not None:
             self.core.leases.floor(task, token)
 
-    def around(self, module: Module) -> Module:
+    def wrap_module(self, module: Module) -> Module:
         """The decision module, watched and told on where judgements are shared."""
-        return module if self._speaks is None else ObservedModule(module, lambda: self.core.judge)
+        return module if self._speaks is None else ObservedModule(module, lambda: self.core.outlier_detector)
 
-    def kept(self, token: int) -> None:
-        self._do(self.core.kept(self._clock(), token))
+    def token_persisted(self, token: int) -> None:
+        self._do(self.core.token_persisted(self._clock(), token))
 
-    def not_kept(self) -> None:
-        self.core.not_kept(self._clock())
+    def persist_failed(self) -> None:
+        self.core.persist_failed(self._clock())
 
     def close(self) -> None:
         self.core.close()
 
-    def renamed(self, life: int) -> None:
-        self.core.renamed(life)
+    def set_life(self, life: int) -> None:
+        self.core.set_life(life)
 
-    def respec(self, specs: Iterable[Spec]) -> None:
-        self._do(self.core.respec(self._clock(), specs))
+    def update_specs(self, specs: Iterable[Spec]) -> None:
+        self._do(self.core.update_specs(self._clock(), specs))
 
     def leave(self) -> None:
         self._do(self.core.leave(self._clock()))
@@ -207,9 +209,9 @@
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendItems):
                 self._carry(action.to, action.items)
-            elif isinstance(action, Keep):
+            elif isinstance(action, PersistToken):
                 self._keep(action.token)
             else:
                 self._write(action.event, **action.fields)
@@ -225,11 +227,11 @@
                 "home_per_s": round(one.spec.terms.shares * one.share, 6),
                 "lent_per_s": round(lent * one.share, 6),
                 "borrowed_per_s": round(sum(loan.shares for _, loan in one.rights.loans()) * one.share, 6),
-                "wanted_per_s": round(one.demand.per_s, 6), "saved": round(one.purse.tokens(now), 3),
+                "wanted_per_s": round(one.demand.per_s, 6), "saved": round(one.bucket.tokens(now), 3),
                 **one.counts,
             }  # fmt: skip
-        thrown = {f"thrown_{why}": number for why, number in sorted(self.core.thrown.items()) if number}
-        judge = self.core.judge
+        thrown = {f"thrown_{why}": number for why, number in sorted(self.core.discarded.items()) if number}
+        judge = self.core.outlier_detector
         judged = {} if judge is None else {
             "state": judge.state(now), "held_back": _named(judge, servers),
             "in_flight": _flight(judge, now, servers),
@@ -242,13 +244,13 @@
         return {"budgets": budgets, "counts": thrown, **judged, **led, **permits}
 
 
-def _flight(judge: Judge, now: int, servers: Iterable[str]) -> dict[str, dict[str, int]]:
-    names = {key(digest(one)): one for one in servers}
+def _flight(judge: OutlierDetector, now: int, servers: Iterable[str]) -> dict[str, dict[str, int]]:
+    names = {server_key(digest(one)): one for one in servers}
     return {names.get(server, f"{server:08x}"): one for server, one in judge.busy(now).items()}
 
 
-def _named(judge: Judge, servers: Iterable[str]) -> list[dict[str, Any]]:
-    names = {key(digest(one)): one for one in servers}
+def _named(judge: OutlierDetector, servers: Iterable[str]) -> list[dict[str, Any]]:
+    names = {server_key(digest(one)): one for one in servers}
     return [
         {
             "server": names.get(one.server, f"{one.server:08x}"), "reporters": list(one.reporters),
--- a/driftstair/tier/wire.py
+++ b/driftstair/tier/wire.py
@@ -18,11 +18,11 @@
 from driftstair.tier.membership.members import Claim, State, Traits
 
 VERSION = 1
-DATAGRAM_MOST = 256  # bytes, by the protocol page
-SEAL = 8  # bytes
-NUMBER_MOST = 0xFFFF
-COUNT_MOST = (1 << 32) - 1
-KEY_LEAST, KEY_MOST = 16, 64  # bytes: fewer can be guessed, blake2b takes no more
+MAX_DATAGRAM_BYTES = 256  # bytes, by the protocol page
+MAC_BYTES = 8  # bytes
+MAX_NUMBER = 0xFFFF
+MAX_COUNT = (1 << 32) - 1
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # bytes: fewer can be guessed, blake2b takes no more
 
 MEMBERSHIP, SHARED = 1, 2  # of `supports`
 
@@ -56,14 +56,14 @@
 
 def _head() -> int:
     """Bytes of a datagram with no claims but the sender's own, at the most."""
-    mine = _Claim(NUMBER_MOST, COUNT_MOST, NUMBER_MOST, State.LEFT, NUMBER_MOST, 255, 255, NUMBER_MOST)
-    body = _Body(Kind.NEWS, mine, NUMBER_MOST, COUNT_MOST, COUNT_MOST, NUMBER_MOST, [])
-    return 1 + SEAL + len(msgspec.msgpack.encode(body))
+    mine = _Claim(MAX_NUMBER, MAX_COUNT, MAX_NUMBER, State.LEFT, MAX_NUMBER, 255, 255, MAX_NUMBER)
+    body = _Body(Kind.NEWS, mine, MAX_NUMBER, MAX_COUNT, MAX_COUNT, MAX_NUMBER, [])
+    return 1 + MAC_BYTES + len(msgspec.msgpack.encode(body))
 
 
-ROOM = DATAGRAM_MOST - _head() - 2
+MAX_CLAIMS_BYTES = MAX_DATAGRAM_BYTES - _head() - 2
 """Bytes for claims in a datagram; an array of more than 15 has a longer head."""
-ITEMS_MOST = ROOM - 2
+MAX_ITEMS_BYTES = MAX_CLAIMS_BYTES - 2
 """Bytes of `items`, in a datagram without claims."""
 
 
@@ -86,7 +86,7 @@
 
 
 class Codec:
-    """Of one key, in bytes from KEY_LEAST to KEY_MOST of them."""
+    """Of one key, in bytes from MIN_KEY_BYTES to MAX_KEY_BYTES of them."""
 
     def __init__(self, key: bytes) -> None:
         self._key = key
@@ -94,7 +94,7 @@
         self._decode = msgspec.msgpack.Decoder[_Whole](_Whole).decode
 
     def _seal(self, version: bytes, body: bytes) -> bytes:
-        return blake2b(version + body, digest_size=SEAL, key=self._key).digest()
+        return blake2b(version + body, digest_size=MAC_BYTES, key=self._key).digest()
 
     def encode(self, message: Message) -> bytes:
         fields = (
@@ -104,19 +104,19 @@
         body = self._encode(_Whole(*fields, items=message.items) if message.items else _Body(*fields))
         version = bytes((VERSION,))
         data = version + self._seal(version, body) + body
-        if len(data) > DATAGRAM_MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"{len(data)} bytes for one datagram")
         return data
 
     def decode(self, data: bytes) -> Message:
         """Raises InvalidDatagram."""
-        if len(data) > DATAGRAM_MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise InvalidDatagram("too_long")
-        if len(data) <= 1 + SEAL:
+        if len(data) <= 1 + MAC_BYTES:
             raise InvalidDatagram("too_short")
         if data[0] != VERSION:
             raise InvalidDatagram("other_version")
-        version, seal, body = data[:1], data[1 : 1 + SEAL], data[1 + SEAL :]
+        version, seal, body = data[:1], data[1 : 1 + MAC_BYTES], data[1 + MAC_BYTES :]
         if not compare_digest(seal, self._seal(version, body)):
             raise InvalidDatagram("wrong_seal")
         try:
@@ -128,8 +128,8 @@
         except ValueError:
             raise InvalidDatagram("other_kind") from None
         numbers = (found.to, found.about)
-        if not all(0 <= one <= NUMBER_MOST for one in numbers) or not (
-            0 <= found.order <= COUNT_MOST and 0 <= found.seq <= COUNT_MOST
+        if not all(0 <= one <= MAX_NUMBER for one in numbers) or not (
+            0 <= found.order <= MAX_COUNT and 0 <= found.seq <= MAX_COUNT
         ):
             raise InvalidDatagram("out_of_range")
         return Message(
@@ -156,7 +156,7 @@
     """Whether all its numbers have room in a datagram."""
     zone, version, supports = claim.traits
     return (
-        0 <= claim.number < NUMBER_MOST and 0 <= claim.life <= COUNT_MOST
-        and 0 <= claim.incarnation <= NUMBER_MOST and 0 <= claim.by < NUMBER_MOST and 0 <= zone <= 255
-        and 0 <= version <= 255 and 0 <= supports <= NUMBER_MOST
+        0 <= claim.number < MAX_NUMBER and 0 <= claim.life <= MAX_COUNT
+        and 0 <= claim.incarnation <= MAX_NUMBER and 0 <= claim.by < MAX_NUMBER and 0 <= zone <= 255
+        and 0 <= version <= 255 and 0 <= supports <= MAX_NUMBER
     )  # fmt: skip
--- a/tests/tier/stewardship.py
+++ b/tests/tier/stewardship.py
@@ -7,13 +7,13 @@
 from random import Random
 from typing import Any
 
-from driftstair.tier.ownership.permits import Ask, Back, Held, Holder, Kind, Rules
-from driftstair.tier.ownership.steward import Living, Steward
+from driftstair.tier.ownership.permits import Ask, Holder, Kind, PollReply, ReturnPermit, Rules
+from driftstair.tier.ownership.steward import LiveNodes, Steward
 
 SECOND = 1_000_000_000
 TERM = 20 * SECOND
 RULES = Rules(at_once=2, term=TERM, drift=0.01)
-TO_STEWARD = (Held, Ask, Back)
+TO_STEWARD = (PollReply, Ask, ReturnPermit)
 
 
 @dataclass
@@ -90,7 +90,7 @@
             node.steward = self.steward(self.rules, node.number, self.count, self.living)
             node.steward.lead(self.clock(node), self.token)
 
-    def living(self) -> Living:
+    def living(self) -> LiveNodes:
         """As membership would have it; wrong at times, as it may be."""
         return {
             one.number: (one.life, one.zone) for one in self.nodes
--- a/tests/tier/test_budget_checks.py
+++ b/tests/tier/test_budget_checks.py
@@ -9,7 +9,7 @@
 
 from driftstair.rehearsal.tier.budgets import check, spending
 from driftstair.tier.shared.budget import TERMS, Spec
-from driftstair.tier.shared.core import Shared
+from driftstair.tier.shared.core import SharedState
 from driftstair.tier.shared.rights import Grant
 from driftstair.tier.sharing import FleetTokens, Sharing
 
@@ -91,9 +91,9 @@
         return self.now
 
 
-def tokens() -> tuple[FleetTokens, Shared, Clock, list[str]]:
+def tokens() -> tuple[FleetTokens, SharedState, Clock, list[str]]:
     clock, spent = Clock(), list[str]()
-    core = Shared((SPEC,), Random(0), lambda: [])
+    core = SharedState((SPEC,), Random(0), lambda: [])
     core.open(-10 * SECOND, 0, 1, 2)
     return FleetTokens(core, "b", clock, spent.append), core, clock, spent
 
@@ -102,7 +102,7 @@
     mine, core, clock, spent = tokens()
     for _ in range(50):
         assert mine.has(0)
-    assert core.budgets["b"].purse.tokens(0) == pytest.approx(9.0)
+    assert core.budgets["b"].bucket.tokens(0) == pytest.approx(9.0)
     assert mine.take(0) and spent == ["b"]
     assert sum(mine.take(0) for _ in range(50)) == 9 and len(spent) == 10
     assert not mine.has(0)
--- a/tests/tier/test_budgets_world.py
+++ b/tests/tier/test_budgets_world.py
@@ -10,7 +10,7 @@
 from driftstair.model.tier.budgets import Fleet, Lending
 from driftstair.model.tier.world import SECOND, Link
 from driftstair.tier.shared.budget import TERMS, Budget, Spec
-from driftstair.tier.shared.core import Shared, Tell, Wrote
+from driftstair.tier.shared.core import RecordEvent, SendItems, SharedState
 from driftstair.tier.shared.rights import Ask, GiveBack, Grant, Rights, Terms
 
 BURST = 5 * SECOND
@@ -111,20 +111,20 @@
 # One node by itself.
 
 
-def pair(now: int = 0) -> tuple[Shared, Shared]:
+def pair(now: int = 0) -> tuple[SharedState, SharedState]:
     out = []
     for own in (0, 1):
-        core = Shared((SPEC,), Random(own), lambda own=own: [1 - own])  # type: ignore[misc]
+        core = SharedState((SPEC,), Random(own), lambda own=own: [1 - own])  # type: ignore[misc]
         core.open(now - 10 * SECOND, own, 7, 2)
         out.append(core)
     return out[0], out[1]
 
 
-def carried(actions: list[Tell | Wrote]) -> Iterator[bytes]:
-    return (action.items for action in actions if isinstance(action, Tell))
+def carried(actions: list[SendItems | RecordEvent]) -> Iterator[bytes]:
+    return (action.items for action in actions if isinstance(action, SendItems))
 
 
-def wanting(core: Shared, now: int, tokens: int = 4000) -> None:
+def wanting(core: SharedState, now: int, tokens: int = 4000) -> None:
     for _ in range(tokens):
         core.budgets["retries"].spend(now)
 
@@ -148,19 +148,19 @@
     one, _ = pair()
     one.close()
     assert one.budgets == {} and one.wake(10 * SECOND) == []
-    assert one.respec(SECOND, (SPEC,)) == []
+    assert one.update_specs(SECOND, (SPEC,)) == []
 
 
 def test_another_rate_counts_from_now_on_and_saves_up_nothing() -> None:
     one, _ = pair()
     budget = one.budgets["retries"]
-    budget.purse.advance(0)
-    before = budget.purse.tokens(0)
+    budget.bucket.advance(0)
+    before = budget.bucket.tokens(0)
     assert before == pytest.approx(SPEC.per_s / 2 * 5)
-    one.respec(0, (SPEC._replace(per_s=SPEC.per_s / 10),))
-    assert budget.purse.tokens(0) == pytest.approx(before / 10)
-    assert one.respec(0, (SPEC._replace(per_s=SPEC.per_s / 10),)) == []
-    one.respec(0, (SPEC._replace(name="other"),))
+    one.update_specs(0, (SPEC._replace(per_s=SPEC.per_s / 10),))
+    assert budget.bucket.tokens(0) == pytest.approx(before / 10)
+    assert one.update_specs(0, (SPEC._replace(per_s=SPEC.per_s / 10),)) == []
+    one.update_specs(0, (SPEC._replace(name="other"),))
     assert list(one.budgets) == ["other"]
     assert one.budgets["other"].rights.held(0) == TERMS.floor
 
@@ -177,7 +177,7 @@
 def test_items_that_are_none_are_counted_and_passed_over(items: bytes, count: str) -> None:
     one, _ = pair()
     assert one.heard(SECOND, 1, 7, items) == []
-    assert +one.thrown == {count: 1}
+    assert +one.discarded == {count: 1}
 
 
 # Defects that the bound must not bear.
--- a/tests/tier/test_collecting.py
+++ b/tests/tier/test_collecting.py
@@ -12,19 +12,19 @@
 import pytest
 
 from driftstair.tier import collector
-from driftstair.tier.collector import LedgerCollector, is_free, ledgers
+from driftstair.tier.collector import LedgerCollector, is_unlocked, ledger_nodes
 
 
 def test_a_ledger_is_free_once_nobody_writes_it(tmp_path: Path) -> None:
     (tmp_path / "n1-00000001.ledger").touch()
     (tmp_path / "n1-00000002.ledger").touch()
-    assert ledgers(tmp_path) == ["n1"]
-    assert is_free(tmp_path, "n1")
+    assert ledger_nodes(tmp_path) == ["n1"]
+    assert is_unlocked(tmp_path, "n1")
     writer = os.open(tmp_path / "n1.lock", os.O_RDWR)
     fcntl.flock(writer, fcntl.LOCK_EX)
-    assert not is_free(tmp_path, "n1")
+    assert not is_unlocked(tmp_path, "n1")
     os.close(writer)
-    assert is_free(tmp_path, "n1")
+    assert is_unlocked(tmp_path, "n1")
 
 
 def nothing(*_: object, **__: object) -> None: ...
--- a/tests/tier/test_evidence.py
+++ b/tests/tier/test_evidence.py
@@ -8,8 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftstair.tier.observed_module import ObservedModule, key
-from driftstair.tier.shared.evidence import HEARING, OUT_MOST, RUN_LIVES, Judge, judged, token_of
+from driftstair.tier.observed_module import ObservedModule, server_key
+from driftstair.tier.shared.evidence import (
+    DISSENT_WAIT_NS,
+    FAILURE_RUN_LIFETIME_NS,
+    MAX_HELD_BACK_SHARE,
+    OutlierDetector,
+    assess_server,
+    token_of,
+)
 from driftstair.tier.shared.facts import EVIDENCE, FLIGHT, KINDS, LOAD, MS, PROBE, Fact, Facts
 from lichenspring import interface as api
 from lichenspring.interface import ListKind, Result, ServerState
@@ -39,13 +46,13 @@
 def test_a_server_is_bad_for_all_by_several_from_more_than_one_zone(
     rows: list[tuple[int, int, int]], bad: bool
 ) -> None:
-    assert (judged(7, [told(*one) for one in rows], ZONES, set()) is not None) == bad
+    assert (assess_server(7, [told(*one) for one in rows], ZONES, set()) is not None) == bad
 
 
 def test_what_nodes_of_one_zone_find_counts_where_there_is_no_other() -> None:
     rows = [told(number, 5, 5) for number in (1, 2, 3)]
-    assert judged(7, rows, dict.fromkeys(range(4), 0), set()) is not None
-    assert judged(7, rows, dict.fromkeys(range(4), 0), {2}) is None
+    assert assess_server(7, rows, dict.fromkeys(range(4), 0), set()) is not None
+    assert assess_server(7, rows, dict.fromkeys(range(4), 0), {2}) is None
 
 
 class Node:
@@ -53,7 +60,7 @@
 
     def __init__(self, ready: int = 10, sound: bool = True) -> None:
         self.facts = Facts(0, 1, Random(0))
-        self.judge = Judge(self.facts, 0, 0, lambda: sound, lambda: ZONES)
+        self.judge = OutlierDetector(self.facts, 0, 0, lambda: sound, lambda: ZONES)
         self.judge.ready = set(range(ready))
         self.version = 0
 
@@ -68,7 +75,7 @@
 
     def after_hearing(self, now: int = SECOND) -> set[int]:
         self.judge.tick(now)
-        self.judge.tick(now + HEARING)
+        self.judge.tick(now + DISSENT_WAIT_NS)
         return set(self.judge.out)
 
 
@@ -77,7 +84,7 @@
     for owner in (1, 2, 3, 4):
         node.hears(SECOND, owner, 3, 9, 9)
     assert node.judge.tick(SECOND) == ([], [])
-    (verdict,), back = node.judge.tick(SECOND + HEARING)
+    (verdict,), back = node.judge.tick(SECOND + DISSENT_WAIT_NS)
     assert (verdict.server, verdict.reporters, back) == (3, (1, 2, 3, 4), [])
     later = SECOND + 6 * SECOND
     new, (gone,) = node.judge.tick(later)
@@ -89,7 +96,7 @@
     for owner in (1, 2, 3, 4):
         node.hears(SECOND, owner, 3, 9, 9)
     for _ in range(5):
-        node.judge.sight.note(SECOND, 3, True, True, 5 * MS)
+        node.judge.observations.note(SECOND, 3, True, True, 5 * MS)
     assert node.after_hearing() == set()
 
 
@@ -98,10 +105,10 @@
     for server in range(10):
         for owner in (1, 2, 4):
             node.hears(SECOND, owner, server, 9, 9)
-    assert len(node.after_hearing()) == int(OUT_MOST * 10)
+    assert len(node.after_hearing()) == int(MAX_HELD_BACK_SHARE * 10)
     for owner in (1, 2):
-        node.hears_load(SECOND + HEARING, owner, 10, 10)
-    node.judge.tick(SECOND + HEARING)
+        node.hears_load(SECOND + DISSENT_WAIT_NS, owner, 10, 10)
+    node.judge.tick(SECOND + DISSENT_WAIT_NS)
     assert node.judge.out == {}
 
 
@@ -111,8 +118,8 @@
         for owner in reporters:
             node.hears(SECOND, owner, server, 9, 9)
     assert node.after_hearing() == {2, 3}
-    node.hears(SECOND + HEARING, 4, 1, 9, 9)  # as bad as another now: that one stays
-    node.judge.tick(SECOND + HEARING)
+    node.hears(SECOND + DISSENT_WAIT_NS, 4, 1, 9, 9)  # as bad as another now: that one stays
+    node.judge.tick(SECOND + DISSENT_WAIT_NS)
     assert set(node.judge.out) == {2, 3}
 
 
@@ -127,17 +134,17 @@
     for sound in (True, False):
         node = Node(sound=sound)
         for _ in range(5):
-            node.judge.sight.note(SECOND, 3, False, False, 0)
+            node.judge.observations.note(SECOND, 3, False, False, 0)
         node.judge.tick(SECOND)
         assert bool(node.facts.published(EVIDENCE, 3)) == sound == bool(node.facts.published(LOAD, 0))
 
 
 def test_a_server_that_failed_just_now_is_bad_whatever_its_past_and_sound_by_one_success() -> None:
-    sight = Node().judge.sight
+    sight = Node().judge.observations
     for number in range(202):
         sight.note(SECOND, 3, number < 200, True, 0)
     assert sight.all(SECOND)[3].bad()
-    assert not sight.all(SECOND + RUN_LIVES).get(3)
+    assert not sight.all(SECOND + FAILURE_RUN_LIFETIME_NS).get(3)
     sight.note(SECOND, 3, True, True, 0)
     assert not sight.all(SECOND)[3].bad()
 
@@ -145,9 +152,9 @@
 def test_what_was_seen_ages() -> None:
     node = Node()
     for _ in range(5):
-        node.judge.sight.note(SECOND, 3, False, False, 0)
-    assert node.judge.sight.all(2 * SECOND)[3].bad()
-    assert node.judge.sight.all(SECOND + RUN_LIVES) == {}
+        node.judge.observations.note(SECOND, 3, False, False, 0)
+    assert node.judge.observations.all(2 * SECOND)[3].bad()
+    assert node.judge.observations.all(SECOND + FAILURE_RUN_LIFETIME_NS) == {}
 
 
 @settings(max_examples=200, deadline=None)
@@ -182,7 +189,7 @@
     for owner in (1, 2, 3, 4):
         node.hears(SECOND, owner, 3, 9, 9)
     assert node.after_hearing() == {3}
-    return node, SECOND + HEARING
+    return node, SECOND + DISSENT_WAIT_NS
 
 
 def test_a_server_is_out_for_as_long_as_its_prober_finds_it_failing_and_back_at_its_word() -> None:
@@ -235,12 +242,12 @@
     token = 0x0001_0002_0003_0004
     node.judge.probing = {3: token}
     assert node.judge.out.keys() == {3} and node.judge.hidden() == set()
-    node.judge.sight.note(now, 3, False, True, 0)
+    node.judge.observations.note(now, 3, False, True, 0)
     node.judge.tick(now)
     fact = node.facts.published(PROBE, 3)
     assert fact is not None and fact.value[0] == 1 and token_of(fact) == token
     for number in range(3):
-        node.judge.sight.note(now + SECOND, 3, True, True, 0)
+        node.judge.observations.note(now + SECOND, 3, True, True, 0)
         node.judge.tick(now + SECOND)
         fact = node.facts.published(PROBE, 3)
         assert fact is not None and fact.value[0] == (0 if number == 2 else 1)  # one success says little
@@ -270,7 +277,7 @@
     node, spy = Node(), Spy()
     watching = ObservedModule(spy, lambda: node.judge)
     watching.handle(0, api.ServerList(ListKind.FULL, tuple(server(number) for number in range(10))))
-    assert node.judge.ready == set(range(10)) and key(server(3).id) == 3
+    assert node.judge.ready == set(range(10)) and server_key(server(3).id) == 3
     for owner in (1, 2, 3, 4):
         node.hears(SECOND, owner, 3, 9, 9)
     node.after_hearing()
@@ -308,7 +315,7 @@
     watching = ObservedModule(spy, lambda: node.judge)
     for result in Result:
         watching.handle(0, api.Outcome(1, False, result, MS, server(3).id, 0, ()))
-    seen = node.judge.sight.all(0)[3]
+    seen = node.judge.observations.all(0)[3]
     assert (seen.tries, seen.failed, seen.unreached) == (5, 4, 1)
 
 
@@ -317,12 +324,12 @@
     watching = ObservedModule(spy, lambda: node.judge)
     for number in range(1, 5):
         watching.handle(0, api.Request(number, 0, 0, 0, False, SECOND))
-    assert node.judge.sight.in_flight == 4
+    assert node.judge.observations.in_flight == 4
     watching.handle(0, api.Outcome(1, True, Result.OK, MS, server(3).id, 0, ()))
     watching.handle(0, api.ClientGone(2))
     spy.actions = [api.Refuse(3, 0)]
     watching.handle(0, api.Timer(1))
-    assert node.judge.sight.in_flight == 1
+    assert node.judge.observations.in_flight == 1
 
 
 def test_attempts_out_are_told_of_the_busiest_servers_in_steps_of_two() -> None:
@@ -341,7 +348,7 @@
     }  # fmt: skip
     for _ in range(9):
         watching.handle(SECOND, api.Outcome(0, False, Result.OK, MS, server(1).id, 0, ()))
-    assert 1 not in node.judge.sight.by_server
+    assert 1 not in node.judge.observations.by_server
 
 
 def test_without_rights_to_the_number_all_passes_as_it_is() -> None:
--- a/tests/tier/test_facts.py
+++ b/tests/tier/test_facts.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from driftstair.tier.shared import wire
-from driftstair.tier.shared.core import Shared, Tell
+from driftstair.tier.shared.core import SendItems, SharedState
 from driftstair.tier.shared.facts import EVIDENCE, FLIGHT, KINDS, LOAD, MS, TRANSIT, Fact, Facts
-from driftstair.tier.shared.gossip import FACTS_A_DATAGRAM, FAN, ROUND, Gossip
+from driftstair.tier.shared.gossip import FACTS_PER_DATAGRAM, FANOUT, ROUND, Gossip
 
 SECOND = 1000 * MS
 LIVES = KINDS[EVIDENCE].lives
@@ -103,11 +103,11 @@
     for subject in range(20):
         facts.publish(0, EVIDENCE, subject, VALUE, 2)
     while facts.urgent():
-        facts.news(FACTS_A_DATAGRAM)
+        facts.news(FACTS_PER_DATAGRAM)
     told: Counter[int] = Counter()
     for _ in range(9):
         facts.publish(0, LOAD, 0, (0, 1, 2, 3, 4), 2)
-        told.update(one.subject for one in facts.news(FACTS_A_DATAGRAM) if one.kind == EVIDENCE)
+        told.update(one.subject for one in facts.news(FACTS_PER_DATAGRAM) if one.kind == EVIDENCE)
     assert len(told) == 20
 
 
@@ -175,8 +175,8 @@
         for subject in range(300):
             node.facts.publish(0, EVIDENCE, subject, VALUE, 10)
     play.nodes = play.nodes[:1]
-    assert len({to for to, _ in play.nodes[0].tick(ROUND)}) <= FAN + 1
-    assert len(play.nodes[0].tick(2 * ROUND)) <= FAN * FACTS_A_DATAGRAM + 1
+    assert len({to for to, _ in play.nodes[0].tick(ROUND)}) <= FANOUT + 1
+    assert len(play.nodes[0].tick(2 * ROUND)) <= FANOUT * FACTS_PER_DATAGRAM + 1
 
 
 @pytest.mark.parametrize(
@@ -195,20 +195,20 @@
     ],
 )  # fmt: skip
 def test_what_is_no_fact_is_counted_and_passed_over(item: wire.Item, count: str) -> None:
-    core = Shared((), Random(0), lambda: [1])
+    core = SharedState((), Random(0), lambda: [1])
     core.open(0, 0, 1, 2)
-    judge = core.speak(0, 0, lambda: True, lambda: {0: 0, 1: 0})
-    (data,) = wire.packed([item])
+    judge = core.enable_outlier_detection(0, 0, lambda: True, lambda: {0: 0, 1: 0})
+    (data,) = wire.pack_items([item])
     assert core.heard(SECOND, 1, 1, data) == []
-    assert +core.thrown == {count: 1}
+    assert +core.discarded == {count: 1}
     assert judge.out == {} and core.wake(SECOND) == []
 
 
 def test_facts_of_a_later_version_with_more_fields_are_taken() -> None:
-    core = Shared((), Random(0), lambda: [1])
+    core = SharedState((), Random(0), lambda: [1])
     core.open(0, 0, 1, 2)
-    core.speak(0, 0, lambda: True, lambda: {0: 0, 1: 0})
-    (data,) = wire.packed([(wire.FACT, 1, 1, 1, EVIDENCE, 7, 0, *VALUE, 99)])
+    core.enable_outlier_detection(0, 0, lambda: True, lambda: {0: 0, 1: 0})
+    (data,) = wire.pack_items([(wire.FACT, 1, 1, 1, EVIDENCE, 7, 0, *VALUE, 99)])
     core.heard(SECOND, 1, 1, data)
-    told = [action for action in core.wake(SECOND) if isinstance(action, Tell)]
-    assert told and +core.thrown == {}
+    told = [action for action in core.wake(SECOND) if isinstance(action, SendItems)]
+    assert told and +core.discarded == {}
--- a/tests/tier/test_leases_world.py
+++ b/tests/tier/test_leases_world.py
@@ -9,7 +9,14 @@
 
 from driftstair.model.tier.ownership import Fleet
 from driftstair.model.tier.world import SECOND, Link
-from driftstair.tier.ownership.leases import COUNCIL_MOST, TERMS, Leases, council_of, key_of, ranked
+from driftstair.tier.ownership.leases import (
+    MAX_COUNCIL_SIZE,
+    TERMS,
+    Leases,
+    council_members,
+    rank_nodes,
+    task_key,
+)
 
 SILENT = TERMS.waited() / SECOND  # s after a start in which a council says nothing
 TASKS = tuple(f"task {number}" for number in range(12))
@@ -37,7 +44,7 @@
     play = fleet(tasks=TASKS)
     for task in TASKS:
         core = play.world.hosts[0].detector.core  # type: ignore[union-attr]
-        assert play.owners(task) == ranked(core.tasks[task].key, range(5))[:1]
+        assert play.owners(task) == rank_nodes(core.tasks[task].key, range(5))[:1]
 
 
 @pytest.mark.parametrize("count", [3, 5, 20])
@@ -185,14 +192,14 @@
 
 
 def test_the_council_is_the_same_whatever_numbers_come_beyond_it() -> None:
-    assert council_of(7) == council_of(200) == tuple(range(COUNCIL_MOST))
-    assert council_of(3) == (0, 1, 2)
+    assert council_members(7) == council_members(200) == tuple(range(MAX_COUNCIL_SIZE))
+    assert council_members(3) == (0, 1, 2)
 
 
 def test_a_node_beyond_the_council_may_own_and_decides_nothing() -> None:
     play = fleet(30, tasks=TASKS)
     owners = {play.owners(task)[0] for task in TASKS}
-    assert max(owners) >= COUNCIL_MOST
+    assert max(owners) >= MAX_COUNCIL_SIZE
     assert play.world.hosts[20].detector.core.acceptor is None  # type: ignore[union-attr]
 
 
@@ -200,7 +207,7 @@
     """Seen on processes: a server that was held back again had a prober with the token of the first time."""
     play = fleet(3, tasks=())
     # Of the node that started last: no member's floor is above its first token.
-    name = next(f"t{number}" for number in range(99) if ranked(key_of(f"t{number}"), range(3))[0] == 2)
+    name = next(f"t{number}" for number in range(99) if rank_nodes(task_key(f"t{number}"), range(3))[0] == 2)
     for _ in range(3):
         for host in play.world.hosts:
             host.detector.core.add(play.world.now, name)  # type: ignore[union-attr]
--- a/tests/tier/test_membership_machine.py
+++ b/tests/tier/test_membership_machine.py
@@ -40,7 +40,7 @@
         self.lives[number] += 1
         self.nodes[number] = node = Membership(
             number, len(self.nodes), self.lives[number], Traits(0, 1, 1), PERIOD,
-            Random(number), wire.ROOM, wire.size,
+            Random(number), wire.MAX_CLAIMS_BYTES, wire.size,
         )  # fmt: skip
         self.ranks = {pair: rank for pair, rank in self.ranks.items() if pair[0] != number}
         self._handle(node, api.Start())
@@ -58,7 +58,7 @@
     def _deliver(self, message: api.Message) -> None:
         node = self.nodes[message.to]
         if node is not None:
-            self._handle(node, api.Heard(message))
+            self._handle(node, api.Received(message))
 
     @rule(index=st.integers(0, OLD_MOST))
     def again(self, index: int) -> None:
@@ -131,7 +131,7 @@
     def each_wants_to_be_woken_and_no_datagram_is_too_long(self) -> None:
         codec = wire.Codec(b"sixteen bytes!!!")
         for message in self.old[-4:]:
-            assert len(codec.encode(message)) <= wire.DATAGRAM_MOST
+            assert len(codec.encode(message)) <= wire.MAX_DATAGRAM_BYTES
         for node in self.nodes:
             if node is not None and not node.superseded and not node.leaving():
                 assert node.wake_at <= self.now + 30 * PERIOD
--- a/tests/tier/test_owner_checks.py
+++ b/tests/tier/test_owner_checks.py
@@ -55,7 +55,7 @@
      Refused(1, 5, 9, 3, 4 * SECOND), Release(1, 5, -1), Release(1, 5, 0)],
 )  # fmt: skip
 def test_a_message_comes_as_it_went(message: Message) -> None:
-    assert wire.read(wire.item(message)) == message
+    assert wire.decode(wire.encode(message)) == message
 
 
 @pytest.mark.parametrize(
@@ -66,4 +66,4 @@
 )  # fmt: skip
 def test_what_is_none_is_counted_and_passed_over(item: tuple[Any, ...], why: str) -> None:
     with pytest.raises(InvalidItem, match=why):
-        wire.read(item)
+        wire.decode(item)
--- a/tests/tier/test_permits.py
+++ b/tests/tier/test_permits.py
@@ -11,16 +11,16 @@
 
 from driftstair.tier.ownership.permits import (
     Ask,
-    Back,
-    Done,
-    Held,
     Holder,
     Kind,
     Permit,
     Poll,
+    PollReply,
+    ReturnConfirmed,
+    ReturnPermit,
     Rules,
     Wait,
-    Why,
+    WaitReason,
 )
 from driftstair.tier.ownership.steward import Steward
 
@@ -94,7 +94,7 @@
 
 
 class AnyZone(Steward):
-    def _refused(self, living: Any, out: dict[int, int], number: int) -> Why | None:
+    def _refused(self, living: Any, out: dict[int, int], number: int) -> WaitReason | None:
         return super()._refused(living, dict.fromkeys(out, self._zones.get(number, -1)), number)
 
 
@@ -138,7 +138,7 @@
         for to, message in letters:
             if to not in self.living or self.lost(to, message):
                 continue
-            if isinstance(message, Held | Ask | Back):
+            if isinstance(message, PollReply | Ask | ReturnPermit):
                 self._deliver(0, 1, self.steward.heard(self.now, source, life, message))
             else:
                 holder = self.holders[to]
@@ -182,7 +182,7 @@
     tier.want(1, 2)  # of the zone that is out, but after 3
     tier.run(2)
     assert tier.out() == [0]
-    assert tier.holders[1].why == Why.ZONE or tier.holders[1].before == 1
+    assert tier.holders[1].why == WaitReason.ZONE or tier.holders[1].before == 1
     tier.holders[0].give_back(tier.now)
     tier.run(2)
     assert tier.out() == [3]
@@ -221,7 +221,7 @@
     del tier.living[1]
     tier.want(2)
     tier.run(3)
-    assert tier.out() == [] and tier.holders[2].why in (Why.OUT, Why.ZONE)
+    assert tier.out() == [] and tier.holders[2].why in (WaitReason.OUT, WaitReason.ZONE)
     tier.run(20)
     assert tier.out() == [2]  # gone for longer than a permit could last
 
@@ -235,7 +235,7 @@
     tier.lead(8)
     tier.run(4)
     assert tier.out() == [1]
-    assert tier.holders[2].why == Why.OUT
+    assert tier.holders[2].why == WaitReason.OUT
     tier.holders[1].give_back(tier.now)
     tier.run(2)
     assert tier.out() == [2]
@@ -246,7 +246,7 @@
     tier.lost = lambda to, message: to == 1 and isinstance(message, Poll)
     tier.want(2)
     tier.run(15)
-    assert tier.out() == [] and tier.holders[2].why == Why.POLLING
+    assert tier.out() == [] and tier.holders[2].why == WaitReason.POLLING
     tier.run(10)
     assert tier.out() == [2]
 
@@ -281,7 +281,7 @@
     assert holder.heard(10 + TERM, 2, Permit(9, 5, 1, 10, TERM)) == []
     assert not holder.held(10 + TERM)
     holder.give_back(20 + TERM)
-    assert holder.heard(30 + TERM, 2, Permit(9, 5, 1, 20 + TERM, TERM)) == [(2, Back(1))]
+    assert holder.heard(30 + TERM, 2, Permit(9, 5, 1, 20 + TERM, TERM)) == [(2, ReturnPermit(1))]
     assert not holder.held(30 + TERM)
 
 
@@ -290,12 +290,12 @@
     holder.heard(1, 3, Poll(9))
     holder.want(2, Kind.RESTART)
     holder.give_back(3)
-    assert holder.tick(4) == [(3, Back(1))]
+    assert holder.tick(4) == [(3, ReturnPermit(1))]
     assert holder.tick(5) == []
-    assert holder.tick(4 + SECOND) == [(3, Back(1))]
-    holder.heard(5 + SECOND, 3, Done(4, 1))  # of another life
-    assert holder.tick(4 + 2 * SECOND) == [(3, Back(1))]
-    holder.heard(5 + 2 * SECOND, 3, Done(5, 1))
+    assert holder.tick(4 + SECOND) == [(3, ReturnPermit(1))]
+    holder.heard(5 + SECOND, 3, ReturnConfirmed(4, 1))  # of another life
+    assert holder.tick(4 + 2 * SECOND) == [(3, ReturnPermit(1))]
+    holder.heard(5 + 2 * SECOND, 3, ReturnConfirmed(5, 1))
     assert holder.tick(4 + 3 * SECOND) == []
 
 
@@ -322,7 +322,7 @@
 def test_waiting_is_told_with_a_place() -> None:
     holder = Holder(RULES, 5)
     holder.want(10, Kind.RESTART)
-    holder.heard(11, 4, Wait(9, 5, 1, int(Why.OUT), 3))
-    assert (holder.why, holder.before, holder.steward) == (Why.OUT, 3, 4)
-    holder.heard(12, 4, Wait(9, 4, 1, int(Why.TURN), 0))  # of another life
+    holder.heard(11, 4, Wait(9, 5, 1, int(WaitReason.OUT), 3))
+    assert (holder.why, holder.before, holder.steward) == (WaitReason.OUT, 3, 4)
+    holder.heard(12, 4, Wait(9, 4, 1, int(WaitReason.TURN), 0))  # of another life
     assert holder.before == 3
--- a/tests/tier/test_permits_every_order.py
+++ b/tests/tier/test_permits_every_order.py
@@ -10,8 +10,8 @@
 import pytest
 from test_permits import Unpolled
 
-from driftstair.tier.ownership.permits import Ask, Back, Held, Holder, Kind, Permit, Rules
-from driftstair.tier.ownership.steward import Living, Steward
+from driftstair.tier.ownership.permits import Ask, Holder, Kind, Permit, PollReply, ReturnPermit, Rules
+from driftstair.tier.ownership.steward import LiveNodes, Steward
 
 SECOND = 1_000_000_000
 TERM = 2  # s
@@ -33,7 +33,7 @@
         self.wants, self.repeats, self.restarts, self.elections = 2, 1, 1, 1
         self.steward = self._steward()
 
-    def _living(self) -> Living:
+    def _living(self) -> LiveNodes:
         return {number: (life, 0) for number, life in enumerate(self.lives)}
 
     def _steward(self) -> Steward:
@@ -74,7 +74,7 @@
 
     def deliver(self, letter: tuple[int, int, int, Any]) -> None:
         source, life, to, message = letter
-        if isinstance(message, Held | Ask | Back):
+        if isinstance(message, PollReply | Ask | ReturnPermit):
             # To whoever is the steward: another token's answers it passes over by itself.
             self.send(STEWARD, 1, self.steward.heard(self.now, source, life, message))
         else:
@@ -97,7 +97,7 @@
         for index in range(len(self.air)):
             yield after(lambda new, index=index: new.deliver(new.air.pop(index)))  # type: ignore[misc]
             yield after(lambda new, index=index: new.air.pop(index))  # type: ignore[misc]
-            if self.repeats and isinstance(self.air[index][3], Permit | Held):
+            if self.repeats and isinstance(self.air[index][3], Permit | PollReply):
 
                 def twice(new: World, index: int = index) -> None:
                     new.repeats -= 1
@@ -163,7 +163,7 @@
 class Forgetful(Steward):
     """Has no record of what it gave."""
 
-    def _give(self, now: int, living: Living) -> Any:
+    def _give(self, now: int, living: LiveNodes) -> Any:
         letters = super()._give(now, living)
         self.given.clear()
         return letters
--- a/tests/tier/test_tier_parts.py
+++ b/tests/tier/test_tier_parts.py
@@ -16,35 +16,35 @@
 from driftstair.tier.history import History, HistoryError
 from driftstair.tier.key import read_key
 from driftstair.tier.member_list import MemberListError
-from driftstair.tier.membership.events import NOBODY, Kind, Message
+from driftstair.tier.membership.events import NO_NODE, Kind, Message
 from driftstair.tier.membership.members import Claim, State, Traits
-from driftstair.tier.membership.update_queue import News
-from driftstair.tier.replay import WIDE, Window
+from driftstair.tier.membership.update_queue import UpdateQueue
+from driftstair.tier.replay import WINDOW_BITS, Window
 from driftstair.tier.wire import Codec, InvalidDatagram
 
 KEY = b"sixteen bytes!!!"
 CODEC = Codec(KEY)
 MINE = Claim(3, 77, 2, State.ALIVE, 3, Traits(1, 1, 1))
-PLAIN = Message(Kind.PING, MINE, 4, 9, 5, NOBODY, (Claim(4, 70, 0, State.SUSPECT, 3),))
+PLAIN = Message(Kind.PING, MINE, 4, 9, 5, NO_NODE, (Claim(4, 70, 0, State.SUSPECT, 3),))
 
 claims = st.builds(
-    Claim, st.integers(0, wire.NUMBER_MOST - 1), st.integers(0, wire.COUNT_MOST),
-    st.integers(0, wire.NUMBER_MOST), st.sampled_from(State), st.integers(0, wire.NUMBER_MOST - 1),
-    st.builds(Traits, st.integers(0, 255), st.integers(0, 255), st.integers(0, wire.NUMBER_MOST)),
+    Claim, st.integers(0, wire.MAX_NUMBER - 1), st.integers(0, wire.MAX_COUNT),
+    st.integers(0, wire.MAX_NUMBER), st.sampled_from(State), st.integers(0, wire.MAX_NUMBER - 1),
+    st.builds(Traits, st.integers(0, 255), st.integers(0, 255), st.integers(0, wire.MAX_NUMBER)),
 )  # fmt: skip
 
 
 @settings(derandomize=True, max_examples=300)
-@given(st.sampled_from(Kind), claims, st.integers(0, wire.COUNT_MOST), st.lists(claims, max_size=30))
+@given(st.sampled_from(Kind), claims, st.integers(0, wire.MAX_COUNT), st.lists(claims, max_size=30))
 def test_what_the_core_may_send_fits_and_comes_back_as_it_was(
     kind: Kind, mine: Claim, order: int, offered: list[Claim]
 ) -> None:
-    news, room = [], wire.ROOM
+    news, room = [], wire.MAX_CLAIMS_BYTES
     for claim in offered:
         if wire.size(claim) <= room:
             room -= wire.size(claim)
             news.append(claim)
-    message = Message(kind, mine, 9, order, order, NOBODY, tuple(news))
+    message = Message(kind, mine, 9, order, order, NO_NODE, tuple(news))
     data = CODEC.encode(message)
     assert len(data) <= 256
     assert CODEC.decode(data) == message
@@ -65,7 +65,7 @@
 def rows(**changes: object) -> list[object]:
     """The array of a datagram, by field."""
     mine = [3, 77, 2, 0, 3, 1, 1, 1]
-    return list(({"kind": 1, "mine": mine, "to": 4, "order": 9, "seq": 5, "about": NOBODY, "news": []}
+    return list(({"kind": 1, "mine": mine, "to": 4, "order": 9, "seq": 5, "about": NO_NODE, "news": []}
                  | changes).values())  # fmt: skip
 
 
@@ -104,7 +104,7 @@
 def test_a_window_takes_each_count_once_and_nothing_older_than_itself(counts: list[int]) -> None:
     window, taken, highest = Window(), set(), -1
     for count in counts:
-        wanted = count not in taken and count > highest - WIDE
+        wanted = count not in taken and count > highest - WINDOW_BITS
         assert window.take(count) is wanted
         if wanted:
             taken.add(count)
@@ -112,7 +112,7 @@
 
 
 def test_news_go_least_told_first_and_stop_when_all_have_heard() -> None:
-    news = News()
+    news = UpdateQueue()
     for number in range(3):
         news.add(Claim(number, 1, 0, State.ALIVE, number))
     order = []
@@ -126,7 +126,7 @@
 def test_a_suspicion_is_told_again_before_a_thousand_that_joined_are_told_of() -> None:
     # Guards against false deaths among 1,000 nodes at a tenth of loss: each told a suspicion or a refutation
     # to one other, then of all that had joined, and what is told so seldom does not come round in time.
-    news = News()
+    news = UpdateQueue()
     for number in range(1000):
         news.add(Claim(number, 1, 0, State.ALIVE, number))
     news.add(Claim(7, 1, 0, State.SUSPECT, 3))
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -13,7 +13,7 @@
 from driftstair.tier.membership.core import NEVER, Membership
 from driftstair.tier.membership.suspicion import Suspicion
 from driftstair.tier.ownership.acceptor import Acceptor
-from driftstair.tier.ownership.leases import key_of, ranked
+from driftstair.tier.ownership.leases import rank_nodes, task_key
 from driftstair.tier.shared import evidence
 from driftstair.tier.shared.rights import Rights, Terms
 
@@ -68,7 +68,7 @@
     had = owners.leases([one for events in rehearsal.environment.histories() for one in events])
     for task, some in had.items():
         # Who has it is told by rank, so the first in rank has it again after its restart: by a new lease.
-        first = ranked(key_of(task), range(8))[0]
+        first = rank_nodes(task_key(task), range(8))[0]
         nodes = {node for _, _, _, node in some}
         tokens = {token for _, _, token, _ in some}
         assert len(nodes) > 1 or (nodes == {first} and len(tokens) == len(some) > 1), had
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize("defect", ["one reporter is enough", "who finds all bad is believed"])
 def test_a_planted_defect_of_judging_is_found(defect: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if defect == "one reporter is enough":
-        monkeypatch.setattr(evidence, "judged", lambda server, facts, zones, at_fault: next(
+        monkeypatch.setattr(evidence, "assess_server", lambda server, facts, zones, at_fault: next(
             (evidence.Verdict(server, (one.owner,), 1.0) for one in facts if one.value[1] >= 2), None
         ))  # fmt: skip
         found = report("shared-liar", {})
--- a/tests/tier/test_tokens.py
+++ b/tests/tier/test_tokens.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from driftstair.tier.ownership.leases import KEEP_AGAIN, Leases
-from driftstair.tier.ownership.messages import Prepare, Promise, Release, Terms, ahead, first_token
+from driftstair.tier.ownership.leases import PERSIST_RETRY_NS, Leases
+from driftstair.tier.ownership.messages import Prepare, Promise, Release, Terms, first_token, reserve_tokens
 from driftstair.tier.tokens import SLOT, TokenFile, TokensError
 
 TERMS = Terms()
@@ -96,29 +96,29 @@
     one = member(0, 7, 0, kept=0)
     token = first_token(7, 1) + (1 << 16)
     assert prepared(one, now, token) == []
-    wanted = one.keep(now)
-    assert wanted == ahead(token) and one.keep(now) == 0  # one write at a time
-    letters, _ = one.kept(now + 1, wanted)
+    wanted = one.token_to_persist(now)
+    assert wanted == reserve_tokens(token) and one.token_to_persist(now) == 0  # one write at a time
+    letters, _ = one.token_persisted(now + 1, wanted)
     assert letters == [(1, Promise(77, token))]
     assert prepared(one, now + 2, token + (1 << 16)) == [Promise(77, token + (1 << 16))]  # that far ahead
-    assert one.keep(now + 2) == 0
+    assert one.token_to_persist(now + 2) == 0
 
 
 def test_a_member_whose_disk_takes_nothing_promises_nothing_and_tries_again_later() -> None:
     now = 10 * SECOND
     one = member(0, 7, 0, kept=0)
     token = first_token(7, 1) + (1 << 16)
-    assert prepared(one, now, token) == [] and one.keep(now)
-    one.not_kept(now)
-    assert prepared(one, now + 1, token) == [] and one.keep(now + 1) == 0
-    later = now + KEEP_AGAIN
-    assert prepared(one, later, token) == [] and one.keep(later) == ahead(token)
+    assert prepared(one, now, token) == [] and one.token_to_persist(now)
+    one.persist_failed(now)
+    assert prepared(one, now + 1, token) == [] and one.token_to_persist(now + 1) == 0
+    later = now + PERSIST_RETRY_NS
+    assert prepared(one, later, token) == [] and one.token_to_persist(later) == reserve_tokens(token)
 
 
 def test_a_release_waits_for_no_disk() -> None:
     one = member(0, 7, 0, kept=0)
     assert one.heard(10 * SECOND, 1, 7, Release(77, first_token(7, 1))) == ([], [])
-    assert one.to_keep() == 0
+    assert one.pending_token() == 0
 
 
 Disks = dict[int, int | None]
@@ -136,9 +136,9 @@
             letters, _ = nodes[to].heard(now, source, lives[source], message)
             air += [(to, one) for one in letters]
             for number, node in nodes.items():
-                if token := node.keep(now):
+                if token := node.token_to_persist(now):
                     kept[number] = token
-                    air += [(number, one) for one in node.kept(now, token)[0]]
+                    air += [(number, one) for one in node.token_persisted(now, token)[0]]
         if token := nodes[0].token(now, "work"):
             return token, kept
         now += 100_000_000
