--- a/tests/tier/test_tier_in_service.py
+++ b/tests/tier/test_tier_in_service.py
@@ -33,7 +33,7 @@
 
 class Codec(wire.Codec):
     def encode(self, message):
-        rows = msgspec.msgpack.decode(super().encode(message)[1 + wire.SEAL:])
+        rows = msgspec.msgpack.decode(super().encode(message)[1 + wire.MAC_BYTES:])
         if message.kind is Kind.NEWS:
             rows[0] = 9
         rows += [b""] * (8 - len(rows))
