--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -24,12 +24,12 @@
 from driftstair import config
 from driftstair.rehearsal import load, platform
 from driftstair.settings import Config
-from driftstair.tier import kept, wire
+from driftstair.tier import member_list, wire
 from driftstair.tier.membership.members import Claim, State, Traits
 from driftstair.tier.ownership.permits import Rules
+from driftstair.tier.peer_config import PeerConfig
 from driftstair.tier.service import life_at
 from driftstair.tier.shared.budget import Spec
-from driftstair.tier.told import Told
 
 KEY = b"the key of a cluster of hollow nodes"
 BUDGET = "retries"
@@ -58,7 +58,7 @@
         Claim(number, life, 0, State.ALIVE, number, Traits(zone_of(number), wire.VERSION, supports))
         for number in range(plan.count) if number != own
     )  # fmt: skip
-    kept.write(path, claims)
+    member_list.write(path, claims)
 
 
 class HollowNode:
@@ -88,7 +88,7 @@
         )  # fmt: skip
         system.writes = plan.on_disk
         peers = tuple((one.host, one.port) for one in addresses)  # each node has a list of its own
-        told = Told(peers[self.number], peers, self.number, zone_of(self.number))
+        told = PeerConfig(peers[self.number], peers, self.number, zone_of(self.number))
         seed = plan.seed << 32 | self._generation << 16 | self.number
         self._system = system
         self.tier = TimedTier(
@@ -152,13 +152,13 @@
         if not self._plan.feed or self.tier is None or self.tier.sharing is None or self._system is None:
             return
         now, core = self._system.monotonic_ns(), self.tier.sharing.core
-        if core.judge is not None:
-            judge = core.judge
+        if core.outlier_detector is not None:
+            judge = core.outlier_detector
             judge.ready = set(range(SERVERS))
             for server in {FAILING, self._random.randrange(SERVERS)} - judge.hidden():
                 ok = not (self._plan.failing and server == FAILING)
                 for _ in range(OUTCOMES):
-                    judge.sight.note(now, server, ok, True, ANSWERED_IN)
+                    judge.observations.note(now, server, ok, True, ANSWERED_IN)
         if self.number % BUSY_EVERY == 0 and BUDGET in core.budgets:
             tokens = self.tier.tokens(BUDGET)
             for _ in range(int(WANTED * PER_S / FEEDS_PER_S)):
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -34,11 +34,11 @@
 def _measure(size: int, folder: Path) -> dict[str, float]:
     from driftstair.config import load
     from driftstair.net.system import SOCKET_SYSTEM
-    from driftstair.tier import told
+    from driftstair.tier import peer_config
     from driftstair.tier.service import Tier
 
     config = load({"BALANCER_CONFIG": str(folder / "old.json")})
-    peers, reading = measured(lambda: told.read(config))
+    peers, reading = measured(lambda: peer_config.read(config))
     claims = all_alive(size)
 
     def start() -> Tier:
@@ -75,7 +75,14 @@
     from driftstair.tier.membership.members import Traits
 
     core = Membership(
-        0, size, 1_000, Traits(0, wire.VERSION, wire.MEMBERSHIP), PERIOD, Random(1), wire.ROOM, wire.size
+        0,
+        size,
+        1_000,
+        Traits(0, wire.VERSION, wire.MEMBERSHIP),
+        PERIOD,
+        Random(1),
+        wire.MAX_CLAIMS_BYTES,
+        wire.size,
     )
     now = time.monotonic_ns()
     core.handle(now, all_alive(size))
--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -142,7 +142,7 @@
         if self._in_tier is not None and self._in_tier.sharing is not None:
             names = {spec.name for spec in self._budgets}
             more = (spec for spec in self._configured if spec.name not in names)
-            self._in_tier.respec((*self._budgets, *more))
+            self._in_tier.update_specs((*self._budgets, *more))
 
     def configure_budgets(self, budgets: dict[str, FleetBudget]) -> None:
         """The configuration names these, beside the file's."""
@@ -250,7 +250,7 @@
         if wanted is None:
             return None
         try:
-            from driftstair.tier import told
+            from driftstair.tier import peer_config
             from driftstair.tier.history import History, HistoryError
             from driftstair.tier.key import read_key
             from driftstair.tier.service import Tier
@@ -258,8 +258,8 @@
             why = f"wants {problem.name}: pip install 'driftstair[tier]'"
             raise ServiceError([loaded.problem(("tier",), why)]) from None
         try:
-            peers = told.read(config)
-        except told.ToldError as problem:
+            peers = peer_config.read(config)
+        except peer_config.PeerConfigError as problem:
             raise ServiceError([loaded.problem(("tier",), str(problem), instead="no such table")]) from None
         self._enough(loaded, len(peers.peers))
         try:
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -15,17 +15,17 @@
 
 from driftstair.net.system import DatagramSocket, System
 from driftstair.settings import Config
-from driftstair.tier import kept, lent, told, wire
+from driftstair.tier import loan_expiry, member_list, peer_config, wire
 from driftstair.tier.history import History
-from driftstair.tier.kept import KeptError
+from driftstair.tier.member_list import MemberListError
 from driftstair.tier.membership import events as api
 from driftstair.tier.membership.core import NEVER, Membership
 from driftstair.tier.membership.members import Claim, State, Traits
-from driftstair.tier.wire import Codec, Unreadable
+from driftstair.tier.wire import Codec, InvalidDatagram
 
 if TYPE_CHECKING:
     from driftstair.limits.budgets import TokenBudget
-    from driftstair.tier.collecting import Collecting
+    from driftstair.tier.collector import LedgerCollector
     from driftstair.tier.ownership.permits import Rules
     from driftstair.tier.shared.budget import Spec
     from driftstair.tier.sharing import Sharing
@@ -38,7 +38,7 @@
 LIVES_PER_S = 16
 BIND_AGAIN = 0.5  # s: the process before this one may hold the address yet
 SAID_EVERY = 60.0  # s between two lines on datagrams that were thrown away
-DOUBTFUL = 4  # of the local health score: by then the fault is likely here
+DEGRADED_HEALTH_SCORE = 4  # of the local health score: by then the fault is likely here
 KEPT_EVERY = 5.0  # s between two writes of the list
 FORMAT = "driftstair.tier/1"
 
@@ -46,7 +46,7 @@
 def life_at(time_ns: int) -> int:
     """The life of a process that starts at that time. A clock that is off is no harm: the tier tells a
     process what its number was called before."""
-    return min(max(1, (time_ns - EPOCH * 1_000_000_000) * LIVES_PER_S // 1_000_000_000), wire.COUNT_MOST - 1)
+    return min(max(1, (time_ns - EPOCH * 1_000_000_000) * LIVES_PER_S // 1_000_000_000), wire.MAX_COUNT - 1)
 
 
 class Tier:
@@ -56,7 +56,7 @@
     shared state is loaded."""
 
     def __init__(
-        self, config: Config, peers: told.Told, period: int, key: bytes, history: History | None,
+        self, config: Config, peers: peer_config.PeerConfig, period: int, key: bytes, history: History | None,
         folder: Path | None, system: System, budgets: Sequence[Spec] = (), judges: bool = False,
         collect: tuple[Path, tuple[str, int]] | None = None, permits: Rules | None = None,
         shares: bool = False,
@@ -88,25 +88,25 @@
         self.core = Membership(
             peers.own, len(peers.peers), life_at(system.time_ns()),
             Traits(peers.zone, wire.VERSION, supports), period, Random(config.seed ^ 0x7E12),
-            wire.ROOM, wire.size,
+            wire.MAX_CLAIMS_BYTES, wire.size,
         )  # fmt: skip
         self.sharing: Sharing | None = None
-        self._collecting: Collecting | None = None
+        self._collecting: LedgerCollector | None = None
         if shares:
-            from driftstair.tier.sharing import Permitted, Sharing, Speaks
+            from driftstair.tier.sharing import EvidenceSettings, PermitSettings, Sharing
 
             self.sharing = Sharing(
                 budgets, Random(config.seed ^ 0x54A2), system.monotonic_ns, self._sharers, self._carry,
-                self._write, Speaks(peers.zone, self._sound, self._zones) if judges else None,
-                ("collect",) if collect else (), Permitted(permits, self._lives) if permits else None,
+                self._write, EvidenceSettings(peers.zone, self._sound, self._zones) if judges else None,
+                ("collect",) if collect else (), PermitSettings(permits, self._lives) if permits else None,
                 self._keep_token,
             )  # fmt: skip
         if collect:
-            from driftstair.tier.collecting import TASK, Collecting
+            from driftstair.tier.collector import TASK, LedgerCollector
 
             sharing = self.sharing
             assert sharing is not None
-            self._collecting = Collecting(
+            self._collecting = LedgerCollector(
                 *collect, lambda: sharing.token(TASK), lambda token: sharing.floor(TASK, token), self._write,
                 system.run_blocking,
             )  # fmt: skip
@@ -117,8 +117,8 @@
         claims: tuple[Claim, ...] = ()
         if self._kept is not None:
             try:
-                claims = kept.read(self._kept)
-            except KeptError as problem:
+                claims = member_list.read(self._kept)
+            except MemberListError as problem:
                 log.warning("%s tells of no member: it %s", self._kept.name, problem)
             self._keeping = self._loop.call_later(KEPT_EVERY, self._keep_again)
         self._write("start", nodes=len(self._told.peers))
@@ -131,7 +131,7 @@
         self._binding = None
         try:
             self._socket = self._system.open_datagram_socket(
-                self._told.listen, self._came, wire.DATAGRAM_MOST
+                self._told.listen, self._came, wire.MAX_DATAGRAM_BYTES
             )
         except OSError as problem:
             if first:
@@ -140,17 +140,17 @@
             return
         if self.sharing is not None:
             # The machine gives the address to one process alone: whoever has it has the number's rights.
-            lent_until = lent.take(self._lent) if self._lent is not None and not self._opened else None
+            lent_until = loan_expiry.take(self._lent) if self._lent is not None and not self._opened else None
             self._opened = True
             self.sharing.open(
                 self._told.own, self.core.mine.life, len(self._told.peers), lent_until, self._token()
             )
             self._set_timer()
 
-    def respec(self, budgets: Sequence[Spec]) -> None:
+    def update_specs(self, budgets: Sequence[Spec]) -> None:
         """The service file has been replaced."""
         if self.sharing is not None:
-            self.sharing.respec(budgets)
+            self.sharing.update_specs(budgets)
             self._set_timer()
 
     def tokens(self, name: str) -> TokenBudget:
@@ -177,24 +177,24 @@
 
     def _sound(self) -> bool:
         """Whether this node's word on servers is worth anything."""
-        return not self.core.alone() and self.core.health.score < DOUBTFUL
+        return not self.core.is_isolated() and self.core.health.score < DEGRADED_HEALTH_SCORE
 
     def _zones(self) -> dict[int, int]:
         """Of those that live, this node among them, by number."""
         known = self.core.known().items()
         return {self._told.own: self._told.zone} | {number: one.traits.zone for number, one in known}
 
-    def around(self, module: DecisionModule) -> DecisionModule:
-        return module if self.sharing is None else self.sharing.around(module)
+    def wrap_module(self, module: DecisionModule) -> DecisionModule:
+        return module if self.sharing is None else self.sharing.wrap_module(module)
 
     def _carry(self, to: int, items: bytes) -> None:
-        self._tell(api.Carry(to, items))
+        self._tell(api.SendPayload(to, items))
 
     def reload(self, config: Config) -> None:
         """The platform may name other peers."""
         try:
-            peers = told.read(config)
-        except told.ToldError as problem:
+            peers = peer_config.read(config)
+        except peer_config.PeerConfigError as problem:
             log.error("the new peers are not used: %s", problem)
             return
         before, self._told = self._told, peers
@@ -230,7 +230,7 @@
         self._unbind()
         if self._lent is not None and lent_until is not None:
             path, until = self._lent, lent_until
-            await self._system.run_blocking(lambda: lent.write(path, until))
+            await self._system.run_blocking(lambda: loan_expiry.write(path, until))
         for task in list(self._tasks):
             await task
         if self._kept is not None:
@@ -257,16 +257,16 @@
                     self._send(message)
                 case api.Changed(claim, why, told_too):
                     if claim.number == self._told.own and self.sharing is not None:
-                        self.sharing.renamed(claim.life)
+                        self.sharing.set_life(claim.life)
                     if claim.number != self._told.own:
                         log.info("node %d is %s: %s", claim.number, claim.state.name.lower(), why)
                     self._write(
                         "member", member=claim.number, state=claim.state.name.lower(),
                         incarnation=claim.incarnation, member_life=claim.life, told=told_too, why=why,
                     )  # fmt: skip
-                case api.StoodStill(late):
+                case api.ProcessStalled(late):
                     self._write("stood-still", late_ns=late)
-                case api.Carried(sender, life, items):
+                case api.PayloadReceived(sender, life, items):
                     if self.sharing is not None:
                         self.sharing.heard(sender, life, items)
                 case api.Superseded(life):
@@ -319,7 +319,7 @@
             return
         try:
             message = self._codec.decode(data)
-        except Unreadable as problem:
+        except InvalidDatagram as problem:
             self._throw(str(problem))
             return
         if message.mine.number != number:
@@ -327,7 +327,7 @@
             return
         self._bytes_in += len(data)
         self._datagrams_in += 1
-        self._tell(api.Heard(message))
+        self._tell(api.Received(message))
 
     def _throw(self, why: str) -> None:
         """Counted, and said once a minute at most."""
@@ -357,7 +357,7 @@
         path, claims = self._kept, self.core.held()
         assert path is not None
         try:
-            await self._system.run_blocking(lambda: kept.write(path, claims))
+            await self._system.run_blocking(lambda: member_list.write(path, claims))
         except OSError as problem:
             log.warning("the list of members is not kept: %s", problem.strerror)
 
@@ -392,10 +392,10 @@
             if not self._token_lost:
                 log.error("this member of the council promises nothing: %s", problem.strerror)
             self._token_lost = True
-            sharing.not_kept()
+            sharing.persist_failed()
         else:
             self._token_lost = False
-            sharing.kept(token)
+            sharing.token_persisted(token)
         self._set_timer()
 
     # For those who ask.
@@ -409,7 +409,7 @@
             "node": {
                 "number": mine.number, "life": mine.life, "incarnation": mine.incarnation,
                 "state": mine.state.name.lower(), "zone": mine.traits.zone, "health": core.health.score,
-                "alone": core.alone(), "superseded": core.superseded,
+                "alone": core.is_isolated(), "superseded": core.superseded,
             },
             "members": [
                 {
--- a/tests/tier/test_tier_parts.py
+++ b/tests/tier/test_tier_parts.py
@@ -12,39 +12,39 @@
 from hypothesis import strategies as st
 
 from driftstair.files import FileError
-from driftstair.tier import history, kept, wire
+from driftstair.tier import history, member_list, wire
 from driftstair.tier.history import History, HistoryError
-from driftstair.tier.kept import KeptError
 from driftstair.tier.key import read_key
-from driftstair.tier.membership.events import NOBODY, Kind, Message
+from driftstair.tier.member_list import MemberListError
+from driftstair.tier.membership.events import NO_NODE, Kind, Message
 from driftstair.tier.membership.members import Claim, State, Traits
-from driftstair.tier.membership.news import News
-from driftstair.tier.replay import WIDE, Window
-from driftstair.tier.wire import Codec, Unreadable
+from driftstair.tier.membership.update_queue import UpdateQueue
+from driftstair.tier.replay import WINDOW_BITS, Window
+from driftstair.tier.wire import Codec, InvalidDatagram
 
 KEY = b"sixteen bytes!!!"
 CODEC = Codec(KEY)
 MINE = Claim(3, 77, 2, State.ALIVE, 3, Traits(1, 1, 1))
-PLAIN = Message(Kind.PING, MINE, 4, 9, 5, NOBODY, (Claim(4, 70, 0, State.SUSPECT, 3),))
+PLAIN = Message(Kind.PING, MINE, 4, 9, 5, NO_NODE, (Claim(4, 70, 0, State.SUSPECT, 3),))
 
 claims = st.builds(
-    Claim, st.integers(0, wire.NUMBER_MOST - 1), st.integers(0, wire.COUNT_MOST),
-    st.integers(0, wire.NUMBER_MOST), st.sampled_from(State), st.integers(0, wire.NUMBER_MOST - 1),
-    st.builds(Traits, st.integers(0, 255), st.integers(0, 255), st.integers(0, wire.NUMBER_MOST)),
+    Claim, st.integers(0, wire.MAX_NUMBER - 1), st.integers(0, wire.MAX_COUNT),
+    st.integers(0, wire.MAX_NUMBER), st.sampled_from(State), st.integers(0, wire.MAX_NUMBER - 1),
+    st.builds(Traits, st.integers(0, 255), st.integers(0, 255), st.integers(0, wire.MAX_NUMBER)),
 )  # fmt: skip
 
 
 @settings(derandomize=True, max_examples=300)
-@given(st.sampled_from(Kind), claims, st.integers(0, wire.COUNT_MOST), st.lists(claims, max_size=30))
+@given(st.sampled_from(Kind), claims, st.integers(0, wire.MAX_COUNT), st.lists(claims, max_size=30))
 def test_what_the_core_may_send_fits_and_comes_back_as_it_was(
     kind: Kind, mine: Claim, order: int, offered: list[Claim]
 ) -> None:
-    news, room = [], wire.ROOM
+    news, room = [], wire.MAX_CLAIMS_BYTES
     for claim in offered:
         if wire.size(claim) <= room:
             room -= wire.size(claim)
             news.append(claim)
-    message = Message(kind, mine, 9, order, order, NOBODY, tuple(news))
+    message = Message(kind, mine, 9, order, order, NO_NODE, tuple(news))
     data = CODEC.encode(message)
     assert len(data) <= 256
     assert CODEC.decode(data) == message
@@ -65,7 +65,7 @@
 def rows(**changes: object) -> list[object]:
     """The array of a datagram, by field."""
     mine = [3, 77, 2, 0, 3, 1, 1, 1]
-    return list(({"kind": 1, "mine": mine, "to": 4, "order": 9, "seq": 5, "about": NOBODY, "news": []}
+    return list(({"kind": 1, "mine": mine, "to": 4, "order": 9, "seq": 5, "about": NO_NODE, "news": []}
                  | changes).values())  # fmt: skip
 
 
@@ -91,7 +91,7 @@
     ],
 )  # fmt: skip
 def test_what_is_no_datagram_is_thrown_away_and_counted_by_why(data: bytes, count: str) -> None:
-    with pytest.raises(Unreadable, match=f"^{count}$"):
+    with pytest.raises(InvalidDatagram, match=f"^{count}$"):
         CODEC.decode(data)
 
 
@@ -104,7 +104,7 @@
 def test_a_window_takes_each_count_once_and_nothing_older_than_itself(counts: list[int]) -> None:
     window, taken, highest = Window(), set(), -1
     for count in counts:
-        wanted = count not in taken and count > highest - WIDE
+        wanted = count not in taken and count > highest - WINDOW_BITS
         assert window.take(count) is wanted
         if wanted:
             taken.add(count)
@@ -112,7 +112,7 @@
 
 
 def test_news_go_least_told_first_and_stop_when_all_have_heard() -> None:
-    news = News()
+    news = UpdateQueue()
     for number in range(3):
         news.add(Claim(number, 1, 0, State.ALIVE, number))
     order = []
@@ -126,7 +126,7 @@
 def test_a_suspicion_is_told_again_before_a_thousand_that_joined_are_told_of() -> None:
     # Guards against false deaths among 1,000 nodes at a tenth of loss: each told a suspicion or a refutation
     # to one other, then of all that had joined, and what is told so seldom does not come round in time.
-    news = News()
+    news = UpdateQueue()
     for number in range(1000):
         news.add(Claim(number, 1, 0, State.ALIVE, number))
     news.add(Claim(7, 1, 0, State.SUSPECT, 3))
@@ -138,10 +138,10 @@
 
 def test_a_list_comes_back_and_one_that_is_spoilt_tells_nothing(tmp_path: Path) -> None:
     path = tmp_path / "n3.members"
-    assert kept.read(path) == ()
+    assert member_list.read(path) == ()
     held = (MINE, Claim(4, 9, 0, State.DEAD, 3))
-    kept.write(path, held)
-    assert kept.read(path) == held
+    member_list.write(path, held)
+    assert member_list.read(path) == held
     whole = path.read_text()
     rank = json.loads(whole)["members"]
     spoilt = [
@@ -149,11 +149,13 @@
     ]  # fmt: skip
     for bad in ([[1]], [[3, 77, 2, 9, 3, 1, 1, 1]], [[3, 77, 2, 0, -3, 1, 1, 1]], ["abcdefgh"], [7],
                 [[*rank[0][:7], 1 << 70]]):  # fmt: skip
-        spoilt.append(json.dumps({"format": kept.FORMAT, "sum": kept._sum(bad), "members": bad}))
+        spoilt.append(
+            json.dumps({"format": member_list.FORMAT, "sum": member_list._sum(bad), "members": bad})
+        )
     for text in spoilt:
         path.write_text(text)
-        with pytest.raises(KeptError):
-            kept.read(path)
+        with pytest.raises(MemberListError):
+            member_list.read(path)
 
 
 @pytest.mark.parametrize(
