--- a/Makefile
+++ b/Makefile
@@ -2,6 +2,8 @@
 # registry. VENV names the folder for it.
 VENV ?= .venv
 PYTHON ?= $(VENV)/bin/python
+# One test process for each core; the tests of one file stay together, in their order.
+WORKERS ?= --numprocesses auto --dist loadfile
 NEEDED = requirements.txt requirements-rehearsal.txt requirements-experiments.txt requirements-dev.txt
 
 .PHONY: rehearse test check
@@ -17,7 +19,7 @@
 	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m ruff check .
 	$(PYTHON) -m mypy
-	$(PYTHON) -m pytest -q
+	$(PYTHON) -m pytest -q $(WORKERS)
 
 $(VENV)/ready: $(NEEDED)
 	test -x $(VENV)/bin/python || python3 -m venv $(VENV)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,6 +11,7 @@
 
 HERE = Path(__file__).parent
 LINE = "tests/test_it.py::test_fails | it is broken | 57"
+WORKERS = ["--numprocesses", "2", "--dist", "loadfile"]
 TESTS = """
 import pytest
 
@@ -37,21 +38,24 @@
             listed(tmp_path, bad)
 
 
+@pytest.mark.parametrize("workers", [[], WORKERS], ids=["one-process", "workers"])
 @pytest.mark.parametrize(
     ("line", "status"),
     [("", 1), (LINE, 0), (LINE.replace("fails", "passes"), 1)],
     ids=["none", "red", "green"],
 )
-def test_a_run_passes_over_just_what_is_listed_and_prints_it(line: str, status: int, tmp_path: Path) -> None:
+def test_a_run_passes_over_just_what_is_listed_and_prints_it(
+    line: str, status: int, workers: list[str], tmp_path: Path
+) -> None:
     """One that is listed and passes fails the run too."""
     tests = tmp_path / "tests"
     tests.mkdir()
     (tests / "conftest.py").write_text((HERE / "conftest.py").read_text())
     (tests / "test_it.py").write_text(TESTS)
     (tmp_path / "KNOWN-RED.txt").write_text(line)
+    command = [sys.executable, "-m", "pytest", "-q", "--rootdir", str(tmp_path), "-p", "no:cacheprovider"]
     done = subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "--rootdir", str(tmp_path), "-p", "no:cacheprovider", "tests"],
-        cwd=tmp_path, capture_output=True, text=True, check=False,
-    )  # fmt: skip
+        [*command, *workers, "tests"], cwd=tmp_path, capture_output=True, text=True, check=False
+    )
     assert done.returncode == status, done.stdout
     assert ("known red: tests/test_it.py::test_" in done.stdout) is bool(line)
