--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -87,6 +87,7 @@
         options = Options(
             seed=self._plan.seed * 1000 + number + 1,
             calls=calls[0].share if calls else 0.0,
+            await_listen=1.0,
             clock_off=off,
             clock_step=-2 * off,
             step_after=clocks[0].at if clocks else 0.0,
--- a/benchmarks/soak/shim/__init__.py
+++ b/benchmarks/soak/shim/__init__.py
@@ -27,6 +27,7 @@
     seed: int = 1
     after: float = 2.0  # since the process began
     calls: float = 0.0  # accept, socket, connect, reads and writes of TCP sockets
+    await_listen: float = 0.0  # 1: no call fails before the process first listens, however slowly it starts
     disk: float = 0.0  # writes and syncs of regular files
     clock_off: float = 0.0  # the wall clock, from the start
     clock_step: float = 0.0  # and beyond that, from `step_after` on
--- a/benchmarks/soak/shim/shim.c
+++ b/benchmarks/soak/shim/shim.c
@@ -25,6 +25,7 @@
 static unsigned char kinds[FDS];
 static uint64_t state = 1;
 static double after = 2, calls, disk, clock_off, clock_step, step_after = 4;
+static int awaits_listen; /* until the first listen(): no call fails before it */
 static struct timespec began;
 
 static int (*real_clock_gettime)(clockid_t, struct timespec *);
@@ -57,6 +58,7 @@
     state = (uint64_t)option(text, "seed", 1) * 2654435761u + 88172645463325252u;
     after = option(text, "after", after);
     calls = option(text, "calls", 0);
+    awaits_listen = option(text, "await_listen", 0) > 0;
     disk = option(text, "disk", 0);
     clock_off = option(text, "clock_off", 0);
     clock_step = option(text, "clock_step", 0);
@@ -80,7 +82,7 @@
 
 static int befalls(double share)
 {
-    return share > 0 && (draw() >> 11) / 9007199254740992.0 < share && age() >= after;
+    return share > 0 && (draw() >> 11) / 9007199254740992.0 < share && age() >= after && !awaits_listen;
 }
 
 static int fail(const int *errors, size_t count)
@@ -123,6 +125,15 @@
     return fd;
 }
 
+int listen(int fd, int backlog)
+{
+    static int (*real)(int, int);
+    if (real == NULL)
+        real = next("listen");
+    awaits_listen = 0;
+    return real(fd, backlog);
+}
+
 int connect(int fd, const struct sockaddr *address, socklen_t size)
 {
     static int (*real)(int, const struct sockaddr *, socklen_t);
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -340,6 +340,24 @@
     assert 3500 < float(shimmed[1]) - float(plain[1]) < 3700
 
 
+def test_the_shim_fails_no_call_before_a_slow_process_listens(tmp_path: Path) -> None:
+    """A daemon that the machine starts slowly gets its listening socket: only one that serves is failed."""
+    code = (
+        "import socket\n"
+        "first = socket.socket()\n"
+        "first.listen()\n"
+        "try:\n"
+        "    socket.socket()\n"
+        "except OSError:\n"
+        "    print('failed')\n"
+    )
+    options = environment(build(tmp_path), Options(after=0.0, calls=1.0, await_listen=1.0))
+    done = subprocess.run(
+        [sys.executable, "-c", code], env=options, capture_output=True, text=True, check=True
+    )
+    assert done.stdout == "failed\n"
+
+
 def test_the_shim_fails_writes_of_files_and_leaves_some_half_done(tmp_path: Path) -> None:
     library = build(tmp_path)
     code = (
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -239,7 +239,13 @@
     run(test())
 
 
-def test_those_that_never_asked_make_room_first_then_idle_ones_and_rejected_ones_at_once() -> None:
+def test_those_that_never_asked_make_room_first_then_idle_ones_and_rejected_ones_at_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # One accept a turn: after a stall two silent clients have outlived their grace at once, and a turn that
+    # accepted three for them would rightly close the idle one as well.
+    monkeypatch.setattr(front, "ACCEPTS", 1)
+
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             rig.front.places.limits = Limits(3)
