--- a/benchmarks/breaker.py
+++ b/benchmarks/breaker.py
@@ -32,17 +32,17 @@
 def plain(window: Window) -> float:
     """As before: a time-out counts as twice what was waited."""
     samples = sorted([*window.answered, *(2.0 * one for one in window.timed_out)])
-    return percentile(samples, breaker.PERCENTILE)
+    return percentile(samples, breaker.TAIL_PERCENTILE)
 
 
 def lower_bound(window: Window) -> float:
     """A time-out counts as what was waited."""
-    return percentile(sorted([*window.answered, *window.timed_out]), breaker.PERCENTILE)
+    return percentile(sorted([*window.answered, *window.timed_out]), breaker.TAIL_PERCENTILE)
 
 
 def trimmed(window: Window) -> float:
     """Time-outs are left out."""
-    return percentile(sorted(window.answered or window.timed_out), breaker.PERCENTILE)
+    return percentile(sorted(window.answered or window.timed_out), breaker.TAIL_PERCENTILE)
 
 
 def kaplan_meier(window: Window) -> float:
@@ -52,7 +52,7 @@
     for value, died in events:
         if died:
             alive *= 1.0 - 1.0 / left
-            if alive <= 1.0 - breaker.PERCENTILE:
+            if alive <= 1.0 - breaker.TAIL_PERCENTILE:
                 return value
         left -= 1
     return events[-1][0]
--- a/lichenspring/breaker.py
+++ b/lichenspring/breaker.py
@@ -1,16 +1,17 @@
-"""The adaptive circuit breaker of one class, after Saleh Sedghpour et al.: at how many requests in flight at
-this node the class meets its aim. Its events, actions and settings are in interface.py, beside this file.
-
-A window of `PERIOD` gives a tail of response times (`estimate_tail`) and a mean of requests in flight; their
-ratio, smoothed, is alpha, and the cap is the target over alpha. Three things keep a window's chance from
-cutting it:
-
-- a time-out is a sign of crowding only as far as the answers beside it explain it. Requests that a broken
-  connection swallowed time out among answers that are fast as ever; counted as slow answers, a tenth of them
-  moves the tail to the time-out, the cap falls, in flight falls with it, and the ratio rises by that alone;
-- what was lately carried within the target may not be cut by more than a part (`PROVEN_LOAD_FRACTION`), and
-  that proof fades, so where all servers turn slow the cap follows;
-- a window within its target can't lower the cap: a quiet one would, and refuse the next burst.
+"""The adaptive circuit breaker of one class, after Saleh Sedghpour et al.: the number of requests in flight
+at this node up to which the class meets its aim. Its events, actions and settings are in interface.py.
+
+A window of `UPDATE_PERIOD_NS` gives a tail of response times (`estimate_tail`) and a mean of requests in
+flight; their smoothed ratio is alpha, and the cap is the target over alpha. Three rules keep the random
+variation of a window from lowering the cap:
+
+- Time-outs count as overload only as far as the answers of the window explain them. Requests lost on a broken
+  connection time out among answers that are as fast as ever; counted as slow answers, a tenth of them moves
+  the tail to the time-out, the cap falls, requests in flight fall with it, and the ratio rises by that alone.
+- The cap stays above a fraction (`PROVEN_LOAD_FRACTION`) of the load lately carried within the target. That
+  load decays, so the cap still falls if all servers become slow.
+- A window within its target can't lower the cap: one with little load would, and the next burst would be
+  refused.
 """
 
 from __future__ import annotations
@@ -19,110 +20,110 @@
 from dataclasses import dataclass, field
 from math import erfc, exp, log, sqrt
 
-SECOND = 1_000_000_000  # ns
+SECOND = 1_000_000_000  # in ns
 
-# The paper's controller, its period and smoothing shorter as overload fills servers in seconds.
-PERIOD = SECOND // 2  # ns between two updates
-RETAINED_WEIGHT = 0.5  # p: part of the old alpha that an update keeps
-# The same where the new one is lower: the cap rises again fast after a false cut.
+# The paper's controller, with a shorter period and less smoothing, as overload fills servers within seconds.
+UPDATE_PERIOD_NS = SECOND // 2
+RETAINED_WEIGHT = 0.5  # p: of the old alpha in an update
+# The same if the new alpha is lower: the cap recovers fast after a false cut.
 RETAINED_WEIGHT_FALLING = 0.25
-PERCENTILE = 0.85  # of response times: the last few are long by their own work, not by load
-POOLED_PERCENTILE = 0.95  # of those of all classes, where a class has few: the paper's own, and the safer one
-TARGET = 0.7  # of a class's aim
-HEADROOM = 1.5  # times the unloaded tail: no target is below that, as no cap could reach it
-BASE_FALLS, BASE_RISES = 0.2, 0.01  # part of the way that the unloaded tail follows a window's
-SPREADS = 2.0  # roots of the cap that chance may bunch above it
-PROVEN_LOAD_FRACTION = 0.75  # of the most that was lately carried within the target: the cap stays above that
-PROVEN_FADES, PROVEN_MISSED = 0.99, 0.97  # of it, each window within its target, or over it
-PROVEN_VOID = 0.5  # of it, each window in which more time out than are answered: what held then is over
-CENSORED = 2.0  # times what was waited: an attempt that timed out from crowding would have taken longer
-ENOUGH = 8  # attempts of a class in a window that speak for themselves; fewer lean on those of all classes
-ANSWERS_LEAST = 8  # in a window; fewer explain nothing, and every time-out counts
-ANSWERS_TIMES = 2.0  # times the time-outs, likewise: where many time out, the answers are the lucky few
-EXPLAINED_TIMES = 2.0  # times the time-outs that the answers explain count: their spread is a rough guess
-DEVIATIONS = 1.036  # of the standard normal distribution from its median to PERCENTILE
+TAIL_PERCENTILE = 0.85  # of response times: the last few are long by their own work, not by load
+POOLED_PERCENTILE = 0.95  # of all classes, if a class has few samples: the paper's value, and the safer one
+TARGET_FRACTION = 0.7  # of a class's aim
+MIN_TAIL_RATIO = 1.5  # to the unloaded tail: no cap could reach a lower target
+BASE_DECREASE_WEIGHT, BASE_INCREASE_WEIGHT = 0.2, 0.01  # of a window in the unloaded tail
+BURST_DEVIATIONS = 2.0  # standard deviations above the cap, each its square root
+PROVEN_LOAD_FRACTION = 0.75  # of the largest load lately carried within the target; the cap stays above
+PROVEN_DECAY, PROVEN_MISSED_DECAY = 0.99, 0.97  # of the proven load, per window within its target, or over it
+PROVEN_TIMEOUTS_DECAY = 0.5  # per window with more time-outs than answers: the proven load no longer holds
+CENSORED_FACTOR = 2.0  # an attempt that timed out from overload would have taken longer than its wait
+SUFFICIENT_SAMPLES = 8  # of a class in a window; with fewer, the tail of all classes is blended in
+MIN_ANSWERS = 8  # in a window; fewer explain nothing, and every time-out counts
+MIN_ANSWERS_PER_TIMEOUT = 2.0  # likewise: if many time out, the answers are a biased sample
+EXPLAINED_TIMEOUTS_FACTOR = 2.0  # margin, as the spread of the answers is a rough estimate
+TAIL_Z_SCORE = 1.036  # of the standard normal distribution at TAIL_PERCENTILE
 
 
 @dataclass(slots=True)
 class InFlight:
-    """Requests in flight, now and in the mean of late."""
+    """Requests in flight: their number and its recent mean."""
 
     count: int = 0
     mean: float = 0.0
-    changed: int = 0
+    changed_at: int = 0
 
     def add(self, now: int, change: int) -> None:
-        keep = exp((self.changed - now) / PERIOD)
+        keep = exp((self.changed_at - now) / UPDATE_PERIOD_NS)
         self.mean = keep * self.mean + (1.0 - keep) * self.count
         self.count += change
-        self.changed = now
+        self.changed_at = now
 
     def is_below(self, now: int, cap: float) -> bool:
-        """At a small share of the traffic a cap is near one or less: chance bunches a few requests where
-        the mean is far from it, and one at a time would be too much where it is less than one. So up to a
-        few spreads above the cap are let in while the mean is below it."""
+        """Whether another request fits under the cap. At a small share of the traffic a cap is about one or
+        less: requests bunch by chance although the mean is far below the cap, and if it is less than one,
+        even a single request at all times is too much. So a few standard deviations above the cap are
+        admitted while the mean is below it."""
         self.add(now, 0)
-        return self.count + 1 <= cap or (self.mean < cap and self.count < cap + SPREADS * sqrt(cap))
+        return self.count + 1 <= cap or (self.mean < cap and self.count < cap + BURST_DEVIATIONS * sqrt(cap))
 
 
 @dataclass(slots=True)
 class Window:
-    """What one class's attempts took, in ns, since the last update."""
+    """Durations in ns of one class's attempts since the last update."""
 
-    answered: list[float] = field(default_factory=list)  # full answers too, as their price
-    timed_out: list[float] = field(default_factory=list)  # what was waited: censored, so a lower bound
+    answered: list[float] = field(default_factory=list)  # includes a penalty for full answers
+    timed_out: list[float] = field(default_factory=list)  # censored: a lower bound
 
     def clear(self) -> None:
         self.answered.clear()
         self.timed_out.clear()
 
 
-def percentile(values: list[float], part: float) -> float:
+def percentile(values: list[float], fraction: float) -> float:
     """Of sorted values."""
-    return values[int(part * (len(values) - 1))]
+    return values[int(fraction * (len(values) - 1))]
 
 
 def count_explained_timeouts(answered: list[float], timed_out: list[float]) -> int:
-    """How many of the time-outs the answers' own distribution explains, taken for lognormal by its median and
-    tail: under crowding the answers come close to the limit and the time-outs are their continuation. Both
-    lists are sorted."""
-    if len(answered) < ANSWERS_LEAST or len(answered) < ANSWERS_TIMES * len(timed_out):
+    """How many of the time-outs the distribution of the answers explains, a lognormal one given by their
+    median and tail: under overload the answers come close to the limit and the time-outs continue their
+    distribution. Both lists are sorted."""
+    if len(answered) < MIN_ANSWERS or len(answered) < MIN_ANSWERS_PER_TIMEOUT * len(timed_out):
         return len(timed_out)
-    median, tail = percentile(answered, 0.5), percentile(answered, PERCENTILE)
-    spread = max(0.1, log(max(1.0, tail) / max(1.0, median)) / DEVIATIONS)
+    median, tail = percentile(answered, 0.5), percentile(answered, TAIL_PERCENTILE)
+    spread = max(0.1, log(max(1.0, tail) / max(1.0, median)) / TAIL_Z_SCORE)
     limit = percentile(timed_out, 0.5)
     beyond = 0.5 * erfc(log(max(1.0, limit) / max(1.0, median)) / spread / sqrt(2.0))
     expected = beyond / max(0.01, 1.0 - beyond) * len(answered)
-    return min(len(timed_out), round(EXPLAINED_TIMES * expected))
+    return min(len(timed_out), round(EXPLAINED_TIMEOUTS_FACTOR * expected))
 
 
-def estimate_tail(window: Window, part: float = PERCENTILE) -> tuple[float, float]:
-    """A window's median and tail in ns, from time-outs as far as they are explained. Sorts its lists."""
+def estimate_tail(window: Window, fraction: float = TAIL_PERCENTILE) -> tuple[float, float]:
+    """A window's median and tail in ns, with the time-outs that are explained. Sorts the window's lists."""
     window.answered.sort()
     window.timed_out.sort()
     counted = count_explained_timeouts(window.answered, window.timed_out) if window.timed_out else 0
-    samples = sorted(window.answered + [CENSORED * waited for waited in window.timed_out[:counted]])
+    samples = sorted(window.answered + [CENSORED_FACTOR * waited for waited in window.timed_out[:counted]])
     if not samples:
         return 0.0, 0.0
-    # An answer within the same tick took no time: a zero would divide.
-    return samples[len(samples) // 2], max(1.0, percentile(samples, part))
+    # An answer in the same clock tick took no time; a zero would cause a division by zero.
+    return samples[len(samples) // 2], max(1.0, percentile(samples, fraction))
 
 
 def pooled_tail(breakers: list[Breaker]) -> float:
-    """What the windows of all classes tell together: a tail in parts of each class's typical response time.
-    Queues are shared, so their tails rise together. Where a node sees few requests, the tail of a class's own
-    three is their median, whatever the servers are like."""
+    """The tail of the windows of all classes, in units of each class's typical response time. Classes share
+    the servers' queues, so their tails rise together. If a node sees few requests, the tail of three samples
+    of a class is their median, whatever the state of the servers."""
     together = Window()
     for breaker in breakers:
-        scale = SECOND / max(1.0, breaker.typical)
+        scale = SECOND / max(1.0, breaker.typical_time)
         together.answered += [scale * one for one in breaker.window.answered]
         together.timed_out += [scale * one for one in breaker.window.timed_out]
     return estimate_tail(together, POOLED_PERCENTILE)[1] / SECOND
 
 
 Estimator = Callable[[Window], tuple[float, float]]
-"""A window's median and tail, both 0 where it tells nothing. Other estimators are weighed in
-benchmarks/breaker.py, off line."""
+"""A window's median and tail, both 0 if it has no data. benchmarks/breaker.py compares estimators offline."""
 
 
 @dataclass(slots=True)
@@ -132,44 +133,48 @@
     aim: int
     estimate: Estimator = estimate_tail
     target: float = 0.0
-    base: float = 0.0  # the tail where little waits: followed down fast and up slowly
-    alpha: float = 0.0  # response time for each request in flight; 0 until a window has told
-    proven: float = 0.0  # requests in flight, all classes
-    typical: float = 0.0  # response time: a measure of the class's work
-    seen: int = 0  # attempts that `typical` rests on, as far as they count
+    base_tail: float = 0.0  # the tail at low load: follows a lower one fast and a higher one slowly
+    alpha: float = 0.0  # response time per request in flight; 0 until the first window with data
+    proven_load: float = 0.0  # requests in flight of all classes
+    typical_time: float = 0.0  # median response time, a measure of the class's work
+    samples: int = 0  # effective number of samples in `typical_time`
     in_flight: InFlight = field(default_factory=InFlight)  # of this class
     window: Window = field(default_factory=Window)
 
     def __post_init__(self) -> None:
-        self.target, self.typical = TARGET * self.aim, float(self.aim)
+        self.target, self.typical_time = TARGET_FRACTION * self.aim, float(self.aim)
 
     def threshold(self, start: float) -> float:
-        return max(self.target / self.alpha, PROVEN_LOAD_FRACTION * self.proven) if self.alpha else start
+        return max(self.target / self.alpha, PROVEN_LOAD_FRACTION * self.proven_load) if self.alpha else start
 
     def update(self, in_flight: float, start: float, idle: bool, pooled: float = 0.0) -> None:
-        """At the end of a window, with the mean of the requests in flight in it, and the tail that the
-        windows of all classes tell together (0: nothing)."""
+        """Ends a window. Takes the mean of requests in flight in it, and the pooled tail of all classes (0:
+        none)."""
         count = len(self.window.answered) + len(self.window.timed_out)
         median, tail = self.estimate(self.window)
         if len(self.window.timed_out) > len(self.window.answered):
-            self.proven *= PROVEN_VOID
+            self.proven_load *= PROVEN_TIMEOUTS_DECAY
         if tail and in_flight:
-            own = min(1.0, count / ENOUGH)
+            own = min(1.0, count / SUFFICIENT_SAMPLES)
             if pooled:
-                # In proportion to how much of a sample its own is: shrinkage, as in Efron and Morris (1975).
-                tail += (1.0 - own) * (self.typical * pooled - tail)
-            self.seen = max(count, min(ENOUGH, self.seen + count))
-            self.typical += (1 - RETAINED_WEIGHT) * count / self.seen * (median - self.typical)
-            follow = BASE_FALLS if tail < self.base else BASE_RISES
-            self.base = self.base + follow * (tail - self.base) if self.base else tail
-            self.target = min(self.aim, max((1.0 if idle else TARGET) * self.aim, HEADROOM * self.base))
-            # Where all servers turn slow, no cap can meet the target and the plain rule falls without end.
+                # Weighted by the size of the class's own sample: shrinkage, as in Efron and Morris (1975).
+                tail += (1.0 - own) * (self.typical_time * pooled - tail)
+            self.samples = max(count, min(SUFFICIENT_SAMPLES, self.samples + count))
+            self.typical_time += (1 - RETAINED_WEIGHT) * count / self.samples * (median - self.typical_time)
+            follow = BASE_DECREASE_WEIGHT if tail < self.base_tail else BASE_INCREASE_WEIGHT
+            self.base_tail = self.base_tail + follow * (tail - self.base_tail) if self.base_tail else tail
+            self.target = min(
+                self.aim, max((1.0 if idle else TARGET_FRACTION) * self.aim, MIN_TAIL_RATIO * self.base_tail)
+            )
+            # If all servers become slow, no cap can meet the target and the plain rule would fall without
+            # limit.
             if tail <= self.target:
-                self.proven = max(PROVEN_FADES * self.proven, in_flight)
+                self.proven_load = max(PROVEN_DECAY * self.proven_load, in_flight)
             else:
-                self.proven *= PROVEN_MISSED
+                self.proven_load *= PROVEN_MISSED_DECAY
             alpha = tail / in_flight
-            # A window within its target can't lower the cap: a quiet one would, and refuse the next burst.
+            # A window within its target can't lower the cap: one with little load would, and the next burst
+            # would be refused.
             if tail > self.target or self.target / alpha > self.threshold(start):
                 old = self.alpha or self.target / max(1.0, start)
                 keep = RETAINED_WEIGHT if alpha > old else RETAINED_WEIGHT_FALLING
--- a/lichenspring/memory.py
+++ b/lichenspring/memory.py
@@ -1,8 +1,9 @@
-"""What one balancer has learned, as plain numbers, for the one that takes over from it on the same clock.
+"""Exports what one balancer has learned, as plain numbers, and restores it in its successor on the same
+clock.
 
-Requests, turns and connections are the old one's own; attempts that are out are in it as load. What is taken
-in replaces first guesses only: the new one goes on learning from there. Servers that have started since are
-strangers again. Its words are those of balance.py, breaker.py and interface.py.
+Open requests, key queues and connections stay with the old balancer; its attempts in flight are included as
+load. Restored values only replace initial estimates: the new balancer goes on learning from them. Servers
+that have started since are treated as new. The terms are those of balance.py, breaker.py and interface.py.
 """
 
 from __future__ import annotations
@@ -10,53 +11,58 @@
 from functools import partial
 from typing import Any
 
-from lichenspring.balance import Backend, Balancer, Kind
+from lichenspring.balance import Backend, Balancer, KindState
 from lichenspring.breaker import SECOND
 
-USUAL_TIMES = 1.5  # times the usual time of its class, until an attempt of the old one is held to be over
+INHERITED_ATTEMPT_FACTOR = 1.5  # of the typical response time, until an inherited attempt is over
 
-Memory = dict[str, Any]  # of text, numbers, lists and dictionaries by text: JSON can hold it
+State = dict[str, Any]  # text, numbers, lists and dictionaries with text keys, as in JSON
 
-OF_A_BREAKER = ("target", "base", "alpha", "proven", "typical", "seen")
-OF_A_SERVER = (
+BREAKER_FIELDS = ("target", "base", "alpha", "proven", "typical", "seen")
+SERVER_FIELDS = (
     "tokens", "refilled", "busy", "pace", "answered", "doubt", "ejected_until", "doublings",
 )  # fmt: skip
-OF_A_KIND = ("share", "busy", "reports")
-OF_ALL = (
+KIND_FIELDS = ("share", "busy", "reports")
+BALANCER_FIELDS = (
     "_lost_idle", "_lost_others", "_unanswered", "_connect_failures", "_trusted_idle", "_distrusted",
     "_fleet_failures", "_retry_budget", "_rate", "_keyed",
 )  # fmt: skip
-ATTRIBUTES = {"doubt": "failure_log_odds"}
-"""The attributes whose name in the exported state is another one."""
+ATTRIBUTES = {
+    "_distrusted": "_distrusted_since", "_keyed": "_keyed_arrivals", "_rate": "_warm_rate",
+    "answered": "answered_at", "base": "base_tail", "busy": "utilization", "doubt": "failure_log_odds",
+    "pace": "latency_ratio", "proven": "proven_load", "refilled": "refilled_at", "reports": "report_count",
+    "seen": "samples", "typical": "typical_time",
+}  # fmt: skip
+"""Attributes whose name in the exported state differs: exported name to attribute."""
 
 
-def _taken(holder: Any, names: tuple[str, ...]) -> Memory:
+def _read_fields(holder: Any, names: tuple[str, ...]) -> State:
     return {name: getattr(holder, ATTRIBUTES.get(name, name)) for name in names}
 
 
-def _given(holder: Any, names: tuple[str, ...], memory: Memory) -> None:
+def _write_fields(holder: Any, names: tuple[str, ...], state: State) -> None:
     found = {}
     for name in names:
         attribute = ATTRIBUTES.get(name, name)
-        kind = type(getattr(holder, attribute))
-        found[attribute] = kind(memory[name])  # raises rather than let a text in
+        field_type = type(getattr(holder, attribute))
+        found[attribute] = field_type(state[name])  # raises on text in place of a number
     for name, value in found.items():
         setattr(holder, name, value)
 
 
-def export_state(balancer: Balancer) -> Memory:
+def export_state(balancer: Balancer) -> State:
     return {
-        "all": _taken(balancer, OF_ALL),
-        "breakers": [_taken(breaker, OF_A_BREAKER) for breaker in balancer._breakers],
-        "kinds": {str(kind): _taken(known, OF_A_KIND) for kind, known in balancer._kinds.items()},
+        "all": _read_fields(balancer, BALANCER_FIELDS),
+        "breakers": [_read_fields(breaker, BREAKER_FIELDS) for breaker in balancer._breakers],
+        "kinds": {str(kind): _read_fields(known, KIND_FIELDS) for kind, known in balancer._kinds.items()},
         "servers": {
-            backend.entry.id.hex(): _taken(backend, OF_A_SERVER)
+            backend.entry.id.hex(): _read_fields(backend, SERVER_FIELDS)
             | {"started": backend.entry.started, "fullness": {str(n): v for n, v in backend.fullness.items()}}
             for backend in balancer._subset
         },
         "keys": {str(key): count for key, count in balancer._key_counts.items()},
         "out": [
-            [attempt.backend.entry.id.hex(), entry.request.class_index, attempt.sent]
+            [attempt.backend.entry.id.hex(), entry.request.class_index, attempt.sent_at]
             for entry in balancer._open.values()
             for attempt in entry.attempts
             if attempt.result is None
@@ -64,48 +70,48 @@
     }
 
 
-def restore_state(balancer: Balancer, now: int, memory: Memory) -> None:
-    """Once the list is known. Raises KeyError, TypeError, ValueError or AttributeError on what is no memory;
-    what was taken in until then is whole in itself."""
-    if len(memory["breakers"]) == len(balancer._breakers):  # other classes are another deployment
-        for breaker, known in zip(balancer._breakers, memory["breakers"], strict=True):
-            _given(breaker, OF_A_BREAKER, known)
-    for kind, known in memory["kinds"].items():
-        _given(balancer._kinds.setdefault(int(kind), Kind()), OF_A_KIND, known)
+def restore_state(balancer: Balancer, now: int, state: State) -> None:
+    """Call once the list is known. Raises KeyError, TypeError, ValueError or AttributeError on a malformed
+    state; the parts restored before that are consistent."""
+    if len(state["breakers"]) == len(balancer._breakers):  # otherwise another deployment
+        for breaker, known in zip(balancer._breakers, state["breakers"], strict=True):
+            _write_fields(breaker, BREAKER_FIELDS, known)
+    for kind, known in state["kinds"].items():
+        _write_fields(balancer._kinds.setdefault(int(kind), KindState()), KIND_FIELDS, known)
     for backend in balancer._subset:
-        known = memory["servers"].get(backend.entry.id.hex())
-        # Two processes translate one start to their clock at moments of their own.
+        known = state["servers"].get(backend.entry.id.hex())
+        # Each process converts the start time to the clock on its own, so small differences are allowed.
         if known is not None and abs(known["started"] - backend.entry.started) < SECOND:
-            _recall_server(backend, known)
-    balancer._key_counts = {int(key): float(count) for key, count in memory["keys"].items()}
+            _restore_server(backend, known)
+    balancer._key_counts = {int(key): float(count) for key, count in state["keys"].items()}
     balancer._find_hot_keys()
-    _given(balancer, OF_ALL, memory["all"])
+    _write_fields(balancer, BALANCER_FIELDS, state["all"])
     balancer._set_caps(now)
-    for name, index, sent in memory["out"]:
-        _carry(balancer, now, bytes.fromhex(name), index, sent)
+    for name, index, sent in state["out"]:
+        _count_inherited_attempt(balancer, now, bytes.fromhex(name), index, sent)
 
 
-def _carry(balancer: Balancer, now: int, server: bytes, index: int, sent: int) -> None:
-    """The old one's attempts run on: for the time that is usual they count as this one's. Guards against two
-    that fill the same servers up to the cap, each by itself."""
+def _count_inherited_attempt(balancer: Balancer, now: int, server: bytes, index: int, sent: int) -> None:
+    """Counts an attempt of the old balancer as load for its typical duration. Without it, two balancers each
+    fill the same servers up to the cap."""
     backend = balancer._backends.get(server)
     if backend is None:
         return
     breaker = balancer._breakers[index]
-    for counted in (balancer._in_flight, breaker.in_flight):
-        counted.add(now, 1)
+    for counter in (balancer._in_flight, breaker.in_flight):
+        counter.add(now, 1)
     backend.in_flight += 1
-    over = max(now, sent + int(USUAL_TIMES * breaker.typical))
-    balancer._do_later(over, partial(_end, balancer, backend, index))
+    ends_at = max(now, sent + int(INHERITED_ATTEMPT_FACTOR * breaker.typical_time))
+    balancer._defer(ends_at, partial(_end_inherited_attempt, balancer, backend, index))
 
 
-def _end(balancer: Balancer, backend: Backend, index: int, now: int) -> None:
+def _end_inherited_attempt(balancer: Balancer, backend: Backend, index: int, now: int) -> None:
     backend.in_flight -= 1
-    for counted in (balancer._in_flight, balancer._breakers[index].in_flight):
-        counted.add(now, -1)
+    for counter in (balancer._in_flight, balancer._breakers[index].in_flight):
+        counter.add(now, -1)
 
 
-def _recall_server(backend: Backend, known: Memory) -> None:
-    _given(backend, OF_A_SERVER, known)
-    for index, part in known["fullness"].items():
-        backend.fullness[int(index)] = float(part)
+def _restore_server(backend: Backend, known: State) -> None:
+    _write_fields(backend, SERVER_FIELDS, known)
+    for index, fraction in known["fullness"].items():
+        backend.fullness[int(index)] = float(fraction)
--- a/lichenspring/subset.py
+++ b/lichenspring/subset.py
@@ -1,10 +1,10 @@
-"""Which servers a node goes to, where many nodes share the traffic: each then meets a server so seldom that
-it can't know any. Its events, actions and settings are in interface.py, beside this file.
+"""Which servers a node uses if many nodes share the traffic: with all servers, each node would see a server
+too seldom to learn anything about it. Its events, actions and settings are in interface.py.
 
-Nodes are taken in rounds, and each round deals all servers out anew, in an order of its own (deterministic
-subsetting: Site Reliability Engineering, ch. 20, with an order by hash in place of a shuffle, so that a
-server more or less moves only the ends of a part). So every server has as many nodes as any other, and nodes
-of different rounds that have one server in common have few others.
+Nodes are grouped in rounds, and each round distributes all servers anew, in an order of its own
+(deterministic subsetting: Site Reliability Engineering, ch. 20, with an order by hash instead of a shuffle,
+so that adding or removing a server only moves the ends of a subset). So every server has the same number of
+nodes, and nodes of different rounds that share one server share few others.
 """
 
 from __future__ import annotations
@@ -14,34 +14,35 @@
 
 from lichenspring.interface import ServerId
 
-SECOND = 1_000_000_000  # ns
-HELD = 10.0  # requests in flight, of all nodes together, of a server that works at full pace
-MEETS_WITHIN = 2.0  # s, in which a node is to meet a server then: half of that goes by until most nodes have
-LEAST = 12  # servers of a part: the two candidates of a key, and enough to go elsewhere
-NODES_PER_ROUND = 32  # nodes, a power of two: there are so many parts at most
-MASK = (1 << 64) - 1
+SECOND = 1_000_000_000  # in ns
+REQUESTS_PER_SERVER = 10.0  # in flight, of all nodes together, at full load
+CONTACT_INTERVAL_S = 2.0  # of a node and a server at full load; most nodes need half of it to notice a change
+MIN_SUBSET_SIZE = 12  # servers: the two candidates of a key, and enough alternatives
+NODES_PER_ROUND = 32  # nodes, a power of two; also the largest number of subsets
+MASK_64 = (1 << 64) - 1
 
 
 def splitmix64(value: int) -> int:
-    """A well spread 64-bit hash of a whole number, alike on every node."""
-    value = (value + 0x9E3779B97F4A7C15) & MASK
-    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK
+    """A well distributed 64-bit hash of an integer, the same on every node."""
+    value = (value + 0x9E3779B97F4A7C15) & MASK_64
+    value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK_64
+    value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK_64
     return value ^ (value >> 31)
 
 
-def parts(nodes: int, answers_within: float, servers: int) -> int:
-    """Into how many parts the servers are dealt, a power of two: parts of fewer hold those of more. At full
-    pace a server answers `HELD` requests in `answers_within` (ns), and each node sends its part of them."""
-    seldom = nodes * answers_within / SECOND / (HELD * MEETS_WITHIN)
-    most = servers / LEAST
-    return 1 << int(log2(max(1.0, min(seldom, most, NODES_PER_ROUND))))
+def subset_count(nodes: int, answers_within: float, servers: int) -> int:
+    """Number of subsets that the servers are divided into, a power of two: a subset of a smaller count
+    contains those of a larger one. At full load a server handles `REQUESTS_PER_SERVER` requests in
+    `answers_within` (ns), and each node sends its part of them."""
+    by_contact = nodes * answers_within / SECOND / (REQUESTS_PER_SERVER * CONTACT_INTERVAL_S)
+    by_size = servers / MIN_SUBSET_SIZE
+    return 1 << int(log2(max(1.0, min(by_contact, by_size, NODES_PER_ROUND))))
 
 
-def members(servers: Sequence[ServerId], node: int, count: int) -> set[ServerId]:
-    """The servers of one node, by its number, out of `count` parts."""
-    # The nodes of a round by turns, so that a part of few holds those of many: by its last bits, the
-    # lowest first.
+def subset_of(servers: Sequence[ServerId], node: int, count: int) -> set[ServerId]:
+    """The servers of a node, by its number, out of `count` subsets."""
+    # Bit-reversed order of the nodes in a round, so that a subset of a smaller count contains those of a
+    # larger one.
     part = sum((node >> bit & 1) * (count >> bit + 1) for bit in range(count.bit_length() - 1))
     salt = splitmix64(node // NODES_PER_ROUND + 1)
     order = sorted(servers, key=lambda one: splitmix64(int.from_bytes(one, "little") ^ salt))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -14,7 +14,7 @@
 from driftstair.net.discovery import ANSWER_TIMEOUT_S, DIAL_TIMEOUT_S
 from lichenspring import Balancer
 from lichenspring import interface as api
-from lichenspring.balance import ASK_TOKEN
+from lichenspring.balance import WATCH_TOKEN
 from lichenspring.breaker import Breaker, Window, pooled_tail
 from lichenspring.interface import Result
 from lichenspring.memory import export_state, restore_state
@@ -369,7 +369,7 @@
     node.wait(3 * SECOND)
     (trial,) = node.ask(2, 42)
     assert isinstance(trial, api.Send) and trial.server == home and backend.trial
-    backend.answered = node.now  # by another attempt
+    backend.answered_at = node.now  # by another attempt
     node.end(trial, Result.CONNECT_FAILED)
     assert node.serve(42) == home
 
@@ -395,7 +395,7 @@
     node.now += SECOND  # silence is another matter
     for _ in range(3):
         node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
-        node.balancer._judge(node.now, backend, Result.TIMEOUT, 0)
+        node.balancer._record_health(node.now, backend, Result.TIMEOUT, 0)
     assert backend.ejected_until
 
 
@@ -559,14 +559,14 @@
         assert isinstance(first, api.SetTimer)
         assert first.at - START + int(ANSWER_TIMEOUT_S * SECOND) // 4 <= 6 * SECOND
         began = first.at
-        assert balancer.handle(began, api.Timer(ASK_TOKEN)) == [api.Watch()]
+        assert balancer.handle(began, api.Timer(WATCH_TOKEN)) == [api.Watch()]
         for _ in range(12):
             failed = began + chance.choice(lasts)
             (again,) = balancer.handle(failed, api.ServerList(api.ListKind.FAILED, ()))
             assert isinstance(again, api.SetTimer) and again.at > failed + SECOND // 5
             assert again.at - began <= 5 * SECOND  # which leaves one for the answer
             began = again.at
-            assert balancer.handle(began, api.Timer(ASK_TOKEN)) == [api.Watch()]
+            assert balancer.handle(began, api.Timer(WATCH_TOKEN)) == [api.Watch()]
 
 
 def test_a_node_that_restarts_with_an_empty_list_asks_within_a_second() -> None:
@@ -692,7 +692,7 @@
         node.serve(key)
         node.wait(3 * SECOND)
         for backend in node.balancer._subset:
-            backend.forgive()  # the first losses, not yet understood, eject some
+            backend.reset_health()  # the first losses, not yet understood, eject some
         actions = node.ask(2, key)
         send = actions[-1]
         assert isinstance(send, api.Send)
@@ -709,15 +709,15 @@
     node = Node()
     lose_idle(node, result, range(1, 8 if result is Result.RESET else 5))
     for backend in node.balancer._subset:
-        backend.forgive()
-        backend.idle = [node.now]
+        backend.reset_health()
+        backend.idle_since = [node.now]
     node.wait(3 * SECOND)
     hang_up, send = node.ask(2, 5)
     assert isinstance(hang_up, api.CloseIdleConnections) and isinstance(send, api.Send)
     assert hang_up.server == send.server
     node.end(send, Result.OK)
     for backend in node.balancer._subset:
-        backend.idle = [node.now]
+        backend.idle_since = [node.now]
     node.wait(100 * MS)
     assert [type(action) for action in node.ask(2, 5)] == [api.Send]  # it did not idle for long
 
@@ -771,7 +771,7 @@
     assert not [one for one in node.balancer._subset if one.ejected_until]
     (send,) = node.ask(0, 3)
     assert isinstance(send, api.Send) and send.server in standing
-    connected = {name for name, one in node.balancer._backends.items() if one.idle}
+    connected = {name for name, one in node.balancer._backends.items() if one.idle_since}
     (again,) = node.end(send, Result.CONNECT_FAILED)
     assert isinstance(again, api.Send) and again.server in connected
 
@@ -855,7 +855,7 @@
         assert isinstance(send, api.Send)
         node.now += 460 * MS
         assert isinstance(node.end(send, Result.FULL, 460 * MS)[-1], api.Refuse)  # 40 ms: too little
-    assert not any(one.ejected_until or one.busy for one in node.balancer._backends.values())
+    assert not any(one.ejected_until or one.utilization for one in node.balancer._backends.values())
 
 
 @pytest.mark.parametrize("report", [(), (0.9,)])
@@ -867,7 +867,7 @@
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Send)
     node.end(send, Result.OK, report=report)
-    assert node.balancer._backends[send.server].busy == 0.9
+    assert node.balancer._backends[send.server].utilization == 0.9
 
 
 @pytest.mark.parametrize(("field", "make"), [
@@ -921,8 +921,8 @@
 def test_a_cold_server_with_room_by_its_report_takes_more(busy: float, part: float) -> None:
     node = Node()
     backend = node.balancer._subset[0]
-    backend.busy = busy
-    assert node.balancer._cold_part(backend) == pytest.approx(part)
+    backend.utilization = busy
+    assert node.balancer._cold_load_fraction(backend) == pytest.approx(part)
 
 
 def test_the_part_of_cold_servers_outlasts_a_jam_of_the_warm_ones() -> None:
@@ -931,9 +931,9 @@
     for key in range(1, 600):
         node.serve(key)
         node.wait(5 * MS)
-    rate = node.balancer._rate
+    rate = node.balancer._warm_rate
     node.wait(2 * SECOND)  # nothing is sent
-    assert 0.7 * rate < node.balancer._rate < rate
+    assert 0.7 * rate < node.balancer._warm_rate < rate
 
 
 def test_what_was_learned_goes_to_the_next_balancer() -> None:
@@ -1019,10 +1019,10 @@
     for _ in range(20):
         one.window.answered += [200 * MS]
         one.update(3.0, 10.0, False)
-    before = one.typical
+    before = one.typical_time
     one.window.answered += [2000 * MS]
     one.update(3.0, 10.0, False)
-    assert before < one.typical < 1.5 * before
+    assert before < one.typical_time < 1.5 * before
 
 
 def test_trials_of_a_silent_server_tell_nothing_of_idle_connections() -> None:
@@ -1034,24 +1034,24 @@
     silent.failure_log_odds, silent.ejected_until = 9.0, node.now + 1
     for trial in range(1, 7):
         node.wait(60 * SECOND)
-        silent.idle = [node.now - 2 * SECOND]
+        silent.idle_since = [node.now - 2 * SECOND]
         (send,) = node.ask(0, 1)
         assert isinstance(send, api.Send)
         node.end(send, Result.TIMEOUT, 900 * MS)
         assert silent.doublings == min(trial, 4)
-    assert not node.balancer._distrusted
+    assert not node.balancer._distrusted_since
 
 
 def test_idle_connections_are_trusted_again_where_new_ones_fare_no_better() -> None:
     """Crowded servers timed out on any connection; a handshake for each request crowded them more."""
     node = Node()
     lose_idle(node, Result.TIMEOUT)
-    assert node.balancer._distrusted
+    assert node.balancer._distrusted_since
     backend = node.balancer._subset[0]
-    backend.idle = [node.now - 10 * SECOND]
-    assert not node.balancer._standing(node.now, backend)
+    backend.idle_since = [node.now - 10 * SECOND]
+    assert not node.balancer._reusable_idle_time(node.now, backend)
     node.balancer._lost_others = 0.9
-    assert node.balancer._standing(node.now, backend)
+    assert node.balancer._reusable_idle_time(node.now, backend)
 
 
 def test_one_failure_tells_of_a_server_only_where_others_do_not_fail() -> None:
@@ -1062,10 +1062,10 @@
         node = Node()
         node.balancer._fleet_failures = fleet
         backend = node.balancer._subset[0]
-        backend.answered = node.now - 5 * SECOND
-        node.balancer._judge(node.now, backend, Result.TIMEOUT, 0)
+        backend.answered_at = node.now - 5 * SECOND
+        node.balancer._record_health(node.now, backend, Result.TIMEOUT, 0)
         assert bool(backend.ejected_until) is ejected
-        node.balancer._judge(node.now, backend, Result.TIMEOUT, 0)
+        node.balancer._record_health(node.now, backend, Result.TIMEOUT, 0)
         assert backend.ejected_until
 
 
@@ -1076,7 +1076,7 @@
     for _ in range(6):
         for result in (Result.TIMEOUT, Result.OK, Result.OK):
             node.now += 5 * SECOND
-            node.balancer._judge(node.now, backend, result, 0)
+            node.balancer._record_health(node.now, backend, result, 0)
     assert not backend.ejected_until
 
 
@@ -1084,10 +1084,10 @@
     """For its first seconds a node of a large fleet has the reports of a few servers, all of them crowded."""
     node = Node(settings(report_fields=("utilization",)), servers=60)
     for backend in node.balancer._subset[:5]:
-        backend.busy = 0.9
+        backend.utilization = 0.9
     assert not node.balancer._is_idle()
     for backend in node.balancer._subset[:5]:
-        backend.busy = 0.3
+        backend.utilization = 0.3
     assert node.balancer._is_idle()
 
 
@@ -1098,9 +1098,9 @@
     assert isinstance(first, api.Send) and isinstance(second, api.Send)
     node.end(first, Result.OK)
     backend = node.balancer._backends[first.server]
-    assert backend.idle
+    assert backend.idle_since
     assert api.CloseIdleConnections(second.server) in node.end(second, Result.FULL)
-    assert not backend.idle
+    assert not backend.idle_since
 
 
 def test_a_watch_that_had_been_answered_is_opened_anew_at_once() -> None:
@@ -1113,7 +1113,7 @@
         now = first.at
         pauses = []
         for stands in (8 * SECOND, 30 * SECOND, 0, 0, 0, 0, 0, 0, 9 * SECOND, 9 * SECOND):
-            assert balancer.handle(now, api.Timer(ASK_TOKEN)) == [api.Watch()]
+            assert balancer.handle(now, api.Timer(WATCH_TOKEN)) == [api.Watch()]
             balancer.handle(now + 10 * MS, whole(server(1)))
             now += 10 * MS + stands
             (again,) = balancer.handle(now, api.ServerList(api.ListKind.FAILED, ()))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 from driftstair.net.backoff import Backoff
 from lichenspring import Balancer
 from lichenspring import interface as api
-from lichenspring.balance import ASK_TOKEN
+from lichenspring.balance import WATCH_TOKEN
 from lichenspring.interface import Result
 
 WINDOW = 1500 * MS  # of the rule on cold servers
@@ -63,7 +63,7 @@
     calls: Counter[int] = Counter()
     for seed in range(40):
         started = Balancer(rules, seed).start(START)
-        (call,) = [one for one in started if isinstance(one, api.SetTimer) and one.token == ASK_TOKEN]
+        (call,) = [one for one in started if isinstance(one, api.SetTimer) and one.token == WATCH_TOKEN]
         assert call.at - START < rules.ask_within
         calls[(call.at - START) // (SECOND // 2)] += 1
     assert max(calls.values()) <= 16 and len(calls) >= 4
@@ -110,7 +110,7 @@
 def test_a_key_keeps_to_its_first_server_once_a_node_has_seen_two_keys_a_server(servers: int) -> None:
     """A small site has seen them within a tenth of a second, and does not pay for the large ones."""
     node = Node(settings(), servers=servers)
-    node.balancer._keyed, node.balancer._key_counts = 0, {}
+    node.balancer._keyed_arrivals, node.balancer._key_counts = 0, {}
     for key in range(100, 100 + 2 * servers):
         assert node.serve(key) is not None
     assert len({node.serve(42) for _ in range(3)}) == 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -61,7 +61,7 @@
 
 
 def test_the_checker_sees_a_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_end", lambda self, entry: None)
+    monkeypatch.setattr(Balancer, "_finish", lambda self, entry: None)
     assert broken_rule(RULES) == "lost"
 
 
@@ -76,12 +76,12 @@
 
 
 def test_the_checker_sees_a_drain_that_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    enter = Balancer._enter
+    enter = Balancer._update_server
 
     def enter_all_as_ready(self: Balancer, now: int, server: api.Server) -> None:
         enter(self, now, server._replace(state=api.ServerState.READY))
 
-    monkeypatch.setattr(Balancer, "_enter", enter_all_as_ready)
+    monkeypatch.setattr(Balancer, "_update_server", enter_all_as_ready)
     assert broken_rule(RULES) == "drain"
 
 
@@ -91,25 +91,25 @@
 
 
 def test_the_checker_sees_requests_of_a_key_out_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_line_up", Balancer._send_first)
+    monkeypatch.setattr(Balancer, "_enqueue_in_order", Balancer._send_first)
     assert broken_rule(RULES) == "order"
 
 
 def test_the_checker_sees_a_key_that_does_not_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_rest", lambda self, now, entry, result: None)
+    monkeypatch.setattr(Balancer, "_hold_key", lambda self, now, entry, result: None)
     assert broken_rule(RULES) == "order"
 
 
 def test_the_checker_sees_a_second_copy(monkeypatch: pytest.MonkeyPatch) -> None:
-    settle = Balancer._settle
+    settle = Balancer._on_outcome
 
     def copy(self: Balancer, now: int, outcome: api.Outcome) -> None:
         settle(self, now, outcome)
         for entry in list(self._open.values()):
-            if entry.kind.repeat is api.Repeat.SAFE and not entry.closed:
+            if entry.request_class.repeat is api.Repeat.SAFE and not entry.closed:
                 self._send_first(now, entry)
 
-    monkeypatch.setattr(Balancer, "_settle", copy)
+    monkeypatch.setattr(Balancer, "_on_outcome", copy)
     assert broken_rule(RULES) == "duplicate"
 
 
@@ -118,7 +118,7 @@
     game = Game(balancer, RULES, Random(3))
     game.play(steps=400)
     game._pass(5_000 * MS)
-    assert (balancer._turns, balancer._open, balancer._in_flight.count) == ({}, {}, 0)
+    assert (balancer._key_queues, balancer._open, balancer._in_flight.count) == ({}, {}, 0)
 
 
 def test_the_same_events_give_the_same_actions() -> None:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -6,7 +6,7 @@
 
 from lichenspring import Balancer
 from lichenspring import interface as api
-from lichenspring.subset import members, parts
+from lichenspring.subset import subset_count, subset_of
 
 WITHIN = 1.4 * SECOND
 SERVERS = [number.to_bytes(8, "little") for number in range(1, 113)]
@@ -38,36 +38,36 @@
 
 
 def test_small_fleets_are_not_dealt_out() -> None:
-    assert parts(3, 0.6 * SECOND, 14) == 1
-    assert parts(21, 0.6 * SECOND, 69) == 1
-    assert parts(10, 1.9 * SECOND, 60) == 1
-    assert parts(1000, WITHIN, 20) == 1  # a part would hold too few to go elsewhere
-    assert parts(40, 1.9 * SECOND, 60) == 2
-    assert parts(200, WITHIN, 112) == 8
-    assert parts(1000, WITHIN, 1000) == 32
+    assert subset_count(3, 0.6 * SECOND, 14) == 1
+    assert subset_count(21, 0.6 * SECOND, 69) == 1
+    assert subset_count(10, 1.9 * SECOND, 60) == 1
+    assert subset_count(1000, WITHIN, 20) == 1  # a part would hold too few to go elsewhere
+    assert subset_count(40, 1.9 * SECOND, 60) == 2
+    assert subset_count(200, WITHIN, 112) == 8
+    assert subset_count(1000, WITHIN, 1000) == 32
 
 
 def test_every_server_has_as_many_nodes_as_any_other() -> None:
-    nodes = Counter(server for number in range(200) for server in members(SERVERS, number, 4))
+    nodes = Counter(server for number in range(200) for server in subset_of(SERVERS, number, 4))
     assert set(nodes.values()) == {50}
 
 
 def test_parts_of_fewer_hold_those_of_more() -> None:
     # Guards against a fleet that goes from four parts to two and meets strangers only.
     for number in range(200):
-        assert members(SERVERS, number, 4) < members(SERVERS, number, 2) < members(SERVERS, number, 1)
+        assert subset_of(SERVERS, number, 4) < subset_of(SERVERS, number, 2) < subset_of(SERVERS, number, 1)
 
 
 def test_a_server_gone_moves_the_ends_of_a_part() -> None:
     for number in range(200):
-        before, after = members(SERVERS, number, 4), members(SERVERS[:50] + SERVERS[51:], number, 4)
+        before, after = subset_of(SERVERS, number, 4), subset_of(SERVERS[:50] + SERVERS[51:], number, 4)
         assert len(after - before) <= 1
 
 
 def test_a_node_of_many_meets_its_servers_often() -> None:
     # Before, each of 200 nodes met each of 112 servers every 15 s: as long as that a jammed one went unseen.
     found = goes_to(node(3, SERVERS), 400, key=77)
-    assert set(found) <= members(SERVERS, 3, 8)
+    assert set(found) <= subset_of(SERVERS, 3, 8)
     assert len(found) == 14
 
 
@@ -76,7 +76,7 @@
     key, most = 4711, Counter[bytes]()
     for number in range(200):
         balancer = node(number, SERVERS)
-        balancer._keyed = 10**6  # it has seen so much that this key can't be hot
+        balancer._keyed_arrivals = 10**6  # it has seen so much that this key can't be hot
         for action in balancer.handle(START, api.Request(1, SECOND, 0, 0, key, False)):
             if isinstance(action, api.Send):
                 most[action.server] += 1
@@ -86,7 +86,7 @@
 
 def test_others_servers_are_the_last_resort() -> None:
     """Where none of its own may be used: all of them have just started and bear no more."""
-    mine = members(SERVERS, 3, 8)
+    mine = subset_of(SERVERS, 3, 8)
     balancer = node(3, SERVERS)
     cold = tuple(
         api.Server(one, 0, 0, api.ServerState.READY, 1.0, START if one in mine else 0) for one in SERVERS
@@ -99,4 +99,4 @@
 
 def test_the_start_cap_is_a_nodes_part_of_all_servers() -> None:
     # Of an eighth of the servers, with an eighth of the nodes: what each may have in flight is the same.
-    assert node(3, SERVERS)._able(START) == len(SERVERS) / 200
+    assert node(3, SERVERS)._capacity(START) == len(SERVERS) / 200
--- a/tests/world.py
+++ b/tests/world.py
@@ -54,7 +54,7 @@
         self.now = START
         self.balancer = Balancer(with_settings, seed)
         # It has seen other keys, each once: to one that has seen nothing any key may be hot.
-        self.balancer._keyed = 2 * servers
+        self.balancer._keyed_arrivals = 2 * servers
         self.balancer._key_counts = {(1 << 60) + other: 1.0 for other in range(2 * servers)}
         self.timers = self._timers(self.balancer.start(self.now))
         self.next_id = 1
