--- a/lichenspring/__init__.py
+++ b/lichenspring/__init__.py
@@ -1,4 +1,4 @@
-"""lichenspring: the decisions of a reverse proxy that spreads requests over HTTP servers."""
+"""lichenspring: the decisions of a reverse proxy that balances requests over HTTP servers."""
 
 from lichenspring.balance import Balancer
 
--- a/lichenspring/interface.py
+++ b/lichenspring/interface.py
@@ -1,7 +1,7 @@
-"""What goes into the decision module and what comes out of it.
+"""The inputs and outputs of the decision module.
 
-Times and durations are whole nanoseconds on one clock that only moves forward. A server is named by
-an opaque hashable id that sorts; a request by a number that is never used twice.
+Times and durations are integer nanoseconds on one monotonic clock. A server is named by an opaque, hashable
+and sortable id; a request by a number that is never reused.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class Repeat(Enum):
-    """May a request of a class run more than once?"""
+    """Whether a request of a class may run more than once."""
 
     SAFE = "safe"  # any number of times
-    KEYED = "keyed"  # a group of servers drops repeats for a while
+    KEYED = "keyed"  # a group of servers drops repeats for some time
     UNSAFE = "unsafe"  # never
 
 
 class Group(Enum):
-    """The servers that drop a repeat of a keyed request together."""
+    """The servers that together drop a repeat of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -37,15 +37,15 @@
 
 
 class ListKind(Enum):
-    CACHED = "cached"  # whole, as last held before a restart; may be stale
-    FULL = "full"  # whole; a server it leaves out is gone
+    CACHED = "cached"  # complete, as last held before a restart; may be stale
+    FULL = "full"  # complete; a server that it leaves out is gone
     DELTA = "delta"  # changed entries only
-    FAILED = "failed"  # a fetch or a watch failed, or the watch broke; no entries
+    FAILED = "failed"  # a fetch or a watch failed, or the watch ended; no entries
 
 
 class ServerState(Enum):
     READY = "ready"
-    DRAINING = "draining"  # finishing its work: nothing new
+    DRAINING = "draining"  # finishes its work and takes no new requests
     GONE = "gone"
 
 
@@ -60,16 +60,16 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    REJECTED = "rejected"  # by the server, for the request's own fault
+    REJECTED = "rejected"  # by the server, because of the request itself
 
 
 NEVER_RAN = frozenset((Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT))
 """Results that prove that the attempt had no effect."""
 
 
-def _require(name: str, fits: bool, value: object) -> None:
-    """Settings that no balancer could work by are refused by name."""
-    if not fits:
+def _require(name: str, valid: bool, value: object) -> None:
+    """Rejects settings that no balancer could work with, naming the setting."""
+    if not valid:
         raise ValueError(f"{name} is out of range: {value!r}")
 
 
@@ -81,7 +81,8 @@
     repeat: Repeat
     group: Group = Group.ALL
     window: int = 0  # keyed: how long repeats are dropped
-    in_order: bool = False  # requests with the same key run one at a time, as this node took them
+    # Requests with the same key run one at a time, in the order this node received them.
+    in_order: bool = False
 
     def __post_init__(self) -> None:
         _require("aim", self.aim >= 1, self.aim)
@@ -104,29 +105,29 @@
     tenants: tuple[Tenant, ...]
     nodes: int  # that share the servers
     list_mode: ListMode
-    ask_within: int  # on-request lists: ask at least this often while no watch stands
-    cold_share: float  # a server that starts does at least this part of its work
+    ask_within: int  # on-request lists: longest interval between calls while no watch is open
+    cold_share: float  # a server that starts does at least this part of its full work
     cold_time: int  # and all of it after this time
     max_attempts: int  # of one request
     max_retry_after: int
-    retry_after: bool  # clients are told how long to stay away
-    worth_by_work: bool  # worth counts for each unit of work, not for each request
-    report_fields: tuple[str, ...]  # what a server's load report holds
+    retry_after: bool  # clients are told when to retry
+    worth_by_work: bool  # worth counts per unit of work, not per request
+    report_fields: tuple[str, ...]  # fields of a server's load report
     idle_close: int = 0  # an idle connection is closed after this time
-    key_rest: int = 0  # in order: a key waits so long after a time-out, a reset or a cancel
+    key_rest: int = 0  # in order: delay of a key after a time-out, a reset or a cancelled attempt
     number: int = 0  # of this node among those that share the servers, from 0
-    fall_multiple: float = 0.0  # a cold server falls when sent so many times what it can do; 0: not told
+    fall_multiple: float = 0.0  # a cold server fails if sent this multiple of what it can do; 0: unknown
 
     def __post_init__(self) -> None:
         _require("classes", len(self.classes) >= 1, self.classes)
         _require("fall_multiple", 0.0 <= self.fall_multiple < float("inf"), self.fall_multiple)
         _require("cold_share", 0.0 <= self.cold_share <= 1.0, self.cold_share)
-        for name, least in (
+        for name, minimum in (
             ("nodes", 1), ("max_attempts", 1), ("ask_within", 0), ("cold_time", 0),
             ("max_retry_after", 0), ("idle_close", 0), ("key_rest", 0), ("number", 0),
         ):  # fmt: skip
             value = getattr(self, name)
-            _require(name, value >= least, value)
+            _require(name, value >= minimum, value)
 
 
 class Server(NamedTuple):
@@ -134,11 +135,11 @@
 
     id: ServerId
     zone: int
-    cell: int  # servers that know together which keys they have seen
+    cell: int  # servers that share their record of keys seen
     state: ServerState
     weight: float
     started: int  # clock time of its last start; 0: long ago
-    kind: int = 0  # of machine: servers that are alike
+    kind: int = 0  # kind of machine: servers with the same performance
 
 
 class ServerList(NamedTuple):
@@ -147,17 +148,17 @@
 
 
 class Limits(NamedTuple):
-    """What narrows the decisions on one request, beyond the settings. It never widens them."""
+    """Restricts the decisions on one request beyond the settings; never extends them."""
 
-    max_attempts: int  # at most, copies included
-    time_out: int  # of one attempt; 0: as long as the answer is of use
+    max_attempts: int  # including hedges
+    time_out: int  # of one attempt; 0: as long as the answer is useful
     first_byte: int  # of one attempt, until its answer begins; 0: none
-    retry_on: frozenset[Result]  # results after which another attempt may be made
-    backoff: int  # before the first further attempt; it doubles; 0: at once
+    retry_on: frozenset[Result]  # results after which another attempt is allowed
+    backoff: int  # before the first retry, doubling with each; 0: at once
     max_backoff: int
-    jitter: float  # part of a back-off that is left to chance, 0 to 1
-    cap_fraction: float  # part of its class's cap that it may fill, 0 to 1
-    route: int = 0  # for whoever set them
+    jitter: float  # random part of a back-off, 0 to 1
+    cap_fraction: float  # usable part of its class's cap, 0 to 1
+    route: int = 0  # for the caller that set the limits
 
 
 class Request(NamedTuple):
@@ -166,7 +167,7 @@
     class_index: int
     tenant: int
     key: int  # 0: none
-    resubmitted: bool  # the client says that it tried before
+    resubmitted: bool  # the client marks it as a retry
     limits: Limits | None = None
 
 
@@ -182,7 +183,7 @@
 
 
 class Hedge(NamedTuple):
-    """A second attempt is wanted while the first is out; made if the rules and the servers allow one."""
+    """Asks for a second attempt while the first is in flight; sent if the rules and the servers allow it."""
 
     request: int
 
@@ -202,19 +203,20 @@
     request: int
     server: ServerId
     time_out: int  # 0: until the client gives up
-    first_byte: int = 0  # an answer that has not begun by then is not waited for; 0: as for the whole
-    begin_within: int = 0  # not written by then, it must not be: repeats are dropped for so long; 0: no limit
+    first_byte: int = 0  # limit until the answer begins; 0: as for the whole
+    # The attempt must be written within this time, while repeats are dropped; 0: no limit.
+    begin_within: int = 0
 
 
 class Refuse(NamedTuple):
     """Final answer: not done, and trying again is harmless."""
 
     request: int
-    retry_after: int  # 0: no advice
+    retry_after: int  # 0: not sent to the client
 
 
 class Fail(NamedTuple):
-    """Final answer: no promise about what was done."""
+    """Final answer: no statement about what was done."""
 
     request: int
 
@@ -231,14 +233,14 @@
 
 
 class Watch(NamedTuple):
-    """Ask for the list and all later changes to it."""
+    """Request the list and all later changes to it."""
 
 
 Action = Send | Refuse | Fail | CloseIdleConnections | SetTimer | Watch
 
 
 class DecisionModule(Protocol):
-    """What takes the events and gives the actions: the balancer, or what narrows it."""
+    """Takes events and returns actions: the balancer, or a module that restricts it."""
 
     def start(self, now: int) -> list[Action]: ...
 
