--- a/lichenspring/settings.py
+++ b/lichenspring/settings.py
@@ -1,4 +1,4 @@
-"""Reads the module's settings from a mapping of paths to values; the adapter and the node share it."""
+"""Reads the module's settings from a mapping of paths to values. Used by the adapter and the node."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class SettingsError(Exception):
-    """A required setting is missing or unreadable; the text names it."""
+    """A required setting is missing or unreadable; the message names it."""
 
 
 def flatten(tree: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """The paths and values of a settings object, in the text form that the simulator's wire gives them:
-    lists of plain values joined with commas, lists of objects by their count and their indices."""
+    """The paths and values of a settings object in the text form of the simulator's protocol: lists of plain
+    values are joined with commas, lists of objects are given by their count and indices."""
     if isinstance(tree, dict):
         for name, value in tree.items():
             yield from flatten(value, f"{path}.{name}" if path else str(name))
@@ -42,7 +42,7 @@
 
 
 class SettingsReader:
-    """Checked access to the settings by their paths."""
+    """Checked access to the settings by path."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self._values = values
@@ -69,7 +69,7 @@
         return value
 
     def number(self, path: str) -> float:
-        return self._parsed(path, _not_negative)
+        return self._parsed(path, _non_negative)
 
     def one_of(self, path: str, table: Mapping[str, _T]) -> _T:
         text = self.text(path)
@@ -87,7 +87,7 @@
         return tuple(read(self, f"{path}.{index}") for index in range(self.integer(f"{path}.count")))
 
 
-def _not_negative(text: str) -> float:
+def _non_negative(text: str) -> float:
     value = float(text)
     if not 0.0 <= value < float("inf"):
         raise ValueError(text)
@@ -113,12 +113,12 @@
 
 
 def _tenants(values: SettingsReader) -> tuple[api.Tenant, ...]:
-    """A site may define none."""
+    """Empty if the settings define no tenants."""
     return values.read_list("Tenants", _tenant) if values.has("Tenants.count") else ()
 
 
 def parse_settings(mapping: Mapping[str, str]) -> api.Settings:
-    """The module's settings; raises SettingsError, or ValueError for what no balancer could work by."""
+    """The module's settings. Raises SettingsError, or ValueError for values that no balancer could use."""
     values = SettingsReader(mapping)
     return api.Settings(
         classes=values.read_list("Grades", _request_class),
