--- a/driftstair/experiments/runs.py
+++ b/driftstair/experiments/runs.py
@@ -22,6 +22,7 @@
 BUILD_WITHIN = 3600.0  # s for one run of another build
 PLACES = ("lichenspring",)
 RENAMED = {
+    "lichenspring.adapter.RESUBMITTED": "lichenspring.adapter.RESUBMITTED_BIT",
     "lichenspring.balance.AGAIN_SOON": "lichenspring.balance.WATCH_REOPEN_DELAY_NS",
     "lichenspring.balance.ANSWERED_LATELY": "lichenspring.balance.ANSWERED_LATELY_NS",
     "lichenspring.balance.ANSWERS": "lichenspring.balance.ANSWERING_WITHIN_NS",
@@ -110,6 +111,7 @@
     "lichenspring.subset.MASK": "lichenspring.subset.MASK_64",
     "lichenspring.subset.MEETS_WITHIN": "lichenspring.subset.CONTACT_INTERVAL_S",
     "lichenspring.subset.ROUND": "lichenspring.subset.NODES_PER_ROUND",
+    "lichenspring.wire._TEXT_MOST": "lichenspring.wire._TEXT_MAX_BYTES",
 }
 """Experiment files may name a renamed constant by its old path."""
 
--- a/lichenspring/adapter.py
+++ b/lichenspring/adapter.py
@@ -1,4 +1,4 @@
-"""Runs instances of the decision module on the wire: translation only, no decisions."""
+"""Runs instances of the decision module for the wire protocol. Only translates; makes no decisions."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     3: api.ListKind.FULL,
     4: api.ListKind.FAILED,
 }
-STATES = {0: api.ServerState.GONE, 1: api.ServerState.READY, 2: api.ServerState.DRAINING}
-UNUSED = frozenset((wire.In.ACK_FIRST, wire.In.SAMPLED, wire.In.MAIL))  # the module decides nothing by them
+SERVER_STATES = {0: api.ServerState.GONE, 1: api.ServerState.READY, 2: api.ServerState.DRAINING}
+IGNORED_EVENTS = frozenset((wire.In.ACK_FIRST, wire.In.SAMPLED, wire.In.MAIL))  # not used by the module
 RESULTS = {
     100: api.Result.OK,
     301: api.Result.ERROR,
@@ -32,23 +32,25 @@
     306: api.Result.CANCELLED,
     307: api.Result.NOT_SENT,
 }
-RESUBMITTED = 2  # bit of a request's options
+RESUBMITTED_BIT = 2  # in the options of a request
 
 
 def read_settings(text: str) -> api.Settings:
-    """Settings from the path=value lines of an instance's first message; raises SettingsError."""
+    """Settings from the path=value lines of an instance's first message. Raises SettingsError."""
     return parse_settings(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
 
-def _lookup(table: Mapping[int, _T], value: int, what: str) -> _T:
+def _lookup(table: Mapping[int, _T], value: int, description: str) -> _T:
     if value not in table:
-        raise wire.WireError(f"unknown {what} {value}")
+        raise wire.WireError(f"unknown {description} {value}")
     return table[value]
 
 
-def _server(entry: tuple[Any, ...]) -> api.Server:
+def _decode_server(entry: tuple[Any, ...]) -> api.Server:
     server, zone, kind, cell, state, weight, started = entry
-    return api.Server(server, zone, cell, _lookup(STATES, state, "server state"), weight, started, kind)
+    return api.Server(
+        server, zone, cell, _lookup(SERVER_STATES, state, "server state"), weight, started, kind
+    )
 
 
 class Adapter:
@@ -56,10 +58,10 @@
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._classes: dict[int, int] = {}  # how many an instance's settings name
+        self._classes: dict[int, int] = {}  # number of classes in an instance's settings
         self._rosters: dict[int, tuple[api.Server, ...]] = {}
 
-    def answer(self, frame: bytes) -> bytes:
+    def handle_batch(self, frame: bytes) -> bytes:
         """The reply to one batch."""
         clock, records = wire.decode_batch(frame)
         reply: list[bytes] = []
@@ -67,7 +69,7 @@
         source: int | None = None
         for code, fields in records:
             if code == wire.In.ROSTER:
-                self._rosters[fields[0]] = tuple(_server(entry) for entry in fields[1])
+                self._rosters[fields[0]] = tuple(_decode_server(entry) for entry in fields[1])
                 continue
             if code == wire.In.SELECT:
                 current = fields[0]
@@ -79,26 +81,26 @@
                 continue
             if code != wire.In.ATTACH and current not in self._balancers:
                 raise wire.WireError(f"{wire.In(code).name} for instance {current}, which is not attached")
-            if code in UNUSED:
+            if code in IGNORED_EVENTS:
                 continue
-            encoded = self._play(clock, current, code, fields)
+            encoded = self._handle_event(clock, current, code, fields)
             if encoded and source != current:
                 source = current
                 reply.append(wire.encode_action(wire.Out.SOURCE, current))
             reply += encoded
         return wire.encode_reply(reply)
 
-    def _play(self, clock: int, instance: int, code: int, fields: tuple[Any, ...]) -> list[bytes]:
+    def _handle_event(self, clock: int, instance: int, code: int, fields: tuple[Any, ...]) -> list[bytes]:
         if code == wire.In.ATTACH:
             seed, text = fields
             try:
                 settings = read_settings(text.decode("utf-8"))
             except UnicodeDecodeError:
                 raise SettingsError("the settings are not UTF-8 text") from None
-            except ValueError as problem:
-                raise SettingsError(f"settings can't be used: {problem}") from None
+            except ValueError as error:
+                raise SettingsError(f"settings can't be used: {error}") from None
         else:
-            event = self._event(instance, code, fields)
+            event = self._decode_event(instance, code, fields)
         try:
             if code == wire.In.ATTACH:
                 balancer = self._balancers[instance] = Balancer(settings, seed)
@@ -106,19 +108,21 @@
                 actions = balancer.start(clock)
             else:
                 actions = self._balancers[instance].handle(clock, event)
-        except Exception:  # the module failed: say so, never make up an action
+        except Exception:  # report the failure of the module; never invent an action
             return [wire.encode_text(wire.Out.FAULT, traceback.format_exc(limit=-4))]
-        return [_encode(action) for action in actions]
+        return [_encode_action(action) for action in actions]
 
-    def _event(self, instance: int, code: int, fields: tuple[Any, ...]) -> api.Event:
+    def _decode_event(self, instance: int, code: int, fields: tuple[Any, ...]) -> api.Event:
         if code == wire.In.INBOUND:
-            request, _hint, ttl, tenant, category, key, options = fields
-            if category >= self._classes[instance]:
-                raise wire.WireError(f"unknown request class {category}")
-            return api.Request(request, ttl, category, tenant, key, bool(options & RESUBMITTED))
+            request, _hint, time_left, tenant, class_index, key, options = fields
+            if class_index >= self._classes[instance]:
+                raise wire.WireError(f"unknown request class {class_index}")
+            return api.Request(request, time_left, class_index, tenant, key, bool(options & RESUBMITTED_BIT))
         if code == wire.In.FINISHED:
-            request, last, rc, lag, server, leg, report = fields
-            return api.Outcome(request, bool(last), _lookup(RESULTS, rc, "outcome"), lag, server, leg, report)
+            request, closed, result, elapsed, server, attempt, report = fields
+            return api.Outcome(
+                request, bool(closed), _lookup(RESULTS, result, "outcome"), elapsed, server, attempt, report
+            )
         if code == wire.In.DUE:
             return api.Timer(fields[0])
         if code == wire.In.SYNC:
@@ -129,7 +133,7 @@
         return api.ClientGone(fields[0])
 
 
-def _encode(action: api.Action) -> bytes:
+def _encode_action(action: api.Action) -> bytes:
     if isinstance(action, api.Send):
         return wire.encode_action(wire.Out.FORWARD, action.request, action.server, action.time_out)
     if isinstance(action, api.Refuse):
@@ -144,18 +148,18 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch until the input ends."""
+    """Answers each batch until the end of the input."""
     adapter = Adapter()
     while (frame := wire.read_frame(source)) is not None:
-        sink.write(adapter.answer(frame))
+        sink.write(adapter.handle_batch(frame))
         sink.flush()
 
 
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (wire.WireError, SettingsError) as problem:
-        print(f"lichenspring: {problem}", file=sys.stderr)
+    except (wire.WireError, SettingsError) as error:
+        print(f"lichenspring: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/lichenspring/wire.py
+++ b/lichenspring/wire.py
@@ -1,4 +1,4 @@
-"""The frames of the adapter protocol: bytes to records and back. Knows layouts, not meanings."""
+"""Encodes and decodes the frames of the adapter protocol. Knows their layouts, not their meaning."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class WireError(Exception):
-    """A frame that breaks the protocol; the text names what is wrong."""
+    """A frame that violates the protocol; the message names the fault."""
 
 
 class In(IntEnum):
@@ -47,8 +47,8 @@
 
 _LENGTH = struct.Struct("<I")
 _BATCH_HEADER = struct.Struct("<QI")
-_ENTRY = struct.Struct("<6sBHHBfQ")
-_FIXED = {
+_SERVER_LAYOUT = struct.Struct("<6sBHHBfQ")
+_EVENT_LAYOUTS = {
     In.SYNC: struct.Struct("<IBH"),
     In.ACK_FIRST: struct.Struct("<Q6sQH"),
     In.SAMPLED: struct.Struct("<6sHQB"),
@@ -62,10 +62,10 @@
     In.CRASH_NOW: struct.Struct("<"),
     In.ROSTER: struct.Struct("<HI"),
 }
-_UNIT = {In.ATTACH: 1, In.MAIL: 1, In.ROSTER: _ENTRY.size, In.FINISHED: 4, In.SAMPLED: 4}
-"""Bytes of one item of the content that follows a count, for records whose last field is a count."""
+_ITEM_SIZE = {In.ATTACH: 1, In.MAIL: 1, In.ROSTER: _SERVER_LAYOUT.size, In.FINISHED: 4, In.SAMPLED: 4}
+"""Bytes per item that follows the fixed part, for records whose last field is the item count."""
 
-_ACTIONS = {
+_ACTION_LAYOUTS = {
     Out.FORWARD: struct.Struct("<BQ6sQ"),
     Out.BUSY: struct.Struct("<BQQ"),
     Out.REPORT_FAILURE: struct.Struct("<BQ"),
@@ -74,12 +74,12 @@
     Out.LISTEN: struct.Struct("<BB"),
     Out.SOURCE: struct.Struct("<BH"),
 }
-_TEXT = struct.Struct("<BH")
-_TEXT_MOST = 60_000
+_TEXT_LAYOUT = struct.Struct("<BH")
+_TEXT_MAX_BYTES = 60_000
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """The next frame without its length field; None at a clean end of input."""
+    """The next frame without its length field; None at a clean end of the input."""
     head = stream.read(_LENGTH.size)
     if not head:
         return None
@@ -97,49 +97,49 @@
         raise WireError(f"malformed frame: {len(frame)} bytes are too few for a batch header")
     clock, count = _BATCH_HEADER.unpack_from(frame)
     records: list[Record] = []
-    at, end = _BATCH_HEADER.size, len(frame)
+    offset, end = _BATCH_HEADER.size, len(frame)
     for index in range(count):
-        if at >= end:
+        if offset >= end:
             raise WireError(f"malformed frame: {count} records announced, {index} found")
-        code = frame[at]
-        layout = _FIXED.get(code)  # type: ignore[call-overload]
+        code = frame[offset]
+        layout = _EVENT_LAYOUTS.get(code)  # type: ignore[call-overload]
         if layout is None:
             raise WireError(f"unknown event code {code} in record {index}")
-        body = at + 1
-        at = body + layout.size
-        if at > end:
+        body = offset + 1
+        offset = body + layout.size
+        if offset > end:
             raise WireError(f"malformed frame: record {index} ({In(code).name}) is cut short")
         fields = layout.unpack_from(frame, body)
-        unit = _UNIT.get(code)  # type: ignore[call-overload]
-        if unit:
-            start, at = at, at + fields[-1] * unit
-            if at > end:
+        item_size = _ITEM_SIZE.get(code)  # type: ignore[call-overload]
+        if item_size:
+            start, offset = offset, offset + fields[-1] * item_size
+            if offset > end:
                 raise WireError(f"malformed frame: record {index} ({In(code).name}) is cut short")
-            fields = (*fields[:-1], _content(code, frame, start, at))
+            fields = (*fields[:-1], _decode_items(code, frame, start, offset))
         records.append((code, fields))
-    if at != end:
-        raise WireError(f"malformed frame: {end - at} bytes follow the last record")
+    if offset != end:
+        raise WireError(f"malformed frame: {end - offset} bytes follow the last record")
     return Batch(clock, records)
 
 
-def _content(code: int, frame: bytes, start: int, end: int) -> object:
+def _decode_items(code: int, frame: bytes, start: int, end: int) -> object:
     if code == In.ROSTER:
-        return list(_ENTRY.iter_unpack(frame[start:end]))
+        return list(_SERVER_LAYOUT.iter_unpack(frame[start:end]))
     if code in (In.FINISHED, In.SAMPLED):
         return struct.unpack_from(f"<{(end - start) // 4}f", frame, start) if end > start else ()
     return frame[start:end]
 
 
 def encode_action(code: Out, *fields: int | bytes) -> bytes:
-    return _ACTIONS[code].pack(code, *fields)
+    return _ACTION_LAYOUTS[code].pack(code, *fields)
 
 
 def encode_text(code: Out, text: str) -> bytes:
-    data = text.encode("utf-8", "replace")[:_TEXT_MOST]
-    return _TEXT.pack(code, len(data)) + data
+    data = text.encode("utf-8", "replace")[:_TEXT_MAX_BYTES]
+    return _TEXT_LAYOUT.pack(code, len(data)) + data
 
 
 def encode_reply(actions: list[bytes]) -> bytes:
-    """A whole reply frame of encoded actions."""
+    """A complete reply frame of encoded actions."""
     body = b"".join(actions)
     return struct.pack("<II", 4 + len(body), len(actions)) + body
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -202,7 +202,7 @@
 
 
 def test_a_hang_up_is_encoded() -> None:
-    assert adapter._encode(api.CloseIdleConnections(SERVERS[0])) == b"\x46" + SERVERS[0]
+    assert adapter._encode_action(api.CloseIdleConnections(SERVERS[0])) == b"\x46" + SERVERS[0]
 
 
 def test_settings_are_read_and_unknown_ones_ignored() -> None:
