--- a/tests/acceptance/test_turned_away.py
+++ b/tests/acceptance/test_turned_away.py
@@ -11,7 +11,7 @@
 import pytest
 from fleet_of_modules import NEVER, SERVES, Reply, Servers, SoleNode
 from rig import PATIENCE, Client, Message, Rig, Server, configuration, grade, request, run, status
-from world import BASE, FALL_MULTIPLE, FALL_TIME, MS, SECOND, START, server, settings, whole
+from world import BASE, FALL_MULTIPLE, FALL_WINDOW_NS, MS, SECOND, START, full_list, server, settings
 
 from driftstair.net.node import Node
 from lichenspring import interface as api
@@ -51,7 +51,7 @@
             kind = api.RequestClass(1600 * MS, 1.0, 0.3, api.Repeat.SAFE)
             told = settings(classes=(kind,), nodes=nodes, number=seed % nodes)
             node = SoleNode(told, seed, rate, hurt(how, seed), 3 * SECOND)
-            node.tell(whole(*(server(number) for number in range(servers))))
+            node.tell(full_list(*(server(number) for number in range(servers))))
             node.play(45.0)
             assert node.longest_spell(COUNTED) < LONGEST, (rate, seed)
 
@@ -111,7 +111,7 @@
     for number in range(NODES):
         told = settings(classes=(kind,), nodes=NODES, number=number, fall_multiple=FALL_MULTIPLE)
         node = SoleNode(told, number + 1, RATE, lambda at, send: SERVES, SECOND)
-        node.tell(whole(*(server(one, started=node.now) for one in range(SERVERS))))
+        node.tell(full_list(*(server(one, started=node.now) for one in range(SERVERS))))
         node.play(20.0)
         fleet.append(node)
     return fleet
@@ -126,8 +126,8 @@
     for one in range(SERVERS):
         arrivals = sorted(at for node in fleet for at, to in node.sent if to == server(one).id)
         for last, at in enumerate(arrivals):
-            age = max(0, at - FALL_TIME // 2 - START) / BASE.cold_time
+            age = max(0, at - FALL_WINDOW_NS // 2 - START) / BASE.cold_time
             warmth = BASE.cold_share + (1.0 - BASE.cold_share) * age
-            allowed = FALL_MULTIPLE * warmth * warm_rate * FALL_TIME / SECOND
-            within = sum(earlier > at - FALL_TIME for earlier in arrivals[: last + 1])
+            allowed = FALL_MULTIPLE * warmth * warm_rate * FALL_WINDOW_NS / SECOND
+            within = sum(earlier > at - FALL_WINDOW_NS for earlier in arrivals[: last + 1])
             assert within <= allowed + 2.0 * sqrt(allowed) + 2.0
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found and each mechanism; no bench, no servers, hand-made events."""
+"""One small test per mechanism and per failure found, with hand-made events and without servers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from world import KEYED, MS, SAFE, SECOND, START, UNSAFE, Node, server, settings, whole
+from world import KEYED, MS, SAFE, SECOND, START, UNSAFE, Node, full_list, server, settings
 
 from driftstair.net.discovery import ANSWER_TIMEOUT_S, DIAL_TIMEOUT_S
 from lichenspring import Balancer
@@ -21,7 +21,7 @@
 
 
 def window(node: Node, count: int, elapsed: int, class_index: int = 0) -> None:
-    """Some answers of one response time, held in flight for that time; then the window's end."""
+    """Sends requests, answers all of them with one response time, and ends the window."""
     sends = [node.ask(class_index, key)[0] for key in range(1, count + 1)]
     node.wait(300 * MS)
     for send in sends:
@@ -31,12 +31,12 @@
 
 
 def admitted(node: Node, count: int = 400, class_index: int = 0) -> int:
-    """How many requests that come at once are let in."""
+    """How many of the requests that arrive at once are admitted."""
     return sum(isinstance(node.ask(class_index, 10_000 + n)[0], api.Send) for n in range(count))
 
 
-def quieten(node: Node) -> None:
-    """Enough other requests that no key of the test counts as a hot one."""
+def warm_up_key_counts(node: Node) -> None:
+    """Sends enough other requests that no key of a test counts as hot."""
     for key in 2 * list(range(100, 136)):
         node.serve(key)
 
@@ -46,39 +46,39 @@
     return settings(classes=(kind,), **changes)
 
 
-# The breaker.
+# Admission.
 
 
-def test_a_fresh_node_admits_its_start_cap_and_refuses_the_next_at_once() -> None:
+def test_new_node_admits_initial_cap_and_refuses_next_request() -> None:
     node = Node(one_class(), servers=6)
-    assert admitted(node) == 76  # the cap of 60 and two roots of it, while the mean is below
+    assert admitted(node) == 76  # the cap of 60 and two square roots of it, while the mean is below
     (refusal,) = node.ask(0, 1)
     assert isinstance(refusal, api.Refuse)
     assert 0 < refusal.retry_after <= 2 * SECOND
 
 
-def test_response_times_above_the_target_lower_the_cap() -> None:
+def test_response_times_above_target_lower_cap() -> None:
     node = Node(one_class(), servers=6)
     for _ in range(4):
         window(node, 30, 3 * SECOND)
     assert admitted(node) < 20
 
 
-def test_a_quiet_window_does_not_lower_the_cap() -> None:
+def test_window_with_low_load_does_not_lower_cap() -> None:
     node = Node(one_class(), servers=6)
     for _ in range(10):
         window(node, 1, 300 * MS)
     assert admitted(node) == 76
 
 
-def test_windows_within_the_target_at_the_cap_lift_it() -> None:
+def test_windows_within_target_at_cap_raise_it() -> None:
     node = Node(one_class(), servers=6)
     for _ in range(6):
         window(node, 400, 100 * MS)
     assert admitted(node) > 60
 
 
-def test_all_servers_slow_leaves_half_of_what_was_proven() -> None:
+def test_cap_keeps_fraction_of_proven_load_if_all_servers_are_slow() -> None:
     node = Node(one_class(), servers=6)
     for _ in range(3):
         window(node, 60, 100 * MS)
@@ -87,19 +87,20 @@
     assert admitted(node) >= 5
 
 
-def test_a_time_out_counts_as_longer_than_it_waited() -> None:
+def test_timeout_counts_as_longer_than_its_wait() -> None:
     node = Node(one_class(), servers=6)
     sends = [node.ask(0, key)[0] for key in range(30)]
     node.wait(300 * MS)
     for send in sends:
         assert isinstance(send, api.Send)
-        node.end(send, Result.TIMEOUT, 580 * MS)  # under the target, but twice that is not
+        node.end(send, Result.TIMEOUT, 580 * MS)  # below the target, but twice that is above
     node.wait(300 * MS)
     assert admitted(node) < 30
 
 
-def test_a_class_that_is_worth_more_is_not_crowded_out_by_a_lesser_one_with_more_room() -> None:
-    """The heavier class missed its aim first and was refused first, though it was worth more."""
+def test_lesser_class_with_higher_threshold_does_not_displace_worthier_class() -> None:
+    """Guards against refusing the worthier class first because its requests are heavier and miss their aim
+    first."""
     light = api.RequestClass(2 * SECOND, 8.0, 0.0, api.Repeat.SAFE)
     heavy = api.RequestClass(SECOND, 10.0, 0.0, api.Repeat.SAFE)
     node = Node(settings(classes=(light, heavy), worth_by_work=True), servers=6)
@@ -108,8 +109,8 @@
     assert admitted(node, class_index=0) < 20
 
 
-def test_timed_out_attempts_hold_their_place_for_as_long_again() -> None:
-    """Servers went on with work that nobody waited for and were filled up again at once."""
+def test_timed_out_attempt_counts_in_flight_for_as_long_again() -> None:
+    """Guards against refilling servers at once while they still work on requests that timed out."""
     node = Node(settings(classes=(api.RequestClass(SECOND, 1.0, 0.5, api.Repeat.UNSAFE),)), servers=6)
     sends = [node.ask(0, key)[0] for key in range(1, 77)]
     for send in {send.server: send for send in sends if isinstance(send, api.Send)}.values():
@@ -119,21 +120,21 @@
     assert isinstance(node.ask(0, 77)[0], api.Send)
 
 
-def test_a_class_whose_cap_is_full_keeps_a_floor_that_brings_samples() -> None:
+def test_class_at_its_cap_is_still_sampled() -> None:
     node = Node(settings(classes=(SAFE, UNSAFE)), servers=20)
     while isinstance(node.ask(1, node.next_id)[0], api.Send):
         pass
     assert isinstance(node.ask(0, 1)[0], api.Send)
 
 
-def test_a_class_worth_more_is_let_in_after_the_lesser_one_is_refused() -> None:
+def test_worthier_class_is_admitted_after_lesser_one_is_refused() -> None:
     node = Node(settings(classes=(SAFE, UNSAFE), worth_by_work=True), servers=6)
     assert admitted(node, class_index=0) == 62
     assert isinstance(node.ask(1, 1)[0], api.Send)
 
 
-def test_time_outs_of_silent_servers_do_not_close_the_breaker() -> None:
-    """In a zone cut old attempts ran out seconds later and were taken for load."""
+def test_timeouts_of_ejected_servers_do_not_close_breaker() -> None:
+    """Guards against taking attempts from before a zone cut, which time out seconds later, for load."""
     node = Node(one_class(), servers=12)
     silent = server(0).id
     waiting = []
@@ -155,15 +156,16 @@
     assert admitted(node) >= 55
 
 
-def test_an_answer_in_no_time_is_no_division_by_zero() -> None:
+def test_answer_in_zero_time_does_not_divide_by_zero() -> None:
     node = Node()
     node.serve(1, elapsed=0)
     node.wait(SECOND)
     assert node.serve(1, elapsed=0) is not None
 
 
-def test_a_mean_below_the_cap_lets_a_chance_bunch_in_and_one_above_it_does_not() -> None:
-    """With hundreds of nodes a cap is near one: bunches of two or three were refused by idle servers."""
+def test_burst_above_cap_is_admitted_only_while_mean_is_below_cap() -> None:
+    """With hundreds of nodes a cap is about one. Guards against refusing two or three requests that arrive
+    together while servers are idle."""
     node = Node(one_class(nodes=120), servers=12)  # a cap of one
     sends = [node.ask(0, key)[0] for key in range(1, 5)]
     assert [isinstance(send, api.Send) for send in sends] == [True, True, True, False]
@@ -171,27 +173,25 @@
     for send in sends[:2]:
         assert isinstance(send, api.Send)
         node.end(send, Result.OK)
-    assert isinstance(node.ask(0, 9)[0], api.Refuse)  # two were out on average
+    assert isinstance(node.ask(0, 9)[0], api.Refuse)  # two were in flight on average
 
 
-def test_a_cap_below_one_holds() -> None:
-    """One request of each class at each node was always let in: of many nodes, more than what was left
-    of the fleet could do, so that overload never ended."""
+def test_cap_below_one_is_enforced() -> None:
+    """Guards against always admitting one request per class and node: with many nodes that exceeds what a
+    reduced fleet can do, and overload never ends."""
     node = Node(one_class(nodes=600), servers=12)
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Send)
     node.now += 400 * MS
     node.end(send, Result.OK, 400 * MS)
-    assert isinstance(node.ask(0, 2)[0], api.Refuse)  # more than a tenth was out on average
+    assert isinstance(node.ask(0, 2)[0], api.Refuse)  # more than a tenth was in flight on average
     node.now += 3 * SECOND
     assert isinstance(node.ask(0, 3)[0], api.Send)
 
 
 @pytest.mark.parametrize(("report", "least", "most"), [(0.3, 30, 400), (1.0, 1, 29)])
-def test_free_cores_by_report_keep_the_cap_unless_the_aim_is_missed(
-    report: float, least: int, most: int
-) -> None:
-    """A class's own long requests passed the target on a quiet day."""
+def test_reported_free_cores_keep_cap_unless_aim_is_missed(report: float, least: int, most: int) -> None:
+    """Guards against a lower cap because a class's own long requests exceed the target at low load."""
     node = Node(one_class(report_fields=("utilization",)), servers=6)
     window(node, 10, 200 * MS)
     for _ in range(8):
@@ -204,25 +204,25 @@
     assert least <= admitted(node) <= most
 
 
-def test_a_marked_retry_stops_at_half_of_the_cap() -> None:
+def test_resubmitted_request_is_refused_at_half_of_cap() -> None:
     node = Node(one_class(), servers=6)
-    assert admitted(node, 41) == 41  # half of 60, and two roots of that
+    assert admitted(node, 41) == 41  # half of 60, and two square roots of that
     retry = api.Request(9999, SECOND, 0, 0, 7, True)
     assert isinstance(node.tell(retry)[0], api.Refuse)
     assert isinstance(node.ask(0, 7)[0], api.Send)
 
 
-def test_a_surging_tenant_stops_short_and_the_others_do_not() -> None:
+def test_tenant_over_its_share_is_limited_and_others_are_not() -> None:
     node = Node(one_class(tenants=(api.Tenant(0.5), api.Tenant(0.5))), servers=6)
     surge = [node.tell(api.Request(5000 + n, SECOND, 0, 0, 100 + n, False))[0] for n in range(60)]
     assert sum(isinstance(action, api.Send) for action in surge) == 41
     assert isinstance(node.tell(api.Request(6000, SECOND, 0, 1, 3, False))[0], api.Send)
 
 
-def test_many_full_answers_make_a_key_prefer_its_other_server() -> None:
-    """With no or one request at a server, own load can't tell a crowded one from an idle one."""
+def test_full_answers_move_key_to_its_other_server() -> None:
+    """With at most one request in flight per server, own load can't tell a full server from an idle one."""
     node = Node()
-    quieten(node)
+    warm_up_key_counts(node)
     home = node.serve(42)
     (send,) = node.ask(0, 42)
     assert isinstance(send, api.Send)
@@ -230,16 +230,16 @@
     assert isinstance(again, api.Send)
     node.end(again, Result.OK)
     assert node.serve(42) == again.server != home
-    node.wait(60 * SECOND)  # the news is old
+    node.wait(60 * SECOND)  # the evidence has decayed
     assert node.serve(42) == home
 
 
-# The choice.
+# Choice of a server.
 
 
-def test_servers_that_turn_one_class_away_are_left_to_the_others() -> None:
-    """Half of the servers answered one class as full, at once and with no load: all its requests went there,
-    and their refusals closed its breaker, and with it those of the lesser classes."""
+def test_servers_full_for_one_class_are_used_for_others() -> None:
+    """Guards against sending all requests of a class to the half of the servers that answer it as full, fast
+    and without load, which closes its breaker and those of the lesser classes."""
     node = Node(servers=6)
     closed = {server(number).id for number in range(3)}
     for backend in node.balancer._backends.values():
@@ -256,22 +256,22 @@
         node.now += 10 * MS
     assert full
     assert not any(full[turn] for turn in range(30, 40))
-    assert {node.serve(key, class_index=1) for key in range(1, 40)} >= closed  # good for another class
+    assert {node.serve(key, class_index=1) for key in range(1, 40)} >= closed  # usable for another class
 
 
-def test_a_key_stays_with_its_first_server_while_loads_tie() -> None:
+def test_key_stays_with_first_server_while_loads_are_equal() -> None:
     node = Node()
     assert len({node.serve(42) for _ in range(20)}) == 1
 
 
-def test_the_less_loaded_of_two_wins() -> None:
+def test_less_loaded_of_two_servers_is_chosen() -> None:
     node = Node()
     first, second = node.ask(0, 42)[0], node.ask(0, 42)[0]
     assert isinstance(first, api.Send) and isinstance(second, api.Send)
     assert first.server != second.server
 
 
-def test_nodes_agree_on_a_key_whatever_their_seed() -> None:
+def test_nodes_with_different_seeds_agree_on_key() -> None:
     assert {Node(seed=seed).serve(7) for seed in range(5)} == {Node(seed=9).serve(7)}
 
 
@@ -282,7 +282,7 @@
     assert max(counts.values()) < 1.5 * 100
 
 
-def test_a_hot_key_goes_to_more_than_two() -> None:
+def test_hot_key_is_sent_to_more_than_two_servers() -> None:
     node = Node(servers=20)
     for _ in range(3):
         for n in range(100):
@@ -291,8 +291,9 @@
     assert len({node.serve(42) for _ in range(100)}) > 5
 
 
-def test_a_hot_key_shows_at_a_small_share_of_the_traffic_too() -> None:
-    """With hundreds of nodes each saw a popular key once a second at most, and all sent it to one server."""
+def test_hot_key_is_found_at_small_share_of_traffic() -> None:
+    """With hundreds of nodes each sees a hot key at most once a second. Guards against all of them sending it
+    to one server."""
     node = Node(servers=60)
     for n in range(90):
         node.serve(42 if n % 6 == 0 else 1000 + n)
@@ -300,25 +301,25 @@
     assert len({node.serve(42) for _ in range(100)}) > 5
 
 
-def test_keys_counted_while_no_server_is_listed_do_no_harm_later() -> None:
-    """A share of no servers was drawn from once some came back."""
+def test_keys_counted_without_servers_are_harmless() -> None:
+    """Guards against a random choice among zero servers after servers are listed again."""
     node = Node(servers=0)
     for _ in range(3):
         node.ask(0, 42)
     node.wait(SECOND)
-    node.tell(whole(server(1), server(2)))
+    node.tell(full_list(server(1), server(2)))
     assert node.serve(42) is not None
 
 
-def test_requests_without_a_key_draw_their_servers() -> None:
+def test_requests_without_key_use_random_servers() -> None:
     node = Node(servers=6)
     assert len({node.serve(0) for _ in range(60)}) == 6
 
 
-def test_a_change_of_the_list_moves_few_keys() -> None:
+def test_list_change_moves_few_keys() -> None:
     node = Node(servers=20)
     before = {key: node.serve(key) for key in range(1, 501)}
-    node.tell(whole(*(server(number) for number in range(19))))
+    node.tell(full_list(*(server(number) for number in range(19))))
     moved = [key for key in before if node.serve(key) != before[key]]
     lost = [key for key in before if before[key] == server(19).id]
     assert set(lost) <= set(moved)
@@ -328,9 +329,9 @@
 # Servers.
 
 
-def test_a_server_that_fails_fast_loses_its_keys_and_gets_one_back_as_a_trial() -> None:
+def test_failing_server_is_ejected_and_gets_one_trial_request() -> None:
     node = Node()
-    quieten(node)
+    warm_up_key_counts(node)
     home = node.serve(42)
     for _ in range(2):
         (send,) = node.ask(0, 42)
@@ -340,28 +341,28 @@
     node.wait(3 * SECOND)
     (trial,) = node.ask(0, 42)
     assert isinstance(trial, api.Send) and trial.server == home
-    assert node.serve(42) != home  # one at a time
+    assert node.serve(42) != home  # one trial at a time
     node.end(trial, Result.OK)
     assert node.serve(42) == home
 
 
-def test_a_server_seldom_seen_is_ejected_by_one_failure_and_for_longer() -> None:
-    """Of hundreds of nodes each met a failing server once in ten seconds, and never twice in a row."""
+def test_rarely_seen_server_is_ejected_by_one_failure_for_longer() -> None:
+    """Each of hundreds of nodes sees a failing server once in ten seconds, and never twice in a row."""
     node = Node(servers=12)
-    quieten(node)
+    warm_up_key_counts(node)
     home = node.serve(42)
     node.wait(10 * SECOND)
     node.end(node.ask(2, 42)[0], Result.ERROR)  # type: ignore[arg-type]
     node.wait(3900 * MS)
-    assert node.serve(42) != home  # two seconds at most it had been
+    assert node.serve(42) != home  # a common ejection lasts two seconds at most
     node.wait(5 * SECOND)
     assert node.serve(42) == home
 
 
-def test_a_trial_whose_connection_fails_is_over() -> None:
-    """A trial that told nothing stayed on, and its server out, for good."""
+def test_trial_ends_if_its_connection_fails() -> None:
+    """Guards against a trial without evidence that never ends and keeps its server ejected."""
     node = Node()
-    quieten(node)
+    warm_up_key_counts(node)
     home = node.serve(42)
     backend = node.balancer._backends[home or b""]
     for _ in range(2):
@@ -374,13 +375,13 @@
     assert node.serve(42) == home
 
 
-def test_a_server_that_times_out_on_some_and_answers_others_is_kept() -> None:
-    """Under load a third of the servers was left out for every other time-out of theirs, and the load of the
-    rest grew by half."""
+def test_server_that_answers_between_timeouts_is_not_ejected() -> None:
+    """Guards against ejecting a third of the servers under load because some of their requests time out,
+    which raises the load of the rest by half."""
     node = Node(servers=6)
     for _ in range(8):
         window(node, 12, 100 * MS)
-    quieten(node)
+    warm_up_key_counts(node)
     home = node.serve(42)
     backend = node.balancer._backends[home or b""]
     for _ in range(20):
@@ -392,16 +393,16 @@
             else:
                 node.end(send, Result.OK, 100 * MS)
     assert not backend.ejected_until and backend.failure_log_odds
-    node.now += SECOND  # silence is another matter
+    node.now += SECOND  # if it stops answering, it is ejected
     for _ in range(3):
         node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
         node.balancer._record_health(node.now, backend, Result.TIMEOUT, 0)
     assert backend.ejected_until
 
 
-def test_a_failed_trial_ejects_for_longer() -> None:
+def test_failed_trial_ejects_for_longer() -> None:
     node = Node()
-    quieten(node)
+    warm_up_key_counts(node)
     home = node.serve(42)
     for _ in range(2):
         node.end(node.ask(0, 42)[0], Result.ERROR)  # type: ignore[arg-type]
@@ -411,7 +412,7 @@
     assert node.serve(42) != home
 
 
-def test_where_all_fail_only_a_part_is_ejected() -> None:
+def test_ejections_are_limited_if_all_servers_fail() -> None:
     node = Node(servers=9)
     for key in range(1, 300):
         (send,) = node.ask(2, key)
@@ -420,7 +421,7 @@
     assert len({node.serve(key) for key in range(1, 200)}) >= 6
 
 
-def test_a_cold_server_gets_no_more_than_its_budget() -> None:
+def test_cold_server_gets_at_most_its_budget() -> None:
     node = Node()
     for key in range(1, 300):
         node.serve(key)
@@ -434,7 +435,7 @@
     assert got[cold.id] > 20
 
 
-def test_where_most_servers_are_cold_the_rest_is_not_one_servers() -> None:
+def test_load_of_cold_servers_is_not_moved_to_one_server() -> None:
     node = Node(servers=8)
     cold = [server(number, started=node.now) for number in range(8, 60)]
     node.tell(api.ServerList(api.ListKind.DELTA, tuple(cold)))
@@ -442,30 +443,30 @@
     assert max(got.values()) < 250
 
 
-def test_nothing_goes_to_a_draining_server_or_one_left_out_of_a_full_list() -> None:
+def test_draining_and_unlisted_servers_get_no_requests() -> None:
     node = Node(servers=4)
     node.tell(api.ServerList(api.ListKind.DELTA, (server(1, api.ServerState.DRAINING),)))
     assert server(1).id not in {node.serve(key) for key in range(1, 100)}
-    node.tell(whole(server(0), server(2)))
+    node.tell(full_list(server(0), server(2)))
     assert {node.serve(key) for key in range(1, 100)} == {server(0).id, server(2).id}
 
 
-def test_an_empty_list_refuses_and_a_refill_serves() -> None:
+def test_empty_list_refuses_until_servers_are_listed() -> None:
     node = Node(servers=0)
     assert isinstance(node.ask(2, 1)[0], api.Refuse)
-    node.tell(whole(server(1)))
+    node.tell(full_list(server(1)))
     assert node.serve(1) == server(1).id
 
 
-def test_a_weight_of_nothing_is_as_any_other() -> None:
+def test_zero_weight_counts_as_default_weight() -> None:
     node = Node(servers=0)
-    node.tell(whole(server(0)._replace(weight=0.0), server(1)._replace(weight=0.0)))
+    node.tell(full_list(server(0)._replace(weight=0.0), server(1)._replace(weight=0.0)))
     assert len({node.serve(key) for key in range(1, 50)}) == 2
 
 
-def test_a_heavier_server_gets_more_keys() -> None:
+def test_heavier_server_gets_more_keys() -> None:
     node = Node(servers=0)
-    node.tell(whole(server(0)._replace(weight=3.0), server(1), server(2)))
+    node.tell(full_list(server(0)._replace(weight=3.0), server(1), server(2)))
     got = Counter(node.serve(key) for key in range(1, 1001))
     assert 500 < got[server(0).id] < 700
 
@@ -473,14 +474,14 @@
 # Further attempts.
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
+def test_unsafe_request_that_may_have_run_fails_without_retry() -> None:
     node = Node()
     (send,) = node.ask(2, 1)
     assert isinstance(send, api.Send)
     assert node.end(send, Result.ERROR) == [api.Fail(send.request)]
 
 
-def test_an_unsafe_request_that_found_no_connection_goes_to_another_server() -> None:
+def test_unsafe_request_without_connection_is_sent_to_another_server() -> None:
     node = Node()
     (send,) = node.ask(2, 1)
     assert isinstance(send, api.Send)
@@ -488,7 +489,7 @@
     assert isinstance(again, api.Send) and again.server != send.server
 
 
-def test_a_keyed_request_is_repeated_in_its_cell_and_in_time_only() -> None:
+def test_keyed_request_is_retried_only_in_its_cell_and_window() -> None:
     node = Node(settings(classes=(KEYED,)), servers=6)
     (send,) = node.ask(0, 5)
     assert isinstance(send, api.Send)
@@ -501,14 +502,14 @@
     assert node.end(late, Result.RESET) == [api.Fail(late.request)]
 
 
-def test_a_keyed_request_without_a_key_is_not_repeated() -> None:
+def test_keyed_request_without_key_is_not_retried() -> None:
     node = Node(settings(classes=(KEYED,)))
     (send,) = node.ask(0, 0)
     assert isinstance(send, api.Send)
     assert node.end(send, Result.RESET) == [api.Fail(send.request)]
 
 
-def test_further_attempts_are_bounded_by_a_budget() -> None:
+def test_retries_are_limited_by_budget() -> None:
     node = Node(servers=30)
     again = 0
     for key in range(1, 201):
@@ -530,10 +531,10 @@
     assert node.tell(api.Timer(4711)) == []
 
 
-# The list.
+# The list of servers.
 
 
-def test_a_failed_watch_is_asked_again_with_growing_pauses_within_the_bound() -> None:
+def test_failed_watch_is_retried_with_bounded_backoff() -> None:
     node = Node(settings(list_mode=api.ListMode.ON_REQUEST))
     node.tell(api.ServerList(api.ListKind.FAILED, ()))
     pauses = []
@@ -544,14 +545,15 @@
         pauses.append(node.now - before)
         node.tell(api.ServerList(api.ListKind.FAILED, ()))
     assert pauses[0] <= SECOND + 50 * MS
-    assert SECOND < max(pauses) <= 2 * SECOND + 50 * MS  # a change counts as told 6 s after discovery is back
+    # A change must be known 6 s after discovery is reachable again.
+    assert SECOND < max(pauses) <= 2 * SECOND + 50 * MS
 
 
-def test_whatever_befalls_its_calls_a_node_calls_again_soon_enough_to_learn_within_6_s() -> None:
-    """Discovery may be back the moment after a call that comes to nothing has begun. The pauses doubled to
-    ten seconds and came on top of calls that had themselves been waited for."""
+def test_watch_is_retried_in_time_to_learn_changes_within_6_s() -> None:
+    """Discovery may become reachable right after a call that will fail has begun. Guards against back-offs
+    that double up to ten seconds and are added to the time spent waiting for calls."""
     chance = Random(11)
-    # Refused, turned away, cut off, mute.
+    # Connection refused, call rejected, connection timed out, call not answered.
     lasts = (0, SECOND // 100, int(DIAL_TIMEOUT_S * SECOND), int(ANSWER_TIMEOUT_S * SECOND))
     for seed in range(40):
         balancer = Balancer(settings(list_mode=api.ListMode.ON_REQUEST), seed)
@@ -564,19 +566,19 @@
             failed = began + chance.choice(lasts)
             (again,) = balancer.handle(failed, api.ServerList(api.ListKind.FAILED, ()))
             assert isinstance(again, api.SetTimer) and again.at > failed + SECOND // 5
-            assert again.at - began <= 5 * SECOND  # which leaves one for the answer
+            assert again.at - began <= 5 * SECOND  # leaves 1 s for the answer
             began = again.at
             assert balancer.handle(began, api.Timer(WATCH_TOKEN)) == [api.Watch()]
 
 
-def test_a_node_that_restarts_with_an_empty_list_asks_within_a_second() -> None:
+def test_node_restarted_with_empty_list_asks_within_one_second() -> None:
     balancer = Balancer(settings(list_mode=api.ListMode.ON_REQUEST), 3)
     (timer,) = balancer.handle(START, api.ServerList(api.ListKind.CACHED, ()))
     assert isinstance(timer, api.SetTimer)
     assert timer.at - START <= SECOND
 
 
-def test_a_watch_is_asked_for_once_until_it_fails() -> None:
+def test_watch_is_requested_once_until_it_fails() -> None:
     balancer = Balancer(settings(list_mode=api.ListMode.ON_REQUEST), 3)
     assert balancer.handle(1, api.Timer(2)) == [api.Watch()]
     assert balancer.handle(2, api.Timer(2)) == []
@@ -584,7 +586,7 @@
     assert balancer.handle(4, api.Timer(2)) == [api.Watch()]
 
 
-def test_repeats_within_a_zone_do_not_all_go_to_its_first_server() -> None:
+def test_retries_within_zone_are_spread_over_its_servers() -> None:
     kind = api.RequestClass(SECOND, 1.0, 0.0, api.Repeat.KEYED, api.Group.ZONE, 5 * SECOND)
     node = Node(settings(classes=(kind,)), servers=30)
     again = set()
@@ -599,14 +601,14 @@
     assert len(again) > 5
 
 
-def test_servers_that_are_gone_are_forgotten() -> None:
+def test_gone_servers_are_removed() -> None:
     balancer = Balancer(settings(), 3)
     for n in range(50):
-        balancer.handle(n, whole(server(n), server(n + 1)))
+        balancer.handle(n, full_list(server(n), server(n + 1)))
     assert len(balancer._backends) == 2
 
 
-def test_nodes_that_start_together_ask_at_different_times() -> None:
+def test_nodes_starting_together_ask_at_different_times() -> None:
     first = []
     for seed in range(10):
         node = Node(settings(list_mode=api.ListMode.ON_REQUEST), seed=seed)
@@ -615,21 +617,21 @@
     assert max(first) - min(first) > SECOND
 
 
-# Order.
+# Requests in order of their key.
 
 ORDERED = api.RequestClass(SECOND, 1.0, 0.0, api.Repeat.SAFE, in_order=True)
 
 
-def ordered(servers: int = 6) -> Node:
+def ordered_node(servers: int = 6) -> Node:
     node = Node(settings(classes=(ORDERED, ORDERED), key_rest=50 * MS), servers)
-    for _ in range(9):  # windows that tell how long such requests take
+    for _ in range(9):  # windows that show the typical response time
         window(node, 2, 10 * MS)
         window(node, 2, 10 * MS, class_index=1)
     return node
 
 
-def test_requests_of_a_key_go_out_one_at_a_time_in_the_order_taken() -> None:
-    node = ordered()
+def test_requests_of_key_are_sent_one_at_a_time_in_order() -> None:
+    node = ordered_node()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Send)
     assert isinstance(node.ask(0, 6)[0], api.Send)  # another key
@@ -642,20 +644,20 @@
     assert node.end(third, Result.OK) == []
 
 
-def test_a_key_rests_after_an_attempt_that_may_still_run() -> None:
-    node = ordered()
+def test_key_is_held_after_attempt_that_may_still_run() -> None:
+    node = ordered_node()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Send)
     node.ask(0, 5)
     (again,) = node.end(first, Result.RESET)
-    assert isinstance(again, api.Send) and again.request == first.request  # it keeps its turn
+    assert isinstance(again, api.Send) and again.request == first.request  # still first in the queue
     assert all(isinstance(action, api.SetTimer) for action in node.end(again, Result.OK))
     assert not [action for action in node.wait(49 * MS) if isinstance(action, api.Send)]
     assert [action for action in node.wait(2 * MS) if isinstance(action, api.Send)]
 
 
-def test_a_client_that_left_holds_the_turn_until_its_attempt_is_over() -> None:
-    node = ordered()
+def test_queue_waits_for_attempt_of_disconnected_client() -> None:
+    node = ordered_node()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Send)
     node.tell(api.ClientGone(first.request))
@@ -663,8 +665,8 @@
     assert isinstance(node.end(first, Result.OK)[0], api.Send)
 
 
-def test_one_that_waits_too_long_is_refused_before_its_time_is_up() -> None:
-    node = ordered()
+def test_queued_request_is_refused_before_its_deadline() -> None:
+    node = ordered_node()
     node.ask(0, 5)
     asked = node.now
     node.ask(0, 5)
@@ -673,8 +675,8 @@
     assert node.now > asked + SECOND // 3
 
 
-def test_a_queue_whose_end_comes_too_late_takes_no_more() -> None:
-    """A popular key at a single node asks for more than one at a time can do."""
+def test_request_is_refused_if_its_turn_would_come_too_late() -> None:
+    """Guards against queueing more requests of a hot key at one node than it can send one at a time."""
     node = Node(settings(classes=(ORDERED,)))
     for _ in range(9):
         window(node, 2, 300 * MS)
@@ -686,13 +688,13 @@
 # Connections.
 
 
-def lose_idle(node: Node, result: Result, keys: range = range(1, 9)) -> None:
-    """Requests that go out on connections which had been idle for three seconds, and are not answered."""
+def lose_idle_connections(node: Node, result: Result, keys: range = range(1, 9)) -> None:
+    """Sends requests on connections that were idle for three seconds, and leaves them unanswered."""
     for key in keys:
         node.serve(key)
         node.wait(3 * SECOND)
         for backend in node.balancer._subset:
-            backend.reset_health()  # the first losses, not yet understood, eject some
+            backend.reset_health()  # the first losses eject some servers
         actions = node.ask(2, key)
         send = actions[-1]
         assert isinstance(send, api.Send)
@@ -700,14 +702,15 @@
 
 
 @pytest.mark.parametrize("result", [Result.RESET, Result.TIMEOUT])
-def test_an_idle_connection_is_closed_before_use_once_such_have_been_lost(result: Result) -> None:
-    """A network dropped idle connections unseen: what was sent on one was lost and might have run."""
+def test_idle_connections_are_closed_before_use_after_losses(result: Result) -> None:
+    """Guards against networks that drop idle connections silently: what is sent on one is lost and might have
+    run."""
     node = Node()
     node.serve(1)
     node.wait(3 * SECOND)
     assert [type(action) for action in node.ask(2, 1)] == [api.Send]
     node = Node()
-    lose_idle(node, result, range(1, 8 if result is Result.RESET else 5))
+    lose_idle_connections(node, result, range(1, 8 if result is Result.RESET else 5))
     for backend in node.balancer._subset:
         backend.reset_health()
         backend.idle_since = [node.now]
@@ -719,46 +722,47 @@
     for backend in node.balancer._subset:
         backend.idle_since = [node.now]
     node.wait(100 * MS)
-    assert [type(action) for action in node.ask(2, 5)] == [api.Send]  # it did not idle for long
+    assert [type(action) for action in node.ask(2, 5)] == [api.Send]  # it was not idle for long
 
 
-def test_trust_in_idle_connections_comes_back() -> None:
+def test_idle_connections_are_trusted_again_over_time() -> None:
     node = Node()
-    lose_idle(node, Result.RESET, range(1, 5))
+    lose_idle_connections(node, Result.RESET, range(1, 5))
     node.wait(60 * SECOND)
     node.serve(5)
     node.wait(3 * SECOND)
     assert [type(action) for action in node.ask(2, 5)] == [api.Send]
 
 
-def test_trust_comes_back_after_months_too() -> None:
-    """The doubling of trust overflowed after some hours."""
+def test_trusted_idle_time_does_not_overflow_after_months() -> None:
+    """Guards against an overflow of the doubled idle time, which came after some hours."""
     node = Node()
-    lose_idle(node, Result.RESET, range(1, 5))
+    lose_idle_connections(node, Result.RESET, range(1, 5))
     node.serve(5)
     node.now += 90 * 24 * 3600 * SECOND
     assert isinstance(node.ask(2, 5)[-1], api.Send)
 
 
-def test_what_is_lost_on_new_connections_too_is_not_for_idling() -> None:
+def test_losses_on_new_connections_are_not_attributed_to_idling() -> None:
     node = Node(servers=30)
     for key in range(100, 120):
         send = node.ask(2, key)[-1]
         assert isinstance(send, api.Send)
         node.end(send, Result.TIMEOUT, 300 * MS)
-    lose_idle(node, Result.TIMEOUT, range(1, 3))
+    lose_idle_connections(node, Result.TIMEOUT, range(1, 3))
     node.serve(5)
     node.wait(3 * SECOND)
     assert [type(action) for action in node.ask(2, 5)] == [api.Send]
 
 
-def test_where_new_connections_fail_standing_ones_are_used_and_their_servers_not_ejected() -> None:
-    """New connections turned slow at most servers: three quarters of them were ejected as down."""
+def test_open_connections_are_preferred_while_new_ones_fail() -> None:
+    """Guards against ejecting three quarters of the servers as down when new connections become slow at most
+    of them."""
     node = Node(servers=12)
     for key in range(1, 60):
         node.serve(key)
     standing = {node.serve(key) for key in range(1, 60)}
-    held = [node.ask(0, key)[0] for key in range(1, 60)]  # takes the standing connections and needs more
+    held = [node.ask(0, key)[0] for key in range(1, 60)]  # uses the open connections and needs more
     fails = [send for send in held[12:] if isinstance(send, api.Send)]
     for send in fails[:10]:
         (again,) = node.end(send, Result.CONNECT_FAILED)
@@ -779,14 +783,14 @@
 # Kinds of machine.
 
 
-def machines(weight: float = 1.0) -> Node:
+def mixed_fleet(weight: float = 1.0) -> Node:
     node = Node(settings(report_fields=("utilization",)), servers=0)
     weights = (1.0, weight)
-    node.tell(whole(*(server(n)._replace(kind=n % 2, weight=weights[n % 2]) for n in range(20))))
+    node.tell(full_list(*(server(n)._replace(kind=n % 2, weight=weights[n % 2]) for n in range(20))))
     return node
 
 
-def part_of_second_kind(node: Node) -> float:
+def share_of_second_kind(node: Node) -> float:
     got = [node.serve(key) for key in range(50_000, 50_400)]
     return sum(int.from_bytes(name or b"", "big") % 2 for name in got) / len(got)
 
@@ -799,25 +803,26 @@
         node.wait(50 * MS)
 
 
-def test_a_kind_that_reports_to_be_busier_gets_fewer_keys_where_the_list_gives_no_weights() -> None:
-    """The slowest kind of a mixed fleet got as many keys as the others, and was never out of trouble."""
-    node = machines()
-    assert 0.4 < part_of_second_kind(node) < 0.6
+def test_busier_kind_gets_fewer_keys_without_listed_weights() -> None:
+    """Guards against sending the slowest kind of a mixed fleet as many keys as the others, which overloads it
+    permanently."""
+    node = mixed_fleet()
+    assert 0.4 < share_of_second_kind(node) < 0.6
     report(node, (0.3, 0.9))
-    assert part_of_second_kind(node) < 0.3
+    assert share_of_second_kind(node) < 0.3
 
 
-def test_listed_weights_are_not_second_guessed() -> None:
-    node = machines(weight=2.0)
-    before = part_of_second_kind(node)
+def test_listed_weights_are_not_adjusted() -> None:
+    node = mixed_fleet(weight=2.0)
+    before = share_of_second_kind(node)
     report(node, (0.3, 0.6))
-    assert abs(part_of_second_kind(node) - before) < 0.05
+    assert abs(share_of_second_kind(node) - before) < 0.05
 
 
-def test_reports_of_nothing_and_time_outs_alone_leave_every_kind_a_share() -> None:
-    node = machines()
+def test_zero_reports_and_timeouts_leave_every_kind_a_share() -> None:
+    node = mixed_fleet()
     report(node, (0.0, 0.0))
-    assert 0.4 < part_of_second_kind(node) < 0.6
+    assert 0.4 < share_of_second_kind(node) < 0.6
     for n in range(100):
         send = node.ask(0, 900 + n)[0]
         if isinstance(send, api.Send):
@@ -826,8 +831,8 @@
     assert all(kind.share > 0.0 for kind in node.balancer._kinds.values())
 
 
-def test_no_further_attempt_once_an_answer_would_be_worth_nothing() -> None:
-    """After a time-out at the aim the same request went out again, for an answer that nobody wanted."""
+def test_no_retry_once_answer_would_be_worthless() -> None:
+    """Guards against a retry after a time-out at the aim, whose answer nobody needs."""
     node = Node()
     (send,) = node.ask(0, 1, time_left=3 * SECOND)
     assert isinstance(send, api.Send) and send.time_out == 500 * MS
@@ -838,8 +843,9 @@
     assert isinstance(node.end(again, Result.TIMEOUT, 300 * MS)[0], api.Refuse)
 
 
-def test_no_further_attempt_that_has_no_time_and_no_blame_for_one() -> None:
-    """Time-outs of a few milliseconds, on what was left of the aim, ejected one good server after another."""
+def test_no_retry_without_enough_time_and_no_ejection_for_short_timeouts() -> None:
+    """Guards against ejecting healthy servers for time-outs of a few milliseconds, on what was left of the
+    aim."""
     node = Node(servers=6)
     for _ in range(8):
         window(node, 12, 100 * MS)
@@ -859,7 +865,7 @@
 
 
 @pytest.mark.parametrize("report", [(), (0.9,)])
-def test_an_answer_without_a_report_does_not_make_a_busy_server_look_idle(report: tuple[float, ...]) -> None:
+def test_answer_without_report_keeps_last_utilization(report: tuple[float, ...]) -> None:
     node = Node(settings(report_fields=("utilization",)), servers=1)
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Send)
@@ -881,14 +887,14 @@
     ("nodes", lambda: settings(nodes=0)),
     ("key_rest", lambda: settings(key_rest=-1)),
 ])  # fmt: skip
-def test_impossible_settings_are_refused_by_name(field: str, make: Callable[[], object]) -> None:
+def test_invalid_settings_are_rejected_by_name(field: str, make: Callable[[], object]) -> None:
     with pytest.raises(ValueError, match=field):
         make()
 
 
-def test_overdriven_servers_get_a_rest() -> None:
-    """Where hardly anything was answered half of the old load kept the servers' queues full.
-    A dozen attempts decide it: five did so by chance."""
+def test_caps_fall_if_servers_are_overloaded() -> None:
+    """If hardly anything is answered, half of the old load keeps the servers' queues full. A dozen attempts
+    decide; with five it happened by chance."""
     node = Node(settings(classes=(UNSAFE,)), servers=6)
     for _ in range(4):
         window(node, 12, 50 * MS)
@@ -902,9 +908,10 @@
     assert max(node.balancer._caps) < 1.0
 
 
-def test_cold_servers_do_not_make_their_kind_look_idle() -> None:
-    """They are sent little on purpose; by their reports the one warm server of their kind got all keys."""
-    node = machines()
+def test_cold_servers_do_not_count_in_utilization_of_kind() -> None:
+    """Cold servers are sent little on purpose. Guards against sending all keys to the one warm server of
+    their kind because of their low reports."""
+    node = mixed_fleet()
     cold = [server(n, started=node.now)._replace(kind=n % 2) for n in range(3, 20, 2)]
     node.tell(api.ServerList(api.ListKind.DELTA, tuple(cold)))
     for n in range(600):
@@ -918,15 +925,16 @@
 
 
 @pytest.mark.parametrize(("busy", "part"), [(0.0, 0.8), (0.7, 0.8), (0.95, 0.8), (0.4, 1.4), (0.1, 1.6)])
-def test_a_cold_server_with_room_by_its_report_takes_more(busy: float, part: float) -> None:
+def test_cold_server_with_reported_room_gets_more(busy: float, part: float) -> None:
     node = Node()
     backend = node.balancer._subset[0]
     backend.utilization = busy
     assert node.balancer._cold_load_fraction(backend) == pytest.approx(part)
 
 
-def test_the_part_of_cold_servers_outlasts_a_jam_of_the_warm_ones() -> None:
-    """By the rate of a jam they got next to nothing, and the warm ones all the rest, for ten seconds."""
+def test_rate_for_cold_servers_falls_slowly_while_warm_ones_are_overloaded() -> None:
+    """Guards against giving cold servers next to nothing, and warm ones all the rest, for ten seconds because
+    the rate is low during an overload."""
     node = Node()
     for key in range(1, 600):
         node.serve(key)
@@ -936,19 +944,19 @@
     assert 0.7 * rate < node.balancer._warm_rate < rate
 
 
-def test_what_was_learned_goes_to_the_next_balancer() -> None:
+def test_learned_state_is_restored_in_next_balancer() -> None:
     node, other = Node(), Node(seed=2)
     for _ in range(6):
         window(node, 30, 450 * MS)
     failing = node.balancer._subset[0]
     failing.failure_log_odds, failing.ejected_until = 3.0, node.now + 5 * SECOND
-    node.wait(SECOND)  # the caps count without it
+    node.wait(SECOND)  # the caps do not count it
     (send,) = node.ask(0, 7)
     other.now = node.now
     restore_state(other.balancer, other.now, json.loads(json.dumps(export_state(node.balancer))))
     assert other.balancer._caps == pytest.approx(node.balancer._caps)
     assert other.balancer._subset[0].ejected_until == failing.ejected_until
-    # What the old one has out counts for its usual time, and no longer.
+    # Attempts of the old balancer count for their typical duration only.
     assert other.balancer._in_flight.count == 1 and isinstance(send, api.Send)
     other.wait(3 * SECOND)
     assert other.balancer._in_flight.count == 0
@@ -956,12 +964,12 @@
         restore_state(other.balancer, other.now, {"breakers": []})
 
 
-# A large fleet: a node sees little of any server.
+# Large fleets, in which a node rarely sees a server.
 
 
-def test_a_cap_follows_the_servers_that_can_serve_at_once() -> None:
-    """Three in five servers of a fleet were replaced within seconds. Caps learned before it held on, the rest
-    was filled with what all had carried, and crowded servers turned slow for good."""
+def test_cap_follows_number_of_usable_servers() -> None:
+    """Guards against caps that outlast the replacement of three in five servers within seconds: the rest then
+    gets the load of all and stays overloaded."""
     node = Node(one_class(), servers=12)
     for _ in range(8):
         window(node, 60, 500 * MS)
@@ -976,7 +984,7 @@
     assert node.balancer._caps[0] == pytest.approx(before / 4)
 
 
-def test_cold_servers_lift_a_cap_as_they_warm_up() -> None:
+def test_cap_rises_as_cold_servers_warm_up() -> None:
     node = Node(one_class(), servers=6)
     before = node.balancer._caps[0]
     node.tell(api.ServerList(api.ListKind.DELTA, tuple(
@@ -988,11 +996,11 @@
     assert node.balancer._caps[0] == pytest.approx(2 * before, rel=0.05)
 
 
-def test_few_answers_of_a_class_lean_on_those_of_all() -> None:
-    """The tail of three answers was their second: caps stood at four times what the fleet could carry."""
+def test_class_with_few_answers_uses_pooled_tail() -> None:
+    """The tail of three answers is their second. Guards against caps of four times the fleet's capacity."""
     crowded = [200 * MS, 300 * MS, 900 * MS]
     breakers = [Breaker(SECOND) for _ in range(4)]
-    for _ in range(20):  # quiet windows first: what is usual is known
+    for _ in range(20):  # windows at low load first, to learn the typical response time
         for breaker in breakers:
             breaker.window.answered += [200 * MS, 200 * MS, 250 * MS]
             breaker.update(3.0, 10.0, False, 0.0)
@@ -1002,10 +1010,10 @@
     pooled = pooled_tail(breakers)
     lean.update(9.0, 10.0, False, pooled)
     alone.update(9.0, 10.0, False, 0.0)
-    assert lean.threshold(10.0) < 0.75 * alone.threshold(10.0)  # three of the eight that speak for it
+    assert lean.threshold(10.0) < 0.75 * alone.threshold(10.0)  # three of the eight samples that suffice
 
 
-def test_a_class_with_answers_enough_goes_by_its_own() -> None:
+def test_class_with_enough_answers_ignores_pooled_tail() -> None:
     one, other = Breaker(SECOND), Breaker(SECOND)
     for breaker in (one, other):
         breaker.window.answered += [300 * MS] * 16
@@ -1014,7 +1022,7 @@
     assert one.threshold(10.0) == other.threshold(10.0)
 
 
-def test_what_is_usual_for_a_class_does_not_jump_with_one_answer() -> None:
+def test_typical_time_does_not_jump_with_one_answer() -> None:
     one = Breaker(SECOND)
     for _ in range(20):
         one.window.answered += [200 * MS]
@@ -1025,9 +1033,10 @@
     assert before < one.typical_time < 1.5 * before
 
 
-def test_trials_of_a_silent_server_tell_nothing_of_idle_connections() -> None:
-    """Nearly half the requests of a fleet went out on new connections: each trial of a slow server that timed
-    out on an idle one counted as a connection that had been dropped, and all idle ones were closed."""
+def test_trials_of_silent_server_do_not_count_against_idle_connections() -> None:
+    """Guards against counting trials of a slow server that time out on idle connections as dropped
+    connections. All idle connections were closed then, and nearly half the requests of a fleet needed new
+    ones."""
     node = Node(servers=1)
     (silent,) = node.balancer._subset
     node.serve(1)
@@ -1042,10 +1051,10 @@
     assert not node.balancer._distrusted_since
 
 
-def test_idle_connections_are_trusted_again_where_new_ones_fare_no_better() -> None:
-    """Crowded servers timed out on any connection; a handshake for each request crowded them more."""
+def test_idle_connections_are_trusted_if_new_ones_do_no_better() -> None:
+    """Overloaded servers time out on any connection. Guards against adding a handshake for each request."""
     node = Node()
-    lose_idle(node, Result.TIMEOUT)
+    lose_idle_connections(node, Result.TIMEOUT)
     assert node.balancer._distrusted_since
     backend = node.balancer._subset[0]
     backend.idle_since = [node.now - 10 * SECOND]
@@ -1054,10 +1063,10 @@
     assert node.balancer._reusable_idle_time(node.now, backend)
 
 
-def test_one_failure_tells_of_a_server_only_where_others_do_not_fail() -> None:
-    """On forty nodes each time-out of a server that had not answered for two seconds left it out: where a
-    tenth of all attempts timed out, a quarter of the list was out at each node, another quarter at the next,
-    and the truly jammed ones found no place among them."""
+def test_one_failure_ejects_only_if_other_servers_do_not_fail() -> None:
+    """Guards against ejecting a server for each time-out if it has not answered for two seconds. With forty
+    nodes and a tenth of all attempts timing out, each node ejected a different quarter of the list, and the
+    overloaded servers were not among them."""
     for fleet, ejected in ((0.0, True), (0.15, False)):
         node = Node()
         node.balancer._fleet_failures = fleet
@@ -1069,7 +1078,7 @@
         assert backend.ejected_until
 
 
-def test_doubt_of_a_server_fades_with_its_answers() -> None:
+def test_answers_reduce_failure_evidence() -> None:
     node = Node()
     node.balancer._fleet_failures = 0.15
     backend = node.balancer._subset[0]
@@ -1080,8 +1089,9 @@
     assert not backend.ejected_until
 
 
-def test_servers_that_told_nothing_yet_are_not_held_to_be_idle() -> None:
-    """For its first seconds a node of a large fleet has the reports of a few servers, all of them crowded."""
+def test_servers_without_reports_do_not_count_as_idle() -> None:
+    """In its first seconds a node of a large fleet has the reports of a few servers only, all of them
+    overloaded."""
     node = Node(settings(report_fields=("utilization",)), servers=60)
     for backend in node.balancer._subset[:5]:
         backend.utilization = 0.9
@@ -1091,8 +1101,9 @@
     assert node.balancer._is_idle()
 
 
-def test_a_full_server_gets_its_idle_connections_back() -> None:
-    """It may be full of connections. Kept by each of many nodes, they kept it over its number for good."""
+def test_idle_connections_to_full_server_are_closed() -> None:
+    """A server may be full of connections. Guards against many nodes that each keep theirs, so that it stays
+    over its limit."""
     node = Node(servers=1)
     first, second = node.ask(0, 42)[-1], node.ask(0, 42)[-1]
     assert isinstance(first, api.Send) and isinstance(second, api.Send)
@@ -1103,9 +1114,10 @@
     assert not backend.idle_since
 
 
-def test_a_watch_that_had_been_answered_is_opened_anew_at_once() -> None:
-    """Its end may stand in the place of news, and a whole fleet that pauses first queues at discovery for
-    longer than a grace. One that ends as soon as it is answered is no reason to call ten times a second."""
+def test_answered_watch_is_reopened_at_once() -> None:
+    """A watch may end instead of sending a change. Guards against a fleet that pauses first and then queues
+    at discovery for longer than a drain's grace, and against calls ten times a second if watches end as soon
+    as they are answered."""
     for seed in range(40):
         balancer = Balancer(settings(list_mode=api.ListMode.ON_REQUEST), seed)
         (_, first) = balancer.start(START)
@@ -1114,7 +1126,7 @@
         pauses = []
         for stands in (8 * SECOND, 30 * SECOND, 0, 0, 0, 0, 0, 0, 9 * SECOND, 9 * SECOND):
             assert balancer.handle(now, api.Timer(WATCH_TOKEN)) == [api.Watch()]
-            balancer.handle(now + 10 * MS, whole(server(1)))
+            balancer.handle(now + 10 * MS, full_list(server(1)))
             now += 10 * MS + stands
             (again,) = balancer.handle(now, api.ServerList(api.ListKind.FAILED, ()))
             assert isinstance(again, api.SetTimer)
@@ -1125,8 +1137,8 @@
         assert sum(pauses[2:8]) >= 2 * SECOND
 
 
-def test_no_repeat_is_begun_so_late_that_a_held_up_write_would_miss_its_window() -> None:
-    """Between the clock's reading and the write a node may be held up for 0.15 s."""
+def test_no_repeat_starts_if_delayed_write_could_miss_window() -> None:
+    """A node may be delayed by 0.15 s between reading the clock and writing."""
     for elapsed, again in ((400 * MS, True), (549 * MS, True), (551 * MS, False), (690 * MS, False)):
         kind = replace(KEYED, aim=4 * SECOND, group=api.Group.ALL)  # repeats are dropped for 700 ms
         node = Node(settings(classes=(kind,)), servers=6)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules over generated legal sequences of events, for all shapes of settings."""
+"""Checks the rules over generated valid sequences of events, for all combinations of settings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from world import BASE, MS, Game, RuleBroken, settings
+from world import BASE, MS, Game, RuleViolation, settings
 
 from lichenspring import Balancer, balance
 from lichenspring import interface as api
@@ -43,12 +43,12 @@
     Game(Balancer(rules, seed), rules, Random(seed), stream).play(steps=250)
 
 
-def broken_rule(rules: api.Settings, games: int = 60) -> str:
-    """What the checker says of the module as it is now, over many sequences."""
+def violated_rule(rules: api.Settings, games: int = 60) -> str:
+    """The rule that the checker reports for the current module, over many sequences."""
     for seed in range(games):
         try:
             Game(Balancer(rules, seed), rules, Random(seed)).play(steps=250)
-        except RuleBroken as broken:
+        except RuleViolation as broken:
             return str(broken).split(":")[0]
     return "none"
 
@@ -56,72 +56,72 @@
 RULES = settings(classes=classes(api.Group.CELL), key_rest=400 * MS)
 
 
-def test_the_checker_finds_nothing_in_the_module_as_it_is() -> None:
-    assert broken_rule(RULES) == "none"
+def test_checker_accepts_unmodified_module() -> None:
+    assert violated_rule(RULES) == "none"
 
 
-def test_the_checker_sees_a_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "_finish", lambda self, entry: None)
-    assert broken_rule(RULES) == "lost"
+    assert violated_rule(RULES) == "lost"
 
 
-def test_the_checker_sees_an_effect_that_may_happen_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_possible_second_effect(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(balance.OpenRequest, "may_send_to", lambda self, server, now: True)
-    assert broken_rule(RULES) == "duplicate"
+    assert violated_rule(RULES) == "duplicate"
 
 
-def test_the_checker_sees_a_refusal_that_invites_a_second_effect(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_refusal_that_allows_second_effect(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(balance.OpenRequest, "may_refuse", lambda self: True)
-    assert broken_rule(RULES) == "duplicate"
+    assert violated_rule(RULES) == "duplicate"
 
 
-def test_the_checker_sees_a_drain_that_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    enter = Balancer._update_server
+def test_checker_detects_ignored_drain(monkeypatch: pytest.MonkeyPatch) -> None:
+    update_server = Balancer._update_server
 
-    def enter_all_as_ready(self: Balancer, now: int, server: api.Server) -> None:
-        enter(self, now, server._replace(state=api.ServerState.READY))
+    def list_all_as_ready(self: Balancer, now: int, server: api.Server) -> None:
+        update_server(self, now, server._replace(state=api.ServerState.READY))
 
-    monkeypatch.setattr(Balancer, "_update_server", enter_all_as_ready)
-    assert broken_rule(RULES) == "drain"
+    monkeypatch.setattr(Balancer, "_update_server", list_all_as_ready)
+    assert violated_rule(RULES) == "drain"
 
 
-def test_the_checker_sees_a_cold_server_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_overloaded_cold_server(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "_warmth", lambda self, now, server: 1.0)
-    assert broken_rule(RULES) == "cold"
+    assert violated_rule(RULES) == "cold"
 
 
-def test_the_checker_sees_requests_of_a_key_out_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_concurrent_requests_of_key(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "_enqueue_in_order", Balancer._send_first)
-    assert broken_rule(RULES) == "order"
+    assert violated_rule(RULES) == "order"
 
 
-def test_the_checker_sees_a_key_that_does_not_rest(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_missing_hold_of_key(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Balancer, "_hold_key", lambda self, now, entry, result: None)
-    assert broken_rule(RULES) == "order"
+    assert violated_rule(RULES) == "order"
 
 
-def test_the_checker_sees_a_second_copy(monkeypatch: pytest.MonkeyPatch) -> None:
-    settle = Balancer._on_outcome
+def test_checker_detects_concurrent_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+    handle_outcome = Balancer._on_outcome
 
-    def copy(self: Balancer, now: int, outcome: api.Outcome) -> None:
-        settle(self, now, outcome)
+    def send_copy(self: Balancer, now: int, outcome: api.Outcome) -> None:
+        handle_outcome(self, now, outcome)
         for entry in list(self._open.values()):
             if entry.request_class.repeat is api.Repeat.SAFE and not entry.closed:
                 self._send_first(now, entry)
 
-    monkeypatch.setattr(Balancer, "_on_outcome", copy)
-    assert broken_rule(RULES) == "duplicate"
+    monkeypatch.setattr(Balancer, "_on_outcome", send_copy)
+    assert violated_rule(RULES) == "duplicate"
 
 
-def test_queues_leave_no_residue() -> None:
+def test_queues_are_empty_after_game() -> None:
     balancer = Balancer(RULES, 3)
     game = Game(balancer, RULES, Random(3))
     game.play(steps=400)
-    game._pass(5_000 * MS)
+    game._advance_time(5_000 * MS)
     assert (balancer._key_queues, balancer._open, balancer._in_flight.count) == ({}, {}, 0)
 
 
-def test_the_same_events_give_the_same_actions() -> None:
+def test_same_events_give_same_actions() -> None:
     games = [Game(Balancer(BASE, 5), BASE, Random(9)) for _ in range(2)]
     for game in games:
         game.play(steps=300)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,6 @@
-"""Helpers of the tests: settings, a hand-driven balancer, and the checker of the rules.
+"""Test helpers: settings, a balancer driven by hand, and the checker of the rules.
 
-Nothing here models servers: the tests play events and look at the answers.
+Nothing here models servers: tests send events and inspect the actions.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 MS = SECOND // 1000
 START = 77 * SECOND
 
-DEADLINE = SECOND
+DEADLINE_NS = SECOND
 
-# The rules as the checker holds them; the module is told only what it needs to keep them.
-DRAIN_GRACE = 500 * MS
+# Rules of the checker; the module gets only the settings it needs to follow them.
+DRAIN_GRACE_NS = 500 * MS
 FALL_MULTIPLE = 3.0
-FALL_TIME = 1500 * MS
+FALL_WINDOW_NS = 1500 * MS
 
 SAFE = api.RequestClass(500 * MS, 1.0, 0.0, api.Repeat.SAFE)
 KEYED = api.RequestClass(400 * MS, 5.0, 0.2, api.Repeat.KEYED, api.Group.CELL, 700 * MS)
@@ -43,23 +43,23 @@
     return api.Server(number.to_bytes(6, "big"), number % 3, number // 3, state, 1.0, started)
 
 
-def whole(*servers: api.Server) -> api.ServerList:
+def full_list(*servers: api.Server) -> api.ServerList:
     return api.ServerList(api.ListKind.FULL, servers)
 
 
 class Node:
-    """A balancer driven by hand, with ids given out in order."""
+    """A balancer driven by hand; assigns request ids in order."""
 
-    def __init__(self, with_settings: api.Settings = BASE, servers: int = 6, seed: int = 1) -> None:
+    def __init__(self, node_settings: api.Settings = BASE, servers: int = 6, seed: int = 1) -> None:
         self.now = START
-        self.balancer = Balancer(with_settings, seed)
-        # It has seen other keys, each once: to one that has seen nothing any key may be hot.
+        self.balancer = Balancer(node_settings, seed)
+        # Other keys were seen once each: a node that has seen no keys takes any key for hot.
         self.balancer._keyed_arrivals = 2 * servers
         self.balancer._key_counts = {(1 << 60) + other: 1.0 for other in range(2 * servers)}
         self.timers = self._timers(self.balancer.start(self.now))
         self.next_id = 1
         self.sent: dict[int, list[api.Send]] = {}
-        self.tell(whole(*(server(number) for number in range(servers))))
+        self.tell(full_list(*(server(number) for number in range(servers))))
 
     @staticmethod
     def _timers(actions: Sequence[api.Action]) -> list[api.SetTimer]:
@@ -74,7 +74,7 @@
         return actions
 
     def wait(self, span: int) -> list[api.Action]:
-        """Let time pass; timers that fall due are delivered on the way."""
+        """Advances the time and delivers the timers that fall due."""
         end = self.now + span
         actions: list[api.Action] = []
         while due := [timer for timer in self.timers if timer.at <= end]:
@@ -92,13 +92,13 @@
     def end(
         self, send: api.Send, result: api.Result, elapsed: int = 10 * MS, report: tuple[float, ...] = ()
     ) -> list[api.Action]:
-        """The outcome of the newest attempt of a request."""
+        """Reports the outcome of a request's newest attempt."""
         attempt = len(self.sent[send.request]) - 1
         closed = result is api.Result.OK
         return self.tell(api.Outcome(send.request, closed, result, elapsed, send.server, attempt, report))
 
     def serve(self, key: int, elapsed: int = 10 * MS, class_index: int = 0) -> api.ServerId | None:
-        """One request that is answered at once; the server that got it."""
+        """Sends one request, answers it at once, and returns its server."""
         action = self.ask(class_index, key)[-1]
         if not isinstance(action, api.Send):
             return None
@@ -106,14 +106,14 @@
         return action.server
 
 
-QUIET = 4  # requests that the busiest warm server was sent in a window
+LOW_LOAD_REQUESTS = 4  # of the busiest warm server in a window
 
 
-class RuleBroken(AssertionError):
+class RuleViolation(AssertionError):
     pass
 
 
-class _Try:
+class _Attempt:
     def __init__(self, server_entry: api.Server, sent: int, time_out: int) -> None:
         self.server = server_entry
         self.sent = sent
@@ -121,19 +121,19 @@
         self.result: api.Result | None = None
 
 
-class _Taken:
+class _OpenRequest:
     def __init__(self, request: api.Request, kind: api.RequestClass, now: int) -> None:
         self.request = request
         self.kind = kind
         self.expires = now + request.time_left
-        self.tries: list[_Try] = []
+        self.attempts: list[_Attempt] = []
         self.answered = False
-        self.streaming: int | None = None
-        self.rests_until = 0
+        self.streaming_attempt: int | None = None
+        self.held_until = 0
 
 
 class Game:
-    """A random legal sequence of events for one node, with the four rules checked on every answer."""
+    """A random valid sequence of events for one node; checks the four rules on all actions."""
 
     def __init__(
         self, balancer: Balancer, rules: api.Settings, random: Random, streams: bool = False
@@ -143,23 +143,24 @@
         self.now = START
         self.timers: list[api.SetTimer] = []
         self.listed: dict[api.ServerId, api.Server] = {}
-        self.stopped: dict[api.ServerId, int] = {}  # when the node was told to stop sending
-        self.taken: dict[int, _Taken] = {}
+        self.stopped_at: dict[api.ServerId, int] = {}  # when the node was told to stop sending
+        self.requests: dict[int, _OpenRequest] = {}
         self.sends: dict[api.ServerId, list[int]] = {}
-        self.before_start: dict[api.ServerId, int] = {}  # sends before the node was told of the last start
+        # Sends before the node learned of the last start.
+        self.sends_before_start: dict[api.ServerId, int] = {}
         self.log: list[tuple[api.Event | None, list[api.Action]]] = []
-        self.asked = 0
+        self.watch_count = 0
         self._check(None, balancer.start(self.now))
 
-    # The world's side.
+    # Generation of events.
 
     def play(self, steps: int) -> None:
         self._list(api.ListKind.CACHED)
-        moves = [self._arrive] * 6 + [self._finish] * 5 + [self._pass] * 3
-        moves += [self._change_list, self._leave, self._begin_stream]
+        moves = [self._arrive] * 6 + [self._finish] * 5 + [self._advance_time] * 3
+        moves += [self._change_list, self._disconnect_client, self._begin_stream]
         for _ in range(steps):
             self.random.choice(moves)()
-        self._drain_out()
+        self._finish_all()
 
     def _tell(self, event: api.Event) -> None:
         self._check(event, self.balancer.handle(self.now, event))
@@ -168,28 +169,34 @@
         rnd = self.random
         index = rnd.randrange(len(self.rules.classes))
         kind = self.rules.classes[index]
-        left = rnd.choice([DEADLINE, DEADLINE // 2, MS])
+        left = rnd.choice([DEADLINE_NS, DEADLINE_NS // 2, MS])
         request = api.Request(
-            len(self.taken) + 1, left, index, rnd.randrange(3), rnd.choice([0, 1, 1, 2, 3, 99]),
+            len(self.requests) + 1, left, index, rnd.randrange(3), rnd.choice([0, 1, 1, 2, 3, 99]),
             rnd.random() < 0.2,
         )  # fmt: skip
-        self.taken[request.id] = _Taken(request, kind, self.now)
+        self.requests[request.id] = _OpenRequest(request, kind, self.now)
         self._tell(request)
-        taken = self.taken[request.id]
-        if not taken.answered and not any(one.result is None for one in taken.tries) and not self.timers:
-            raise RuleBroken(f"lost: request {request.id} is neither out nor answered, and no timer is set")
+        open_request = self.requests[request.id]
+        if (
+            not open_request.answered
+            and not any(one.result is None for one in open_request.attempts)
+            and not self.timers
+        ):
+            raise RuleViolation(
+                f"lost: request {request.id} is neither out nor answered, and no timer is set"
+            )
 
-    def _outstanding(self) -> list[tuple[_Taken, int]]:
+    def _outstanding(self) -> list[tuple[_OpenRequest, int]]:
         return [
-            (taken, index)
-            for taken in self.taken.values()
-            for index, one in enumerate(taken.tries)
+            (open_request, index)
+            for open_request in self.requests.values()
+            for index, one in enumerate(open_request.attempts)
             if one.result is None
         ]
 
     def _finish(self) -> None:
         if out := self._outstanding():
-            taken, index = self.random.choice(out)
+            open_request, index = self.random.choice(out)
             result = self.random.choice(
                 [
                     api.Result.OK,
@@ -203,46 +210,55 @@
                     api.Result.CANCELLED,
                 ]
             )
-            self._outcome(taken, index, result)
+            self._outcome(open_request, index, result)
 
-    def _outcome(self, taken: _Taken, index: int, result: api.Result) -> None:
-        one = taken.tries[index]
+    def _outcome(self, open_request: _OpenRequest, index: int, result: api.Result) -> None:
+        one = open_request.attempts[index]
         one.result = result
         if result in (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED):
-            taken.rests_until = self.now + self.rules.key_rest
-        broke = taken.streaming == index and result is not api.Result.OK
+            open_request.held_until = self.now + self.rules.key_rest
+        broke = open_request.streaming_attempt == index and result is not api.Result.OK
         if result is api.Result.OK or broke:
-            taken.answered = True
+            open_request.answered = True
         report = tuple(self.random.random() for _ in self.rules.report_fields)
         self._tell(
             api.Outcome(
-                taken.request.id, taken.answered, result, self.now - one.sent, one.server.id, index, report
+                open_request.request.id,
+                open_request.answered,
+                result,
+                self.now - one.sent,
+                one.server.id,
+                index,
+                report,
             )
         )
 
     def _begin_stream(self) -> None:
-        for taken, index in self._outstanding():
-            if self.streams and taken.streaming is None and not taken.answered:
-                taken.streaming = index  # from here no time-out and no deadline ends it
+        for open_request, index in self._outstanding():
+            if self.streams and open_request.streaming_attempt is None and not open_request.answered:
+                open_request.streaming_attempt = index  # from here on no time-out and no deadline ends it
                 return
 
-    def _leave(self) -> None:
-        if self.taken:
-            taken = self.random.choice(list(self.taken.values()))
-            taken.answered = True  # also for one that is closed already: to be ignored
-            self._tell(api.ClientGone(taken.request.id))
+    def _disconnect_client(self) -> None:
+        if self.requests:
+            open_request = self.random.choice(list(self.requests.values()))
+            open_request.answered = True  # also if it is closed already, which must be ignored
+            self._tell(api.ClientGone(open_request.request.id))
 
-    def _pass(self, span: int | None = None) -> None:
-        """Time passes: timers fall due and attempts reach their time-outs."""
+    def _advance_time(self, span: int | None = None) -> None:
+        """Advances the time: timers fall due and attempts time out."""
         end = self.now + (self.random.choice([MS, 20 * MS, 300 * MS, 2 * SECOND]) if span is None else span)
         while True:
             due = [(timer.at, 0, timer.token, 0) for timer in self.timers if timer.at <= end]
-            for taken, index in self._outstanding():
-                if taken.streaming != index:
-                    one = taken.tries[index]
-                    at = min(taken.expires, one.sent + one.time_out if one.time_out else taken.expires)
+            for open_request, index in self._outstanding():
+                if open_request.streaming_attempt != index:
+                    one = open_request.attempts[index]
+                    at = min(
+                        open_request.expires,
+                        one.sent + one.time_out if one.time_out else open_request.expires,
+                    )
                     if at <= end:
-                        due.append((at, 1, taken.request.id, index))
+                        due.append((at, 1, open_request.request.id, index))
             if not due:
                 break
             at, kind, name, index = min(due)
@@ -251,7 +267,7 @@
                 self.timers.remove(next(t for t in self.timers if (t.at, t.token) == (at, name)))
                 self._tell(api.Timer(name))
             else:
-                self._outcome(self.taken[name], index, api.Result.TIMEOUT)
+                self._outcome(self.requests[name], index, api.Result.TIMEOUT)
             self._check_overdue()
         self.now = end
         self._check_overdue()
@@ -273,35 +289,35 @@
         for name in {*self.listed, *listed}:
             ready = name in listed and listed[name].state is api.ServerState.READY
             if ready:
-                self.stopped.pop(name, None)
+                self.stopped_at.pop(name, None)
             else:
-                self.stopped.setdefault(name, self.now)
+                self.stopped_at.setdefault(name, self.now)
         for name, entry in listed.items():
             if name not in self.listed or self.listed[name].started != entry.started:
-                self.before_start[name] = len(self.sends.get(name, ()))
+                self.sends_before_start[name] = len(self.sends.get(name, ()))
         self.listed = {**self.listed, **listed}
         self._tell(api.ServerList(kind, tuple(servers)))
 
     def _change_list(self) -> None:
         if self.rules.list_mode is api.ListMode.ON_REQUEST:
-            if not self.asked:
-                return  # nothing is told to those that have not asked
+            if not self.watch_count:
+                return  # no list without a watch
             if self.random.random() < 0.4:
                 self._tell(api.ServerList(api.ListKind.FAILED, ()))
                 return
         self._list(self.random.choice([api.ListKind.FULL, api.ListKind.DELTA, api.ListKind.DELTA]))
 
-    def _drain_out(self) -> None:
-        """Let all that is open run into its deadline; begun streams end well."""
-        for taken, index in self._outstanding():
-            if taken.streaming == index:
-                self._outcome(taken, index, api.Result.OK)
-        self._pass(DEADLINE + MS)
-        for taken in self.taken.values():
-            if not taken.answered:
-                raise RuleBroken(f"lost: request {taken.request.id} was never answered")
+    def _finish_all(self) -> None:
+        """Lets all open requests reach their deadline; started streams end normally."""
+        for open_request, index in self._outstanding():
+            if open_request.streaming_attempt == index:
+                self._outcome(open_request, index, api.Result.OK)
+        self._advance_time(DEADLINE_NS + MS)
+        for open_request in self.requests.values():
+            if not open_request.answered:
+                raise RuleViolation(f"lost: request {open_request.request.id} was never answered")
 
-    # The rules' side.
+    # Checks.
 
     def _check(self, event: api.Event | None, actions: list[api.Action]) -> None:
         self.log.append((event, actions))
@@ -309,60 +325,66 @@
             if isinstance(action, api.SetTimer):
                 self.timers.append(action)
             elif isinstance(action, api.Watch):
-                self.asked += 1
+                self.watch_count += 1
                 if self.rules.list_mode is not api.ListMode.ON_REQUEST:
-                    raise RuleBroken("malformed: a watch where the list is pushed")
+                    raise RuleViolation("malformed: a watch where the list is pushed")
             elif isinstance(action, api.CloseIdleConnections):
                 if action.server not in self.listed:
-                    raise RuleBroken(f"malformed: {action} names a server never listed")
+                    raise RuleViolation(f"malformed: {action} names a server never listed")
             else:
-                if action.request not in self.taken:
-                    raise RuleBroken(f"malformed: {action} names an unknown request")
+                if action.request not in self.requests:
+                    raise RuleViolation(f"malformed: {action} names an unknown request")
                 if isinstance(action, api.Send):
                     self._check_send(action)
                 else:
                     self._check_answer(action)
 
     def _check_overdue(self) -> None:
-        for taken in self.taken.values():
-            if not taken.answered and taken.streaming is None and self.now > taken.expires:
-                raise RuleBroken(f"lost: request {taken.request.id} is unanswered past its deadline")
+        for open_request in self.requests.values():
+            if (
+                not open_request.answered
+                and open_request.streaming_attempt is None
+                and self.now > open_request.expires
+            ):
+                raise RuleViolation(
+                    f"lost: request {open_request.request.id} is unanswered past its deadline"
+                )
 
     def _check_send(self, send: api.Send) -> None:
-        taken = self.taken[send.request]
-        if taken.answered:
-            raise RuleBroken(f"lost: {send} comes after the final answer")
+        open_request = self.requests[send.request]
+        if open_request.answered:
+            raise RuleViolation(f"lost: {send} comes after the final answer")
         if send.server not in self.listed:
-            raise RuleBroken(f"malformed: {send} goes to a server never listed")
+            raise RuleViolation(f"malformed: {send} goes to a server never listed")
         target = self.listed[send.server]
-        if send.server in self.stopped and self.now > self.stopped[send.server] + DRAIN_GRACE:
-            raise RuleBroken(f"drain: {send} goes to a server told to be draining or gone")
-        if len(taken.tries) >= self.rules.max_attempts:
-            raise RuleBroken(f"duplicate: {send} is one attempt too many")
-        if any(one.result is None for one in taken.tries):
-            raise RuleBroken(f"duplicate: {send} is a second copy, which this module never sends")
-        for one in taken.tries:
-            if one.result not in api.NEVER_RAN and not self._may_repeat(taken, one, target):
-                raise RuleBroken(f"duplicate: {send} though {one.server} may have run it")
-        taken.tries.append(_Try(target, self.now, send.time_out))
-        self._check_order(taken, send)
+        if send.server in self.stopped_at and self.now > self.stopped_at[send.server] + DRAIN_GRACE_NS:
+            raise RuleViolation(f"drain: {send} goes to a server told to be draining or gone")
+        if len(open_request.attempts) >= self.rules.max_attempts:
+            raise RuleViolation(f"duplicate: {send} is one attempt too many")
+        if any(one.result is None for one in open_request.attempts):
+            raise RuleViolation(f"duplicate: {send} is a second copy, which this module never sends")
+        for one in open_request.attempts:
+            if one.result not in api.NEVER_RAN and not self._may_repeat(open_request, one, target):
+                raise RuleViolation(f"duplicate: {send} though {one.server} may have run it")
+        open_request.attempts.append(_Attempt(target, self.now, send.time_out))
+        self._check_order(open_request, send)
         self._check_cold(target)
 
-    def _check_order(self, taken: _Taken, send: api.Send) -> None:
-        key = taken.request.key
-        if not taken.kind.in_order or not key:
+    def _check_order(self, open_request: _OpenRequest, send: api.Send) -> None:
+        key = open_request.request.key
+        if not open_request.kind.in_order or not key:
             return
-        for earlier in self.taken.values():
-            if earlier is taken:
+        for earlier in self.requests.values():
+            if earlier is open_request:
                 return
             if earlier.kind.in_order and earlier.request.key == key:
-                if not earlier.answered or any(one.result is None for one in earlier.tries):
-                    raise RuleBroken(f"order: {send} while {earlier.request.id} of its key is not over")
-                if self.now < earlier.rests_until:
-                    raise RuleBroken(f"order: {send} while its key rests after {earlier.request.id}")
+                if not earlier.answered or any(one.result is None for one in earlier.attempts):
+                    raise RuleViolation(f"order: {send} while {earlier.request.id} of its key is not over")
+                if self.now < earlier.held_until:
+                    raise RuleViolation(f"order: {send} while its key rests after {earlier.request.id}")
 
-    def _may_repeat(self, taken: _Taken, earlier: _Try, target: api.Server) -> bool:
-        kind = taken.kind
+    def _may_repeat(self, open_request: _OpenRequest, earlier: _Attempt, target: api.Server) -> bool:
+        kind = open_request.kind
         if kind.repeat is not api.Repeat.KEYED:
             return kind.repeat is api.Repeat.SAFE
         same = {
@@ -370,39 +392,40 @@
             api.Group.ZONE: earlier.server.zone == target.zone,
             api.Group.CELL: earlier.server.cell == target.cell,
         }[kind.group]
-        return taken.request.key != 0 and same and self.now - earlier.sent < kind.window
+        return open_request.request.key != 0 and same and self.now - earlier.sent < kind.window
 
     def _check_answer(self, answer: api.Refuse | api.Fail) -> None:
-        taken = self.taken[answer.request]
-        if taken.answered:
-            raise RuleBroken(f"lost: {answer} is a second final answer")
-        taken.answered = True
-        ran = [one for one in taken.tries if one.result not in api.NEVER_RAN]
-        kind = taken.kind
+        open_request = self.requests[answer.request]
+        if open_request.answered:
+            raise RuleViolation(f"lost: {answer} is a second final answer")
+        open_request.answered = True
+        ran = [one for one in open_request.attempts if one.result not in api.NEVER_RAN]
+        kind = open_request.kind
         harmless = kind.repeat is api.Repeat.SAFE or not ran
         harmless |= kind.repeat is api.Repeat.KEYED and kind.group is api.Group.ALL
         if isinstance(answer, api.Refuse):
             if not harmless:
-                raise RuleBroken(f"duplicate: {answer} though an attempt may have run")
+                raise RuleViolation(f"duplicate: {answer} though an attempt may have run")
             if answer.retry_after > (self.rules.max_retry_after if self.rules.retry_after else 0):
-                raise RuleBroken(f"malformed: {answer} advises a wait that is not allowed")
+                raise RuleViolation(f"malformed: {answer} advises a wait that is not allowed")
 
     def _check_cold(self, target: api.Server) -> None:
-        """A budget for any window, by what the busiest warm server was sent in one of the same length."""
+        """Limits requests in any window by those of the busiest warm server in one of the same length."""
         times = self.sends.setdefault(target.id, [])
         times.append(self.now)
         age = self.now - target.started
         if not target.started or age >= self.rules.cold_time:
             return
         warmth = self.rules.cold_share + (1 - self.rules.cold_share) * age / self.rules.cold_time
-        span = FALL_TIME
-        recent = sum(1 for at in times[self.before_start.get(target.id, 0) :] if at > self.now - span)
+        span = FALL_WINDOW_NS
+        recent = sum(1 for at in times[self.sends_before_start.get(target.id, 0) :] if at > self.now - span)
         most = 0
         for name, sent in self.sends.items():
             entry = self.listed[name]
             if not entry.started or self.now - entry.started >= self.rules.cold_time:
                 most = max([most, *(sum(1 for x in sent if at - span < x <= at) for at in sent)])
-        # Two saved up and one earned. Where the warm ones are sent next to nothing, they tell little of what
-        # one can do, and chance brings one more: in three or four games of 1,200, whatever caps go by.
-        if recent > FALL_MULTIPLE * warmth * most + (3 if most >= QUIET else 4):
-            raise RuleBroken(f"cold: {recent} requests within {span} ns to {target}")
+        # Two requests of saved budget and one earned. If the warm servers are sent few requests, they say
+        # little about a server's capacity, and chance adds one more, as in three or four games of 1,200,
+        # whatever the caps.
+        if recent > FALL_MULTIPLE * warmth * most + (3 if most >= LOW_LOAD_REQUESTS else 4):
+            raise RuleViolation(f"cold: {recent} requests within {span} ns to {target}")
