--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many nodes that share nothing, each driven by hand: what all of them do together. No bench, fixed seeds."""
+"""Many independent nodes, each driven by hand with fixed seeds: their behaviour as a fleet."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from lichenspring.balance import WATCH_TOKEN
 from lichenspring.interface import Result
 
-WINDOW = 1500 * MS  # of the rule on cold servers
-MULTIPLE = 3.0  # and what a cold server stands, times its work of the moment
+FALL_WINDOW_NS = 1500 * MS  # of the rule on cold servers
+FALL_MULTIPLE = 3.0  # of a cold server's current capacity, above which it fails
 
 
 @pytest.mark.parametrize(("nodes", "told"), [(2, 2), (40, 40), (48, 48), (40, 1), (40, 20)])
-def test_a_cold_server_is_not_pushed_over_by_all_nodes_together(nodes: int, told: int) -> None:
-    """Whatever number of nodes they were told: the part that each sends follows its own traffic."""
+def test_all_nodes_together_do_not_overload_cold_server(nodes: int, told: int) -> None:
+    """Holds for any configured number of nodes, as the rate of each node follows its own traffic."""
     chance = Random(7)
     rules = settings(nodes=told)
     fleet = [Node(rules, servers=12, seed=seed) for seed in range(nodes)]
-    step = SECOND * nodes // 900  # 900 requests a second in all
+    step = SECOND * nodes // 900  # 900 requests per second in total
     began = fleet[0].now
     cold: list[int] = []
     warm: Counter[api.ServerId] = Counter()
@@ -49,16 +49,16 @@
     for at in cold:
         age = (at - began - 4 * SECOND) / rules.cold_time
         warmth = rules.cold_share + (1.0 - rules.cold_share) * max(0.0, age)
-        inside = sum(at - WINDOW < one <= at for one in cold)
-        assert inside <= MULTIPLE * warmth * usual * WINDOW / SECOND, (nodes, told, inside)
+        inside = sum(at - FALL_WINDOW_NS < one <= at for one in cold)
+        assert inside <= FALL_MULTIPLE * warmth * usual * FALL_WINDOW_NS / SECOND, (nodes, told, inside)
 
 
-def test_a_cap_is_a_nodes_part_of_what_all_carry() -> None:
+def test_cap_is_nodes_part_of_total() -> None:
     caps = {nodes: Node(settings(nodes=nodes), servers=60).balancer._caps[0] for nodes in (1, 2, 48)}
     assert caps[1] == pytest.approx(2 * caps[2]) == pytest.approx(48 * caps[48])
 
 
-def test_forty_nodes_started_in_one_instant_spread_their_list_calls() -> None:
+def test_nodes_started_at_once_spread_their_list_calls() -> None:
     rules = settings(nodes=40, list_mode=api.ListMode.ON_REQUEST, ask_within=10 * SECOND)
     calls: Counter[int] = Counter()
     for seed in range(40):
@@ -69,8 +69,8 @@
     assert max(calls.values()) <= 16 and len(calls) >= 4
 
 
-def test_forty_nodes_whose_pushed_list_ends_do_not_come_back_in_step() -> None:
-    """They did, once a second, for as long as discovery was away."""
+def test_nodes_that_lose_pushed_list_do_not_reconnect_in_step() -> None:
+    """Guards against all nodes reconnecting at the same time once a second while discovery is unreachable."""
     fleet = [Backoff(1.0, 16.0, seed) for seed in range(40)]
     for failures in range(8):
         longest = 2.0 ** min(4, failures)
@@ -84,16 +84,16 @@
         assert max(one.pause() for _ in range(40)) <= 16.0
 
 
-def test_a_hot_key_in_the_first_second_of_forty_nodes_fills_no_two_servers() -> None:
-    """Each node sees it once or twice. All sent it to the same two servers, which got three times their part,
-    jammed, and stayed so: days of the large fleet were lost in their first two seconds."""
+def test_hot_key_in_first_second_does_not_overload_two_servers() -> None:
+    """Each node sees the key once or twice. Guards against all of them sending it to the same two servers,
+    which get three times their share, become overloaded and stay so."""
     chance = Random(3)
     fleet = [Balancer(settings(nodes=40), seed) for seed in range(40)]
     sent: Counter[api.ServerId] = Counter()
     for node in fleet:
         node.start(START)
         node.handle(START, api.ServerList(api.ListKind.CACHED, tuple(server(one) for one in range(60))))
-    for number in range(920):  # a second's requests
+    for number in range(920):  # the requests of one second
         key = 7 if chance.random() < 0.08 else chance.randrange(100, 1300)
         request = api.Request(number, 9 * SECOND, 0, 0, key, False)
         (action,) = fleet[number % 40].handle(START + number * MS, request)
@@ -101,14 +101,15 @@
         sent[action.server] += 1
         end = api.Outcome(number, True, Result.OK, 10 * MS, action.server, 0, ())
         fleet[number % 40].handle(START + number * MS, end)
-        if number % 460 < 40:  # each node's window ends after a half
+        if number % 460 < 40:  # each node's window ends after half a second
             fleet[number % 40].handle(START + number * MS, api.Timer(1))
     assert max(sent.values()) <= 2.2 * 920 / 60
 
 
 @pytest.mark.parametrize("servers", [6, 60])
-def test_a_key_keeps_to_its_first_server_once_a_node_has_seen_two_keys_a_server(servers: int) -> None:
-    """A small site has seen them within a tenth of a second, and does not pay for the large ones."""
+def test_key_stays_with_first_server_after_two_keys_per_server(servers: int) -> None:
+    """A small deployment reaches this within a tenth of a second and loses nothing by the rule for large
+    ones."""
     node = Node(settings(), servers=servers)
     node.balancer._keyed_arrivals, node.balancer._key_counts = 0, {}
     for key in range(100, 100 + 2 * servers):
@@ -116,17 +117,17 @@
     assert len({node.serve(42) for _ in range(3)}) == 1
 
 
-class Crowd:
-    """Nodes before servers that work through what they get, one after the other, and answer 0.5 s late at
-    most. Requests come at random (Poisson), each to a node by chance."""
+class SimulatedFleet:
+    """Nodes with servers that process their requests one after the other and answer within 0.5 s at most.
+    Requests arrive as a Poisson process, each at a random node."""
 
     def __init__(self, nodes: int, rules: api.Settings, warm: int, power: float, seed: int) -> None:
         self.chance = Random(seed)
         self.fleet = [Node(rules, servers=warm, seed=seed * 1000 + number) for number in range(nodes)]
         self.rules = rules
         self.began = self.fleet[0].now
-        self.power = power  # requests a second of a warm server
-        self.cold: dict[api.ServerId, list[int]] = {}  # when each was sent a request
+        self.power = power  # requests per second of a warm server
+        self.cold: dict[api.ServerId, list[int]] = {}  # times of requests per server
         self.started = 0
         self._free: dict[api.ServerId, int] = {}
         self._ends: list[tuple[int, int, Node, api.Send, Result]] = []
@@ -136,7 +137,7 @@
         return min(1.0, share + (1.0 - share) * max(0, at - self.started) / self.rules.cold_time)
 
     def start(self, count: int) -> None:
-        """So many servers more. Every node is told within a second."""
+        """Adds `count` cold servers. Every node learns of them within a second."""
         self.started = max(node.now for node in self.fleet)
         entries = tuple(server(99 + number, started=self.started) for number in range(count))
         self.cold = {entry.id: [] for entry in entries}
@@ -173,36 +174,43 @@
         result = Result.TIMEOUT if late else Result.OK
         heappush(self._ends, (done, send.request * 1000 + self.fleet.index(node), node, send, result))
 
-    def most_over(self) -> float:
-        """By how much any cold server was sent more than its budget N in some window, in parts of what counts
-        as chance: 2 x root of N + 2."""
+    def max_excess(self) -> float:
+        """The largest excess over its budget N that any cold server got in a window, in units of the random
+        variation allowed: 2 * sqrt(N) + 2."""
         most = -inf
         for sent in self.cold.values():
             first = 0
             for last, at in enumerate(sent):
-                while sent[first] <= at - WINDOW:
+                while sent[first] <= at - FALL_WINDOW_NS:
                     first += 1
-                budget = self.rules.fall_multiple * self.warmth(at - WINDOW) * self.power * WINDOW / SECOND
+                budget = (
+                    self.rules.fall_multiple
+                    * self.warmth(at - FALL_WINDOW_NS)
+                    * self.power
+                    * FALL_WINDOW_NS
+                    / SECOND
+                )
                 most = max(most, (last - first + 1 - budget) / (2 * sqrt(budget) + 2))
         return most
 
 
 @pytest.mark.parametrize("nodes", [1, 5, 20, 30])
 @pytest.mark.parametrize("multiple", [3.0, 1.5])
-def test_the_ramp_of_cold_servers_holds_for_the_fleet(nodes: int, multiple: float) -> None:
-    """A release in a quiet time, in which every node saves up what it may send, and then a surge."""
+def test_fleet_respects_warm_up_of_cold_servers(nodes: int, multiple: float) -> None:
+    """A release at low load, during which every node saves up budget, followed by a surge."""
     rules = settings(nodes=nodes, fall_multiple=multiple, report_fields=("utilization",))
-    crowd = Crowd(nodes, rules, warm=4, power=20.0, seed=5)
+    crowd = SimulatedFleet(nodes, rules, warm=4, power=20.0, seed=5)
     crowd.play(50.0, 4.0)
     crowd.start(8)
     crowd.play(50.0, 2.0)
     crowd.play(240.0, 5.0)
     assert sum(map(len, crowd.cold.values())) > 100  # they are used at all
-    assert crowd.most_over() <= 1.0
+    assert crowd.max_excess() <= 1.0
 
 
-def test_a_cold_server_gets_no_more_than_another_customers_settings_allow() -> None:
-    """One that reports room got up to 1.6 times what it could do then, whatever the settings said."""
+def test_cold_server_gets_at_most_fall_multiple() -> None:
+    """Guards against sending a cold server that reports room up to 1.6 times what it can do, regardless of
+    the settings."""
     for multiple in (1.2, 2.0, 3.0):
         rules = settings(
             fall_multiple=multiple,
@@ -210,10 +218,10 @@
             cold_time=10_000 * SECOND,
             report_fields=("utilization",),
         )
-        crowd = Crowd(1, rules, warm=4, power=200.0, seed=3)
+        crowd = SimulatedFleet(1, rules, warm=4, power=200.0, seed=3)
         crowd.play(400.0, 4.0)
         crowd.start(1)
         crowd.play(400.0, 8.0)
         (sent,) = crowd.cold.values()
-        usual = (400.0 * 8.0 - len(sent)) / 4  # of a warm server, which has room itself
+        usual = (400.0 * 8.0 - len(sent)) / 4  # of a warm server, which has room as well
         assert 0.3 < len(sent) / (usual * 0.5) < multiple * 0.75
