--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The codec, and the real adapter process fed hand-made frames."""
+"""The codec, and the adapter process with hand-made frames."""
 
 from __future__ import annotations
 
@@ -91,18 +91,18 @@
     return found
 
 
-def test_the_empty_batch_of_the_protocol_page() -> None:
+def test_empty_batch_of_protocol_page() -> None:
     done = run(bytes.fromhex("0c00000090bf68f50100000000000000"))
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout == bytes.fromhex("0400000000000000")
 
 
-def test_end_of_input_at_once_is_a_clean_end() -> None:
+def test_immediate_end_of_input_is_clean() -> None:
     done = run(b"")
     assert (done.returncode, done.stdout, done.stderr) == (0, b"", b"")
 
 
-def test_a_request_is_forwarded_and_its_outcome_ends_it() -> None:
+def test_request_is_forwarded_and_retried() -> None:
     first = run(start() + batch(select(0), inbound(99, key=5)))
     forward = replies(first.stdout)[1]
     assert struct.unpack_from("<I", forward)[0] == 2
@@ -116,15 +116,15 @@
         + batch(select(0), finished(99, server, 301, (12.0, 0.5)), clock=CLOCK + 1)
     )
     assert done.returncode == 0
-    assert replies(done.stdout)[2][7] == wire.Out.FORWARD  # tried again elsewhere
+    assert replies(done.stdout)[2][7] == wire.Out.FORWARD  # retried on another server
 
 
-def test_an_instance_without_servers_refuses() -> None:
+def test_instance_without_servers_refuses() -> None:
     done = run(batch(select(3), attach(), roster([]), sync()) + batch(select(3), inbound(1)))
     assert replies(done.stdout)[1][7] == wire.Out.BUSY
 
 
-def test_a_killed_instance_is_forgotten() -> None:
+def test_crashed_instance_is_removed() -> None:
     done = run(start() + batch(select(0), b"\x0a") + batch(select(0), inbound(1)))
     assert done.returncode != 0
     assert b"not attached" in done.stderr
@@ -147,7 +147,7 @@
     (start() + batch(select(0), sync(mode=7)), "list kind 7"),
     (start() + batch(select(0), inbound(1, category=9)), "class 9"),
 ], ids=lambda value: value if isinstance(value, str) else "")  # fmt: skip
-def test_bad_frames_end_the_adapter_with_one_plain_message(data: bytes, named: str) -> None:
+def test_malformed_frames_end_adapter_with_one_line(data: bytes, named: str) -> None:
     done = run(data)
     message = done.stderr.decode()
     assert done.returncode != 0
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("path", REQUIRED)
-def test_a_missing_required_setting_is_named(path: str) -> None:
+def test_missing_required_setting_is_named(path: str) -> None:
     kept = "\n".join(line for line in CONFIG.splitlines() if not line.startswith(path + "="))
     with pytest.raises(adapter.SettingsError, match=re.escape(path)):
         adapter.read_settings(kept)
@@ -169,7 +169,7 @@
     ("Grades.0.Aim", "soon"), ("Grades.0.Semantics", "sometimes"), ("Contract.ColdShare", "nan"),
     ("Limits.RetryAfter", "perhaps"), ("Grades.count", "-1"), ("PeersTotal", "0"), ("Grades.0.Aim", "0"),
 ])  # fmt: skip
-def test_an_unreadable_setting_ends_the_adapter_and_is_named(path: str, value: str) -> None:
+def test_unreadable_setting_ends_adapter_and_is_named(path: str, value: str) -> None:
     config = re.sub(rf"(?m)^{re.escape(path)}=.*$", f"{path}={value}", CONFIG)
     done = run(batch(select(0), attach(config), roster(SERVERS), sync()))
     assert done.returncode != 0
@@ -181,27 +181,27 @@
     ("Contract.ColdShare", "1.5", "cold_share"), ("Grades.0.LateShare", "2.0", "late_worth"),
     ("Grades.count", "0", "classes"),
 ])  # fmt: skip
-def test_settings_out_of_range_end_the_adapter_with_one_line(path: str, value: str, named: str) -> None:
+def test_settings_out_of_range_end_adapter_with_one_line(path: str, value: str, named: str) -> None:
     config = re.sub(rf"(?m)^{re.escape(path)}=.*$", f"{path}={value}", CONFIG)
     done = run(batch(select(0), attach(config), roster(SERVERS), sync()))
     assert (done.returncode, done.stdout) == (1, b"")
     assert named in done.stderr.decode() and done.stderr.count(b"\n") == 1
 
 
-def test_settings_that_are_not_text_end_the_adapter_with_one_line() -> None:
+def test_settings_that_are_not_utf8_end_adapter_with_one_line() -> None:
     head = struct.pack("<BQI", 5, 7, 4) + b"\xff\xfe\x00\x80"
     done = run(batch(select(0), head))
     assert (done.returncode, done.stdout) == (1, b"")
     assert "UTF-8" in done.stderr.decode() and done.stderr.count(b"\n") == 1
 
 
-def test_order_reaches_the_module_where_it_is_asked_for() -> None:
+def test_in_order_settings_are_read() -> None:
     assert not adapter.read_settings(CONFIG).classes[0].in_order
     found = adapter.read_settings(CONFIG + "Grades.0.OneAtATime=true\nContract.KeyRest=50000000\n")
     assert found.classes[0].in_order and found.key_rest == 50_000_000
 
 
-def test_a_hang_up_is_encoded() -> None:
+def test_close_idle_connections_is_encoded() -> None:
     assert adapter._encode_action(api.CloseIdleConnections(SERVERS[0])) == b"\x46" + SERVERS[0]
 
 
@@ -212,7 +212,7 @@
     assert found.tenants == ()
 
 
-def test_an_exception_in_the_module_becomes_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_module_is_reported_as_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(self: object, now: int, event: api.Event) -> list[api.Action]:
         raise RuntimeError("made to fail")
 
@@ -224,7 +224,7 @@
     assert wire.Out.FORWARD not in (reply[7],)
 
 
-def test_instances_act_alike_in_one_process_and_in_several() -> None:
+def test_instances_act_alike_in_one_and_several_processes() -> None:
     def rounds(instances: list[int]) -> bytes:
         begin = [r for i in instances for r in (select(i), attach(seed=i), roster(SERVERS), sync())]
         frames = [batch(*begin)]
