--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -107,11 +107,11 @@
     plain, counted = Node(rules, servers=5, seed=3), Node(rules, servers=5, seed=3)
     counted.balancer = Tally(counted.balancer, rules, SECOND, lambda line: None)  # type: ignore[assignment]
     for number in range(300):
-        one, other = plain.ask(0, number % 7), counted.ask(0, number % 7)
+        one, other = plain.request(0, number % 7), counted.request(0, number % 7)
         assert one == other
         if isinstance(one[-1], api.Send):
             result = Result.OK if number % 5 else Result.TIMEOUT
-            assert plain.end(one[-1], result, 20 * MS) == counted.end(other[-1], result, 20 * MS)
+            assert plain.finish(one[-1], result, 20 * MS) == counted.finish(other[-1], result, 20 * MS)
 
 
 def log_of(folder: Path, name: str, *lines: object) -> None:
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -22,17 +22,17 @@
 
 def window(node: Node, count: int, elapsed: int, class_index: int = 0) -> None:
     """Sends requests, answers all of them with one response time, and ends the window."""
-    sends = [node.ask(class_index, key)[0] for key in range(1, count + 1)]
+    sends = [node.request(class_index, key)[0] for key in range(1, count + 1)]
     node.wait(300 * MS)
     for send in sends:
         if isinstance(send, api.Send):
-            node.end(send, Result.OK, elapsed)
+            node.finish(send, Result.OK, elapsed)
     node.wait(300 * MS)
 
 
 def admitted(node: Node, count: int = 400, class_index: int = 0) -> int:
     """How many of the requests that arrive at once are admitted."""
-    return sum(isinstance(node.ask(class_index, 10_000 + n)[0], api.Send) for n in range(count))
+    return sum(isinstance(node.request(class_index, 10_000 + n)[0], api.Send) for n in range(count))
 
 
 def warm_up_key_counts(node: Node) -> None:
@@ -52,7 +52,7 @@
 def test_new_node_admits_initial_cap_and_refuses_next_request() -> None:
     node = Node(one_class(), servers=6)
     assert admitted(node) == 76  # the cap of 60 and two square roots of it, while the mean is below
-    (refusal,) = node.ask(0, 1)
+    (refusal,) = node.request(0, 1)
     assert isinstance(refusal, api.Refuse)
     assert 0 < refusal.retry_after <= 2 * SECOND
 
@@ -89,11 +89,11 @@
 
 def test_timeout_counts_as_longer_than_its_wait() -> None:
     node = Node(one_class(), servers=6)
-    sends = [node.ask(0, key)[0] for key in range(30)]
+    sends = [node.request(0, key)[0] for key in range(30)]
     node.wait(300 * MS)
     for send in sends:
         assert isinstance(send, api.Send)
-        node.end(send, Result.TIMEOUT, 580 * MS)  # below the target, but twice that is above
+        node.finish(send, Result.TIMEOUT, 580 * MS)  # below the target, but twice that is above
     node.wait(300 * MS)
     assert admitted(node) < 30
 
@@ -112,25 +112,25 @@
 def test_timed_out_attempt_counts_in_flight_for_as_long_again() -> None:
     """Guards against refilling servers at once while they still work on requests that timed out."""
     node = Node(settings(classes=(api.RequestClass(SECOND, 1.0, 0.5, api.Repeat.UNSAFE),)), servers=6)
-    sends = [node.ask(0, key)[0] for key in range(1, 77)]
+    sends = [node.request(0, key)[0] for key in range(1, 77)]
     for send in {send.server: send for send in sends if isinstance(send, api.Send)}.values():
-        node.end(send, Result.TIMEOUT, 100 * MS)
-    assert isinstance(node.ask(0, 77)[0], api.Refuse)
+        node.finish(send, Result.TIMEOUT, 100 * MS)
+    assert isinstance(node.request(0, 77)[0], api.Refuse)
     node.now += 110 * MS
-    assert isinstance(node.ask(0, 77)[0], api.Send)
+    assert isinstance(node.request(0, 77)[0], api.Send)
 
 
 def test_class_at_its_cap_is_still_sampled() -> None:
     node = Node(settings(classes=(SAFE, UNSAFE)), servers=20)
-    while isinstance(node.ask(1, node.next_id)[0], api.Send):
+    while isinstance(node.request(1, node.next_id)[0], api.Send):
         pass
-    assert isinstance(node.ask(0, 1)[0], api.Send)
+    assert isinstance(node.request(0, 1)[0], api.Send)
 
 
 def test_worthier_class_is_admitted_after_lesser_one_is_refused() -> None:
     node = Node(settings(classes=(SAFE, UNSAFE), worth_by_work=True), servers=6)
     assert admitted(node, class_index=0) == 62
-    assert isinstance(node.ask(1, 1)[0], api.Send)
+    assert isinstance(node.request(1, 1)[0], api.Send)
 
 
 def test_timeouts_of_ejected_servers_do_not_close_breaker() -> None:
@@ -139,19 +139,19 @@
     silent = server(0).id
     waiting = []
     for key in range(1, 200):
-        (send,) = node.ask(0, key)
+        (send,) = node.request(0, key)
         assert isinstance(send, api.Send)
         if send.server == silent:
             waiting.append(send)
         else:
-            node.end(send, Result.OK)
+            node.finish(send, Result.OK)
         if len(waiting) == 8:
             break
     for send in waiting[:4]:
-        node.end(send, Result.CONNECT_FAILED)
+        node.finish(send, Result.CONNECT_FAILED)
     node.wait(SECOND)
     for send in waiting[4:]:
-        node.end(send, Result.TIMEOUT, 4 * SECOND)
+        node.finish(send, Result.TIMEOUT, 4 * SECOND)
     node.wait(SECOND)
     assert admitted(node) >= 55
 
@@ -167,26 +167,26 @@
     """With hundreds of nodes a cap is about one. Guards against refusing two or three requests that arrive
     together while servers are idle."""
     node = Node(one_class(nodes=120), servers=12)  # a cap of one
-    sends = [node.ask(0, key)[0] for key in range(1, 5)]
+    sends = [node.request(0, key)[0] for key in range(1, 5)]
     assert [isinstance(send, api.Send) for send in sends] == [True, True, True, False]
     node.wait(2 * SECOND)
     for send in sends[:2]:
         assert isinstance(send, api.Send)
-        node.end(send, Result.OK)
-    assert isinstance(node.ask(0, 9)[0], api.Refuse)  # two were in flight on average
+        node.finish(send, Result.OK)
+    assert isinstance(node.request(0, 9)[0], api.Refuse)  # two were in flight on average
 
 
 def test_cap_below_one_is_enforced() -> None:
     """Guards against always admitting one request per class and node: with many nodes that exceeds what a
     reduced fleet can do, and overload never ends."""
     node = Node(one_class(nodes=600), servers=12)
-    (send,) = node.ask(0, 1)
+    (send,) = node.request(0, 1)
     assert isinstance(send, api.Send)
     node.now += 400 * MS
-    node.end(send, Result.OK, 400 * MS)
-    assert isinstance(node.ask(0, 2)[0], api.Refuse)  # more than a tenth was in flight on average
+    node.finish(send, Result.OK, 400 * MS)
+    assert isinstance(node.request(0, 2)[0], api.Refuse)  # more than a tenth was in flight on average
     node.now += 3 * SECOND
-    assert isinstance(node.ask(0, 3)[0], api.Send)
+    assert isinstance(node.request(0, 3)[0], api.Send)
 
 
 @pytest.mark.parametrize(("report", "least", "most"), [(0.3, 30, 400), (1.0, 1, 29)])
@@ -195,11 +195,11 @@
     node = Node(one_class(report_fields=("utilization",)), servers=6)
     window(node, 10, 200 * MS)
     for _ in range(8):
-        sends = [node.ask(0, key)[0] for key in range(1, 31)]
+        sends = [node.request(0, key)[0] for key in range(1, 31)]
         node.wait(300 * MS)
         for send in sends:
             if isinstance(send, api.Send):
-                node.end(send, Result.OK, 900 * MS, (report,))
+                node.finish(send, Result.OK, 900 * MS, (report,))
         node.wait(300 * MS)
     assert least <= admitted(node) <= most
 
@@ -208,15 +208,15 @@
     node = Node(one_class(), servers=6)
     assert admitted(node, 41) == 41  # half of 60, and two square roots of that
     retry = api.Request(9999, SECOND, 0, 0, 7, True)
-    assert isinstance(node.tell(retry)[0], api.Refuse)
-    assert isinstance(node.ask(0, 7)[0], api.Send)
+    assert isinstance(node.handle(retry)[0], api.Refuse)
+    assert isinstance(node.request(0, 7)[0], api.Send)
 
 
 def test_tenant_over_its_share_is_limited_and_others_are_not() -> None:
     node = Node(one_class(tenants=(api.Tenant(0.5), api.Tenant(0.5))), servers=6)
-    surge = [node.tell(api.Request(5000 + n, SECOND, 0, 0, 100 + n, False))[0] for n in range(60)]
+    surge = [node.handle(api.Request(5000 + n, SECOND, 0, 0, 100 + n, False))[0] for n in range(60)]
     assert sum(isinstance(action, api.Send) for action in surge) == 41
-    assert isinstance(node.tell(api.Request(6000, SECOND, 0, 1, 3, False))[0], api.Send)
+    assert isinstance(node.handle(api.Request(6000, SECOND, 0, 1, 3, False))[0], api.Send)
 
 
 def test_full_answers_move_key_to_its_other_server() -> None:
@@ -224,11 +224,11 @@
     node = Node()
     warm_up_key_counts(node)
     home = node.serve(42)
-    (send,) = node.ask(0, 42)
+    (send,) = node.request(0, 42)
     assert isinstance(send, api.Send)
-    again = node.end(send, Result.FULL)[-1]
+    again = node.finish(send, Result.FULL)[-1]
     assert isinstance(again, api.Send)
-    node.end(again, Result.OK)
+    node.finish(again, Result.OK)
     assert node.serve(42) == again.server != home
     node.wait(60 * SECOND)  # the evidence has decayed
     assert node.serve(42) == home
@@ -247,12 +247,12 @@
     full = Counter[int]()
     for turn in range(40):
         for key in range(1, 7):
-            sends = [one for one in node.ask(0, key) if isinstance(one, api.Send)]
+            sends = [one for one in node.request(0, key) if isinstance(one, api.Send)]
             while sends and sends[0].server in closed:
                 full[turn] += 1
-                sends = [one for one in node.end(sends[0], Result.FULL) if isinstance(one, api.Send)]
+                sends = [one for one in node.finish(sends[0], Result.FULL) if isinstance(one, api.Send)]
             if sends:
-                node.end(sends[0], Result.OK)
+                node.finish(sends[0], Result.OK)
         node.now += 10 * MS
     assert full
     assert not any(full[turn] for turn in range(30, 40))
@@ -266,7 +266,7 @@
 
 def test_less_loaded_of_two_servers_is_chosen() -> None:
     node = Node()
-    first, second = node.ask(0, 42)[0], node.ask(0, 42)[0]
+    first, second = node.request(0, 42)[0], node.request(0, 42)[0]
     assert isinstance(first, api.Send) and isinstance(second, api.Send)
     assert first.server != second.server
 
@@ -305,9 +305,9 @@
     """Guards against a random choice among zero servers after servers are listed again."""
     node = Node(servers=0)
     for _ in range(3):
-        node.ask(0, 42)
+        node.request(0, 42)
     node.wait(SECOND)
-    node.tell(full_list(server(1), server(2)))
+    node.handle(full_list(server(1), server(2)))
     assert node.serve(42) is not None
 
 
@@ -319,7 +319,7 @@
 def test_list_change_moves_few_keys() -> None:
     node = Node(servers=20)
     before = {key: node.serve(key) for key in range(1, 501)}
-    node.tell(full_list(*(server(number) for number in range(19))))
+    node.handle(full_list(*(server(number) for number in range(19))))
     moved = [key for key in before if node.serve(key) != before[key]]
     lost = [key for key in before if before[key] == server(19).id]
     assert set(lost) <= set(moved)
@@ -334,15 +334,15 @@
     warm_up_key_counts(node)
     home = node.serve(42)
     for _ in range(2):
-        (send,) = node.ask(0, 42)
+        (send,) = node.request(0, 42)
         assert isinstance(send, api.Send) and send.server == home
-        node.end(send, Result.ERROR)
+        node.finish(send, Result.ERROR)
     assert node.serve(42) != home
     node.wait(3 * SECOND)
-    (trial,) = node.ask(0, 42)
+    (trial,) = node.request(0, 42)
     assert isinstance(trial, api.Send) and trial.server == home
     assert node.serve(42) != home  # one trial at a time
-    node.end(trial, Result.OK)
+    node.finish(trial, Result.OK)
     assert node.serve(42) == home
 
 
@@ -352,7 +352,7 @@
     warm_up_key_counts(node)
     home = node.serve(42)
     node.wait(10 * SECOND)
-    node.end(node.ask(2, 42)[0], Result.ERROR)  # type: ignore[arg-type]
+    node.finish(node.request(2, 42)[0], Result.ERROR)  # type: ignore[arg-type]
     node.wait(3900 * MS)
     assert node.serve(42) != home  # a common ejection lasts two seconds at most
     node.wait(5 * SECOND)
@@ -366,12 +366,12 @@
     home = node.serve(42)
     backend = node.balancer._backends[home or b""]
     for _ in range(2):
-        node.end(node.ask(2, 42)[0], Result.ERROR)  # type: ignore[arg-type]
+        node.finish(node.request(2, 42)[0], Result.ERROR)  # type: ignore[arg-type]
     node.wait(3 * SECOND)
-    (trial,) = node.ask(2, 42)
+    (trial,) = node.request(2, 42)
     assert isinstance(trial, api.Send) and trial.server == home and backend.trial
     backend.answered_at = node.now  # by another attempt
-    node.end(trial, Result.CONNECT_FAILED)
+    node.finish(trial, Result.CONNECT_FAILED)
     assert node.serve(42) == home
 
 
@@ -386,16 +386,16 @@
     backend = node.balancer._backends[home or b""]
     for _ in range(20):
         for result in (Result.TIMEOUT, Result.TIMEOUT, Result.OK):
-            (send,) = [one for one in node.ask(0, 42) if isinstance(one, api.Send)]
+            (send,) = [one for one in node.request(0, 42) if isinstance(one, api.Send)]
             if send.server == home:
                 node.now += 100 * MS
-                node.end(send, result, 400 * MS)
+                node.finish(send, result, 400 * MS)
             else:
-                node.end(send, Result.OK, 100 * MS)
+                node.finish(send, Result.OK, 100 * MS)
     assert not backend.ejected_until and backend.failure_log_odds
     node.now += SECOND  # if it stops answering, it is ejected
     for _ in range(3):
-        node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
+        node.handle(api.Request(node.next_id, SECOND, 0, 0, 42, False))
         node.balancer._record_health(node.now, backend, Result.TIMEOUT, 0)
     assert backend.ejected_until
 
@@ -405,9 +405,9 @@
     warm_up_key_counts(node)
     home = node.serve(42)
     for _ in range(2):
-        node.end(node.ask(0, 42)[0], Result.ERROR)  # type: ignore[arg-type]
+        node.finish(node.request(0, 42)[0], Result.ERROR)  # type: ignore[arg-type]
     node.wait(2 * SECOND)
-    node.end(node.ask(0, 42)[0], Result.ERROR)  # type: ignore[arg-type]
+    node.finish(node.request(0, 42)[0], Result.ERROR)  # type: ignore[arg-type]
     node.wait(1900 * MS)
     assert node.serve(42) != home
 
@@ -415,9 +415,9 @@
 def test_ejections_are_limited_if_all_servers_fail() -> None:
     node = Node(servers=9)
     for key in range(1, 300):
-        (send,) = node.ask(2, key)
+        (send,) = node.request(2, key)
         if isinstance(send, api.Send):
-            node.end(send, Result.ERROR)
+            node.finish(send, Result.ERROR)
     assert len({node.serve(key) for key in range(1, 200)}) >= 6
 
 
@@ -427,7 +427,7 @@
         node.serve(key)
     node.wait(SECOND)
     cold = server(3, started=node.now)
-    node.tell(api.ServerList(api.ListKind.DELTA, (cold,)))
+    node.handle(api.ServerList(api.ListKind.DELTA, (cold,)))
     got = Counter(node.serve(key) for key in range(1, 301))
     assert got[cold.id] <= 2
     node.wait(25 * SECOND)
@@ -438,35 +438,35 @@
 def test_load_of_cold_servers_is_not_moved_to_one_server() -> None:
     node = Node(servers=8)
     cold = [server(number, started=node.now) for number in range(8, 60)]
-    node.tell(api.ServerList(api.ListKind.DELTA, tuple(cold)))
+    node.handle(api.ServerList(api.ListKind.DELTA, tuple(cold)))
     got = Counter(node.serve(key) for key in range(1, 801))
     assert max(got.values()) < 250
 
 
 def test_draining_and_unlisted_servers_get_no_requests() -> None:
     node = Node(servers=4)
-    node.tell(api.ServerList(api.ListKind.DELTA, (server(1, api.ServerState.DRAINING),)))
+    node.handle(api.ServerList(api.ListKind.DELTA, (server(1, api.ServerState.DRAINING),)))
     assert server(1).id not in {node.serve(key) for key in range(1, 100)}
-    node.tell(full_list(server(0), server(2)))
+    node.handle(full_list(server(0), server(2)))
     assert {node.serve(key) for key in range(1, 100)} == {server(0).id, server(2).id}
 
 
 def test_empty_list_refuses_until_servers_are_listed() -> None:
     node = Node(servers=0)
-    assert isinstance(node.ask(2, 1)[0], api.Refuse)
-    node.tell(full_list(server(1)))
+    assert isinstance(node.request(2, 1)[0], api.Refuse)
+    node.handle(full_list(server(1)))
     assert node.serve(1) == server(1).id
 
 
 def test_zero_weight_counts_as_default_weight() -> None:
     node = Node(servers=0)
-    node.tell(full_list(server(0)._replace(weight=0.0), server(1)._replace(weight=0.0)))
+    node.handle(full_list(server(0)._replace(weight=0.0), server(1)._replace(weight=0.0)))
     assert len({node.serve(key) for key in range(1, 50)}) == 2
 
 
 def test_heavier_server_gets_more_keys() -> None:
     node = Node(servers=0)
-    node.tell(full_list(server(0)._replace(weight=3.0), server(1), server(2)))
+    node.handle(full_list(server(0)._replace(weight=3.0), server(1), server(2)))
     got = Counter(node.serve(key) for key in range(1, 1001))
     assert 500 < got[server(0).id] < 700
 
@@ -476,59 +476,59 @@
 
 def test_unsafe_request_that_may_have_run_fails_without_retry() -> None:
     node = Node()
-    (send,) = node.ask(2, 1)
+    (send,) = node.request(2, 1)
     assert isinstance(send, api.Send)
-    assert node.end(send, Result.ERROR) == [api.Fail(send.request)]
+    assert node.finish(send, Result.ERROR) == [api.Fail(send.request)]
 
 
 def test_unsafe_request_without_connection_is_sent_to_another_server() -> None:
     node = Node()
-    (send,) = node.ask(2, 1)
+    (send,) = node.request(2, 1)
     assert isinstance(send, api.Send)
-    (again,) = node.end(send, Result.CONNECT_FAILED)
+    (again,) = node.finish(send, Result.CONNECT_FAILED)
     assert isinstance(again, api.Send) and again.server != send.server
 
 
 def test_keyed_request_is_retried_only_in_its_cell_and_window() -> None:
     node = Node(settings(classes=(KEYED,)), servers=6)
-    (send,) = node.ask(0, 5)
+    (send,) = node.request(0, 5)
     assert isinstance(send, api.Send)
-    (again,) = node.end(send, Result.RESET)
+    (again,) = node.finish(send, Result.RESET)
     assert isinstance(again, api.Send)
     assert int.from_bytes(again.server, "big") // 3 == int.from_bytes(send.server, "big") // 3
-    (late,) = node.ask(0, 5)
+    (late,) = node.request(0, 5)
     assert isinstance(late, api.Send)
     node.wait(800 * MS)
-    assert node.end(late, Result.RESET) == [api.Fail(late.request)]
+    assert node.finish(late, Result.RESET) == [api.Fail(late.request)]
 
 
 def test_keyed_request_without_key_is_not_retried() -> None:
     node = Node(settings(classes=(KEYED,)))
-    (send,) = node.ask(0, 0)
+    (send,) = node.request(0, 0)
     assert isinstance(send, api.Send)
-    assert node.end(send, Result.RESET) == [api.Fail(send.request)]
+    assert node.finish(send, Result.RESET) == [api.Fail(send.request)]
 
 
 def test_retries_are_limited_by_budget() -> None:
     node = Node(servers=30)
     again = 0
     for key in range(1, 201):
-        (send,) = node.ask(0, key)
+        (send,) = node.request(0, key)
         if isinstance(send, api.Send):
-            again += isinstance(node.end(send, Result.ERROR)[0], api.Send)
+            again += isinstance(node.finish(send, Result.ERROR)[0], api.Send)
         node.wait(50 * MS)
     assert 10 <= again <= 31
 
 
 def test_late_events_of_closed_requests_are_ignored() -> None:
     node = Node()
-    (send,) = node.ask(0, 1)
+    (send,) = node.request(0, 1)
     assert isinstance(send, api.Send)
-    node.tell(api.ClientGone(send.request))
-    assert node.end(send, Result.TIMEOUT) == []
-    assert node.end(send, Result.OK) == []
-    assert node.tell(api.ClientGone(send.request)) == []
-    assert node.tell(api.Timer(4711)) == []
+    node.handle(api.ClientGone(send.request))
+    assert node.finish(send, Result.TIMEOUT) == []
+    assert node.finish(send, Result.OK) == []
+    assert node.handle(api.ClientGone(send.request)) == []
+    assert node.handle(api.Timer(4711)) == []
 
 
 # The list of servers.
@@ -536,14 +536,14 @@
 
 def test_failed_watch_is_retried_with_bounded_backoff() -> None:
     node = Node(settings(list_mode=api.ListMode.ON_REQUEST))
-    node.tell(api.ServerList(api.ListKind.FAILED, ()))
+    node.handle(api.ServerList(api.ListKind.FAILED, ()))
     pauses = []
     for _ in range(6):
         before = node.now
         while not any(isinstance(action, api.Watch) for action in node.wait(50 * MS)):
             assert node.now - before <= 10 * SECOND
         pauses.append(node.now - before)
-        node.tell(api.ServerList(api.ListKind.FAILED, ()))
+        node.handle(api.ServerList(api.ListKind.FAILED, ()))
     assert pauses[0] <= SECOND + 50 * MS
     # A change must be known 6 s after discovery is reachable again.
     assert SECOND < max(pauses) <= 2 * SECOND + 50 * MS
@@ -591,12 +591,12 @@
     node = Node(settings(classes=(kind,)), servers=30)
     again = set()
     for key in range(1, 60):
-        (send,) = node.ask(0, key)
+        (send,) = node.request(0, key)
         if isinstance(send, api.Send):
-            (action,) = node.end(send, Result.RESET)
+            (action,) = node.finish(send, Result.RESET)
             if isinstance(action, api.Send):
                 again.add(action.server)
-                node.end(action, Result.OK)
+                node.finish(action, Result.OK)
         node.wait(50 * MS)
     assert len(again) > 5
 
@@ -632,44 +632,46 @@
 
 def test_requests_of_key_are_sent_one_at_a_time_in_order() -> None:
     node = ordered_node()
-    (first,) = node.ask(0, 5)
+    (first,) = node.request(0, 5)
     assert isinstance(first, api.Send)
-    assert isinstance(node.ask(0, 6)[0], api.Send)  # another key
-    assert isinstance(node.ask(0, 0)[0], api.Send) and isinstance(node.ask(0, 0)[0], api.Send)  # no key
-    assert isinstance(node.ask(1, 5)[0], api.SetTimer) and isinstance(node.ask(0, 5)[0], api.SetTimer)
-    (second,) = node.end(first, Result.OK)
+    assert isinstance(node.request(0, 6)[0], api.Send)  # another key
+    assert isinstance(node.request(0, 0)[0], api.Send) and isinstance(
+        node.request(0, 0)[0], api.Send
+    )  # no key
+    assert isinstance(node.request(1, 5)[0], api.SetTimer) and isinstance(node.request(0, 5)[0], api.SetTimer)
+    (second,) = node.finish(first, Result.OK)
     assert isinstance(second, api.Send) and second.request == first.request + 4
-    (third,) = node.end(second, Result.OK)
+    (third,) = node.finish(second, Result.OK)
     assert isinstance(third, api.Send) and third.request == second.request + 1
-    assert node.end(third, Result.OK) == []
+    assert node.finish(third, Result.OK) == []
 
 
 def test_key_is_held_after_attempt_that_may_still_run() -> None:
     node = ordered_node()
-    (first,) = node.ask(0, 5)
+    (first,) = node.request(0, 5)
     assert isinstance(first, api.Send)
-    node.ask(0, 5)
-    (again,) = node.end(first, Result.RESET)
+    node.request(0, 5)
+    (again,) = node.finish(first, Result.RESET)
     assert isinstance(again, api.Send) and again.request == first.request  # still first in the queue
-    assert all(isinstance(action, api.SetTimer) for action in node.end(again, Result.OK))
+    assert all(isinstance(action, api.SetTimer) for action in node.finish(again, Result.OK))
     assert not [action for action in node.wait(49 * MS) if isinstance(action, api.Send)]
     assert [action for action in node.wait(2 * MS) if isinstance(action, api.Send)]
 
 
 def test_queue_waits_for_attempt_of_disconnected_client() -> None:
     node = ordered_node()
-    (first,) = node.ask(0, 5)
+    (first,) = node.request(0, 5)
     assert isinstance(first, api.Send)
-    node.tell(api.ClientGone(first.request))
-    assert isinstance(node.ask(0, 5)[0], api.SetTimer)
-    assert isinstance(node.end(first, Result.OK)[0], api.Send)
+    node.handle(api.ClientGone(first.request))
+    assert isinstance(node.request(0, 5)[0], api.SetTimer)
+    assert isinstance(node.finish(first, Result.OK)[0], api.Send)
 
 
 def test_queued_request_is_refused_before_its_deadline() -> None:
     node = ordered_node()
-    node.ask(0, 5)
+    node.request(0, 5)
     asked = node.now
-    node.ask(0, 5)
+    node.request(0, 5)
     while not any(isinstance(action, api.Refuse) for action in node.wait(10 * MS)):
         assert node.now < asked + SECOND
     assert node.now > asked + SECOND // 3
@@ -680,7 +682,7 @@
     node = Node(settings(classes=(ORDERED,)))
     for _ in range(9):
         window(node, 2, 300 * MS)
-    got = [node.ask(0, 5)[0] for _ in range(10)]
+    got = [node.request(0, 5)[0] for _ in range(10)]
     assert sum(isinstance(action, api.Refuse) for action in got) >= 7
     assert isinstance(got[-1], api.Refuse) and isinstance(got[1], api.SetTimer)
 
@@ -695,10 +697,10 @@
         node.wait(3 * SECOND)
         for backend in node.balancer._subset:
             backend.reset_health()  # the first losses eject some servers
-        actions = node.ask(2, key)
+        actions = node.request(2, key)
         send = actions[-1]
         assert isinstance(send, api.Send)
-        node.end(send, result, 300 * MS)
+        node.finish(send, result, 300 * MS)
 
 
 @pytest.mark.parametrize("result", [Result.RESET, Result.TIMEOUT])
@@ -708,21 +710,21 @@
     node = Node()
     node.serve(1)
     node.wait(3 * SECOND)
-    assert [type(action) for action in node.ask(2, 1)] == [api.Send]
+    assert [type(action) for action in node.request(2, 1)] == [api.Send]
     node = Node()
     lose_idle_connections(node, result, range(1, 8 if result is Result.RESET else 5))
     for backend in node.balancer._subset:
         backend.reset_health()
         backend.idle_since = [node.now]
     node.wait(3 * SECOND)
-    hang_up, send = node.ask(2, 5)
+    hang_up, send = node.request(2, 5)
     assert isinstance(hang_up, api.CloseIdleConnections) and isinstance(send, api.Send)
     assert hang_up.server == send.server
-    node.end(send, Result.OK)
+    node.finish(send, Result.OK)
     for backend in node.balancer._subset:
         backend.idle_since = [node.now]
     node.wait(100 * MS)
-    assert [type(action) for action in node.ask(2, 5)] == [api.Send]  # it was not idle for long
+    assert [type(action) for action in node.request(2, 5)] == [api.Send]  # it was not idle for long
 
 
 def test_idle_connections_are_trusted_again_over_time() -> None:
@@ -731,7 +733,7 @@
     node.wait(60 * SECOND)
     node.serve(5)
     node.wait(3 * SECOND)
-    assert [type(action) for action in node.ask(2, 5)] == [api.Send]
+    assert [type(action) for action in node.request(2, 5)] == [api.Send]
 
 
 def test_trusted_idle_time_does_not_overflow_after_months() -> None:
@@ -740,19 +742,19 @@
     lose_idle_connections(node, Result.RESET, range(1, 5))
     node.serve(5)
     node.now += 90 * 24 * 3600 * SECOND
-    assert isinstance(node.ask(2, 5)[-1], api.Send)
+    assert isinstance(node.request(2, 5)[-1], api.Send)
 
 
 def test_losses_on_new_connections_are_not_attributed_to_idling() -> None:
     node = Node(servers=30)
     for key in range(100, 120):
-        send = node.ask(2, key)[-1]
+        send = node.request(2, key)[-1]
         assert isinstance(send, api.Send)
-        node.end(send, Result.TIMEOUT, 300 * MS)
+        node.finish(send, Result.TIMEOUT, 300 * MS)
     lose_idle_connections(node, Result.TIMEOUT, range(1, 3))
     node.serve(5)
     node.wait(3 * SECOND)
-    assert [type(action) for action in node.ask(2, 5)] == [api.Send]
+    assert [type(action) for action in node.request(2, 5)] == [api.Send]
 
 
 def test_open_connections_are_preferred_while_new_ones_fail() -> None:
@@ -762,21 +764,21 @@
     for key in range(1, 60):
         node.serve(key)
     standing = {node.serve(key) for key in range(1, 60)}
-    held = [node.ask(0, key)[0] for key in range(1, 60)]  # uses the open connections and needs more
+    held = [node.request(0, key)[0] for key in range(1, 60)]  # uses the open connections and needs more
     fails = [send for send in held[12:] if isinstance(send, api.Send)]
     for send in fails[:10]:
-        (again,) = node.end(send, Result.CONNECT_FAILED)
+        (again,) = node.finish(send, Result.CONNECT_FAILED)
         assert isinstance(again, api.Send)
-        node.end(again, Result.OK)
+        node.finish(again, Result.OK)
     for send in held[:12]:
         assert isinstance(send, api.Send)
         if len(node.sent[send.request]) == 1:
-            node.end(send, Result.OK)
+            node.finish(send, Result.OK)
     assert not [one for one in node.balancer._subset if one.ejected_until]
-    (send,) = node.ask(0, 3)
+    (send,) = node.request(0, 3)
     assert isinstance(send, api.Send) and send.server in standing
     connected = {name for name, one in node.balancer._backends.items() if one.idle_since}
-    (again,) = node.end(send, Result.CONNECT_FAILED)
+    (again,) = node.finish(send, Result.CONNECT_FAILED)
     assert isinstance(again, api.Send) and again.server in connected
 
 
@@ -786,7 +788,7 @@
 def mixed_fleet(weight: float = 1.0) -> Node:
     node = Node(settings(report_fields=("utilization",)), servers=0)
     weights = (1.0, weight)
-    node.tell(full_list(*(server(n)._replace(kind=n % 2, weight=weights[n % 2]) for n in range(20))))
+    node.handle(full_list(*(server(n)._replace(kind=n % 2, weight=weights[n % 2]) for n in range(20))))
     return node
 
 
@@ -797,9 +799,9 @@
 
 def report(node: Node, busy: tuple[float, float]) -> None:
     for n in range(60):
-        (send,) = node.ask(0, 100 + n)
+        (send,) = node.request(0, 100 + n)
         assert isinstance(send, api.Send)
-        node.end(send, Result.OK, 10 * MS, (busy[int.from_bytes(send.server, "big") % 2],))
+        node.finish(send, Result.OK, 10 * MS, (busy[int.from_bytes(send.server, "big") % 2],))
         node.wait(50 * MS)
 
 
@@ -824,9 +826,9 @@
     report(node, (0.0, 0.0))
     assert 0.4 < share_of_second_kind(node) < 0.6
     for n in range(100):
-        send = node.ask(0, 900 + n)[0]
+        send = node.request(0, 900 + n)[0]
         if isinstance(send, api.Send):
-            node.end(send, Result.TIMEOUT, 500 * MS)
+            node.finish(send, Result.TIMEOUT, 500 * MS)
         node.wait(400 * MS)
     assert all(kind.share > 0.0 for kind in node.balancer._kinds.values())
 
@@ -834,13 +836,13 @@
 def test_no_retry_once_answer_would_be_worthless() -> None:
     """Guards against a retry after a time-out at the aim, whose answer nobody needs."""
     node = Node()
-    (send,) = node.ask(0, 1, time_left=3 * SECOND)
+    (send,) = node.request(0, 1, time_left=3 * SECOND)
     assert isinstance(send, api.Send) and send.time_out == 500 * MS
     node.now += 200 * MS
-    (again,) = node.end(send, Result.CONNECT_FAILED, 200 * MS)
+    (again,) = node.finish(send, Result.CONNECT_FAILED, 200 * MS)
     assert isinstance(again, api.Send) and again.time_out == 300 * MS
     node.now += 300 * MS
-    assert isinstance(node.end(again, Result.TIMEOUT, 300 * MS)[0], api.Refuse)
+    assert isinstance(node.finish(again, Result.TIMEOUT, 300 * MS)[0], api.Refuse)
 
 
 def test_no_retry_without_enough_time_and_no_ejection_for_short_timeouts() -> None:
@@ -850,29 +852,29 @@
     for _ in range(8):
         window(node, 12, 100 * MS)
     for key in range(1, 5):
-        send = node.ask(0, key)[-1]
+        send = node.request(0, key)[-1]
         assert isinstance(send, api.Send)
         node.now += 440 * MS
-        again = node.end(send, Result.FULL, 440 * MS)[-1]
+        again = node.finish(send, Result.FULL, 440 * MS)[-1]
         assert isinstance(again, api.Send) and again.time_out == 60 * MS  # enough for some answers
         node.now += 60 * MS
-        assert isinstance(node.end(again, Result.TIMEOUT, 60 * MS)[0], api.Refuse)
-        send = node.ask(0, key)[-1]
+        assert isinstance(node.finish(again, Result.TIMEOUT, 60 * MS)[0], api.Refuse)
+        send = node.request(0, key)[-1]
         assert isinstance(send, api.Send)
         node.now += 460 * MS
-        assert isinstance(node.end(send, Result.FULL, 460 * MS)[-1], api.Refuse)  # 40 ms: too little
+        assert isinstance(node.finish(send, Result.FULL, 460 * MS)[-1], api.Refuse)  # 40 ms: too little
     assert not any(one.ejected_until or one.utilization for one in node.balancer._backends.values())
 
 
 @pytest.mark.parametrize("report", [(), (0.9,)])
 def test_answer_without_report_keeps_last_utilization(report: tuple[float, ...]) -> None:
     node = Node(settings(report_fields=("utilization",)), servers=1)
-    (send,) = node.ask(0, 1)
+    (send,) = node.request(0, 1)
     assert isinstance(send, api.Send)
-    node.end(send, Result.OK, report=(0.9,))
-    (send,) = node.ask(0, 1)
+    node.finish(send, Result.OK, report=(0.9,))
+    (send,) = node.request(0, 1)
     assert isinstance(send, api.Send)
-    node.end(send, Result.OK, report=report)
+    node.finish(send, Result.OK, report=report)
     assert node.balancer._backends[send.server].utilization == 0.9
 
 
@@ -899,11 +901,11 @@
     for _ in range(4):
         window(node, 12, 50 * MS)
     for _ in range(8):
-        sends = [node.ask(0, key)[0] for key in range(1, 13)]
+        sends = [node.request(0, key)[0] for key in range(1, 13)]
         node.wait(300 * MS)
         for send in sends:
             if isinstance(send, api.Send):
-                node.end(send, Result.TIMEOUT, 300 * MS)
+                node.finish(send, Result.TIMEOUT, 300 * MS)
         node.wait(300 * MS)
     assert max(node.balancer._caps) < 1.0
 
@@ -913,12 +915,12 @@
     their kind because of their low reports."""
     node = mixed_fleet()
     cold = [server(n, started=node.now)._replace(kind=n % 2) for n in range(3, 20, 2)]
-    node.tell(api.ServerList(api.ListKind.DELTA, tuple(cold)))
+    node.handle(api.ServerList(api.ListKind.DELTA, tuple(cold)))
     for n in range(600):
-        send = node.ask(0, 100 + n)[-1]
+        send = node.request(0, 100 + n)[-1]
         if isinstance(send, api.Send):
             is_cold = send.server in {one.id for one in cold}
-            node.end(send, Result.OK, 10 * MS, (0.1 if is_cold else 0.8,))
+            node.finish(send, Result.OK, 10 * MS, (0.1 if is_cold else 0.8,))
         node.wait(5 * MS)
     kinds = node.balancer._kinds
     assert abs(kinds[0].share - kinds[1].share) < 0.1
@@ -951,7 +953,7 @@
     failing = node.balancer._subset[0]
     failing.failure_log_odds, failing.ejected_until = 3.0, node.now + 5 * SECOND
     node.wait(SECOND)  # the caps do not count it
-    (send,) = node.ask(0, 7)
+    (send,) = node.request(0, 7)
     other.now = node.now
     restore_state(other.balancer, other.now, json.loads(json.dumps(export_state(node.balancer))))
     assert other.balancer._caps == pytest.approx(node.balancer._caps)
@@ -974,7 +976,7 @@
     for _ in range(8):
         window(node, 60, 500 * MS)
     before = node.balancer._caps[0]
-    node.tell(api.ServerList(api.ListKind.DELTA, tuple(
+    node.handle(api.ServerList(api.ListKind.DELTA, tuple(
         server(number, state=api.ServerState.DRAINING) for number in range(6)
     )))  # fmt: skip
     assert node.balancer._caps[0] == pytest.approx(before / 2)
@@ -987,7 +989,7 @@
 def test_cap_rises_as_cold_servers_warm_up() -> None:
     node = Node(one_class(), servers=6)
     before = node.balancer._caps[0]
-    node.tell(api.ServerList(api.ListKind.DELTA, tuple(
+    node.handle(api.ServerList(api.ListKind.DELTA, tuple(
         server(number, started=node.now) for number in range(6, 12)
     )))  # fmt: skip
     cold = node.balancer._caps[0]
@@ -998,7 +1000,7 @@
 
 def test_class_with_few_answers_uses_pooled_tail() -> None:
     """The tail of three answers is their second. Guards against caps of four times the fleet's capacity."""
-    crowded = [200 * MS, 300 * MS, 900 * MS]
+    overloaded = [200 * MS, 300 * MS, 900 * MS]
     breakers = [Breaker(SECOND) for _ in range(4)]
     for _ in range(20):  # windows at low load first, to learn the typical response time
         for breaker in breakers:
@@ -1006,7 +1008,7 @@
             breaker.update(3.0, 10.0, False, 0.0)
     lean, alone = breakers[0], replace(breakers[0], window=Window())
     for breaker in (*breakers, alone):
-        breaker.window.answered += crowded
+        breaker.window.answered += overloaded
     pooled = pooled_tail(breakers)
     lean.update(9.0, 10.0, False, pooled)
     alone.update(9.0, 10.0, False, 0.0)
@@ -1044,9 +1046,9 @@
     for trial in range(1, 7):
         node.wait(60 * SECOND)
         silent.idle_since = [node.now - 2 * SECOND]
-        (send,) = node.ask(0, 1)
+        (send,) = node.request(0, 1)
         assert isinstance(send, api.Send)
-        node.end(send, Result.TIMEOUT, 900 * MS)
+        node.finish(send, Result.TIMEOUT, 900 * MS)
         assert silent.doublings == min(trial, 4)
     assert not node.balancer._distrusted_since
 
@@ -1105,12 +1107,12 @@
     """A server may be full of connections. Guards against many nodes that each keep theirs, so that it stays
     over its limit."""
     node = Node(servers=1)
-    first, second = node.ask(0, 42)[-1], node.ask(0, 42)[-1]
+    first, second = node.request(0, 42)[-1], node.request(0, 42)[-1]
     assert isinstance(first, api.Send) and isinstance(second, api.Send)
-    node.end(first, Result.OK)
+    node.finish(first, Result.OK)
     backend = node.balancer._backends[first.server]
     assert backend.idle_since
-    assert api.CloseIdleConnections(second.server) in node.end(second, Result.FULL)
+    assert api.CloseIdleConnections(second.server) in node.finish(second, Result.FULL)
     assert not backend.idle_since
 
 
@@ -1142,10 +1144,10 @@
     for elapsed, again in ((400 * MS, True), (549 * MS, True), (551 * MS, False), (690 * MS, False)):
         kind = replace(KEYED, aim=4 * SECOND, group=api.Group.ALL)  # repeats are dropped for 700 ms
         node = Node(settings(classes=(kind,)), servers=6)
-        send = node.ask(key=7, time_left=5 * SECOND)[-1]
+        send = node.request(key=7, time_left=5 * SECOND)[-1]
         assert isinstance(send, api.Send)
         node.now += elapsed
-        actions = node.end(send, Result.ERROR, elapsed)
+        actions = node.finish(send, Result.ERROR, elapsed)
         (more,) = [one for one in actions if isinstance(one, api.Send)] or [None]
         assert (more is not None) is again
         if more is not None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,11 +20,11 @@
 FALL_MULTIPLE = 3.0  # of a cold server's current capacity, above which it fails
 
 
-@pytest.mark.parametrize(("nodes", "told"), [(2, 2), (40, 40), (48, 48), (40, 1), (40, 20)])
-def test_all_nodes_together_do_not_overload_cold_server(nodes: int, told: int) -> None:
+@pytest.mark.parametrize(("nodes", "configured"), [(2, 2), (40, 40), (48, 48), (40, 1), (40, 20)])
+def test_all_nodes_together_do_not_overload_cold_server(nodes: int, configured: int) -> None:
     """Holds for any configured number of nodes, as the rate of each node follows its own traffic."""
     chance = Random(7)
-    rules = settings(nodes=told)
+    rules = settings(nodes=configured)
     fleet = [Node(rules, servers=12, seed=seed) for seed in range(nodes)]
     step = SECOND * nodes // 900  # 900 requests per second in total
     began = fleet[0].now
@@ -34,15 +34,15 @@
         node = fleet[number % nodes]
         node.wait(max(0, began + number // nodes * step - node.now))
         if number // nodes * step >= 4 * SECOND and len(node.balancer._backends) == 12:
-            node.tell(api.ServerList(api.ListKind.DELTA, (server(99, started=began + 4 * SECOND),)))
-        action = node.ask(0, chance.randrange(1, 5000))[-1]
+            node.handle(api.ServerList(api.ListKind.DELTA, (server(99, started=began + 4 * SECOND),)))
+        action = node.request(0, chance.randrange(1, 5000))[-1]
         if not isinstance(action, api.Send):
             continue
         if action.server == server(99).id:
             cold.append(node.now)
         elif node.now >= began + 5 * SECOND:
             warm[action.server] += 1
-        node.end(action, Result.OK, 10 * MS)
+        node.finish(action, Result.OK, 10 * MS)
     seconds = (fleet[0].now - began) / SECOND - 5.0
     usual = sum(warm.values()) / len(warm) / seconds
     assert cold  # it is used at all
@@ -50,7 +50,7 @@
         age = (at - began - 4 * SECOND) / rules.cold_time
         warmth = rules.cold_share + (1.0 - rules.cold_share) * max(0.0, age)
         inside = sum(at - FALL_WINDOW_NS < one <= at for one in cold)
-        assert inside <= FALL_MULTIPLE * warmth * usual * FALL_WINDOW_NS / SECOND, (nodes, told, inside)
+        assert inside <= FALL_MULTIPLE * warmth * usual * FALL_WINDOW_NS / SECOND, (nodes, configured, inside)
 
 
 def test_cap_is_nodes_part_of_total() -> None:
@@ -142,9 +142,9 @@
         entries = tuple(server(99 + number, started=self.started) for number in range(count))
         self.cold = {entry.id: [] for entry in entries}
         for node in self.fleet:
-            told = self.started + int(self.chance.random() * SECOND)
-            node.wait(told - node.now)
-            node.tell(api.ServerList(api.ListKind.DELTA, entries))
+            learned_at = self.started + int(self.chance.random() * SECOND)
+            node.wait(learned_at - node.now)
+            node.handle(api.ServerList(api.ListKind.DELTA, entries))
 
     def play(self, rate: float, seconds: float) -> None:
         at = float(max(node.now for node in self.fleet))
@@ -155,10 +155,10 @@
                 when, _, node, send, result = heappop(self._ends)
                 node.wait(max(0, when - node.now))
                 report = () if result is Result.TIMEOUT else (0.25 if send.server in self.cold else 0.9,)
-                node.end(send, result, 500 * MS if result is Result.TIMEOUT else 100 * MS, report)
+                node.finish(send, result, 500 * MS if result is Result.TIMEOUT else 100 * MS, report)
             node = self.chance.choice(self.fleet)
             node.wait(max(0, now - node.now))
-            action = node.ask(0, self.chance.randrange(1, 5000))[-1]
+            action = node.request(0, self.chance.randrange(1, 5000))[-1]
             if isinstance(action, api.Send):
                 self._serve(now, node, action)
 
@@ -199,13 +199,13 @@
 def test_fleet_respects_warm_up_of_cold_servers(nodes: int, multiple: float) -> None:
     """A release at low load, during which every node saves up budget, followed by a surge."""
     rules = settings(nodes=nodes, fall_multiple=multiple, report_fields=("utilization",))
-    crowd = SimulatedFleet(nodes, rules, warm=4, power=20.0, seed=5)
-    crowd.play(50.0, 4.0)
-    crowd.start(8)
-    crowd.play(50.0, 2.0)
-    crowd.play(240.0, 5.0)
-    assert sum(map(len, crowd.cold.values())) > 100  # they are used at all
-    assert crowd.max_excess() <= 1.0
+    simulated = SimulatedFleet(nodes, rules, warm=4, power=20.0, seed=5)
+    simulated.play(50.0, 4.0)
+    simulated.start(8)
+    simulated.play(50.0, 2.0)
+    simulated.play(240.0, 5.0)
+    assert sum(map(len, simulated.cold.values())) > 100  # they are used at all
+    assert simulated.max_excess() <= 1.0
 
 
 def test_cold_server_gets_at_most_fall_multiple() -> None:
@@ -218,10 +218,10 @@
             cold_time=10_000 * SECOND,
             report_fields=("utilization",),
         )
-        crowd = SimulatedFleet(1, rules, warm=4, power=200.0, seed=3)
-        crowd.play(400.0, 4.0)
-        crowd.start(1)
-        crowd.play(400.0, 8.0)
-        (sent,) = crowd.cold.values()
+        simulated = SimulatedFleet(1, rules, warm=4, power=200.0, seed=3)
+        simulated.play(400.0, 4.0)
+        simulated.start(1)
+        simulated.play(400.0, 8.0)
+        (sent,) = simulated.cold.values()
         usual = (400.0 * 8.0 - len(sent)) / 4  # of a warm server, which has room as well
         assert 0.3 < len(sent) / (usual * 0.5) < multiple * 0.75
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -13,19 +13,19 @@
     seventh of the target, so that the breaker alone would admit several times as many."""
     fields = ("utilization",) if reports else ()
     node = Node(settings(classes=(FAST,), report_fields=fields), servers=0)
-    node.tell(full_list(server(0), server(1)))
+    node.handle(full_list(server(0), server(1)))
     waiting: list[api.Send] = []
     for step in range(800):
-        waiting += [one for one in node.ask(key=step + 1) if isinstance(one, api.Send)]
+        waiting += [one for one in node.request(key=step + 1) if isinstance(one, api.Send)]
         node.wait(10 * MS)
         if len(waiting) >= 20:
-            node.end(waiting.pop(0), api.Result.OK, 200 * MS, (busy,) if reports else ())
+            node.finish(waiting.pop(0), api.Result.OK, 200 * MS, (busy,) if reports else ())
     return node
 
 
 def admitted_of_burst(node: Node) -> int:
     """How many of 200 requests at once are admitted."""
-    return sum(isinstance(one, api.Send) for key in range(200) for one in node.ask(key=1000 + key))
+    return sum(isinstance(one, api.Send) for key in range(200) for one in node.request(key=1000 + key))
 
 
 @pytest.mark.parametrize(("busy", "least", "most"), [(0.5, 20, 55), (0.25, 50, 120)])
--- a/tests/world.py
+++ b/tests/world.py
@@ -59,13 +59,13 @@
         self.timers = self._timers(self.balancer.start(self.now))
         self.next_id = 1
         self.sent: dict[int, list[api.Send]] = {}
-        self.tell(full_list(*(server(number) for number in range(servers))))
+        self.handle(full_list(*(server(number) for number in range(servers))))
 
     @staticmethod
     def _timers(actions: Sequence[api.Action]) -> list[api.SetTimer]:
         return [action for action in actions if isinstance(action, api.SetTimer)]
 
-    def tell(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         actions = self.balancer.handle(self.now, event)
         self.timers += self._timers(actions)
         for action in actions:
@@ -81,28 +81,28 @@
             timer = min(due)
             self.timers.remove(timer)
             self.now = max(self.now, timer.at)
-            actions += self.tell(api.Timer(timer.token))
+            actions += self.handle(api.Timer(timer.token))
         self.now = end
         return actions
 
-    def ask(self, class_index: int = 0, key: int = 0, time_left: int = SECOND) -> list[api.Action]:
+    def request(self, class_index: int = 0, key: int = 0, time_left: int = SECOND) -> list[api.Action]:
         self.next_id += 1
-        return self.tell(api.Request(self.next_id - 1, time_left, class_index, 0, key, False))
+        return self.handle(api.Request(self.next_id - 1, time_left, class_index, 0, key, False))
 
-    def end(
+    def finish(
         self, send: api.Send, result: api.Result, elapsed: int = 10 * MS, report: tuple[float, ...] = ()
     ) -> list[api.Action]:
         """Reports the outcome of a request's newest attempt."""
         attempt = len(self.sent[send.request]) - 1
         closed = result is api.Result.OK
-        return self.tell(api.Outcome(send.request, closed, result, elapsed, send.server, attempt, report))
+        return self.handle(api.Outcome(send.request, closed, result, elapsed, send.server, attempt, report))
 
     def serve(self, key: int, elapsed: int = 10 * MS, class_index: int = 0) -> api.ServerId | None:
         """Sends one request, answers it at once, and returns its server."""
-        action = self.ask(class_index, key)[-1]
+        action = self.request(class_index, key)[-1]
         if not isinstance(action, api.Send):
             return None
-        self.end(action, api.Result.OK, elapsed)
+        self.finish(action, api.Result.OK, elapsed)
         return action.server
 
 
@@ -143,7 +143,7 @@
         self.now = START
         self.timers: list[api.SetTimer] = []
         self.listed: dict[api.ServerId, api.Server] = {}
-        self.stopped_at: dict[api.ServerId, int] = {}  # when the node was told to stop sending
+        self.stopped_at: dict[api.ServerId, int] = {}  # when the list told the node to stop sending
         self.requests: dict[int, _OpenRequest] = {}
         self.sends: dict[api.ServerId, list[int]] = {}
         # Sends before the node learned of the last start.
@@ -162,7 +162,7 @@
             self.random.choice(moves)()
         self._finish_all()
 
-    def _tell(self, event: api.Event) -> None:
+    def _handle(self, event: api.Event) -> None:
         self._check(event, self.balancer.handle(self.now, event))
 
     def _arrive(self) -> None:
@@ -175,7 +175,7 @@
             rnd.random() < 0.2,
         )  # fmt: skip
         self.requests[request.id] = _OpenRequest(request, kind, self.now)
-        self._tell(request)
+        self._handle(request)
         open_request = self.requests[request.id]
         if (
             not open_request.answered
@@ -221,7 +221,7 @@
         if result is api.Result.OK or broke:
             open_request.answered = True
         report = tuple(self.random.random() for _ in self.rules.report_fields)
-        self._tell(
+        self._handle(
             api.Outcome(
                 open_request.request.id,
                 open_request.answered,
@@ -243,7 +243,7 @@
         if self.requests:
             open_request = self.random.choice(list(self.requests.values()))
             open_request.answered = True  # also if it is closed already, which must be ignored
-            self._tell(api.ClientGone(open_request.request.id))
+            self._handle(api.ClientGone(open_request.request.id))
 
     def _advance_time(self, span: int | None = None) -> None:
         """Advances the time: timers fall due and attempts time out."""
@@ -265,7 +265,7 @@
             self.now = max(self.now, at)
             if kind == 0:
                 self.timers.remove(next(t for t in self.timers if (t.at, t.token) == (at, name)))
-                self._tell(api.Timer(name))
+                self._handle(api.Timer(name))
             else:
                 self._outcome(self.requests[name], index, api.Result.TIMEOUT)
             self._check_overdue()
@@ -296,14 +296,14 @@
             if name not in self.listed or self.listed[name].started != entry.started:
                 self.sends_before_start[name] = len(self.sends.get(name, ()))
         self.listed = {**self.listed, **listed}
-        self._tell(api.ServerList(kind, tuple(servers)))
+        self._handle(api.ServerList(kind, tuple(servers)))
 
     def _change_list(self) -> None:
         if self.rules.list_mode is api.ListMode.ON_REQUEST:
             if not self.watch_count:
                 return  # no list without a watch
             if self.random.random() < 0.4:
-                self._tell(api.ServerList(api.ListKind.FAILED, ()))
+                self._handle(api.ServerList(api.ListKind.FAILED, ()))
                 return
         self._list(self.random.choice([api.ListKind.FULL, api.ListKind.DELTA, api.ListKind.DELTA]))
 
@@ -358,7 +358,7 @@
             raise RuleViolation(f"malformed: {send} goes to a server never listed")
         target = self.listed[send.server]
         if send.server in self.stopped_at and self.now > self.stopped_at[send.server] + DRAIN_GRACE_NS:
-            raise RuleViolation(f"drain: {send} goes to a server told to be draining or gone")
+            raise RuleViolation(f"drain: {send} goes to a server listed as draining or gone")
         if len(open_request.attempts) >= self.rules.max_attempts:
             raise RuleViolation(f"duplicate: {send} is one attempt too many")
         if any(one.result is None for one in open_request.attempts):
