--- a/lichenspring/balance.py
+++ b/lichenspring/balance.py
@@ -38,7 +38,7 @@
 MIN_REPORTED_UTILIZATION = 0.2  # a lower one is a poor base for extrapolation
 CARRIED_LOAD_WEIGHT = 0.25  # of a window in the mean of requests in flight; as slow as the reports are late
 MIN_CAP_PER_SERVER = 0.3  # of each class, over all nodes: without samples no cap could rise again
-# Without an attempt; then one is always admitted, as only an attempt shows that servers recovered.
+# After this time without an attempt one is always admitted: only that shows that servers recovered.
 PROBE_INTERVAL_NS = 5 * SECOND // 2
 UNANSWERED_WEIGHT = 0.08  # of the newest attempt in the unanswered share: covers about the last twelve
 HIGHER_WORTH_RATIO = 1.2  # by worth per work: above it, a class's threshold also binds the other class
@@ -67,7 +67,7 @@
 MAX_DRAWS = 12  # slots tried for two usable servers before any usable server is taken
 BAD_FAILURES = 0.7  # assumed of a bad server
 EJECT_LOG_ODDS = log(10.0)  # that a server is bad and not like the others (CUSUM test, Page, 1954)
-# Evidence: of a server seen often, of one that is slow.
+# Of the evidence of a server seen often, and of a time-out of one that answers other requests.
 FREQUENT_OUTCOME_WEIGHT, SLOW_SERVER_WEIGHT = 0.5, 0.25
 ANSWERING_WITHIN_NS = SECOND // 2  # since its last answer, for a server that answers other requests
 FLEET_FAILURES_WEIGHT = 0.02  # of the newest outcome in the failures of all servers: covers about the last 50
