--- a/driftstair/admission/arrival_statistics.py
+++ b/driftstair/admission/arrival_statistics.py
@@ -1,70 +1,76 @@
-"""Who comes: the rate of new connections, how many of them ask, and for how long a request needs its place.
+"""Statistics of new connections: their rate, the share that send a request, and the service time of requests.
 
-All of it fades within seconds, so that a crowd that changes is followed, and costs a few operations an event.
+All estimates decay within seconds, so they follow a changing client population. An update takes a few
+operations.
 """
 
 from __future__ import annotations
 
 from math import exp, sqrt
 
-MEMORY = 1.0  # s over which rates are meant
-WEIGHT = 0.02  # part of the newest newcomer in the share that asks, of the newest request in its time
-FREED_IN = 0.05  # s from the decision to close a connection until its client has the place free again
-SPREADS = 2.0  # roots of what is expected to come in that time that chance may bring above it
-SERVICE = 0.1  # s that a request is held to take before any has been seen
-GRACE = 0.1  # s to the first byte that a newcomer has, before enough have been seen
-GRACE_LEAST, GRACE_MOST = 0.02, 0.5  # s, likewise, once they have
-GRACE_TIMES = 8.0  # times the mean of those that ask
-GRACE_SEEN = 50  # newcomers that have asked
+RATE_DECAY_S = 1.0  # time constant of the arrival rate
+EWMA_WEIGHT = 0.02  # of the newest sample in the request share and in the mean times
+CLOSE_DELAY_S = 0.05  # from the decision to close a connection until the client can open another
+STANDARD_DEVIATIONS = 2.0  # margin above the mean number of arrivals in that time (Poisson)
+INITIAL_SERVICE_TIME_S = 0.1  # until a request has been measured
+INITIAL_GRACE_S = 0.1  # time to the first byte, until GRACE_SAMPLES_MIN requests have been measured
+GRACE_S_MIN, GRACE_S_MAX = 0.02, 0.5
+GRACE_FACTOR = 8.0  # of the mean time to the first request
+GRACE_SAMPLES_MIN = 50
 
 
-class Crowd:
-    """The newcomers of late. Times in s."""
+class ArrivalStatistics:
+    """Decaying statistics of recent new connections. Times in s."""
 
     def __init__(self) -> None:
-        self.asking = 1.0  # share of newcomers that bring a whole request before they go
-        self.service = SERVICE  # of a request, from its last byte to its answer
-        self.first = 0.0  # from connecting to the first whole request, of those that ask
-        self._rate = 0.0  # of newcomers that ask, a second
-        self._noted = 0.0
-        self._seen = 0  # newcomers that have asked
-
-    def asked(self, now: float, after: float) -> None:
-        """A newcomer's first whole request has come."""
+        self.request_share = 1.0  # share of new connections that send a complete request
+        self.service_time = INITIAL_SERVICE_TIME_S  # of a request, from its last byte to its response
+        self.first_request_time = 0.0  # mean from connecting to the first complete request
+        self._rate = 0.0  # of new connections that send a request, per second
+        self._updated_at = 0.0
+        self._request_count = 0  # new connections that have sent a request
+
+    def record_first_request(self, now: float, delay: float) -> None:
+        """Records the first complete request on a new connection, `delay` s after it connected."""
         self._decay(now)
-        self._rate += 1.0 / MEMORY
-        self.asking += WEIGHT * (1.0 - self.asking)
-        self._seen += 1
-        self.first += max(WEIGHT, 1.0 / self._seen) * (after - self.first)
+        self._rate += 1.0 / RATE_DECAY_S
+        self.request_share += EWMA_WEIGHT * (1.0 - self.request_share)
+        self._request_count += 1
+        self.first_request_time += max(EWMA_WEIGHT, 1.0 / self._request_count) * (
+            delay - self.first_request_time
+        )
 
-    def stayed_silent(self) -> None:
-        """A newcomer went, or was closed, before it asked."""
-        self.asking -= WEIGHT * self.asking
+    def record_silent(self) -> None:
+        """Records a new connection that closed, or was closed, without a request."""
+        self.request_share -= EWMA_WEIGHT * self.request_share
 
-    def served(self, took: float) -> None:
-        self.service += WEIGHT * (took - self.service)
+    def record_service_time(self, elapsed: float) -> None:
+        self.service_time += EWMA_WEIGHT * (elapsed - self.service_time)
 
     def rate(self, now: float) -> float:
         self._decay(now)
         return self._rate
 
     def _decay(self, now: float) -> None:
-        if now > self._noted:
-            self._rate *= exp((self._noted - now) / MEMORY)
-            self._noted = now
+        if now > self._updated_at:
+            self._rate *= exp((self._updated_at - now) / RATE_DECAY_S)
+            self._updated_at = now
 
     def grace(self) -> float:
-        """The time to its first byte that a newcomer has, before it may make room for another."""
-        if self._seen < GRACE_SEEN:
-            return GRACE
-        return min(GRACE_MOST, max(GRACE_LEAST, GRACE_TIMES * self.first))
+        """How long a new connection may stay silent before it may be closed to make room."""
+        if self._request_count < GRACE_SAMPLES_MIN:
+            return INITIAL_GRACE_S
+        return min(GRACE_S_MAX, max(GRACE_S_MIN, GRACE_FACTOR * self.first_request_time))
+
+    def required_free(self, now: float) -> float:
+        """Connections to keep free for clients that arrive before another connection can be closed.
 
-    def need(self, now: float) -> float:
-        """Places that are to stand free for those that will have come before another one can be freed. Only
-        newcomers that ask count: a crowd that says nothing makes no case for closing those that do."""
-        expected = self.rate(now) * FREED_IN
-        return expected + SPREADS * sqrt(expected)
+        Counts only new connections that send requests, so silent connections never cause active ones to be
+        closed.
+        """
+        expected = self.rate(now) * CLOSE_DELAY_S
+        return expected + STANDARD_DEVIATIONS * sqrt(expected)
 
     def worth(self) -> float:
-        """Requests for a second of a place that is given to newcomers."""
-        return self.asking / (self.first + self.service)
+        """Requests per second of a connection slot that is given to new connections."""
+        return self.request_share / (self.first_request_time + self.service_time)
--- a/driftstair/admission/body_progress.py
+++ b/driftstair/admission/body_progress.py
@@ -1,44 +1,47 @@
-"""How slowly a client may bring a request's body, once its head is whole. Pure; its clock is handed in."""
+"""The minimum rate at which a client has to send a request body. No I/O; the caller passes the time."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-BYTES_PER_S_MIN = 48_000  # bytes a second; clients of the platform bring 64 kB
-GRACE_S = 1.5  # s that a body may be behind that rate
-SILENCE_S_MAX = 2.7  # s without a byte: a client that stops in a request is owed its error within 3 s
+BYTES_PER_S_MIN = 48_000  # the platform's clients send 64 kB/s
+GRACE_S = 1.5  # how far a body may fall behind that rate
+SILENCE_S_MAX = 2.7  # without a byte; a client that stalls in a request has to get its error within 3 s
 
 
 @dataclass(slots=True)
 class BodyProgress:
-    """Times in s of one clock that does not go back."""
+    """Progress of one body. Times in s of one monotonic clock."""
 
-    since: float
-    received: int = 0  # bytes, with their framing
-    moved_at: float = 0.0  # when the newest of them came; 0: none has
-    paused: float = 0.0  # s in which the node itself did not read
-    stopped: float = 0.0  # since when it does not; 0: it reads
+    started_at: float
+    received_bytes: int = 0  # bytes, including the framing
+    last_received_at: float = 0.0  # when the last bytes arrived; 0: none yet
+    paused_s: float = 0.0  # s during which the node did not read
+    paused_since: float = 0.0  # since when the node has not been reading; 0: it is reading
 
     def receive(self, now: float, size: int) -> None:
-        """So many bytes have come."""
-        self.received += size
-        self.moved_at = now
+        """Records `size` received bytes."""
+        self.received_bytes += size
+        self.last_received_at = now
 
     def pause(self, now: float) -> None:
-        if not self.stopped:
-            self.stopped = now
+        if not self.paused_since:
+            self.paused_since = now
 
     def resume(self, now: float) -> None:
-        if self.stopped:
-            self.paused += now - self.stopped
-            self.stopped = 0.0
-            self.moved_at = now  # what came meanwhile was left with the kernel
+        if self.paused_since:
+            self.paused_s += now - self.paused_since
+            self.paused_since = 0.0
+            self.last_received_at = now  # bytes that arrived meanwhile are still in the kernel's buffer
 
     def is_too_slow(self, now: float) -> bool:
-        """Guards against clients that begin a body and never bring it, whatever length they have told, and
-        against those that bring much at once and stop."""
-        if self.stopped:
+        """Whether the body is below the minimum rate or has stalled.
+
+        The rate catches clients that never send the body, whatever length they declared; the silence limit
+        catches those that send much at once and then stop.
+        """
+        if self.paused_since:
             return False
-        if now - max(self.since, self.moved_at) >= SILENCE_S_MAX:
+        if now - max(self.started_at, self.last_received_at) >= SILENCE_S_MAX:
             return True
-        return self.received < BYTES_PER_S_MIN * (now - self.since - self.paused - GRACE_S)
+        return self.received_bytes < BYTES_PER_S_MIN * (now - self.started_at - self.paused_s - GRACE_S)
--- a/driftstair/admission/return_statistics.py
+++ b/driftstair/admission/return_statistics.py
@@ -1,11 +1,12 @@
-"""How long clients stay away between two requests on one connection, from what is seen of them.
-
-A survival estimate under right censoring: a connection that is closed while idle tells only that its client
-had not come back yet. Time is cut into buckets, each twice the one before; in each the estimate holds the
-rate of returns constant, occurrences over exposure. That is the piecewise exponential estimator, which meets
-Kaplan and Meier's (1958) on the buckets' ends and, unlike theirs, needs no list of those at risk: a stay adds
-its exposure bucket by bucket while it lasts, so clients that never come back count from the first second and
-not only once they are gone. Older counts fade, so that a crowd of another kind is learned within its time.
+"""Estimates how long clients stay idle between two requests on one connection.
+
+This is survival estimation under right censoring: a connection that is closed while idle shows only that its
+client had not returned yet. Time is divided into buckets, each ending at twice the previous end, and the
+hazard rate is constant within a bucket: returns divided by exposure. This piecewise exponential estimator
+approximates the Kaplan-Meier estimator (1958) at the bucket ends and needs no list of the connections at
+risk. An idle period adds its exposure bucket by bucket while it lasts, so clients that never return count at
+once and not only after they have left. Older counts decay, so the estimate follows a changing client
+population.
 """
 
 from __future__ import annotations
@@ -13,76 +14,85 @@
 from bisect import bisect_right
 from math import exp
 
-FIRST = 0.002  # s, the end of the first bucket; each ends at twice the one before
-BUCKETS = 16  # the last begins at 32 s and has no end
-HALF_LIFE = 8.0  # s in which the counts fade to half
+FIRST_BUCKET_END_S = 0.002  # each bucket ends at twice the previous end
+BUCKET_COUNT = 16  # the last one begins at 32 s and is unbounded
+HALF_LIFE_S = 8.0  # of the counts
 LOG_2 = 0.6931471805599453
-PRIOR = 0.4  # returns that each bucket is given with one client's exposure to it, before anything is seen
+PRIOR_RETURNS = 0.4  # prior of each bucket: this many returns over the exposure of one connection
 
-ENDS = tuple(FIRST * 2.0**index for index in range(BUCKETS))
-WIDTHS = (FIRST, *ENDS[:-1])  # a bucket is as wide as it begins late
+BUCKET_ENDS_S = tuple(FIRST_BUCKET_END_S * 2.0**index for index in range(BUCKET_COUNT))
+BUCKET_WIDTHS_S = (FIRST_BUCKET_END_S, *BUCKET_ENDS_S[:-1])  # each later bucket is as wide as its start
 
 
 def bucket_of(age: float) -> int:
-    """The bucket that an age in s lies in."""
-    return min(BUCKETS - 1, bisect_right(ENDS, age))
+    """The bucket that contains an age in s."""
+    return min(BUCKET_COUNT - 1, bisect_right(BUCKET_ENDS_S, age))
 
 
-class Returns:
-    """The returns of one kind of client. All times in s."""
+class ReturnStatistics:
+    """Idle periods and returns of one kind of connection. Times in s."""
 
     def __init__(self) -> None:
-        self.seen = [0.0] * BUCKETS  # returns, faded
-        self.exposed = [0.0] * BUCKETS  # s of idle connections, faded
-
-    def pass_through(self, bucket: int) -> None:
-        """A connection was idle through the whole of a bucket."""
-        self.exposed[bucket] += WIDTHS[bucket]
-
-    def end(self, age: float, bucket: int, came_back: bool) -> None:
-        """A stay ends at an age within `bucket`, whose earlier ones have been passed through."""
-        begun = ENDS[bucket - 1] if bucket else 0.0
-        self.exposed[bucket] += max(0.0, age - begun)
-        self.seen[bucket] += came_back
-
-    def fade(self, passed: float) -> None:
-        keep = exp(-passed * LOG_2 / HALF_LIFE)
-        for index in range(BUCKETS):
-            self.seen[index] *= keep
-            self.exposed[index] *= keep
+        self.return_counts = [0.0] * BUCKET_COUNT  # returns, decayed
+        self.exposure = [0.0] * BUCKET_COUNT  # s of idle time, decayed
+
+    def record_full_bucket(self, bucket: int) -> None:
+        """Records a connection that stayed idle for the whole of a bucket."""
+        self.exposure[bucket] += BUCKET_WIDTHS_S[bucket]
+
+    def record_end(self, age: float, bucket: int, returned: bool) -> None:
+        """Records the end of an idle period at `age`, within `bucket`; earlier buckets are recorded
+        already."""
+        start = BUCKET_ENDS_S[bucket - 1] if bucket else 0.0
+        self.exposure[bucket] += max(0.0, age - start)
+        self.return_counts[bucket] += returned
+
+    def decay(self, elapsed: float) -> None:
+        factor = exp(-elapsed * LOG_2 / HALF_LIFE_S)
+        for index in range(BUCKET_COUNT):
+            self.return_counts[index] *= factor
+            self.exposure[index] *= factor
 
     def hazard(self, bucket: int) -> float:
-        """Returns a second of a client that has stayed away until this bucket."""
-        return (self.seen[bucket] + PRIOR) / (self.exposed[bucket] + WIDTHS[bucket])
+        """Returns per second of a client that has been idle until this bucket."""
+        return (self.return_counts[bucket] + PRIOR_RETURNS) / (
+            self.exposure[bucket] + BUCKET_WIDTHS_S[bucket]
+        )
 
     def survival(self, age: float) -> float:
-        """The part of clients that stay away for longer than `age`."""
-        total, begun = 0.0, 0.0
-        for bucket in range(BUCKETS):
-            end = ENDS[bucket] if bucket < BUCKETS - 1 else age
-            total += self.hazard(bucket) * max(0.0, min(end, age) - begun)
+        """The share of clients that stay idle for longer than `age`."""
+        total, start = 0.0, 0.0
+        for bucket in range(BUCKET_COUNT):
+            end = BUCKET_ENDS_S[bucket] if bucket < BUCKET_COUNT - 1 else age
+            total += self.hazard(bucket) * max(0.0, min(end, age) - start)
             if age <= end:
                 break
-            begun = end
+            start = end
         return exp(-total)
 
-    def worth(self, service: float) -> list[float]:
-        """For each bucket, the most requests for a second of its place that an idle connection brings when it
-        is kept until some later bucket's end or its return. `service`: s that its request then takes.
+    def worth(self, service_time: float) -> list[float]:
+        """For each bucket, the highest rate of requests per second of held connection over all stopping
+        times.
+
+        An idle connection is kept until the end of a later bucket or its return; the request then takes
+        `service_time` s.
 
-        That is the index of Gittins (1979) of one arm: keep what has the greatest. A client that is sure to
-        come back in 2 s gains worth as it waits; one of a crowd that comes at once or never loses it.
+        This is the Gittins index (1979) of one arm; the connections with the highest index are kept. The
+        worth of a client that always returns after 2 s rises as it waits; that of clients that return at once
+        or never falls.
         """
-        hazards = [self.hazard(bucket) for bucket in range(BUCKETS)]
-        stays = [exp(-hazard * width) for hazard, width in zip(hazards, WIDTHS, strict=True)]
+        hazards = [self.hazard(bucket) for bucket in range(BUCKET_COUNT)]
+        idle_probabilities = [
+            exp(-hazard * width) for hazard, width in zip(hazards, BUCKET_WIDTHS_S, strict=True)
+        ]
         worth = []
-        for first in range(BUCKETS):
-            best, alive, held, returned = 0.0, 1.0, 0.0, 0.0
-            for bucket in range(first, BUCKETS):
-                back = alive * (1.0 - stays[bucket])
-                held += back / hazards[bucket]
-                returned += back
-                alive *= stays[bucket]
-                best = max(best, returned / (held + returned * service))
-            worth.append(best)
+        for first_bucket in range(BUCKET_COUNT):
+            best_rate, idle_share, held_time, return_share = 0.0, 1.0, 0.0, 0.0
+            for bucket in range(first_bucket, BUCKET_COUNT):
+                returning = idle_share * (1.0 - idle_probabilities[bucket])
+                held_time += returning / hazards[bucket]
+                return_share += returning
+                idle_share *= idle_probabilities[bucket]
+                best_rate = max(best_rate, return_share / (held_time + return_share * service_time))
+            worth.append(best_rate)
         return worth
--- a/tests/admission/test_places.py
+++ b/tests/admission/test_places.py
@@ -9,9 +9,9 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from driftstair.admission.arrival_statistics import Crowd
+from driftstair.admission.arrival_statistics import ArrivalStatistics
 from driftstair.admission.connection_table import CloseMode, ConnectionLimits, ConnectionTable, State
-from driftstair.admission.return_statistics import BUCKETS, ENDS, Returns, bucket_of
+from driftstair.admission.return_statistics import BUCKET_COUNT, BUCKET_ENDS_S, ReturnStatistics, bucket_of
 
 
 class Front:
@@ -80,7 +80,7 @@
         held = len(front.places)
         # From the first second on there is room for what comes in the next twentieth of one.
         assert turn < 300 or held <= 128 - 300 / 20
-    assert front.places.crowd.need(front.now) > 15
+    assert front.places.arrivals.required_free(front.now) > 15
 
 
 @pytest.mark.parametrize("away", [0.05, 1.0])
@@ -202,10 +202,10 @@
         front.comes(f"c{index}")
         front.asks(f"c{index}")
     moved = [0]
-    plain = Returns.pass_through
+    plain = ReturnStatistics.record_full_bucket
     monkeypatch.setattr(
-        Returns,
-        "pass_through",
+        ReturnStatistics,
+        "record_full_bucket",
         lambda self, bucket: (moved.__setitem__(0, moved[0] + 1), plain(self, bucket)),
     )
     front.now += 20.0
@@ -214,7 +214,7 @@
     for name in left[-20:]:
         moved[0] = 0
         front.asks(name)
-        assert moved[0] <= 32 * 4 + BUCKETS
+        assert moved[0] <= 32 * 4 + BUCKET_COUNT
 
 
 def test_a_node_about_to_end_closes_nobody_early() -> None:
@@ -236,14 +236,14 @@
     mean: float, closed_after: float | None
 ) -> None:
     """Clients that are closed while away tell only that they had not come back yet."""
-    returns, random = Returns(), Random(7)
+    returns, random = ReturnStatistics(), Random(7)
     for _ in range(4000):
         away = random.expovariate(1 / mean)
         seen = away if closed_after is None else min(away, closed_after)
         last = bucket_of(seen)
         for bucket in range(last):
-            returns.pass_through(bucket)
-        returns.end(seen, last, came_back=seen == away)
+            returns.record_full_bucket(bucket)
+        returns.record_end(seen, last, returned=seen == away)
     for age in (0.5 * mean, mean, 2 * mean):
         if closed_after is None or age < closed_after:
             expected = 2.718281828 ** (-age / mean)
@@ -251,26 +251,26 @@
 
 
 def test_one_that_is_sure_to_come_back_gains_worth_as_it_waits() -> None:
-    returns = Returns()
+    returns = ReturnStatistics()
     for _ in range(500):
         last = bucket_of(2.0)
         for bucket in range(last):
-            returns.pass_through(bucket)
-        returns.end(2.0, last, came_back=True)
+            returns.record_full_bucket(bucket)
+        returns.record_end(2.0, last, returned=True)
     worth = returns.worth(0.1)
     assert worth[bucket_of(1.5)] > 1.5 * worth[bucket_of(0.1)]  # so the newest goes first, not the oldest
 
 
 def test_ages_have_their_buckets() -> None:
-    assert [bucket_of(end * 0.999) for end in ENDS] == list(range(BUCKETS))
-    assert bucket_of(1e9) == BUCKETS - 1
+    assert [bucket_of(end * 0.999) for end in BUCKET_ENDS_S] == list(range(BUCKET_COUNT))
+    assert bucket_of(1e9) == BUCKET_COUNT - 1
 
 
 def test_only_newcomers_that_ask_make_a_case_for_room() -> None:
-    asking, silent = Crowd(), Crowd()
+    asking, silent = ArrivalStatistics(), ArrivalStatistics()
     for index in range(200):
-        asking.asked(index * 0.01, 0.001)
-        silent.stayed_silent()
-    assert asking.need(2.0) > 5 and silent.need(2.0) == 0.0
+        asking.record_first_request(index * 0.01, 0.001)
+        silent.record_silent()
+    assert asking.required_free(2.0) > 5 and silent.required_free(2.0) == 0.0
     assert asking.worth() > 50 * silent.worth()
     assert asking.grace() < silent.grace()  # those that ask have been seen to do so at once
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -269,7 +269,7 @@
             client.writer.write(head + body[:1_500_000])
             await until(lambda: len(taker.got) > 1_000_000)
             (pace,) = rig.front.bodies.values()
-            pace.since -= 60.0  # a minute for 1.5 MB
+            pace.started_at -= 60.0  # a minute for 1.5 MB
             assert status(await client.read()) == 408
             await asyncio.wait_for(taker.ended.wait(), 10)
 
@@ -333,7 +333,7 @@
     for rate, slow in ((64_000, False), (BYTES_PER_S_MIN / 2, True), (0, True)):
         pace, seen = BodyProgress(100.0), False
         for tenth in range(100):
-            pace.receive(100.0 + tenth / 10, int(rate * tenth / 10) - pace.received)
+            pace.receive(100.0 + tenth / 10, int(rate * tenth / 10) - pace.received_bytes)
             seen |= pace.is_too_slow(100.0 + tenth / 10)
         assert seen is slow
     pace = BodyProgress(100.0)
