--- a/driftstair/operations/__init__.py
+++ b/driftstair/operations/__init__.py
@@ -1,10 +1,10 @@
-"""What operators do to a node in service: servers taken out and put back, the node emptied, the program
-replaced.
+"""Operations on a running node: servers taken out of service and put back, the node drained, the program
+upgraded.
 
-Pure parts, each with no I/O and its clock handed in: `calls` (what a call means), `server_overrides`
-(servers as listed, as taken out and as shown to the decision module), `drain` (when an emptied node lets go
-of its clients), `state` (what outlives the process, as bytes). I/O: `operator_server` (the second listener),
-`handover` (from an old process to a new one).
+Without I/O, with the time as an argument: `calls` (the operators' API), `server_overrides` (operators'
+changes to the server list, as shown to the decision module), `drain` (when a drained node closes client
+connections), `state` (encoding of what outlives the process). With I/O: `operator_server` (the listener of
+the operators' API), `handover` (from the old process to the new one), `service` (carries out the calls).
 
-Only imported where the platform names an address for operators' calls.
+Imported only if the platform configures an address for operators' calls.
 """
--- a/driftstair/operations/calls.py
+++ b/driftstair/operations/calls.py
@@ -1,4 +1,4 @@
-"""What a call of operators means, by its method and path."""
+"""The operators' API: parses a call from its method and path."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from enum import Enum
 from urllib.parse import unquote_to_bytes
 
-PREFIX = b"/control/"
-ID_MOST = 256  # bytes of a server's id
+PATH_PREFIX = b"/control/"
+ID_BYTES_MAX = 256  # of a server's id, or a task's
 
 
 class Order(Enum):
-    """What is asked; the value is the part of the path behind the prefix, with no server named."""
+    """The operation; the value is its path segment."""
 
     READY = b"ready"
     COUNTERS = b"counters"
@@ -26,55 +26,61 @@
     RELEASE = b"release"
 
 
-READS = frozenset((Order.READY, Order.COUNTERS, Order.TIER, Order.CONFIGURATION))
-OF_A_SERVER = frozenset((Order.SERVER_OUT, Order.SERVER_IN))
-OF_THE_TIER = frozenset((Order.PERMIT, Order.HAND_OVER, Order.RELEASE))
-_PLAIN = {order.value: order for order in Order if order not in OF_A_SERVER | OF_THE_TIER}
-_OF_A_SERVER = {order.value: order for order in OF_A_SERVER}
+READ_ORDERS = frozenset((Order.READY, Order.COUNTERS, Order.TIER, Order.CONFIGURATION))
+SERVER_ORDERS = frozenset((Order.SERVER_OUT, Order.SERVER_IN))
+TIER_ORDERS = frozenset((Order.PERMIT, Order.HAND_OVER, Order.RELEASE))
+_NODE_ORDERS_BY_PATH = {order.value: order for order in Order if order not in SERVER_ORDERS | TIER_ORDERS}
+_SERVER_ORDERS_BY_PATH = {order.value: order for order in SERVER_ORDERS}
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
     order: Order
-    server: str = ""  # its id, where the order is about one
-    arguments: tuple[str, ...] = ()  # of an order on the tier: for what; or the task, and a node or a token
+    server: str = ""  # its id, if the order is about a server
+    arguments: tuple[str, ...] = ()  # of an order on the tier: the purpose, or the task and a node or token
 
 
-class Refused(Exception):
-    """No call that there is; `status` is that of the answer."""
+class CallError(Exception):
+    """The call does not exist; `status` is the HTTP status of the response."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
         self.status = status
 
 
-def _text(quoted: bytes) -> str:
-    """Raises Refused: no id of the list, and no task, is no text."""
+def _decode_segment(quoted: bytes) -> str:
+    """Decodes a path segment. Raises CallError if it is empty, too long or not UTF-8, as no id or task is."""
     raw = unquote_to_bytes(quoted)
-    if not raw or len(raw) > ID_MOST:
-        raise Refused(404)
+    if not raw or len(raw) > ID_BYTES_MAX:
+        raise CallError(404)
     try:
         return raw.decode()
     except UnicodeDecodeError:
-        raise Refused(404) from None
+        raise CallError(404) from None
 
 
 def parse(method: bytes, target: bytes) -> Call:
-    """Raises Refused: 404 for a path that is none, 405 for another method than the path's."""
+    """Raises CallError: 404 for an unknown path, 405 for the wrong method."""
     path = target.split(b"?", 1)[0]
-    if not path.startswith(PREFIX):
-        raise Refused(404)
-    words = path[len(PREFIX) :].split(b"/")
-    if len(words) == 1 and words[0] in _PLAIN:
-        call = Call(_PLAIN[words[0]])
-    elif len(words) == 3 and words[0] == b"servers" and words[2] in _OF_A_SERVER:
-        call = Call(_OF_A_SERVER[words[2]], _text(words[1]))
-    elif len(words) == 3 and words[:2] == [b"tier", b"permit"]:
-        call = Call(Order.PERMIT, arguments=(_text(words[2]),))
-    elif len(words) == 5 and words[:2] == [b"tier", b"owners"] and words[3] in (b"hand-over", b"release"):
-        call = Call(Order(words[3]), arguments=(_text(words[2]), _text(words[4])))
+    if not path.startswith(PATH_PREFIX):
+        raise CallError(404)
+    segments = path[len(PATH_PREFIX) :].split(b"/")
+    if len(segments) == 1 and segments[0] in _NODE_ORDERS_BY_PATH:
+        call = Call(_NODE_ORDERS_BY_PATH[segments[0]])
+    elif len(segments) == 3 and segments[0] == b"servers" and segments[2] in _SERVER_ORDERS_BY_PATH:
+        call = Call(_SERVER_ORDERS_BY_PATH[segments[2]], _decode_segment(segments[1]))
+    elif len(segments) == 3 and segments[:2] == [b"tier", b"permit"]:
+        call = Call(Order.PERMIT, arguments=(_decode_segment(segments[2]),))
+    elif (
+        len(segments) == 5
+        and segments[:2] == [b"tier", b"owners"]
+        and segments[3] in (b"hand-over", b"release")
+    ):
+        call = Call(
+            Order(segments[3]), arguments=(_decode_segment(segments[2]), _decode_segment(segments[4]))
+        )
     else:
-        raise Refused(404)
-    if method != (b"GET" if call.order in READS else b"POST"):
-        raise Refused(405)
+        raise CallError(404)
+    if method != (b"GET" if call.order in READ_ORDERS else b"POST"):
+        raise CallError(405)
     return call
--- a/driftstair/operations/drain.py
+++ b/driftstair/operations/drain.py
@@ -1,9 +1,10 @@
-"""When a node that is out of service lets go of its clients.
+"""When a node that is out of service closes client connections.
 
-The front layer looks at `/up` each 0.1 s and goes on sending new connections for another 0.2 s; clients use
-the connections that they have for as long as these stay open. So answers end their connections from the
-first moment, idle connections go once no new ones are expected, and what comes so late that it might still
-be open at the end is refused at once, which its client may take elsewhere.
+The platform's front layer polls `/up` every 0.1 s and keeps sending new connections for another 0.2 s;
+clients use their connections for as long as these stay open. Therefore responses close their connections from
+the start of the drain, idle connections are closed once no new ones are expected, and a request that arrives
+so late that it might still be open at the end is refused at once, so that its client can send it to another
+node.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FRONT_KNOWS = 0.5  # s from the call until the front layer sends nobody any more, with some slack
-SPOKEN_BY = 0.4  # s from connecting: a connection that has brought nothing by then is let go
-REFUSES_FROM = 1.7  # s: what is whole later than this could be open at the end with its time not over
-HEADS_UNTIL = 3.2  # s: what has begun a request by then and is not whole is told to go elsewhere
+FRONT_LAYER_DELAY_S = 0.5  # until the front layer sends no new connections, with some margin
+SILENT_S_MAX = 0.4  # from connecting; a connection without data by then is closed
+REFUSE_AFTER_S = 1.7  # a request completed later could still be open, within its deadline, at the end
+PARTIAL_REFUSE_AFTER_S = 3.2  # a request still incomplete by then is refused
 
 
 class ConnectionActivity(Enum):
-    """What a client's connection is at, as far as a drain goes."""
+    """The state of a client connection, as a drain distinguishes it."""
 
-    SILENT = "has brought nothing yet"
+    SILENT = "has sent nothing yet"
     IDLE = "has been answered"
     PARTIAL = "has begun a request"
-    BUSY = "waits for an answer"
+    BUSY = "waits for a response"
 
 
 class DrainAction(Enum):
@@ -34,23 +35,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Times in s of one clock that does not go back."""
+    """Times in s of one monotonic clock."""
 
-    begun: float
+    started_at: float
 
     def refuses(self, now: float) -> bool:
-        """Whether a request that is whole now is refused."""
-        return now - self.begun >= REFUSES_FROM
+        """Whether a request that is complete now is refused."""
+        return now - self.started_at >= REFUSE_AFTER_S
 
-    def action_for(self, rests: ConnectionActivity, age: float, now: float) -> DrainAction:
-        """What becomes of a connection that came `age` s ago."""
-        since = now - self.begun
-        if rests is ConnectionActivity.BUSY or since < FRONT_KNOWS:
+    def action_for(self, activity: ConnectionActivity, age: float, now: float) -> DrainAction:
+        """What to do with a connection that was accepted `age` s ago."""
+        elapsed = now - self.started_at
+        if activity is ConnectionActivity.BUSY or elapsed < FRONT_LAYER_DELAY_S:
             return DrainAction.STAY
-        if rests is ConnectionActivity.IDLE or (rests is ConnectionActivity.SILENT and age >= SPOKEN_BY):
+        if activity is ConnectionActivity.IDLE or (
+            activity is ConnectionActivity.SILENT and age >= SILENT_S_MAX
+        ):
             return DrainAction.CLOSE
         return (
             DrainAction.REFUSE
-            if rests is ConnectionActivity.PARTIAL and since >= HEADS_UNTIL
+            if activity is ConnectionActivity.PARTIAL and elapsed >= PARTIAL_REFUSE_AFTER_S
             else DrainAction.STAY
         )
--- a/driftstair/operations/handover.py
+++ b/driftstair/operations/handover.py
@@ -1,14 +1,15 @@
-"""From an old process to the one that replaces it: a file of what is kept, and a Unix socket beside it.
+"""Hand-over from an old process to the one that replaces it, through a state file and a Unix socket.
 
-Each process listens on a socket of its own in the folder; one line is one message, answered by a line:
+Each process listens on its own socket in the folder; each message is a line and is answered by a line:
 
-    hello     a new process is here: what is kept is brought up to date, and the clients' listening socket
-              goes with the answer (SCM_RIGHTS, unix(7)): what waits in its queue is lost to nobody
-    keep      what is kept is brought up to date again, just before the new process takes clients
-    serving   the new process takes clients, the old one no more; should this connection end, it has failed
+    hello     sent by a new process: the state file is updated, and the answer passes the clients' listening
+              socket (SCM_RIGHTS, unix(7)), so that no connection in its accept queue is lost
+    keep      the state file is updated again, just before the new process accepts clients
+    serving   the new process accepts clients and the old one stops; if this connection closes, the new
+              process has failed
     changed   orders have changed: the file is read again before the answer
 
-A process that was killed leaves its socket behind; nobody answers there, and it is removed.
+A process that was killed leaves its socket file behind; connecting to it is refused, and it is removed.
 """
 
 from __future__ import annotations
@@ -31,41 +32,41 @@
 
 log = logging.getLogger(__name__)
 
-STATE_MOST = 32 << 20  # bytes
-PATIENCE = 1.0  # s for the old process to answer a new one
-TOLD_WITHIN = 0.5  # s for another process to take new orders in; the caller waits for at most twice that
+STATE_BYTES_MAX = 32 << 20
+PREDECESSOR_TIMEOUT_S = 1.0
+NOTIFY_TIMEOUT_S = 0.5  # for another process to read new orders; the caller waits at most twice that
 
 
-class Store:
-    """The file, changed as a whole and under a lock, since two processes may be called at once."""
+class StateStore:
+    """The state file, replaced atomically and under a lock, since two processes may be called at once."""
 
     def __init__(self, folder: Path, address: tuple[str, int]) -> None:
-        # Where nodes share a folder, the address that clients are served on tells them apart.
+        # Nodes that share a folder are told apart by their client address.
         self.name = "driftstair-" + blake2b(f"{address[0]}:{address[1]}".encode(), digest_size=6).hexdigest()
         self._folder = folder
         self._path = folder / f"{self.name}.state"
 
     def read(self) -> State:
-        """What is kept; nothing, if it can't be read, which is said."""
+        """The stored state; the empty state, with a warning, if it can't be read."""
         try:
             with open(self._path, "rb") as file:
-                return decode(file.read(STATE_MOST))
+                return decode(file.read(STATE_BYTES_MAX))
         except FileNotFoundError:
             return State()
         except (OSError, StateError) as problem:
-            log.warning("%s is not used: %s", self._path.name, problem)
+            log.warning("state file %s is ignored: %s", self._path.name, problem)
             return State()
 
     def change(self, change: Callable[[State], State]) -> State:
-        """Raises OSError; the file is as before then."""
+        """Raises OSError and leaves the file unchanged."""
         with self._locked():
             state = change(self.read())
-            aside = self._folder / f"{self.name}.{os.getpid()}.new"
+            temporary = self._folder / f"{self.name}.{os.getpid()}.new"
             try:
-                aside.write_bytes(encode(state))
-                aside.replace(self._path)
+                temporary.write_bytes(encode(state))
+                temporary.replace(self._path)
             except OSError:
-                aside.unlink(missing_ok=True)
+                temporary.unlink(missing_ok=True)
                 raise
             return state
 
@@ -78,72 +79,75 @@
     def socket_path(self) -> Path:
         return self._folder / f"{self.name}.{os.getpid()}.sock"
 
-    def others(self) -> list[Path]:
-        own = self.socket_path()
-        return sorted(path for path in self._folder.glob(f"{self.name}.*.sock") if path != own)
+    def other_sockets(self) -> list[Path]:
+        own_socket = self.socket_path()
+        return sorted(path for path in self._folder.glob(f"{self.name}.*.sock") if path != own_socket)
 
 
 class Predecessor:
-    """The old process, as the new one sees it."""
+    """The new process's connection to the old one."""
 
-    def __init__(self, link: socket.socket, listening: socket.socket) -> None:
-        self._link = link
-        self.listening = listening
+    def __init__(self, connection: socket.socket, listening_socket: socket.socket) -> None:
+        self._connection = connection
+        self.listening_socket = listening_socket
 
-    async def keep(self) -> None:
-        """Have what is kept brought up to date. It goes on taking clients meanwhile."""
-        await self._ask(b"keep\n")
+    async def update_state(self) -> None:
+        """Asks the old process to update the state file. It goes on accepting clients meanwhile."""
+        await self._send(b"keep\n")
 
-    async def serving(self) -> None:
-        """Tell it that clients are taken here. Said once that is so: guards against a moment, long where a
-        machine is busy, in which neither takes any. The link stays open for as long as that holds."""
-        await self._ask(b"serving\n")
+    async def announce_serving(self) -> None:
+        """Tells the old process that this one accepts clients.
 
-    async def _ask(self, line: bytes) -> None:
-        self._link.setblocking(False)
+        Sent only once that is true; otherwise there would be a gap, long on a busy machine, in which neither
+        process accepts any. The connection stays open for as long as this process serves.
+        """
+        await self._send(b"serving\n")
+
+    async def _send(self, line: bytes) -> None:
+        self._connection.setblocking(False)
         with suppress(OSError, TimeoutError):
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(PREDECESSOR_TIMEOUT_S):
                 loop = asyncio.get_running_loop()
-                await loop.sock_sendall(self._link, line)
-                await loop.sock_recv(self._link, 64)
+                await loop.sock_sendall(self._connection, line)
+                await loop.sock_recv(self._connection, 64)
 
 
-def find_predecessor(store: Store) -> Predecessor | None:
-    """Ask whoever stands in the folder to hand over; waits for `PATIENCE` at most for each."""
-    for path in store.others():
-        link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+def find_predecessor(store: StateStore) -> Predecessor | None:
+    """Asks the processes with a socket in the folder to hand over; waits `PREDECESSOR_TIMEOUT_S` for each."""
+    for path in store.other_sockets():
+        connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            link.settimeout(PATIENCE)
-            link.connect(str(path))
-            link.sendall(b"hello\n")
-            said, handles, _, _ = socket.recv_fds(link, 64, 1)
-            if said and handles:
-                return Predecessor(link, socket.socket(fileno=handles[0]))
+            connection.settimeout(PREDECESSOR_TIMEOUT_S)
+            connection.connect(str(path))
+            connection.sendall(b"hello\n")
+            answer, descriptors, _, _ = socket.recv_fds(connection, 64, 1)
+            if answer and descriptors:
+                return Predecessor(connection, socket.socket(fileno=descriptors[0]))
         except ConnectionRefusedError:
-            path.unlink(missing_ok=True)  # nobody is behind it any more
+            path.unlink(missing_ok=True)  # its process has ended
         except OSError as problem:
-            log.warning("the process behind %s hands nothing over: %s", path.name, problem)
-        link.close()
+            log.warning("the process at socket %s did not hand over: %s", path.name, problem)
+        connection.close()
     return None
 
 
-class Link:
-    """The socket of this process for those beside it."""
+class HandoverServer:
+    """Serves the socket of this process for the other processes of the node."""
 
     def __init__(
-        self, store: Store, listening: Callable[[], int], keep: Callable[[], None],
-        changed: Callable[[], None], handed: Callable[[bool], None],
+        self, store: StateStore, listening_fileno: Callable[[], int], update_state: Callable[[], None],
+        reload_orders: Callable[[], None], on_handover: Callable[[bool], None],
     ) -> None:  # fmt: skip
         self._store = store
-        self._listening = listening  # the descriptor of the clients' listening socket
-        self._keep = keep  # bring what is kept up to date
-        self._changed = changed  # orders are to be read again
-        self._handed = handed  # whether another process takes the clients now
+        self._listening_fileno = listening_fileno  # the descriptor of the clients' listening socket
+        self._update_state = update_state  # updates the state file
+        self._reload_orders = reload_orders  # reads the orders again
+        self._on_handover = on_handover  # called with whether another process accepts the clients now
         self._server: asyncio.Server | None = None
         self._closed = False
 
     async def listen(self) -> None:
-        """Raises OSError, also where the folder's path is too long for a socket."""
+        """Raises OSError, also if the folder's path is too long for a socket address."""
         path = self._store.socket_path()
         path.unlink(missing_ok=True)
         self._server = await asyncio.start_unix_server(self._serve, str(path))
@@ -155,56 +159,56 @@
             self._store.socket_path().unlink(missing_ok=True)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        serving = False
+        successor_serves = False
         try:
             while line := await reader.readline():
                 if line == b"hello\n":
-                    self._keep()
-                    self._hand_over(writer)
+                    self._update_state()
+                    self._pass_listening_socket(writer)
                 elif line == b"keep\n":
-                    self._keep()
+                    self._update_state()
                     writer.write(b"ok\n")
                 elif line == b"serving\n":
-                    serving = True
-                    self._handed(True)
+                    successor_serves = True
+                    self._on_handover(True)
                     writer.write(b"ok\n")
                 elif line == b"changed\n":
-                    self._changed()
+                    self._reload_orders()
                     writer.write(b"ok\n")
         except (OSError, ValueError) as problem:
-            log.warning("the link to another process ended: %s", problem)
+            log.warning("connection to another process failed: %s", problem)
         except asyncio.CancelledError:
-            if not self._closed:  # the end of this process is no failure of the other one's
+            if not self._closed:  # the shutdown of this process is no failure of the other one
                 raise
         finally:
-            if serving and not self._closed:
-                self._handed(False)
+            if successor_serves and not self._closed:
+                self._on_handover(False)
             writer.close()
 
-    def _hand_over(self, writer: asyncio.StreamWriter) -> None:
-        # The loop's transports can't send descriptors; nothing else has been written on this connection.
-        own = writer.get_extra_info("socket")
-        with socket.socket(fileno=os.dup(own.fileno())) as plain:
-            socket.send_fds(plain, [b"ok\n"], [self._listening()])
+    def _pass_listening_socket(self, writer: asyncio.StreamWriter) -> None:
+        # asyncio transports can't pass descriptors. Nothing else has been written on this connection.
+        own_socket = writer.get_extra_info("socket")
+        with socket.socket(fileno=os.dup(own_socket.fileno())) as duplicate:
+            socket.send_fds(duplicate, [b"ok\n"], [self._listening_fileno()])
 
-    async def tell_others(self) -> None:
-        """Have every other process of this node take the orders in, before its caller is answered."""
-        paths = self._store.others()
+    async def notify_others(self) -> None:
+        """Has every other process of this node read the orders; called before the caller is answered."""
+        paths = self._store.other_sockets()
         if paths:
-            await asyncio.gather(*(_tell(path) for path in paths))
+            await asyncio.gather(*(_notify(path) for path in paths))
 
 
-async def _tell(path: Path) -> None:
+async def _notify(path: Path) -> None:
     try:
-        async with asyncio.timeout(TOLD_WITHIN):
+        async with asyncio.timeout(NOTIFY_TIMEOUT_S):
             reader, writer = await asyncio.open_unix_connection(str(path))
             try:
                 writer.write(b"changed\n")
                 if await reader.readline() != b"ok\n":
-                    log.warning("the process behind %s did not take new orders", path.name)
+                    log.warning("the process at socket %s did not accept new orders", path.name)
             finally:
                 writer.close()
     except ConnectionRefusedError:
         path.unlink(missing_ok=True)
     except (OSError, TimeoutError) as problem:
-        log.warning("the process behind %s was not told of new orders: %r", path.name, problem)
+        log.warning("the process at socket %s was not notified of new orders: %r", path.name, problem)
--- a/driftstair/operations/operator_server.py
+++ b/driftstair/operations/operator_server.py
@@ -1,7 +1,8 @@
-"""Where operators call: HTTP/1.1 on a second address, one call a connection, each answered within a second.
+"""The server of the operators' API: HTTP/1.1 on a second address, one call per connection, answered within 1
+s.
 
-Guards against callers that send nothing or half a call: they hold places of their own, few of them and each
-for `CALL_MOST` at most, and the one that has said nothing for longest goes first.
+Callers that send nothing or an incomplete call can't block others: at most `CALLERS_MAX` connections wait for
+a complete call, each for at most `CALL_S_MAX`, and a new caller displaces the one that has waited longest.
 """
 
 from __future__ import annotations
@@ -15,31 +16,33 @@
 import httptools
 
 from driftstair.net.system import Listener, System
-from driftstair.operations.calls import Call, Refused, parse
+from driftstair.operations.calls import Call, CallError, parse
 
 log = logging.getLogger(__name__)
 
 BACKLOG = 128
-PLACES = 24  # connections of callers at once
-CALL_MOST = 2.0  # s for a whole call
-HEAD_MOST = 8 << 10  # bytes of a call, with what body it may have
-REASONS = {
+CALLERS_MAX = 24  # connections without a complete call
+CALL_S_MAX = 2.0  # from connecting to the complete call
+CALL_BYTES_MAX = 8 << 10  # with its body, if any
+REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
     409: b"Conflict", 413: b"Content Too Large", 500: b"Internal Server Error", 503: b"Service Unavailable",
 }  # fmt: skip
 
-Answer = tuple[int, object]  # a status and what is said as JSON
+Answer = tuple[int, object]  # status and body, sent as JSON
 
 
-class Desk:
-    """The listener. `obey` carries a call out and gives its answer."""
+class OperatorServer:
+    """The listener. `obey` carries out a call and returns the response."""
 
     def __init__(self, obey: Callable[[Call], Awaitable[Answer]], system: System) -> None:
         self._obey = obey
         self._system = system
         self._loop = asyncio.get_running_loop()
         self._listener: Listener | None = None
-        self._callers: dict[_Caller, None] = {}  # those that have not said all, the longest waiting first
+        self._callers: dict[
+            _CallerConnection, None
+        ] = {}  # without a complete call, the longest waiting first
         self._tasks: set[asyncio.Task[None]] = set()
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -61,17 +64,17 @@
         try:
             accepted = self._listener.accept()
         except OSError:
-            return  # none waits any more, or it is gone; with no descriptor left the next turn tries again
-        if len(self._callers) >= PLACES:
-            next(iter(self._callers)).give_up()
+            return  # the connection is gone already; without a free descriptor the next turn tries again
+        if len(self._callers) >= CALLERS_MAX:
+            next(iter(self._callers)).displace()
         self._start(self._adopt(accepted))
 
     async def _adopt(self, accepted: object) -> None:
         assert self._listener is not None
         try:
-            await self._listener.adopt(lambda: _Caller(self), accepted)
+            await self._listener.adopt(lambda: _CallerConnection(self), accepted)
         except Exception as problem:
-            log.warning("a caller was lost as it came: %r", problem)
+            log.warning("a caller's connection could not be set up: %r", problem)
             accepted.close()  # type: ignore[attr-defined]
 
     def _start(self, work: Awaitable[None]) -> None:
@@ -79,100 +82,101 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def came(self, caller: _Caller) -> None:
+    def add_caller(self, caller: _CallerConnection) -> None:
         self._callers[caller] = None
 
-    def done(self, caller: _Caller) -> None:
+    def remove_caller(self, caller: _CallerConnection) -> None:
         self._callers.pop(caller, None)
 
-    def called(self, caller: _Caller, call: Call) -> None:
-        self.done(caller)
+    def start_call(self, caller: _CallerConnection, call: Call) -> None:
+        self.remove_caller(caller)
         self._start(self._carry_out(caller, call))
 
-    async def _carry_out(self, caller: _Caller, call: Call) -> None:
+    async def _carry_out(self, caller: _CallerConnection, call: Call) -> None:
         try:
-            status, said = await self._obey(call)
+            status, content = await self._obey(call)
         except Exception:
-            log.exception("a call of operators failed: %r", call)
-            status, said = 500, {"error": "the node's own fault, see its log"}
-        caller.answer(status, said)
+            log.exception("an operator's call failed: %r", call)
+            status, content = 500, {"error": "internal error; see the node's log"}
+        caller.answer(status, content)
 
 
-class _Caller(asyncio.Protocol):
-    def __init__(self, desk: Desk) -> None:
-        self._desk = desk
+class _CallerConnection(asyncio.Protocol):
+    def __init__(self, server: OperatorServer) -> None:
+        self._server = server
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._target = b""
         self._size = 0
         self._answered = False
-        self._timer = asyncio.get_running_loop().call_later(CALL_MOST, self._time_out)
+        self._timer = asyncio.get_running_loop().call_later(CALL_S_MAX, self._time_out)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._desk.came(self)
+        self._server.add_caller(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._timer.cancel()
-        self._parser = None  # the two hold each other
-        self._desk.done(self)
+        self._parser = None  # breaks the reference cycle
+        self._server.remove_caller(self)
 
     def eof_received(self) -> bool:
-        """A caller that has said all may end its sending and wait; half a call can't become whole."""
-        if not self._answered and self._parser is not None and self in self._desk._callers:
-            self.answer(400, {"error": "half a call"})
+        """A caller may close its sending side after a complete call; an incomplete one can't be completed
+        now."""
+        if not self._answered and self._parser is not None and self in self._server._callers:
+            self.answer(400, {"error": "incomplete call"})
         return True
 
     def data_received(self, data: bytes) -> None:
-        if self._answered or self._parser is None or self not in self._desk._callers:
+        if self._answered or self._parser is None or self not in self._server._callers:
             return
         self._size += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.answer(400, {"error": "no HTTP/1.1 call"})
+            self.answer(400, {"error": "not an HTTP/1.1 request"})
         else:
-            if self._size > HEAD_MOST:
-                self.answer(413, {"error": f"a call takes {HEAD_MOST} bytes at most"})
+            if self._size > CALL_BYTES_MAX:
+                self.answer(413, {"error": f"a call has {CALL_BYTES_MAX} bytes at most"})
 
     def on_url(self, url: bytes) -> None:
         self._target += url
 
     def on_message_complete(self) -> None:
         assert self._parser is not None
-        if self._answered or self not in self._desk._callers:
+        if self._answered or self not in self._server._callers:
             return
         try:
             call = parse(self._parser.get_method(), self._target)
-        except Refused as refused:
+        except CallError as refused:
             self.answer(refused.status, {"error": "no such call"})
         else:
-            self._desk.called(self, call)
+            self._server.start_call(self, call)
 
     def _time_out(self) -> None:
         if not self._answered:
-            self.answer(408, {"error": f"the call was not whole after {CALL_MOST:g} s"})
+            self.answer(408, {"error": f"the call was not complete after {CALL_S_MAX:g} s"})
         self.abort_later()
 
-    def answer(self, status: int, said: object) -> None:
+    def answer(self, status: int, content: object) -> None:
         transport = self._transport
-        self._desk.done(self)
+        self._server.remove_caller(self)
         if transport is None or self._answered or transport.is_closing():
             return
         self._answered = True
-        body = json.dumps(said).encode() + b"\n"
+        body = json.dumps(content).encode() + b"\n"
         transport.write(
             b"HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%s" % (status, REASONS[status], len(body), body)
+            b"Connection: close\r\n\r\n%s" % (status, REASON_PHRASES[status], len(body), body)
         )
         if transport.can_write_eof():
-            transport.write_eof()  # a reset would take the answer from a caller that still sends
+            transport.write_eof()  # a reset would discard the response for a caller that is still sending
         self._timer.cancel()
         self.abort_later()
 
-    def give_up(self) -> None:
-        """Another caller needs the place."""
-        self.answer(408, {"error": "others call; say the whole call at once"})
+    def displace(self) -> None:
+        """Makes room for another caller."""
+        self.answer(408, {"error": "displaced by another caller; send the complete call at once"})
         if self._transport is not None:
             self._transport.close()
 
--- a/driftstair/operations/server_overrides.py
+++ b/driftstair/operations/server_overrides.py
@@ -1,9 +1,9 @@
-"""Servers as the list tells them, as operators have taken them out, and as the decision module is shown them.
+"""Operators' changes to the server list: which servers the decision module is shown, and in which state.
 
-A server that is out is shown as draining, whatever the list says of it: the module's own rule on drains
-then sees to all the rest. One that is put back was most likely restarted meanwhile; unless the list has
-told of a start since it was taken out, it is shown as started when it was put back, since a cold server
-treated as warm is pushed over.
+A server that is out of service is shown as draining whatever the list says, so the decision module's rule for
+draining servers applies. A server that is put back has most likely been restarted meanwhile. Unless the list
+has reported a start since it was taken out, it is shown as started when it was put back, since a cold server
+that is treated as warm is overloaded.
 """
 
 from __future__ import annotations
@@ -17,23 +17,25 @@
 
 @dataclass(slots=True)
 class Orders:
-    """What operators want, as it is kept: it outlives the process.
+    """The operators' orders, as stored; they outlive the process.
 
-    Times of servers are ms, Unix time, as the list tells their starts. The node's own clock may be off, so
-    none of them counts as earlier than a start that the list had told by then."""
+    Times of servers are in ms of Unix time, like the start times in the list. The node's clock may be wrong,
+    so none of them is set earlier than a start that the list had reported by then."""
 
-    out: dict[str, int] = field(default_factory=dict)  # since when each server is out
-    back: dict[str, int] = field(default_factory=dict)  # when others were put back, while that matters
-    drained: int = 0  # since when the node is out of service, ms of the monotonic clock; 0: it is in service
+    out: dict[str, int] = field(default_factory=dict)  # server -> when it was taken out
+    back: dict[str, int] = field(
+        default_factory=dict
+    )  # server -> when it was put back, while that overrides its start time
+    drained: int = 0  # since when the node is out of service, ms of the monotonic clock; 0: in service
 
     def take_out(self, server: str, now: int, started: int = 0) -> None:
-        """Two calls out take one call back: the first one's time stands. `started`: when the server last did,
-        as far as the list has told; 0: long ago."""
+        """Takes a server out of service. A repeated call keeps the first time, so one call puts the server
+        back. `started`: the server's last start according to the list; 0: long ago."""
         self.out.setdefault(server, max(now, started))
         self.back.pop(server, None)
 
     def put_back(self, server: str, now: int, started: int) -> None:
-        """`started`: as for `take_out`, by now."""
+        """Puts a server back. `started`: as for `take_out`, as of now."""
         since = self.out.pop(server, None)
         if since is not None and started <= since:
             self.back[server] = max(now, started + 1)
@@ -43,24 +45,25 @@
 
 
 class ServerOverrides:
-    """One node's servers. Entries that the list has named gone are forgotten, orders about them are not."""
+    """The servers of one node. Entries that the list reports as gone are dropped, orders about them are
+    kept."""
 
     def __init__(self, orders: Orders | None = None) -> None:
         self.orders = orders or Orders()
-        self.configured = Orders()  # drains of the configuration, beside the operators' own
+        self.configured = Orders()  # drains from the configuration, in addition to the operators' orders
         self.hosts: dict[str, Host] = {}
 
     def holds(self, server: str) -> bool:
-        """Whether a call may name it: the list does, or it is out."""
+        """Whether a call may name the server: it is in the list, or out of service."""
         return server in self.hosts or server in self.orders.out
 
     def started(self, server: str) -> int:
-        """When it last did, ms, as far as the list has told; 0: long ago."""
+        """The server's last start in ms according to the list; 0: long ago."""
         host = self.hosts.get(server)
         return 0 if host is None else host.started_ms
 
     def apply_list(self, full: bool, hosts: Iterable[Host]) -> tuple[Host, ...]:
-        """A list or a change of it has come: its entries as they are to be shown."""
+        """Applies a full list or a change of it; returns its entries as they are to be shown."""
         hosts = tuple(hosts)
         if full:
             self.hosts.clear()
@@ -69,26 +72,27 @@
                 self.hosts.pop(host.id, None)
             else:
                 self.hosts[host.id] = host
-        if full:  # what nobody names any more can't come back warm
+        if full:  # a server that left the list can't come back warm
             for orders in (self.orders, self.configured):
-                orders.back = {one: at for one, at in orders.back.items() if one in self.hosts}
+                orders.back = {server: at for server, at in orders.back.items() if server in self.hosts}
         return tuple(self.shown(host) for host in hosts)
 
-    def order(self, orders: Orders) -> tuple[Host, ...]:
-        """Other orders: the whole list as it is to be shown now; nothing if it is as before."""
+    def set_orders(self, orders: Orders) -> tuple[Host, ...]:
+        """Replaces the orders; returns the whole list as it is to be shown now, or nothing if that is
+        unchanged."""
         before = self.listed()
         self.orders = orders
         after = self.listed()
         return after if after != before else ()
 
     def set_configured_drains(self, drained: Iterable[str], now: int) -> tuple[Host, ...]:
-        """The servers that the configuration drains, all of them: the whole list as it is to be shown now;
-        nothing if it is as before. `now` in ms, Unix time."""
+        """Sets the servers that the configuration drains; returns the whole list as it is to be shown now, or
+        nothing if that is unchanged. `now`: ms of Unix time."""
         before = self.listed()
-        wanted = set(drained)
-        for server in wanted - self.configured.out.keys():
+        drained_servers = set(drained)
+        for server in drained_servers - self.configured.out.keys():
             self.configured.take_out(server, now, self.started(server))
-        for server in self.configured.out.keys() - wanted:
+        for server in self.configured.out.keys() - drained_servers:
             self.configured.put_back(server, now, self.started(server))
         after = self.listed()
         return after if after != before else ()
@@ -100,6 +104,6 @@
         if host.id in self.orders.out or host.id in self.configured.out:
             return host._replace(state=ServerState.DRAINING) if host.state is ServerState.READY else host
         back = max(self.orders.back.get(host.id, 0), self.configured.back.get(host.id, 0))
-        # Kept even once the list tells of the start itself, which was earlier: a start that seems to change
-        # would have its connections closed.
+        # Kept even once the list reports the start itself, which was earlier: a changed start time would
+        # close the connections to the server.
         return host if not back else host._replace(started_ms=max(host.started_ms, back))
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -1,4 +1,5 @@
-"""Orders of operators carried out: between their desk, the node, its front and the process beside it."""
+"""Carries out operators' calls on the node, its front end, the stored state and the other process of the
+node."""
 
 from __future__ import annotations
 
@@ -14,10 +15,10 @@
 from driftstair.net.frontend import BACKLOG, Frontend
 from driftstair.net.node import Node
 from driftstair.net.system import SocketListener, System, bind_listening_socket
-from driftstair.operations.calls import OF_THE_TIER, Call, Order
+from driftstair.operations.calls import TIER_ORDERS, Call, Order
 from driftstair.operations.drain import Drain
-from driftstair.operations.handover import Link, Predecessor, Store, find_predecessor
-from driftstair.operations.operator_server import Answer, Desk
+from driftstair.operations.handover import HandoverServer, Predecessor, StateStore, find_predecessor
+from driftstair.operations.operator_server import Answer, OperatorServer
 from driftstair.operations.server_overrides import Orders, ServerOverrides
 from driftstair.operations.state import State
 from driftstair.settings import Config
@@ -27,26 +28,29 @@
 
 log = logging.getLogger(__name__)
 
-LIST_WITHIN = 2.0  # s: a new process says that it serves without a newer list than the old one's
+LIST_TIMEOUT_S = 2.0  # after which a new process serves with the list that it took from the old one
 
 
 class Operations:
-    """Made before the node, since it may inherit a list and a listening socket. `folder`: what the process
-    that replaces this one finds again; None: nothing outlives the process."""
+    """Operators' control of one node.
+
+    Created before the node, since it may take over a list and a listening socket. `folder`: where the state
+    for the next process is stored; None: nothing outlives the process.
+    """
 
     def __init__(self, config: Config, system: System, folder: str | None) -> None:
         self._system = system
-        self._store = Store(Path(folder), config.listen) if folder else None
+        self._store = StateStore(Path(folder), config.listen) if folder else None
         self._predecessor: Predecessor | None = None
-        self._current = True  # the list is as good as the old process's
+        self._list_is_current = True  # the list is at least as recent as the old process's
         self._node: Node
         self._front: Frontend
-        self._listening: socket.socket
-        self._desk: Desk | None = None
-        self._link: Link | None = None
-        self._settling: asyncio.Task[None] | None = None
-        self.tier: Tier | None = None  # what is told of the other nodes
-        self.configuration: Callable[[], object] | None = None  # what a call is told of it
+        self._listening_socket: socket.socket
+        self._operator_server: OperatorServer | None = None
+        self._handover_server: HandoverServer | None = None
+        self._takeover_task: asyncio.Task[None] | None = None
+        self.tier: Tier | None = None  # reports on the other nodes
+        self.configuration: Callable[[], object] | None = None  # reports the configuration
         state = State()
         if self._store is not None:
             self._predecessor = find_predecessor(self._store)
@@ -54,75 +58,81 @@
         self.roster = ServerOverrides(state.orders)
         self.config = config
         if self._predecessor is not None:
-            log.info("taking over from the process before this one")
-            self._current = False
+            log.info("taking over from the previous process")
+            self._list_is_current = False
             if state.list is not None:
-                # Versions are the other place's own, if the list came from one.
-                same = state.discovery == _text(config.discovery)
-                known = state.list if same else state.list._replace(version=0)
+                # List versions are only valid for the discovery service that they came from.
+                same_discovery = state.discovery == _format_address(config.discovery)
+                known = state.list if same_discovery else state.list._replace(version=0)
                 self.config = replace(config, initial_list=known)
 
     def listener(self) -> SocketListener:
-        """The clients' listening socket: handed over, or a new one. Raises OSError."""
-        # Shared: where a process can't hand its socket over, both listen for a while.
-        handed = None if self._predecessor is None else self._predecessor.listening
-        own = handed or bind_listening_socket(self.config.listen, BACKLOG, shared=True)
-        own.setblocking(False)
-        self._listening = own
-        return SocketListener(own)
+        """The clients' listening socket, handed over or new. Raises OSError."""
+        # Shared, since both processes listen for a while if the old one can't hand its socket over.
+        handed_over = None if self._predecessor is None else self._predecessor.listening_socket
+        listening_socket = handed_over or bind_listening_socket(self.config.listen, BACKLOG, shared=True)
+        listening_socket.setblocking(False)
+        self._listening_socket = listening_socket
+        return SocketListener(listening_socket)
 
     def inherits(self) -> bool:
-        """Whether clients are another process's until this one is ready for them."""
+        """Whether another process serves the clients until this one is ready."""
         return self._predecessor is not None
 
     async def start(self, node: Node, front: Frontend) -> None:
-        """Once clients can be taken. Raises OSError if the operators' address can't be used."""
+        """Starts once clients can be accepted. Raises OSError if the operators' address can't be used."""
         self._node, self._front = node, front
-        self._desk = Desk(self.obey, self._system)
+        self._operator_server = OperatorServer(self.obey, self._system)
         assert self.config.operators is not None
-        self._desk.listen(self.config.operators)
+        self._operator_server.listen(self.config.operators)
         self._apply(self.roster.orders)
         if self._store is not None:
-            self._link = Link(
-                self._store, self._listening.fileno, self._keep_list, self._read_again, self._handed
+            self._handover_server = HandoverServer(
+                self._store,
+                self._listening_socket.fileno,
+                self._store_state,
+                self._reload_orders,
+                self._on_handover,
             )
             try:
-                await self._link.listen()
+                await self._handover_server.listen()
             except OSError as problem:
-                log.warning("no process can take over from this one: %s", problem)
+                log.warning("hand-over to a new process is not possible: %s", problem)
         if self._predecessor is not None:
-            self._settling = asyncio.get_running_loop().create_task(self._settle(self._predecessor))
+            self._takeover_task = asyncio.get_running_loop().create_task(
+                self._complete_takeover(self._predecessor)
+            )
 
-    async def _settle(self, predecessor: Predecessor) -> None:
+    async def _complete_takeover(self, predecessor: Predecessor) -> None:
         self._node.servers.watch()
         with suppress(TimeoutError):
-            async with asyncio.timeout(LIST_WITHIN):
+            async with asyncio.timeout(LIST_TIMEOUT_S):
                 await self._node.servers.told.wait()
-        await predecessor.keep()
+        await predecessor.update_state()
         assert self._store is not None
         state = self._store.read()
         self._apply(state.orders)
         if state.learned is not None:
             self._node.restore_memory(state.learned)
         self._front.hand_over(False)
-        await predecessor.serving()
-        self._current = True
+        await predecessor.announce_serving()
+        self._list_is_current = True
 
     def close(self) -> None:
-        if self._settling is not None:
-            self._settling.cancel()
-        if self._desk is not None:
-            self._desk.close()
-        if self._link is not None:
-            self._link.close()
+        if self._takeover_task is not None:
+            self._takeover_task.cancel()
+        if self._operator_server is not None:
+            self._operator_server.close()
+        if self._handover_server is not None:
+            self._handover_server.close()
 
-    # Calls.
+    # Operators' calls.
 
     async def obey(self, call: Call) -> Answer:
-        """A status and what is said with it. A yes is given once the order holds in every process."""
+        """Carries out a call. Success is reported once the order applies in every process of the node."""
         now_ms = self._system.time_ns() // 1_000_000
         if call.order is Order.READY:
-            ready = self._current and self._node.can_serve()
+            ready = self._list_is_current and self._node.can_serve()
             return (200, {"ready": True}) if ready else (503, {"ready": False})
         if call.order is Order.COUNTERS:
             return 200, self._node.counters() | self._front.counters() | {
@@ -134,54 +144,57 @@
             return 200, self.tier.report(self.roster.hosts)
         if call.order is Order.CONFIGURATION:
             if self.configuration is None:
-                return 404, {"error": "this node watches no configuration"}
+                return 404, {"error": "this node has no configuration server"}
             return 200, self.configuration()
-        if call.order in OF_THE_TIER:
+        if call.order in TIER_ORDERS:
             from driftstair.tier.operator_commands import obey
 
             return obey(self.tier, call)
         if call.order is Order.NODE_OUT:
             monotonic_ms = self._monotonic_ms()
-            await self._order(lambda orders: setattr(orders, "drained", orders.drained or monotonic_ms))
+            await self._change_orders(
+                lambda orders: setattr(orders, "drained", orders.drained or monotonic_ms)
+            )
         elif call.order is Order.NODE_IN:
-            await self._order(lambda orders: setattr(orders, "drained", 0))
+            await self._change_orders(lambda orders: setattr(orders, "drained", 0))
         elif not self.roster.holds(call.server):
             return 404, {"error": f"no server {call.server}"}
         elif call.order is Order.SERVER_OUT:
             started = self.roster.started(call.server)
-            await self._order(lambda orders: orders.take_out(call.server, now_ms, started))
+            await self._change_orders(lambda orders: orders.take_out(call.server, now_ms, started))
         else:
             started = self.roster.started(call.server)
-            await self._order(lambda orders: orders.put_back(call.server, now_ms, started))
-        log.info("by order of operators: %s %s", call.order.value.decode(), call.server)
+            await self._change_orders(lambda orders: orders.put_back(call.server, now_ms, started))
+        log.info("operator order carried out: %s %s", call.order.value.decode(), call.server)
         return 200, {"done": call.order.value.decode()}
 
-    async def _order(self, change: Callable[[Orders], None]) -> None:
-        """Here at once, then in the file, then beside: what can't be written holds here all the same."""
+    async def _change_orders(self, change: Callable[[Orders], None]) -> None:
+        """Changes the orders here, then in the state file, then in the other processes. If the file can't be
+        written, they still apply here."""
         orders = self.roster.orders.copy()
         change(orders)
         self._apply(orders)
         if self._store is None:
             return
 
-        def kept(state: State) -> State:
+        def changed_state(state: State) -> State:
             change(state.orders)
             return state
 
         try:
-            self._apply(self._store.change(kept).orders)
+            self._apply(self._store.change(changed_state).orders)
         except OSError as problem:
-            log.error("orders are not kept for the next process: %s", problem)
+            log.error("orders are not stored for the next process: %s", problem)
             return
-        if self._link is not None:
-            await self._link.tell_others()
+        if self._handover_server is not None:
+            await self._handover_server.notify_others()
 
     def _monotonic_ms(self) -> int:
-        """Processes of one machine share this clock, and nothing that is kept outlives the machine's run."""
+        """All processes of a machine share this clock, and the stored state does not outlive a reboot."""
         return max(1, self._system.monotonic_ns() // 1_000_000)
 
     def _apply(self, orders: Orders) -> None:
-        hosts = self.roster.order(orders)
+        hosts = self.roster.set_orders(orders)
         if hosts:
             self._node.servers.apply_roster(hosts)
         if not orders.drained:
@@ -190,25 +203,25 @@
             since = max(0, self._monotonic_ms() - orders.drained) / 1000
             self._front.drain = Drain(asyncio.get_running_loop().time() - since)
 
-    # The process beside this one.
+    # Hand-over between processes.
 
-    def _keep_list(self) -> None:
+    def _store_state(self) -> None:
         assert self._store is not None
         known, discovery, learned = (
             self._node.servers.listed(),
-            _text(self._node.servers.address),
+            _format_address(self._node.servers.address),
             self._node.exported_memory(),
         )
         self._store.change(lambda state: State(state.orders, discovery, known, learned))
 
-    def _read_again(self) -> None:
+    def _reload_orders(self) -> None:
         assert self._store is not None
         self._apply(self._store.read().orders)
 
-    def _handed(self, away: bool) -> None:
-        log.info("clients are taken by %s", "the process after this one" if away else "this process again")
-        self._front.hand_over(away)
+    def _on_handover(self, to_successor: bool) -> None:
+        log.info("clients are served by %s", "the next process" if to_successor else "this process again")
+        self._front.hand_over(to_successor)
 
 
-def _text(address: tuple[str, int]) -> str:
+def _format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
--- a/tests/operations/test_drain_crossings.py
+++ b/tests/operations/test_drain_crossings.py
@@ -10,7 +10,7 @@
 
 from driftstair.net.request_guard import Invariant, InvariantError
 from driftstair.observability.reasons import CloseReason
-from driftstair.operations.drain import FRONT_KNOWS, SPOKEN_BY, Drain
+from driftstair.operations.drain import FRONT_LAYER_DELAY_S, SILENT_S_MAX, Drain
 
 
 async def connect(rig: Rig) -> tuple[socket.socket, Client]:
@@ -24,7 +24,7 @@
 def look_at_connections(rig: Rig, way: str) -> None:
     """As a node that is emptied ("drain") or replaced ("hand-over") looks whom to let go."""
     if way == "drain":
-        rig.front.drain = Drain(asyncio.get_running_loop().time() - FRONT_KNOWS - 0.1)
+        rig.front.drain = Drain(asyncio.get_running_loop().time() - FRONT_LAYER_DELAY_S - 0.1)
         rig.front._apply_drain(rig.front.drain)
     else:
         rig.front._handed_over = True
@@ -42,7 +42,7 @@
                 assert status(await client.ask(request())) == 200
                 await until(lambda: next(iter(rig.front._connections)).activity() == "IDLE")
             (held,) = rig.front._connections
-            held.since -= SPOKEN_BY
+            held.since -= SILENT_S_MAX
             plain.send(request())  # with the kernel, and not read before the look
             look_at_connections(rig, way)
             assert status(await client.read()) == 200
@@ -59,7 +59,7 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             plain, client = await connect(rig)
             (held,) = rig.front._connections
-            held.since -= SPOKEN_BY
+            held.since -= SILENT_S_MAX
             if look == "hand-over":
                 assert status(await client.ask(request())) == 200
                 await until(lambda: held.activity() == "IDLE")
--- a/tests/operations/test_orders.py
+++ b/tests/operations/test_orders.py
@@ -12,8 +12,14 @@
 import pytest
 
 from driftstair.hosts import Host, HostList
-from driftstair.operations.calls import Call, Order, Refused, parse
-from driftstair.operations.drain import HEADS_UNTIL, REFUSES_FROM, ConnectionActivity, Drain, DrainAction
+from driftstair.operations.calls import Call, CallError, Order, parse
+from driftstair.operations.drain import (
+    PARTIAL_REFUSE_AFTER_S,
+    REFUSE_AFTER_S,
+    ConnectionActivity,
+    Drain,
+    DrainAction,
+)
 from driftstair.operations.server_overrides import Orders, ServerOverrides
 from driftstair.operations.service import Operations
 from driftstair.operations.state import State, StateError, decode, encode
@@ -49,7 +55,7 @@
     (b"POST", b"/control/servers/%s/online" % (b"x" * 257), 404),
 ])  # fmt: skip
 def test_what_is_no_call_is_refused(method: bytes, target: bytes, status: int) -> None:
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(CallError) as refused:
         parse(method, target)
     assert refused.value.status == status
 
@@ -60,7 +66,7 @@
     orders = roster.orders.copy()
     orders.take_out("a", 1000)
     orders.take_out("a", 2000)  # two calls out take one call back
-    assert [(one.id, one.state) for one in roster.order(orders)] == [("a", DRAINING), ("b", READY)]
+    assert [(one.id, one.state) for one in roster.set_orders(orders)] == [("a", DRAINING), ("b", READY)]
     assert orders.out == {"a": 1000}
     # It leaves the list and comes back, ready and restarted: still out.
     assert roster.apply_list(False, [host("a", GONE)])[0].state is GONE and roster.holds("a")
@@ -69,7 +75,7 @@
     orders = roster.orders.copy()
     orders.put_back("a", 3000, roster.hosts["a"].started_ms)
     # The list told of its start: that is when it started.
-    assert roster.order(orders) == (host("a", started=1500),)
+    assert roster.set_orders(orders) == (host("a", started=1500),)
 
 
 def test_a_server_put_back_is_cold_until_the_list_tells_more() -> None:
@@ -77,10 +83,10 @@
     roster.apply_list(True, [host("a", started=10)])
     orders = roster.orders.copy()
     orders.take_out("a", 1000)
-    roster.order(orders)
+    roster.set_orders(orders)
     orders = roster.orders.copy()
     orders.put_back("a", 3000, roster.hosts["a"].started_ms)
-    assert roster.order(orders) == (host("a", started=3000),)
+    assert roster.set_orders(orders) == (host("a", started=3000),)
     # Discovery is late: the start that it tells of now was that one. A later one counts.
     assert roster.apply_list(False, [host("a", started=2500)]) == (host("a", started=3000),)
     assert roster.apply_list(False, [host("a", started=9000)]) == (host("a", started=9000),)
@@ -103,10 +109,10 @@
     if how == "order":
         orders = roster.orders.copy()
         orders.take_out("a", now + off, started)
-        roster.order(orders)
+        roster.set_orders(orders)
         orders = roster.orders.copy()
         orders.put_back("a", now + off + 3000, started)
-        (shown,) = roster.order(orders)
+        (shown,) = roster.set_orders(orders)
     else:
         roster.set_configured_drains(["a"], now + off)
         (shown,) = roster.set_configured_drains([], now + off + 3000)
@@ -120,11 +126,11 @@
     assert roster.set_configured_drains(["a", "elsewhere"], 110) == ()
     orders = roster.orders.copy()
     orders.take_out("a", 120)
-    assert roster.order(orders) == ()  # as it is
+    assert roster.set_orders(orders) == ()  # as it is
     assert roster.set_configured_drains([], 130) == ()  # the operators' order stands
     back = orders.copy()
     back.put_back("a", 140, 50)
-    shown = roster.order(back)
+    shown = roster.set_orders(back)
     assert [(one.state, one.started_ms) for one in shown] == [(READY, 140), (READY, 0)]
 
 
@@ -142,7 +148,7 @@
     (ConnectionActivity.SILENT, 0.1, 0.6, DrainAction.STAY),
     (ConnectionActivity.SILENT, 0.5, 0.6, DrainAction.CLOSE),
     (ConnectionActivity.PARTIAL, 1.0, 2.0, DrainAction.STAY),
-    (ConnectionActivity.PARTIAL, 1.0, HEADS_UNTIL, DrainAction.REFUSE),
+    (ConnectionActivity.PARTIAL, 1.0, PARTIAL_REFUSE_AFTER_S, DrainAction.REFUSE),
     (ConnectionActivity.BUSY, 9.0, 9.0, DrainAction.STAY),
 ])  # fmt: skip
 def test_an_emptied_node_lets_go_in_order(
@@ -150,7 +156,7 @@
 ) -> None:
     drain = Drain(100.0)
     assert drain.action_for(rests, age, 100.0 + since) is way
-    assert not drain.refuses(100.0 + REFUSES_FROM - 0.1) and drain.refuses(100.0 + REFUSES_FROM)
+    assert not drain.refuses(100.0 + REFUSE_AFTER_S - 0.1) and drain.refuses(100.0 + REFUSE_AFTER_S)
 
 
 class SteppedClock:
@@ -179,7 +185,7 @@
             operations._apply(operations.roster.orders)
             if not drains:
                 await operations.obey(Call(Order.NODE_OUT))
-            drains.append(asyncio.get_running_loop().time() - node.drain.begun)
+            drains.append(asyncio.get_running_loop().time() - node.drain.started_at)
             clock.monotonic_ms += 2000
             clock.wall_ms += 2000 + step
         assert drains[0] < 1.0 and 2.0 <= drains[1] < 3.0
