--- a/driftstair/observability/__init__.py
+++ b/driftstair/observability/__init__.py
@@ -1,2 +1,2 @@
-"""What a node tells of itself: counts by reason, which are always kept, and a log of typed events as lines of
-JSON, which is loaded only where the service file has `[events]`."""
+"""Observability of a node: counters by reason, which are always kept, and a log of typed events as JSON
+lines, which is loaded only if the service file has `[events]`."""
--- a/driftstair/observability/event_log.py
+++ b/driftstair/observability/event_log.py
@@ -1,7 +1,7 @@
-"""The event log: one line of JSON for each event, by the standard library's logging.
+"""The event log: one JSON line per event, written through the standard library's logging.
 
-A line has `at_ms` (wall clock), `mono_ns` (monotonic clock: what is subtracted), `node`, `event` and the
-event's own fields. Lines of all nodes sort by `at_ms` as far as their clocks agree.
+A line has `at_ms` (wall clock), `mono_ns` (monotonic clock, for durations), `node`, `event` and the fields of
+the event. Lines of several nodes can be ordered by `at_ms` as far as their clocks agree.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from driftstair.observability.log_stream import standard_error
 
-LOGGER = "driftstair.events"
+LOGGER_NAME = "driftstair.events"
 
 
 class EventLevel(Enum):
-    STATE = "state"  # lists, the process, the loop, violations, counts
-    REQUESTS = "requests"  # and each step of each request
+    STATE = "state"  # server lists, process states, event loop stalls, invariant violations, counters
+    REQUESTS = "requests"  # also each step of each request
 
 
 class EventLog:
-    """Observes one node (`Observer`). Owns a logger, which hands nothing on to the daemon's log."""
+    """An `Observer` of one node. Its own logger does not propagate to the daemon's log."""
 
     def __init__(
         self,
@@ -33,12 +33,12 @@
         wall_ns: Callable[[], int],
         handler: logging.Handler | None = None,
     ) -> None:
-        """`handler`: where lines go; left out: standard error."""
+        """`handler`: where the lines are written; default: standard error."""
         self._node = node
         self._wants_requests = level is EventLevel.REQUESTS
         self._monotonic_ns = monotonic_ns
         self._wall_ns = wall_ns
-        self._logger = logging.Logger(LOGGER)
+        self._logger = logging.Logger(LOGGER_NAME)
         handler = handler or standard_error()
         handler.setFormatter(logging.Formatter("%(message)s"))
         self._logger.addHandler(handler)
@@ -53,21 +53,21 @@
         }
         self._logger.info(json.dumps(line, separators=(",", ":")))
 
-    def _write_of_request(self, event: str, **fields: object) -> None:
+    def _write_request_event(self, event: str, **fields: object) -> None:
         if self._wants_requests:
             self._write(event, **fields)
 
     # Requests.
 
     def request_taken(self, request: int, request_id: str, left_ms: float, waited_ms: float) -> None:
-        self._write_of_request(
+        self._write_request_event(
             "request_taken", request=request, request_id=request_id, left_ms=left_ms, waited_ms=waited_ms
         )
 
     def attempt_started(
         self, request: int, attempt: int, server: str, told_ms: float, held_ms: float
     ) -> None:
-        self._write_of_request(
+        self._write_request_event(
             "attempt_started",
             request=request,
             attempt=attempt,
@@ -77,23 +77,23 @@
         )
 
     def attempt_not_begun(self, request: int, attempt: int, why: str) -> None:
-        self._write_of_request("attempt_not_begun", request=request, attempt=attempt, why=why)
+        self._write_request_event("attempt_not_begun", request=request, attempt=attempt, why=why)
 
     def attempt_ended(self, request: int, attempt: int, result: str, elapsed_ms: float) -> None:
-        self._write_of_request(
+        self._write_request_event(
             "attempt_ended", request=request, attempt=attempt, result=result, elapsed_ms=elapsed_ms
         )
 
     def request_answered(self, request: int, status: int, reason: str) -> None:
-        self._write_of_request("request_answered", request=request, status=status, reason=reason)
+        self._write_request_event("request_answered", request=request, status=status, reason=reason)
 
     def request_abandoned(self, request: int) -> None:
-        self._write_of_request("request_abandoned", request=request)
+        self._write_request_event("request_abandoned", request=request)
 
     def connection_closed(self, request: int, reason: str) -> None:
-        self._write_of_request("connection_closed", request=request, reason=reason)
+        self._write_request_event("connection_closed", request=request, reason=reason)
 
-    # Lists, and the process.
+    # Server lists and the process.
 
     def discovery_called(self, address: str, version: int) -> None:
         self._write("discovery_called", address=address, version=version)
@@ -118,5 +118,5 @@
 
 
 def file_handler(path: Path) -> logging.Handler:
-    """Appends to a file. Raises OSError where it can't be opened."""
+    """Appends to a file. Raises OSError if it can't be opened."""
     return logging.FileHandler(path, encoding="utf-8")
--- a/driftstair/observability/log_stream.py
+++ b/driftstair/observability/log_stream.py
@@ -1,9 +1,9 @@
-"""Lines of the log to standard error, without waiting for whoever reads it.
+"""Logging to standard error without blocking on its reader.
 
-A pipe that nobody reads fills up, and a write to it then waits for as long as that lasts, with the event loop
-and all requests behind it. So a line that can't be written at once is dropped and counted, and the count is
-told ahead of the next line that can. Weighed: a thread that writes (a queue that grows, or drops all the
-same); a descriptor that does not block (the flag is shared with all that write to the same pipe).
+A pipe that nobody reads fills up, and a write to it then blocks the event loop and with it all requests. So a
+line that can't be written at once is dropped and counted, and the count is written before the next line.
+Alternatives considered: a writer thread, whose queue would grow or drop lines as well, and a non-blocking
+descriptor, whose flag would apply to all processes that write to the same pipe.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 import sys
 from typing import TextIO
 
-LINE_BYTES_MAX = select.PIPE_BUF - 1  # what a pipe that has room takes at once (pipe(7)), with a line's end
-FORMAT = "%(levelname)s %(name)s: %(message)s"
+LINE_BYTES_MAX = select.PIPE_BUF - 1  # an atomic write to a pipe (pipe(7)), less the newline
+LINE_FORMAT = "%(levelname)s %(name)s: %(message)s"
 
 
 class LogStreamHandler(logging.StreamHandler[TextIO]):
-    """Of one stream; only pipes and sockets can make a writer wait."""
+    """Writes to one stream. Only pipes and sockets can block a writer."""
 
     def __init__(self, stream: TextIO) -> None:
         super().__init__(stream)
-        self.dropped = 0  # lines since the last one that was written
+        self.dropped = 0  # lines dropped since the last one written
         self._poll: select.poll | None = None
         mode = os.fstat(stream.fileno()).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
@@ -32,7 +32,7 @@
             self._poll.register(stream.fileno(), select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        if self._takes_a_line():
+        if self._is_writable():
             super().emit(record)
             self.dropped = 0
         else:
@@ -47,12 +47,12 @@
         data = text.encode("utf-8", "replace")
         return text if len(data) <= LINE_BYTES_MAX else data[:LINE_BYTES_MAX].decode("utf-8", "ignore")
 
-    def _takes_a_line(self) -> bool:
+    def _is_writable(self) -> bool:
         return self._poll is None or bool(self._poll.poll(0))
 
 
 def standard_error() -> logging.Handler:
-    """A handler for it, or for nothing where the process was started without one."""
+    """A handler for standard error, or a null handler if the process was started without it."""
     try:
         return LogStreamHandler(sys.stderr)
     except (AttributeError, OSError, ValueError):
@@ -60,5 +60,5 @@
 
 
 def log_to_standard_error() -> None:
-    """All that the process logs, from INFO on."""
-    logging.basicConfig(handlers=[standard_error()], level=logging.INFO, format=FORMAT)
+    """Logs everything from level INFO on to standard error."""
+    logging.basicConfig(handlers=[standard_error()], level=logging.INFO, format=LINE_FORMAT)
--- a/driftstair/observability/metrics.py
+++ b/driftstair/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Counts of what a node did, by reason. Always kept: one addition an event. No I/O, no clock."""
+"""Counters of a node's events, by reason. Always kept, at one addition per event. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """Counts since the process began; durations in ns."""
+    """Counts since the process started; durations in ns."""
 
     answers: Counter[AnswerReason] = field(default_factory=Counter)
     closes: Counter[CloseReason] = field(default_factory=Counter)
-    retries: Counter[Result] = field(default_factory=Counter)  # by the result of the attempt before
-    attempts_not_begun: Counter[str] = field(default_factory=Counter)  # by what forbade them
+    retries: Counter[Result] = field(default_factory=Counter)  # by the result of the previous attempt
+    attempts_not_begun: Counter[str] = field(default_factory=Counter)  # by what prevented them
     violations: Counter[str] = field(default_factory=Counter)  # of invariants, by name
-    loop_held_ns: int = 0  # the longest time for which the event loop did not run
+    loop_held_ns: int = 0  # the longest stall of the event loop
 
     def flat(self) -> dict[str, int]:
-        """Name and reason in one key, as operators' tools read them."""
+        """All counters with name and reason in one key, as operators' tools read them."""
         counts: dict[str, int] = {"loop_held_ms": self.loop_held_ns // 1_000_000}
         for name, counter in (
             ("answers", self.answers),
--- a/driftstair/observability/observer.py
+++ b/driftstair/observability/observer.py
@@ -1,6 +1,6 @@
-"""What a node tells whoever observes it, step by step. Durations in ms, as they are read by people.
+"""The interface for observers of a node's events. Durations are in ms, for human readers.
 
-`request` is the number that the node gives a request, `request_id` the client's own name of it.
+`request` is the node's number of a request, `request_id` the id that the client gave it.
 """
 
 from __future__ import annotations
@@ -9,16 +9,17 @@
 
 
 class Observer(Protocol):
-    """Called as things happen, on the loop's thread; has to be quick and must not raise."""
+    """Called on the event loop's thread as events happen; has to return quickly and must not raise."""
 
     def request_taken(self, request: int, request_id: str, left_ms: float, waited_ms: float) -> None:
-        """`left_ms`: until the client's deadline; `waited_ms`: between its arrival and its reading."""
+        """`left_ms`: until the client's deadline; `waited_ms`: between the request's arrival and its
+        reading."""
 
     def attempt_started(
         self, request: int, attempt: int, server: str, told_ms: float, held_ms: float
     ) -> None:
-        """Its bytes have gone to a server, which is told this deadline; `held_ms`: between the last look at
-        whether they may go and their being written."""
+        """The attempt has been written to a server. `told_ms`: the deadline sent with it; `held_ms`: between
+        the last check whether it may be sent and the write."""
 
     def attempt_not_begun(self, request: int, attempt: int, why: str) -> None: ...
 
@@ -27,24 +28,24 @@
     def request_answered(self, request: int, status: int, reason: str) -> None: ...
 
     def request_abandoned(self, request: int) -> None:
-        """Its client closed its connection: what was out is cancelled, and nobody is answered."""
+        """The client closed its connection: open attempts are cancelled and no response is sent."""
 
     def connection_closed(self, request: int, reason: str) -> None:
-        """By the node. `request`: the one that it held unanswered; 0: none."""
+        """The node closed a client connection. `request`: the unanswered request on it; 0: none."""
 
     def discovery_called(self, address: str, version: int) -> None:
-        """`version`: of the list that the call builds on."""
+        """`version`: of the list that the call asks for changes to."""
 
     def list_received(self, version: int, full: bool, servers: int, waited_ms: float) -> None:
-        """`servers`: entries of this line; `waited_ms`: since the call."""
+        """`servers`: entries in this message; `waited_ms`: since the call."""
 
     def discovery_ended(self, why: str, answered: bool, lasted_ms: float) -> None:
-        """A call or a watch is over. `answered`: it had brought a line."""
+        """A call or a watch has ended. `answered`: it had delivered a message."""
 
     def process_state_changed(self, state: str) -> None: ...
 
     def loop_held(self, held_ms: float) -> None:
-        """The process did not run, or one turn of the loop took so long."""
+        """The event loop was stalled: the process did not run, or one iteration took so long."""
 
     def invariant_violated(self, invariant: str, request: int, detail: str) -> None: ...
 
