--- a/driftstair/__init__.py
+++ b/driftstair/__init__.py
@@ -1,1 +1,1 @@
-"""driftstair: a reverse-proxy node round the decisions of lichenspring."""
+"""driftstair: a reverse-proxy node; the decision module is lichenspring."""
--- a/driftstair/__main__.py
+++ b/driftstair/__main__.py
@@ -1,4 +1,4 @@
-"""The command line. With no subcommand it is the daemon: one node, told by the platform what to do."""
+"""The command line. Without a subcommand it runs the daemon: one node, configured by the platform."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 
 
 def freeze_gc() -> None:
-    """What has been made by now stays; the collector need not look at it again."""
+    """Excludes all objects allocated so far from garbage collection; they live as long as the process."""
     gc.collect()
     gc.freeze()
 
 
 def daemon(service_file: str = "") -> int:
-    # Its default would end a process that is coming up. The file is looked at again once its handler stands.
+    # The default action would end a process that is starting. The file is checked again once the handler is
+    # installed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import uvloop
 
-    from driftstair.config import ConfigError, load, reload, stamp
+    from driftstair.config import ConfigError, file_stamp, load, reload
     from driftstair.daemon import serve
     from driftstair.observability.log_stream import log_to_standard_error
 
-    reread = partial(reload, os.environ)
-    read = stamp(os.environ)
+    reload_config = partial(reload, os.environ)
+    loaded_stamp = file_stamp(os.environ)
     log_to_standard_error()
 
     def has_changed() -> bool:
-        """The configuration's file, since it was read."""
-        return stamp(os.environ) != read
+        """Whether the configuration file has changed since it was read."""
+        return file_stamp(os.environ) != loaded_stamp
 
     try:
         config = load(os.environ)
@@ -41,31 +42,31 @@
     service_file = service_file or os.environ.get("DRIFTSTAIR_SERVICE", "")
     if not service_file:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            return runner.run(serve(config, reread, ready=freeze_gc, has_changed=has_changed))
-    from driftstair.service.load import ServiceError  # not loaded without such a file
+            return runner.run(serve(config, reload_config, ready=freeze_gc, has_changed=has_changed))
+    from driftstair.service.load import ServiceError  # loaded only with a service file
     from driftstair.service.service_file import ServiceFile
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             service = ServiceFile(service_file)
             return runner.run(
-                serve(config, reread, ready=freeze_gc, service=service, has_changed=has_changed)
+                serve(config, reload_config, ready=freeze_gc, service=service, has_changed=has_changed)
             )
     except ServiceError as problem:
-        for one in problem.problems:
-            print(f"driftstair: {one}", file=sys.stderr)
+        for message in problem.problems:
+            print(f"driftstair: {message}", file=sys.stderr)
         return 2
 
 
 def main() -> int:
-    words = sys.argv[1:]
-    if not words:
+    arguments = sys.argv[1:]
+    if not arguments:
         return daemon()
-    if words[0] == "--service" and len(words) == 2:
-        return daemon(words[1])
+    if arguments[0] == "--service" and len(arguments) == 2:
+        return daemon(arguments[1])
     from driftstair.commands import run  # not loaded for the daemon
 
-    return run(words)
+    return run(arguments)
 
 
 if __name__ == "__main__":
--- a/driftstair/commands.py
+++ b/driftstair/commands.py
@@ -1,4 +1,4 @@
-"""The subcommands: one parser for all. Each subsystem adds its own, and is loaded when it is asked for."""
+"""The parser of all subcommands. Each subsystem adds its own; its code is loaded when a command is run."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 import sys
 from collections.abc import Callable, Sequence
 
-Run = Callable[[argparse.Namespace], int]
+CommandFunction = Callable[[argparse.Namespace], int]
 
-EXTRAS = {
+EXTRA_BY_MODULE = {
     "rich": "rehearsal",
     "pydantic": "service",
     "tomli_w": "rehearsal",
@@ -19,11 +19,11 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(
+    command_parser = argparse.ArgumentParser(
         prog="driftstair",
         description="A reverse-proxy node. With no subcommand it is the daemon.",
     )
-    commands = top.add_subparsers(title="subcommands", metavar="COMMAND", required=True)
+    subparsers = command_parser.add_subparsers(title="subcommands", metavar="COMMAND", required=True)
 
     from driftstair.control import options as control
     from driftstair.experiments import options as experiments
@@ -33,31 +33,31 @@
     from driftstair.service import options as service
     from driftstair.tier import options as tier
 
-    top.add_argument(
-        "--service", metavar="FILE", help="the daemon with a service file (or " "DRIFTSTAIR_SERVICE)"
+    command_parser.add_argument(
+        "--service", metavar="FILE", help="run the daemon with a service file (or " "DRIFTSTAIR_SERVICE)"
     )
-    rehearsal.add(commands)
-    service.add(commands)
-    ledger.add(commands)
-    model.add(commands)
-    experiments.add(commands)
-    tier.add(commands)
-    control.add(commands)
-    return top
+    rehearsal.add(subparsers)
+    service.add(subparsers)
+    ledger.add(subparsers)
+    model.add(subparsers)
+    experiments.add(subparsers)
+    tier.add(subparsers)
+    control.add(subparsers)
+    return command_parser
 
 
 def run(arguments: Sequence[str]) -> int:
-    """The exit status: 2 for bad use."""
-    found = parser().parse_args(arguments)
-    chosen: Run = found.run
+    """Runs a command; returns the exit status, 2 for wrong usage."""
+    parsed = parser().parse_args(arguments)
+    command: CommandFunction = parsed.run
     try:
-        return chosen(found)
+        return command(parsed)
     except ModuleNotFoundError as problem:
-        extra = EXTRAS.get(problem.name or "")
+        extra = EXTRA_BY_MODULE.get(problem.name or "")
         if extra is None:
             raise
         print(
-            f"driftstair: this command wants {problem.name}: pip install 'driftstair[{extra}]'",
+            f"driftstair: this command needs {problem.name}: pip install 'driftstair[{extra}]'",
             file=sys.stderr,
         )
         return 2
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -1,4 +1,4 @@
-"""One node from its start to its end, on whatever machine it is given."""
+"""The lifetime of one node, on real sockets or a simulated system."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 log = logging.getLogger("driftstair")
 
-RESERVED = 40  # descriptors: the interpreter's, the loop's, the listening socket, discovery, and slack
-CLIENTS_PART = 0.55  # of the rest; the others are for servers
-HELD_PART = 1 / 3  # of all descriptors: what the platform's clients hold at most for requests
-UNBOUND = 4096  # descriptors: a node that has so many is on an installation without such a bound
+RESERVED_DESCRIPTORS = 40  # the interpreter, the event loop, the listening socket, discovery, and a margin
+CLIENT_FRACTION = 0.55  # of the remaining descriptors; the others are for servers
+PLATFORM_CLIENT_FRACTION = 1 / 3  # of all descriptors; the platform's clients hold at most so many
+UNLIMITED_DESCRIPTORS_MIN = 4096  # installations with so many have no such limit on clients
 
-SERVE_ON = 0.6  # s after SIGTERM at least: new connections go on coming for up to 0.4 s
-SIGKILL_DELAY_S = 0.7  # s after SIGTERM and the longest deadline, at the soonest
-DEADLINE_S_MAX = 3.0  # s, as far as the platform waits
-MARGIN = 0.3  # s before SIGKILL
+SERVE_AFTER_SIGTERM_S_MIN = 0.6  # new connections keep arriving for up to 0.4 s
+SIGKILL_DELAY_S = 0.7  # earliest SIGKILL, after SIGTERM plus the longest deadline
+DEADLINE_S_MAX = 3.0  # the platform does not wait for longer deadlines
+SIGKILL_MARGIN_S = 0.3
 
 
 def split_descriptors(config: Config) -> tuple[int, int]:
-    """Descriptors for clients and for servers."""
-    usable = config.sockets - RESERVED
-    clients = int(usable * CLIENTS_PART)
+    """The numbers of descriptors for clients and for servers."""
+    usable = config.sockets - RESERVED_DESCRIPTORS
+    clients = int(usable * CLIENT_FRACTION)
     return clients, usable - clients
 
 
@@ -56,12 +56,14 @@
     clients, servers = split_descriptors(config)
     pools = Pools(servers, config.dial_timeout, config.idle_close, system)
     node = Node(config, pools, system, limits, roster)
-    held = int(config.sockets * HELD_PART) if config.sockets < UNBOUND else 0
-    return node, Frontend(node, config, ConnectionLimits(clients, held), system)
+    platform_limit = (
+        int(config.sockets * PLATFORM_CLIENT_FRACTION) if config.sockets < UNLIMITED_DESCRIPTORS_MIN else 0
+    )
+    return node, Frontend(node, config, ConnectionLimits(clients, platform_limit), system)
 
 
-def operate(config: Config, system: System) -> Operations | None:
-    """What carries out operators' calls, where the platform has them call; else nothing of it is loaded."""
+def create_operations(config: Config, system: System) -> Operations | None:
+    """Carries out operators' calls; None, with its code not loaded, if the platform configures no address."""
     if config.operators is None:
         return None
     from driftstair.operations.service import Operations
@@ -69,23 +71,30 @@
     return Operations(config, system, os.environ.get("TMPDIR"))
 
 
-def plan_end(config: Config) -> tuple[float, float]:
-    """Until when after SIGTERM all is served on, and when all must be answered, in s. Clients go on using the
-    connections that they have, and the nodes that take over may be restarting too: so what can still be
-    answered in time is taken. Guards against seconds in which no node of the tier serves."""
-    held = [kind.aim / 1e9 if not kind.late_worth else DEADLINE_S_MAX for kind in config.settings.classes]
-    longest = min(DEADLINE_S_MAX, max(config.deadlines) / 1e9)
-    within = longest + SIGKILL_DELAY_S - MARGIN
-    return max(SERVE_ON, within - min(longest, max(held))), within
+def plan_shutdown(config: Config) -> tuple[float, float]:
+    """How long after SIGTERM requests are still accepted, and when all must be answered, in s.
+
+    Clients keep using their connections, and the nodes that take over may be restarting too. So a request is
+    accepted as long as it can be answered in time; otherwise no node of the tier might serve for seconds.
+    """
+    serving_times_s = [
+        request_class.aim / 1e9 if not request_class.late_worth else DEADLINE_S_MAX
+        for request_class in config.settings.classes
+    ]
+    longest_deadline_s = min(DEADLINE_S_MAX, max(config.deadlines) / 1e9)
+    answer_within_s = longest_deadline_s + SIGKILL_DELAY_S - SIGKILL_MARGIN_S
+    return max(
+        SERVE_AFTER_SIGTERM_S_MIN, answer_within_s - min(longest_deadline_s, max(serving_times_s))
+    ), answer_within_s
 
 
 def reload_files(
-    node: Node, config: Config, reread: Callable[[], Config], service: ServiceFile | None, tier: Tier | None,
-    configuration: NodeConfiguration | None = None,
+    node: Node, config: Config, reload_config: Callable[[], Config], service: ServiceFile | None,
+    tier: Tier | None, configuration: NodeConfiguration | None = None,
 ) -> None:  # fmt: skip
-    """SIGHUP: files have been replaced. Whatever is wrong with one, the node serves on as before."""
+    """Handles SIGHUP: reads the files again. On an error in one, the node keeps its previous settings."""
     try:
-        config = reread()
+        config = reload_config()
     except ConfigError as problem:
         log.error("the new configuration is not used: %s", problem)
     else:
@@ -99,47 +108,51 @@
             table = service.table(config, split_descriptors(config)[0])
             node.replace_limits(table if configuration is None else configuration.combined(table))
         except ServiceError as problem:
-            for one in problem.problems:
-                log.error("the new service file is not used: %s", one)
+            for message in problem.problems:
+                log.error("the new service file is not used: %s", message)
         if configuration is not None:
             configuration.reload(*service.platform_and_service(config, split_descriptors(config)[0]))
 
 
-def report_metrics(node: Node, observer: Observer, every: float) -> None:
-    """Now, and again each `every` s."""
+def report_metrics(node: Node, observer: Observer, interval_s: float) -> None:
+    """Reports the counters now and then every `interval_s`."""
     observer.metrics_reported(node.counters())
-    asyncio.get_running_loop().call_later(every, report_metrics, node, observer, every)
+    asyncio.get_running_loop().call_later(interval_s, report_metrics, node, observer, interval_s)
 
 
-def note_end(told_to_end: asyncio.Future[int], earliest: Callable[[], int]) -> None:
-    """SIGTERM or SIGINT is handled. It may have come while the process did not run: what ends the process
-    counts from then, and no signal says when it was sent."""
-    if not told_to_end.done():
-        told_to_end.set_result(earliest())
+def request_end(end_requested: asyncio.Future[int], earliest: Callable[[], int]) -> None:
+    """Handles SIGTERM or SIGINT. A signal does not tell when it was sent, and it may have arrived while the
+    process was stalled, so the time limits of the shutdown count from the earliest possible time."""
+    if not end_requested.done():
+        end_requested.set_result(earliest())
 
 
-def enter(node: Node, state: str) -> None:
-    """The process has come to another state."""
+def enter_state(node: Node, state: str) -> None:
+    """Logs and reports a new state of the process."""
     log.info(state)
     if node.observer is not None:
         node.observer.process_state_changed(state)
 
 
 async def serve(
-    config: Config, reread: Callable[[], Config], system: System = SOCKET_SYSTEM,
+    config: Config, reload_config: Callable[[], Config], system: System = SOCKET_SYSTEM,
     ready: Callable[[], None] = lambda: None, service: ServiceFile | None = None,
     has_changed: Callable[[], bool] = bool,
 ) -> int:  # fmt: skip
-    """The node's life; its exit status. `reread`: the configuration as it is told now, or ConfigError;
-    `has_changed`: whether its file is another one by now than `config` was read from;
-    `ready` is called once clients are served; `service`: what the platform does not tell. Raises ServiceError
-    if that can't be used at the start."""
+    """Runs the node until it is told to end; returns the exit status.
+
+    `reload_config`: reads the current configuration or raises ConfigError; `has_changed`: whether the file
+    has changed since `config` was read; `ready`: called once clients are served; `service`: the settings that
+    do not come from the platform. Raises ServiceError if these can't be used at the start.
+    """
     table = None if service is None else service.table(config, split_descriptors(config)[0])
     loop = asyncio.get_running_loop()
-    told_to_end: asyncio.Future[int] = loop.create_future()  # when, at the soonest, monotonic ns
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, note_end, told_to_end, system.monotonic_ns)
-    operations = operate(config, system)
+    end_requested: asyncio.Future[int] = (
+        loop.create_future()
+    )  # earliest possible time of the signal, monotonic ns
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, request_end, end_requested, system.monotonic_ns)
+    operations = create_operations(config, system)
     if operations is not None:
         config = operations.config
     tier = None if service is None else service.tier(config, system)
@@ -154,14 +167,16 @@
         roster = configuration.share(tier, roster)
         limits = configuration.combined(table)
     node, front = build_node(config, system, limits, roster)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, note_end, told_to_end, front.monitor.earliest)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, request_end, end_requested, front.monitor.earliest)
     event_log = None if service is None else service.event_log(config, system)
     if event_log is not None:
         node.observe(event_log[0])
         report_metrics(node, *event_log)
-    # Guards against the default, which ends the process and all that it holds.
-    loop.add_signal_handler(signal.SIGHUP, reload_files, node, config, reread, service, tier, configuration)
+    # The default action would end the process and drop its open requests.
+    loop.add_signal_handler(
+        signal.SIGHUP, reload_files, node, config, reload_config, service, tier, configuration
+    )
     if configuration is not None:
         await configuration.start(node)
     try:
@@ -172,15 +187,15 @@
     except OSError as problem:
         print(f"driftstair: BALANCER_LISTEN can't be used: {problem.strerror}", file=sys.stderr)
         return 2
-    kept = None if service is None else service.open_ledger(config, system)
-    ended = asyncio.Event()
-    if kept is not None:
-        node.ledger = kept[0]
-        committing = loop.create_task(kept[0].run(kept[1], ended))
+    opened_ledger = None if service is None else service.open_ledger(config, system)
+    ledger_ended = asyncio.Event()
+    if opened_ledger is not None:
+        node.ledger = opened_ledger[0]
+        ledger_task = loop.create_task(opened_ledger[0].run(opened_ledger[1], ledger_ended))
     node.start()
     if has_changed():
-        # SIGHUP was ignored until its handler stood.
-        reload_files(node, config, reread, service, tier, configuration)
+        # SIGHUP was ignored until its handler was installed.
+        reload_files(node, config, reload_config, service, tier, configuration)
     if operations is not None:
         try:
             await operations.start(node, front)
@@ -192,20 +207,20 @@
     if tier is not None:
         tier.start()
     ready()
-    enter(node, "serving on {}:{}".format(*address))
-    since = await told_to_end
-    enter(node, "stopping")
+    enter_state(node, "serving on {}:{}".format(*address))
+    signalled_at = await end_requested
+    enter_state(node, "stopping")
     if tier is not None:
         tier.leave()
-    await front.stop(*plan_end(config), since)
-    enter(node, "ended")
+    await front.stop(*plan_shutdown(config), signalled_at)
+    enter_state(node, "ended")
     if event_log is not None:
         event_log[0].metrics_reported(node.counters())
     if tier is not None:
         await tier.close()
-    if kept is not None:
-        ended.set()
-        await committing
+    if opened_ledger is not None:
+        ledger_ended.set()
+        await ledger_task
     if configuration is not None:
         await configuration.close()
     if operations is not None:
--- a/driftstair/hosts.py
+++ b/driftstair/hosts.py
@@ -1,4 +1,4 @@
-"""The list of servers in discovery's form: its entries as types, and the reading of it."""
+"""The server list in the format of the discovery service: its types and its parser."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from lichenspring.interface import ServerState
 
-STATES = {
+STATE_BY_NAME = {
     "Ready": ServerState.READY,
     "Terminating": ServerState.DRAINING,
     "Gone": ServerState.GONE,
@@ -16,11 +16,11 @@
 
 
 class ListError(Exception):
-    """A list of servers that can't be used; the text says why."""
+    """The server list can't be used; the text says why."""
 
 
 class Host(NamedTuple):
-    """One entry of the list."""
+    """A server in the list."""
 
     id: str
     address: tuple[str, int]
@@ -39,45 +39,45 @@
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """Host and port of an address; there is no DNS, so the host is a number."""
+    """Splits an address into host and port; the host is an IP address, since there is no DNS."""
     if not isinstance(text, str):
-        raise ListError(f"no address: {text!r}")
+        raise ListError(f"not an address: {text!r}")
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host)
-        number = int(port)
+        port_number = int(port)
     except ValueError:
-        raise ListError(f"no address: {text!r}") from None
-    if not 0 <= number < 1 << 16:
-        raise ListError(f"no port: {text!r}")
-    return host, number
+        raise ListError(f"not an address: {text!r}") from None
+    if not 0 <= port_number < 1 << 16:
+        raise ListError(f"invalid port: {text!r}")
+    return host, port_number
 
 
 def parse_list(document: object) -> HostList:
-    """A whole list or a change of it, from its JSON form; raises ListError."""
+    """Parses a full list or a change of it from its JSON form; raises ListError."""
     if not isinstance(document, dict):
-        raise ListError("it is no object")
+        raise ListError("not a JSON object")
     version, servers = document.get("version"), document.get("servers")
     if not isinstance(version, int) or isinstance(version, bool) or not isinstance(servers, list):
-        raise ListError("version or servers is missing")
-    return HostList(version, document.get("full") is True, tuple(_host(entry) for entry in servers))
+        raise ListError("version or servers is missing or invalid")
+    return HostList(version, document.get("full") is True, tuple(_parse_host(entry) for entry in servers))
 
 
-def _host(entry: Any) -> Host:
+def _parse_host(entry: Any) -> Host:
     try:
-        state = STATES[entry["state"]]
-        # One that is gone may have no address any more.
+        state = STATE_BY_NAME[entry["state"]]
+        # A server that is gone may have no address.
         gone = state is ServerState.GONE
         address = ("", 0) if gone else parse_address(entry["addr"])
         if not isinstance(entry["id"], str):
-            raise ValueError("id is no text")
+            raise ValueError("id is not a string")
         weight = float(entry.get("weight", 1.0))
         return Host(
             entry["id"], address, str(entry.get("zone", "")), str(entry.get("kind", "")),
             int(entry.get("cell", 0)), state,
-            # Without end it would leave all others without keys; no figure is as any other.
+            # An infinite weight would leave the other servers no keys; an invalid one counts as 1.
             weight if 0.0 < weight < inf else 1.0,
             max(0, int(entry.get("started_ms", 0))),
         )  # fmt: skip
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as problem:
-        raise ListError(f"bad entry: {problem!r}") from None
+        raise ListError(f"invalid entry: {problem!r}") from None
--- a/driftstair/operations/state.py
+++ b/driftstair/operations/state.py
@@ -11,12 +11,12 @@
 from hashlib import blake2b
 from typing import Any
 
-from driftstair.hosts import STATES, Host, HostList, ListError, parse_list
+from driftstair.hosts import STATE_BY_NAME, Host, HostList, ListError, parse_list
 from driftstair.operations.server_overrides import Orders
 
 MAGIC = b"driftstair-state"
 VERSION = 1
-STATE_NAMES = {state: name for name, state in STATES.items()}
+STATE_NAMES = {state: name for name, state in STATE_BY_NAME.items()}
 
 
 class StateError(Exception):
--- a/driftstair/record_file.py
+++ b/driftstair/record_file.py
@@ -1,14 +1,14 @@
-"""A file of checksummed records that is only appended to, or replaced as a whole.
+"""A file of checksummed records that is either appended to or replaced as a whole.
 
 One record is a header of fixed size and a payload:
 
     magic (4) | payload length (4) | batch offset (8) | CRC-32 of the payload (4) | CRC-32 of the header (4)
 
-A batch is what one `append` wrote and synced at once. What a crash leaves of the last batch is a torn tail:
+A batch is what one `append` wrote and synced together. What a crash leaves of the last batch is a torn tail:
 the file ends within a record, or a sector of the record was never written and reads as zeros (etcd's
-write-ahead log tells it by the same sign). A torn tail was never acknowledged and is cut. Anything else that
-doesn't match its checksum was on the disk once and has changed since: that is an error, since cutting it off
-would lose what was acknowledged.
+write-ahead log uses the same criterion). A torn tail was never acknowledged and is truncated. Any other
+checksum mismatch means that synced data has changed; that is an error, since truncation would lose
+acknowledged records.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from zlib import crc32
 
 MAGIC = b"dsr1"
-FIELDS = struct.Struct(">4sIQI")  # magic, payload length, offset of the batch, checksum of the payload
-CHECKSUM = struct.Struct(">I")
-HEADER_BYTES = FIELDS.size + CHECKSUM.size
-RECORD_BYTES_MAX = 4 << 20  # of one payload: the greatest change set and much more
-SECTOR_BYTES = 512  # the least that a disk writes at once
+HEADER_FIELDS = struct.Struct(">4sIQI")  # magic, payload length, offset of the batch, checksum of the payload
+HEADER_CHECKSUM = struct.Struct(">I")
+HEADER_BYTES = HEADER_FIELDS.size + HEADER_CHECKSUM.size
+RECORD_BYTES_MAX = 4 << 20  # of one payload; far above the largest change set
+SECTOR_BYTES = 512  # the unit that a disk writes atomically
 
 
 class RecordFileError(Exception):
-    """The file can't be used. One line: which file, where in it, why and what would do."""
+    """The file can't be used. The text is one line: file, offset, cause and remedy."""
 
     def __init__(self, path: Path, offset: int, why: str) -> None:
         super().__init__(f"{path.name}, byte {offset}: {why}")
@@ -41,28 +41,28 @@
 
 
 class CorruptRecordError(RecordFileError):
-    """Something that was written and synced reads differently now."""
+    """Data that was written and synced has changed."""
 
 
 class RecordWriteError(RecordFileError):
-    """Nothing was appended: the file holds what it held. `number` is the system's error number."""
+    """Nothing was written; the file is unchanged. `error_number`: the system's errno."""
 
     def __init__(self, path: Path, offset: int, problem: OSError) -> None:
         super().__init__(path, offset, f"can't be written: {problem.strerror or problem}")
-        self.number = problem.errno or 0
+        self.error_number = problem.errno or 0
 
     @property
     def is_full(self) -> bool:
-        """Whether space would do: the disk, a quota or a limit of file sizes is reached."""
-        return self.number in (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+        """Whether space is missing: the disk is full, or a quota or file size limit is reached."""
+        return self.error_number in (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 
 
 class RecordScan(NamedTuple):
-    """What a file holds."""
+    """The content of a file."""
 
     payloads: list[bytes]
-    whole_bytes: int  # up to the end of the last whole record
-    torn_bytes: int  # behind it: the rest of a batch that was never synced
+    complete_bytes: int  # up to the end of the last complete record
+    torn_bytes: int  # after it: the rest of a batch that was never synced
 
 
 class _Header(NamedTuple):
@@ -72,7 +72,7 @@
 
 
 def read_records(path: Path) -> RecordScan:
-    """All records; a missing file has none. Raises CorruptRecordError, OSError."""
+    """Reads all records; a missing file has none. Raises CorruptRecordError, OSError."""
     try:
         data = path.read_bytes()
     except FileNotFoundError:
@@ -81,7 +81,7 @@
 
 
 def scan_records(path: Path, data: bytes) -> RecordScan:
-    """The records in `data`; `path` is for the error's text. Raises CorruptRecordError."""
+    """Parses the records in `data`; `path` is for the error message. Raises CorruptRecordError."""
     payloads: list[bytes] = []
     offset = 0
     while offset < len(data):
@@ -97,36 +97,36 @@
 
 
 def _read_header(data: bytes, offset: int) -> _Header | None:
-    """The header at an offset; None where none is whole."""
-    fields = data[offset : offset + FIELDS.size]
-    checksum = data[offset + FIELDS.size : offset + HEADER_BYTES]
-    if len(checksum) < CHECKSUM.size or CHECKSUM.unpack(checksum)[0] != crc32(fields):
+    """The header at an offset; None if there is no valid one."""
+    fields = data[offset : offset + HEADER_FIELDS.size]
+    checksum = data[offset + HEADER_FIELDS.size : offset + HEADER_BYTES]
+    if len(checksum) < HEADER_CHECKSUM.size or HEADER_CHECKSUM.unpack(checksum)[0] != crc32(fields):
         return None
-    magic, length, batch_offset, payload_checksum = FIELDS.unpack(fields)
+    magic, length, batch_offset, payload_checksum = HEADER_FIELDS.unpack(fields)
     if magic != MAGIC or not 0 < length <= RECORD_BYTES_MAX:
         return None
     return _Header(length, batch_offset, payload_checksum)
 
 
 def _check_torn(path: Path, data: bytes, offset: int, header: _Header | None) -> None:
-    """Raises CorruptRecordError unless what stands at `offset` is the rest of a batch never synced."""
-    why = "a record differs from its checksum"
+    """Raises CorruptRecordError unless the data at `offset` is the rest of a batch that was never synced."""
+    why = "record checksum mismatch"
     if header is None:
         end = offset + HEADER_BYTES
-        why = "a record's header differs from its checksum"
+        why = "record header checksum mismatch"
     else:
         end = offset + HEADER_BYTES + header.length
     is_torn = end > len(data) or _has_unwritten_sector(data, offset, end)
     if is_torn and not _has_later_batch(data, offset):
         return
     raise CorruptRecordError(
-        path, offset, f"{why}; to keep the file elsewhere and start with an empty folder would do"
+        path, offset, f"{why}; moving the file away and starting with an empty folder would do"
     )
 
 
 def _has_unwritten_sector(data: bytes, start: int, end: int) -> bool:
-    """Whether all that a sector holds of [start, end) is zero. A payload may hold zeros of its own, so this
-    says no more than that the record may be torn."""
+    """Whether any sector is all zeros within [start, end). A payload may contain such zeros itself, so this
+    shows only that the record may be torn."""
     while start < end:
         sector_end = min((start // SECTOR_BYTES + 1) * SECTOR_BYTES, end)
         if not data[start:sector_end].strip(b"\0"):
@@ -136,46 +136,47 @@
 
 
 def _has_later_batch(data: bytes, offset: int) -> bool:
-    """Whether a whole record of a batch that began behind `offset` follows: then `offset` was synced."""
-    at = data.find(MAGIC, offset + 1)
-    while at >= 0:
-        header = _read_header(data, at)
-        if header is not None and offset < header.batch_offset <= at:
-            payload = data[at + HEADER_BYTES : at + HEADER_BYTES + header.length]
+    """Whether a valid record of a batch that began after `offset` follows; if so, `offset` was synced."""
+    position = data.find(MAGIC, offset + 1)
+    while position >= 0:
+        header = _read_header(data, position)
+        if header is not None and offset < header.batch_offset <= position:
+            payload = data[position + HEADER_BYTES : position + HEADER_BYTES + header.length]
             if len(payload) == header.length and crc32(payload) == header.checksum:
                 return True
-        at = data.find(MAGIC, at + 1)
+        position = data.find(MAGIC, position + 1)
     return False
 
 
 def encode_batch(payloads: Iterable[bytes], batch_offset: int) -> bytes:
-    """The bytes of records that are written together at an offset. Raises ValueError for a wrong size."""
+    """Encodes records that are written together at an offset. Raises ValueError for an invalid size."""
     parts: list[bytes] = []
     for payload in payloads:
         if not 0 < len(payload) <= RECORD_BYTES_MAX:
             raise ValueError(f"a record of {len(payload):,} bytes; 1 to {RECORD_BYTES_MAX:,} would do")
-        fields = FIELDS.pack(MAGIC, len(payload), batch_offset, crc32(payload))
-        parts += (fields, CHECKSUM.pack(crc32(fields)), payload)
+        fields = HEADER_FIELDS.pack(MAGIC, len(payload), batch_offset, crc32(payload))
+        parts += (fields, HEADER_CHECKSUM.pack(crc32(fields)), payload)
     return b"".join(parts)
 
 
 class RecordFile:
-    """A file open for appending. Construction cuts a torn tail. Raises CorruptRecordError, OSError.
+    """A file open for appending. The constructor truncates a torn tail. Raises CorruptRecordError, OSError.
 
-    `payloads` is what was read; take it and set it to an empty list. `cut_bytes` tells what was cut.
+    `payloads`: the records read; the owner takes them and sets it to an empty list to free the memory.
+    `cut_bytes`: how much was truncated.
     """
 
     def __init__(self, path: Path) -> None:
         scan = read_records(path)
         self.path = path
         self.payloads = scan.payloads
-        self.size = scan.whole_bytes
+        self.size = scan.complete_bytes
         self.cut_bytes = scan.torn_bytes
         is_new = not path.exists()
         self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
-        self._has_rest = scan.torn_bytes > 0  # whether bytes stand behind `size`
+        self._has_tail = scan.torn_bytes > 0  # whether there may be bytes after `size`
         try:
-            self._cut_rest()
+            self._truncate_tail()
             if is_new:
                 sync_folder(path.parent)
         except BaseException:
@@ -183,37 +184,37 @@
             raise
 
     def append(self, payloads: Iterable[bytes]) -> None:
-        """All records with one sync, or none of them. Raises RecordWriteError."""
+        """Appends all records with one sync, or none of them. Raises RecordWriteError."""
         data = encode_batch(payloads, self.size)
         try:
-            self._cut_rest()
-            self._has_rest = True
+            self._truncate_tail()
+            self._has_tail = True
             _write_all(self._descriptor, data, self.size)
             os.fsync(self._descriptor)
         except OSError as problem:
             with suppress(OSError):
-                self._cut_rest()
+                self._truncate_tail()
             raise RecordWriteError(self.path, self.size, problem) from None
-        self._has_rest = False
+        self._has_tail = False
         self.size += len(data)
 
-    def _cut_rest(self) -> None:
-        """Cuts what a failed write left behind the last whole record."""
-        if self._has_rest:
+    def _truncate_tail(self) -> None:
+        """Truncates what a failed write left after the last complete record."""
+        if self._has_tail:
             os.ftruncate(self._descriptor, self.size)
             os.fsync(self._descriptor)
-            self._has_rest = False
+            self._has_tail = False
 
     def replace(self, payloads: Iterable[bytes]) -> None:
-        """The file holds these records and no others, or what it held. Raises RecordWriteError.
+        """Replaces all records atomically. Raises RecordWriteError.
 
-        Where only the folder's sync fails, this object goes on with the new file, and after a crash of the
-        machine either may be there.
+        If only the sync of the folder fails, this object continues with the new file, and after a crash of
+        the machine either file may remain.
         """
         descriptor, size = _write_replacement(self.path, payloads)
         os.close(self._descriptor)
-        self._descriptor, self.size, self._has_rest = descriptor, size, False
-        _sync_folder_of(self.path)
+        self._descriptor, self.size, self._has_tail = descriptor, size, False
+        _sync_parent_folder(self.path)
 
     def close(self) -> None:
         if self._descriptor >= 0:
@@ -222,10 +223,10 @@
 
 
 def replace_records(path: Path, payloads: Iterable[bytes]) -> None:
-    """Writes a file that holds these records alone, atomically. Raises RecordWriteError."""
+    """Atomically writes a file with these records only. Raises RecordWriteError."""
     descriptor, _ = _write_replacement(path, payloads)
     os.close(descriptor)
-    _sync_folder_of(path)
+    _sync_parent_folder(path)
 
 
 class _Replacement(NamedTuple):
@@ -234,8 +235,8 @@
 
 
 def _write_replacement(path: Path, payloads: Iterable[bytes]) -> _Replacement:
-    """Temporary file, sync, rename. Each record is a batch: none has to fit into memory with the others, and
-    a sector lost in the middle shows as corruption."""
+    """Writes a temporary file, syncs and renames it. Each record is its own batch, so the records need not
+    fit into memory together, and a sector lost in the middle is detected as corruption."""
     temporary = path.with_name(f"{path.name}.new")
     descriptor, size = -1, 0
     try:
@@ -258,13 +259,13 @@
 
 
 def _write_all(descriptor: int, data: bytes, offset: int) -> None:
-    rest = memoryview(data)
-    while rest:
-        written = os.pwrite(descriptor, rest, offset)
-        rest, offset = rest[written:], offset + written
+    remaining = memoryview(data)
+    while remaining:
+        written = os.pwrite(descriptor, remaining, offset)
+        remaining, offset = remaining[written:], offset + written
 
 
-def _sync_folder_of(path: Path) -> None:
+def _sync_parent_folder(path: Path) -> None:
     try:
         sync_folder(path.parent)
     except OSError as problem:
@@ -272,7 +273,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Makes names in a folder last. Raises OSError."""
+    """Syncs a folder, so that created and renamed files survive a crash. Raises OSError."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
--- a/driftstair/settings.py
+++ b/driftstair/settings.py
@@ -1,4 +1,4 @@
-"""A node's settings once they are checked: what every floor of the node may know of them."""
+"""A node's validated settings, available to all layers of the node."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    sockets: int  # file descriptors that the process may hold
+    sockets: int  # file descriptors that the process may use
     initial_list: HostList
     settings: api.Settings
-    classes: dict[bytes, int]  # by the names that stand on the wire
-    deadlines: tuple[int, ...]  # ns, of each class
+    classes: dict[bytes, int]  # index by the name on the wire
+    deadlines: tuple[int, ...]  # ns, by class
     tenants: dict[bytes, int]
     zones: dict[str, int]
     kinds: dict[str, int]
     report_fields: tuple[bytes, ...]
     dial_timeout: int  # ns
     idle_close: int  # ns
-    open_cap: int  # requests that the node may hold
-    memory_bytes_max: int = 64 << 20  # bytes that the process may take
-    operators: tuple[str, int] | None = None  # where they call
-    name: str = ""  # the node's, the same after a restart
-    # What is told of the other nodes, unread: for `driftstair.tier`.
+    open_cap: int  # requests that the node may hold at once
+    memory_bytes_max: int = 64 << 20  # that the process may use
+    operators: tuple[str, int] | None = None  # address of the operators' API
+    name: str = ""  # of the node; unchanged by a restart
+    # Settings about the other nodes, not parsed here: for `driftstair.tier`.
     peer_settings: dict[str, Any] | None = None
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -51,8 +51,8 @@
 
 
 BAD = {
-    fifo: "no regular file", folder: "no regular file", endless: "no regular file", deep: "nested too deeply",
-    long: "longer than", binary: "UTF-8 text, in line 2", absent: "No such file",
+    fifo: "not a regular file", folder: "not a regular file", endless: "not a regular file",
+    deep: "nested too deeply", long: "longer than", binary: "UTF-8 text, in line 2", absent: "No such file",
 }  # fmt: skip
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -31,7 +31,7 @@
 )
 
 from driftstair.config import load
-from driftstair.daemon import SERVE_ON, plan_end
+from driftstair.daemon import SERVE_AFTER_SIGTERM_S_MIN, plan_shutdown
 
 ROOT = Path(__file__).parent.parent
 
@@ -41,7 +41,7 @@
 import sys
 import driftstair.daemon
 from driftstair.__main__ import main
-driftstair.daemon.SERVE_ON = 2.0
+driftstair.daemon.SERVE_AFTER_SIGTERM_S_MIN = 2.0
 sys.exit(main())
 """
 
@@ -118,17 +118,22 @@
 
 @pytest.mark.parametrize(
     ("aim_ms", "deadline_ms", "late", "serve_on"),
-    [(1000, 5000, 0.0, 2.4), (1000, 5000, 0.5, SERVE_ON), (9000, 9000, 0.0, SERVE_ON), (400, 1000, 0.0, 1.0)],
+    [
+        (1000, 5000, 0.0, 2.4),
+        (1000, 5000, 0.5, SERVE_AFTER_SIGTERM_S_MIN),
+        (9000, 9000, 0.0, SERVE_AFTER_SIGTERM_S_MIN),
+        (400, 1000, 0.0, 1.0),
+    ],
 )
 def test_after_sigterm_a_node_serves_on_as_long_as_it_can_still_answer_in_time(
     aim_ms: int, deadline_ms: int, late: float, serve_on: float, tmp_path: Path
 ) -> None:
-    assert SERVE_ON > 0.4  # s: so long new connections go on coming
+    assert SERVE_AFTER_SIGTERM_S_MIN > 0.4  # s: so long new connections go on coming
     document = configuration()
     document["settings"]["Grades"] = [grade("page", "once", deadline_ms, aim_ms) | {"LateShare": late}]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document))
-    planned, within = plan_end(load({"BALANCER_CONFIG": str(path)}))
+    planned, within = plan_shutdown(load({"BALANCER_CONFIG": str(path)}))
     assert planned == pytest.approx(serve_on)
     assert within == pytest.approx(min(3.0, deadline_ms / 1000) + 0.4)  # SIGKILL: 0.3 s later or more
 
