--- a/driftstair/config.py
+++ b/driftstair/config.py
@@ -38,10 +38,10 @@
 def file_stamp(environment: Mapping[str, str]) -> tuple[int, int, int] | None:
     """Identifies the current content of the configuration file; None if there is no file."""
     try:
-        entries = os.stat(environment.get("BALANCER_CONFIG", ""))
+        file_status = os.stat(environment.get("BALANCER_CONFIG", ""))
     except OSError:
         return None
-    return entries.st_ino, entries.st_size, entries.st_mtime_ns
+    return file_status.st_ino, file_status.st_size, file_status.st_mtime_ns
 
 
 def reload(environment: Mapping[str, str]) -> Config:
@@ -73,9 +73,7 @@
         initial_list=_initial_list(document),
         settings=settings,
         classes={name.encode(): index for index, name in enumerate(_names(settings_tree, "Grades"))},
-        deadlines=reader.read_list(
-            "Grades", lambda entries, path: entries.integer(f"{path}.Deadline", least=1)
-        ),
+        deadlines=reader.read_list("Grades", lambda entry, path: entry.integer(f"{path}.Deadline", least=1)),
         tenants={name.encode(): index for index, name in enumerate(_names(settings_tree, "Tenants"))},
         zones=_index_by_name(settings_tree, "Zones"),
         kinds=_index_by_name(settings_tree, "Kinds"),
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -147,9 +147,8 @@
     """
     table = None if service is None else service.table(config, split_descriptors(config)[0])
     loop = asyncio.get_running_loop()
-    end_requested: asyncio.Future[int] = (
-        loop.create_future()
-    )  # earliest possible time of the signal, monotonic ns
+    # Earliest possible time of the signal, monotonic ns.
+    end_requested: asyncio.Future[int] = loop.create_future()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, request_end, end_requested, system.monotonic_ns)
     operations = create_operations(config, system)
--- a/tests/operations/test_drain_crossings.py
+++ b/tests/operations/test_drain_crossings.py
@@ -1,4 +1,4 @@
-"""A node that is emptied, and requests that are with the kernel in the moment in which it lets go."""
+"""Requests that are in the kernel's buffer when a draining node closes their connection."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 async def connect(rig: Rig) -> tuple[socket.socket, Client]:
-    """A client's connection, that the node has taken in, and the client that reads from it."""
-    plain = socket.create_connection(rig.address)
+    """An accepted connection: its socket, and a client that reads from it."""
+    client_socket = socket.create_connection(rig.address)
     await until(lambda: rig.front._connections)
-    plain.setblocking(False)
-    return plain, Client(*await asyncio.open_connection(sock=plain))
+    client_socket.setblocking(False)
+    return client_socket, Client(*await asyncio.open_connection(sock=client_socket))
 
 
-def look_at_connections(rig: Rig, way: str) -> None:
-    """As a node that is emptied ("drain") or replaced ("hand-over") looks whom to let go."""
-    if way == "drain":
+def check_connections(rig: Rig, trigger: str) -> None:
+    """Has a draining ("drain") or replaced ("hand-over") node choose the connections to close."""
+    if trigger == "drain":
         rig.front.drain = Drain(asyncio.get_running_loop().time() - FRONT_LAYER_DELAY_S - 0.1)
         rig.front._apply_drain(rig.front.drain)
     else:
@@ -31,46 +31,48 @@
         rig.front._sweep()
 
 
-@pytest.mark.parametrize(("way", "connection"), [("drain", "new"), ("drain", "kept"), ("hand-over", "kept")])
-def test_what_a_client_has_sent_is_answered_before_its_connection_goes(way: str, connection: str) -> None:
-    """The node was held up: it looks at its connections before it reads what came meanwhile."""
+@pytest.mark.parametrize(
+    ("trigger", "connection"), [("drain", "new"), ("drain", "kept"), ("hand-over", "kept")]
+)
+def test_an_unread_request_is_answered_before_its_connection_closes(trigger: str, connection: str) -> None:
+    """A stalled node checks its connections before it reads the data that arrived meanwhile."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            plain, client = await connect(rig)
+            client_socket, client = await connect(rig)
             if connection == "kept":
                 assert status(await client.ask(request())) == 200
                 await until(lambda: next(iter(rig.front._connections)).activity() == "IDLE")
-            (held,) = rig.front._connections
-            held.since -= SILENT_S_MAX
-            plain.send(request())  # with the kernel, and not read before the look
-            look_at_connections(rig, way)
+            (node_connection,) = rig.front._connections
+            node_connection.since -= SILENT_S_MAX
+            client_socket.send(request())  # in the kernel's buffer, not read before the check
+            check_connections(rig, trigger)
             assert status(await client.read()) == 200
             assert await client.ended() == b""
 
     run(test())
 
 
-@pytest.mark.parametrize("look", ["drain", "hand-over", "end", "time-out"])
-def test_a_request_whose_client_ended_its_sending_is_answered_before_its_connection_goes(look: str) -> None:
-    """As above: request and end of sending are with the kernel, and the node looks before it reads."""
+@pytest.mark.parametrize("trigger", ["drain", "hand-over", "end", "time-out"])
+def test_a_request_before_an_end_of_sending_is_answered_before_its_connection_closes(trigger: str) -> None:
+    """As above, with the request and the end of sending both in the kernel's buffer."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            plain, client = await connect(rig)
-            (held,) = rig.front._connections
-            held.since -= SILENT_S_MAX
-            if look == "hand-over":
+            client_socket, client = await connect(rig)
+            (node_connection,) = rig.front._connections
+            node_connection.since -= SILENT_S_MAX
+            if trigger == "hand-over":
                 assert status(await client.ask(request())) == 200
-                await until(lambda: held.activity() == "IDLE")
-            plain.send(request())
-            plain.shutdown(socket.SHUT_WR)
-            if look == "end":
-                held.close_if_unused()
-            elif look == "time-out":
-                held.time_out()
+                await until(lambda: node_connection.activity() == "IDLE")
+            client_socket.send(request())
+            client_socket.shutdown(socket.SHUT_WR)
+            if trigger == "end":
+                node_connection.close_if_unused()
+            elif trigger == "time-out":
+                node_connection.time_out()
             else:
-                look_at_connections(rig, look)
+                check_connections(rig, trigger)
             assert status(await client.read()) == 200
             assert await client.ended() == b""
 
@@ -78,18 +80,18 @@
 
 
 @pytest.mark.parametrize("reason", [CloseReason.IDLE, CloseReason.TOO_SLOW])
-def test_the_guard_tells_of_a_close_over_what_is_unread(reason: CloseReason) -> None:
-    """Whatever decides on it: here a close that does not look."""
+def test_the_guard_reports_a_close_with_unread_data(reason: CloseReason) -> None:
+    """The guard reports it whatever the cause; here the connection is closed without a check."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            plain = socket.create_connection(rig.address)
+            client_socket = socket.create_connection(rig.address)
             await until(lambda: rig.front._connections)
-            plain.send(request())
-            (held,) = rig.front._connections
+            client_socket.send(request())
+            (node_connection,) = rig.front._connections
             with pytest.raises(InvariantError, match=Invariant.NO_CLOSE_OVER_UNREAD.value):
-                held.close(reason)
+                node_connection.close(reason)
             assert rig.node.metrics.violations.pop(Invariant.NO_CLOSE_OVER_UNREAD.value) == 1
-            plain.close()
+            client_socket.close()
 
     run(test())
--- a/tests/operations/test_orders.py
+++ b/tests/operations/test_orders.py
@@ -1,4 +1,4 @@
-"""The pure parts: calls, the roster, drains, and what is kept."""
+"""The parts without I/O: calls, server overrides, drains and the stored state."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     (b"POST", b"/control/servers/s-1/offline", Call(Order.SERVER_OUT, "s-1")),
     (b"POST", b"/control/servers/s%2f1/online", Call(Order.SERVER_IN, "s/1")),
 ])  # fmt: skip
-def test_calls_are_read(method: bytes, target: bytes, call: Call) -> None:
+def test_calls_are_parsed(method: bytes, target: bytes, call: Call) -> None:
     assert parse(method, target) == call
 
 
@@ -54,95 +54,102 @@
     (b"POST", b"/control/servers/%ff/online", 404),
     (b"POST", b"/control/servers/%s/online" % (b"x" * 257), 404),
 ])  # fmt: skip
-def test_what_is_no_call_is_refused(method: bytes, target: bytes, status: int) -> None:
+def test_an_invalid_call_is_refused(method: bytes, target: bytes, status: int) -> None:
     with pytest.raises(CallError) as refused:
         parse(method, target)
     assert refused.value.status == status
 
 
-def test_a_server_that_is_out_drains_whatever_the_list_says() -> None:
-    roster = ServerOverrides()
-    roster.apply_list(True, [host("a"), host("b")])
-    orders = roster.orders.copy()
+def test_a_server_out_of_service_drains_whatever_the_list_says() -> None:
+    overrides = ServerOverrides()
+    overrides.apply_list(True, [host("a"), host("b")])
+    orders = overrides.orders.copy()
     orders.take_out("a", 1000)
-    orders.take_out("a", 2000)  # two calls out take one call back
-    assert [(one.id, one.state) for one in roster.set_orders(orders)] == [("a", DRAINING), ("b", READY)]
+    orders.take_out("a", 2000)  # one call puts it back after two calls out
+    assert [(server.id, server.state) for server in overrides.set_orders(orders)] == [
+        ("a", DRAINING),
+        ("b", READY),
+    ]
     assert orders.out == {"a": 1000}
-    # It leaves the list and comes back, ready and restarted: still out.
-    assert roster.apply_list(False, [host("a", GONE)])[0].state is GONE and roster.holds("a")
-    assert roster.apply_list(False, [host("a", started=1500)])[0].state is DRAINING
-    assert [one.state for one in roster.apply_list(True, [host("a", started=1500)])] == [DRAINING]
-    orders = roster.orders.copy()
-    orders.put_back("a", 3000, roster.hosts["a"].started_ms)
-    # The list told of its start: that is when it started.
-    assert roster.set_orders(orders) == (host("a", started=1500),)
-
-
-def test_a_server_put_back_is_cold_until_the_list_tells_more() -> None:
-    roster = ServerOverrides()
-    roster.apply_list(True, [host("a", started=10)])
-    orders = roster.orders.copy()
+    # It leaves the list and returns, ready and restarted: still out of service.
+    assert overrides.apply_list(False, [host("a", GONE)])[0].state is GONE and overrides.holds("a")
+    assert overrides.apply_list(False, [host("a", started=1500)])[0].state is DRAINING
+    assert [server.state for server in overrides.apply_list(True, [host("a", started=1500)])] == [DRAINING]
+    orders = overrides.orders.copy()
+    orders.put_back("a", 3000, overrides.hosts["a"].started_ms)
+    # The list reported its start, which counts.
+    assert overrides.set_orders(orders) == (host("a", started=1500),)
+
+
+def test_a_server_put_back_is_cold_until_the_list_reports_a_later_start() -> None:
+    overrides = ServerOverrides()
+    overrides.apply_list(True, [host("a", started=10)])
+    orders = overrides.orders.copy()
     orders.take_out("a", 1000)
-    roster.set_orders(orders)
-    orders = roster.orders.copy()
-    orders.put_back("a", 3000, roster.hosts["a"].started_ms)
-    assert roster.set_orders(orders) == (host("a", started=3000),)
-    # Discovery is late: the start that it tells of now was that one. A later one counts.
-    assert roster.apply_list(False, [host("a", started=2500)]) == (host("a", started=3000),)
-    assert roster.apply_list(False, [host("a", started=9000)]) == (host("a", started=9000),)
-    roster.apply_list(True, [])
-    assert not roster.holds("a") and roster.orders.back == {}
+    overrides.set_orders(orders)
+    orders = overrides.orders.copy()
+    orders.put_back("a", 3000, overrides.hosts["a"].started_ms)
+    assert overrides.set_orders(orders) == (host("a", started=3000),)
+    # The list reports the start late; only a later start counts.
+    assert overrides.apply_list(False, [host("a", started=2500)]) == (host("a", started=3000),)
+    assert overrides.apply_list(False, [host("a", started=9000)]) == (host("a", started=9000),)
+    overrides.apply_list(True, [])
+    assert not overrides.holds("a") and overrides.orders.back == {}
 
 
 HOUR_MS = 3_600_000
 
 
-@pytest.mark.parametrize("off", [-HOUR_MS, -5000, HOUR_MS])
-@pytest.mark.parametrize("how", ["order", "configuration"])
-def test_a_server_put_back_by_a_node_with_a_wrong_clock_is_cold(off: int, how: str) -> None:
-    """It had started half an hour before, as the list tells, and by a clock that is behind, in the future."""
+@pytest.mark.parametrize("clock_offset_ms", [-HOUR_MS, -5000, HOUR_MS])
+@pytest.mark.parametrize("source", ["order", "configuration"])
+def test_a_server_put_back_by_a_node_with_a_wrong_clock_is_cold(clock_offset_ms: int, source: str) -> None:
+    """The server started half an hour ago according to the list; by the node's slow clock that is in the
+    future."""
     started, now = 10 * HOUR_MS, 10 * HOUR_MS + HOUR_MS // 2
-    if off == -5000:
-        now = started + 1000  # it had just started, and the clock is seconds off
-    roster = ServerOverrides()
-    roster.apply_list(True, [host("a", started=started)])
-    if how == "order":
-        orders = roster.orders.copy()
-        orders.take_out("a", now + off, started)
-        roster.set_orders(orders)
-        orders = roster.orders.copy()
-        orders.put_back("a", now + off + 3000, started)
-        (shown,) = roster.set_orders(orders)
+    if clock_offset_ms == -5000:
+        now = started + 1000  # it has just started, and the clock is off by seconds
+    overrides = ServerOverrides()
+    overrides.apply_list(True, [host("a", started=started)])
+    if source == "order":
+        orders = overrides.orders.copy()
+        orders.take_out("a", now + clock_offset_ms, started)
+        overrides.set_orders(orders)
+        orders = overrides.orders.copy()
+        orders.put_back("a", now + clock_offset_ms + 3000, started)
+        (shown,) = overrides.set_orders(orders)
     else:
-        roster.set_configured_drains(["a"], now + off)
-        (shown,) = roster.set_configured_drains([], now + off + 3000)
+        overrides.set_configured_drains(["a"], now + clock_offset_ms)
+        (shown,) = overrides.set_configured_drains([], now + clock_offset_ms + 3000)
     assert shown.state is READY and shown.started_ms > started
 
 
-def test_a_server_that_the_configuration_drains_is_shown_so_beside_the_operators_orders() -> None:
-    roster = ServerOverrides()
-    roster.apply_list(True, [host("a", started=50), host("b"), host("c", GONE)])
-    assert [one.state for one in roster.set_configured_drains(["a", "elsewhere"], 100)] == [DRAINING, READY]
-    assert roster.set_configured_drains(["a", "elsewhere"], 110) == ()
-    orders = roster.orders.copy()
+def test_configured_drains_apply_in_addition_to_operators_orders() -> None:
+    overrides = ServerOverrides()
+    overrides.apply_list(True, [host("a", started=50), host("b"), host("c", GONE)])
+    assert [server.state for server in overrides.set_configured_drains(["a", "elsewhere"], 100)] == [
+        DRAINING,
+        READY,
+    ]
+    assert overrides.set_configured_drains(["a", "elsewhere"], 110) == ()
+    orders = overrides.orders.copy()
     orders.take_out("a", 120)
-    assert roster.set_orders(orders) == ()  # as it is
-    assert roster.set_configured_drains([], 130) == ()  # the operators' order stands
+    assert overrides.set_orders(orders) == ()  # unchanged
+    assert overrides.set_configured_drains([], 130) == ()  # the operators' order still applies
     back = orders.copy()
     back.put_back("a", 140, 50)
-    shown = roster.set_orders(back)
-    assert [(one.state, one.started_ms) for one in shown] == [(READY, 140), (READY, 0)]
+    shown = overrides.set_orders(back)
+    assert [(server.state, server.started_ms) for server in shown] == [(READY, 140), (READY, 0)]
 
 
-def test_a_server_whose_configured_drain_ends_is_cold_until_the_list_tells_more() -> None:
-    roster = ServerOverrides()
-    roster.apply_list(True, [host("a", started=50)])
-    roster.set_configured_drains(["a"], 100)
-    assert [one.started_ms for one in roster.set_configured_drains([], 200)] == [200]
-    assert [one.started_ms for one in roster.apply_list(False, [host("a", started=300)])] == [300]
+def test_a_server_whose_configured_drain_ends_is_cold_until_the_list_reports_a_later_start() -> None:
+    overrides = ServerOverrides()
+    overrides.apply_list(True, [host("a", started=50)])
+    overrides.set_configured_drains(["a"], 100)
+    assert [server.started_ms for server in overrides.set_configured_drains([], 200)] == [200]
+    assert [server.started_ms for server in overrides.apply_list(False, [host("a", started=300)])] == [300]
 
 
-@pytest.mark.parametrize(("rests", "age", "since", "way"), [
+@pytest.mark.parametrize(("activity", "age", "elapsed", "action"), [
     (ConnectionActivity.IDLE, 9.0, 0.4, DrainAction.STAY),
     (ConnectionActivity.IDLE, 9.0, 0.6, DrainAction.CLOSE),
     (ConnectionActivity.SILENT, 0.1, 0.6, DrainAction.STAY),
@@ -151,16 +158,14 @@
     (ConnectionActivity.PARTIAL, 1.0, PARTIAL_REFUSE_AFTER_S, DrainAction.REFUSE),
     (ConnectionActivity.BUSY, 9.0, 9.0, DrainAction.STAY),
 ])  # fmt: skip
-def test_an_emptied_node_lets_go_in_order(
-    rests: ConnectionActivity, age: float, since: float, way: DrainAction
-) -> None:
+def test_drain_actions(activity: ConnectionActivity, age: float, elapsed: float, action: DrainAction) -> None:
     drain = Drain(100.0)
-    assert drain.action_for(rests, age, 100.0 + since) is way
+    assert drain.action_for(activity, age, 100.0 + elapsed) is action
     assert not drain.refuses(100.0 + REFUSE_AFTER_S - 0.1) and drain.refuses(100.0 + REFUSE_AFTER_S)
 
 
 class SteppedClock:
-    """The machine's clocks: the wall clock may step, the other one counts on."""
+    """The machine's clocks: the wall clock may step, the monotonic one does not."""
 
     def __init__(self) -> None:
         self.monotonic_ms, self.wall_ms = 50_000, 10 * HOUR_MS
@@ -173,7 +178,9 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_MS, 0, HOUR_MS])
-def test_a_drain_goes_on_in_the_next_process_whatever_the_wall_clock_does(step: int, tmp_path: Path) -> None:
+def test_a_drain_continues_in_the_next_process_whatever_the_wall_clock_does(
+    step: int, tmp_path: Path
+) -> None:
     async def test() -> None:
         clock: Any = SteppedClock()
         drains = []
@@ -193,7 +200,7 @@
     asyncio.run(test())
 
 
-def test_what_is_kept_is_read_back_and_nothing_else() -> None:
+def test_only_an_intact_state_is_decoded() -> None:
     known = HostList(41, True, (host("a", DRAINING, 3), host("b")))
     state = State(Orders({"a": 5}, {"b": 7}, 9), "127.0.0.1:8500", known)
     data = encode(state)
@@ -203,12 +210,12 @@
             decode(data[:cut])
     with pytest.raises(StateError, match="version"):
         decode(data.replace(b"driftstair-state 1", b"driftstair-state 2"))
-    for place in range(len(data)):  # any byte that is another one
+    for position in range(len(data)):  # any single changed byte
         with pytest.raises(StateError):
-            decode(data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :])
+            decode(data[:position] + bytes([data[position] ^ 1]) + data[position + 1 :])
 
 
-def test_a_drain_that_an_earlier_version_kept_counts_as_begun_long_ago() -> None:
+def test_a_drain_stored_by_an_earlier_version_counts_as_started_long_ago() -> None:
     body = json.dumps(
         {"out": {}, "back": {}, "drained": 10 * HOUR_MS, "discovery": "", "list": None, "learned": None}
     ).encode()
