--- a/tests/observability/test_event_log.py
+++ b/tests/observability/test_event_log.py
@@ -1,4 +1,4 @@
-"""The event log: what a daemon writes of its requests, its lists and itself, and what it does not."""
+"""The event log: the events of requests, server lists and the process at each level."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from driftstair.observability.reasons import AnswerReason
 
 
-def lines(path: Path) -> list[dict[str, Any]]:
+def read_events(path: Path) -> list[dict[str, Any]]:
     return [json.loads(line) for line in path.read_text().splitlines()]
 
 
-def named(found: list[dict[str, Any]], event: str) -> list[dict[str, Any]]:
+def events_named(found: list[dict[str, Any]], event: str) -> list[dict[str, Any]]:
     return [line for line in found if line["event"] == event]
 
 
 @pytest.mark.parametrize("level", ["requests", "state"])
-def test_a_request_can_be_followed_from_its_reading_to_its_answer(level: str, tmp_path: Path) -> None:
+def test_the_events_of_a_request_from_reading_to_response(level: str, tmp_path: Path) -> None:
     path = tmp_path / "events.jsonl"
     service = tmp_path / "service.toml"
     service.write_text(f'version = 1\n[events]\nlevel = "{level}"\nfile = "{path}"\n')
@@ -50,15 +50,15 @@
                 await node.process.wait()
 
     run(test())
-    found = lines(path)
-    states = [line["state"].split(" ")[0] for line in named(found, "process_state_changed")]
+    found = read_events(path)
+    states = [line["state"].split(" ")[0] for line in events_named(found, "process_state_changed")]
     assert states == ["serving", "stopping", "ended"]
-    assert named(found, "discovery_called")[0]["version"] == 7
-    (told,) = named(found, "list_received")
+    assert events_named(found, "discovery_called")[0]["version"] == 7
+    (told,) = events_named(found, "list_received")
     assert (told["version"], told["full"], told["servers"]) == (8, True, 2)
-    counts = named(found, "metrics_reported")[-1]["counts"]
+    counts = events_named(found, "metrics_reported")[-1]["counts"]
     assert counts["answers.refused"] == 1 and counts["retries.error"] == 1
-    taken = named(found, "request_taken")
+    taken = events_named(found, "request_taken")
     if level == "state":
         assert not taken
         return
@@ -67,11 +67,11 @@
     steps = [line["event"] for line in found if line.get("request") == number]
     attempts = ["attempt_started", "attempt_ended"] * 2
     assert steps == ["request_taken", *attempts, "request_answered"]
-    assert named(found, "request_answered")[0]["reason"] == AnswerReason.REFUSED.value
-    assert all(0 < line["told_ms"] <= 9000 for line in named(found, "attempt_started"))
+    assert events_named(found, "request_answered")[0]["reason"] == AnswerReason.REFUSED.value
+    assert all(0 < line["told_ms"] <= 9000 for line in events_named(found, "attempt_started"))
 
 
-def test_without_the_table_nothing_of_it_is_loaded() -> None:
+def test_the_event_log_is_not_loaded_without_its_table() -> None:
     code = (
         "import driftstair.daemon, sys;"
         "print(sorted(one for one in sys.modules if 'event_log' in one or one == 'json.tool'))"
@@ -94,25 +94,25 @@
     assert "service.toml" in line and "file" in line and "/nowhere/at/all" in line and "would do" in line
 
 
-def test_a_loop_that_was_held_up_is_noted_and_bounds_the_age_of_what_comes() -> None:
+def test_a_stalled_loop_is_reported_and_bounds_the_arrival_time() -> None:
     async def test() -> None:
         clock = [0]
-        held: list[int] = []
-        monitor = LoopMonitor(lambda: clock[0], held.append)
+        stalls: list[int] = []
+        monitor = LoopMonitor(lambda: clock[0], stalls.append)
         monitor.start()
         clock[0] = int(TICK_S * 1e9) + 10_000_000
-        assert monitor.earliest() == clock[0]  # the usual noise
+        assert monitor.earliest() == clock[0]  # normal jitter
         clock[0] = 700_000_000
         assert monitor.earliest() == 0
-        await until(lambda: held)
-        assert held == [700_000_000 - int(TICK_S * 1e9)]
+        await until(lambda: stalls)
+        assert stalls == [700_000_000 - int(TICK_S * 1e9)]
         assert monitor.earliest() == 700_000_000
         await asyncio.sleep(0)
 
     run(test())
 
 
-def test_counts_are_kept_without_the_log() -> None:
+def test_counters_are_kept_without_the_event_log() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the deploy file's `build` leaves for nodes: they start on a file system that they can't write to."""
+"""The result of the deploy file's `build`: nodes start on a read-only file system."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def checkout(tmp_path: Path) -> Path:
-    """A fresh one, whose environment is installed: that of this run, under a path of its own."""
+    """A fresh checkout with an installed environment: the one of this run, under its own path."""
     for package in PACKAGES:
         shutil.copytree(ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copy(ROOT / "requirements.txt", tmp_path)
@@ -45,15 +45,15 @@
 
 
 def run(checkout: Path, *command: str) -> str:
-    environment = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}  # as where nothing can be written
+    environment = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}  # as on a read-only file system
     return subprocess.run(
         command, cwd=checkout, env=environment, capture_output=True, text=True, check=True
     ).stdout
 
 
-def test_a_node_compiles_nothing_at_its_start(checkout: Path) -> None:
-    """Guards against a start that takes 1.6 times its processor time, on every node and at every restart.
-    Copying the built folder gives the files other times, and changes nothing of that."""
+def test_a_node_compiles_nothing_at_start(checkout: Path) -> None:
+    """Compiling at the start would cost 1.6 times the CPU time, on every node and at every restart. Copying
+    the built folder changes the files' times and must not invalidate the compiled files."""
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
     run(checkout, "/bin/sh", "-c", build)
     for package in PACKAGES:
@@ -63,7 +63,7 @@
     assert (number, compiled) == ("0", [])
 
 
-def test_a_source_that_has_changed_since_the_build_is_what_runs(checkout: Path) -> None:
+def test_a_source_changed_since_the_build_takes_effect(checkout: Path) -> None:
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
     run(checkout, "/bin/sh", "-c", build)
     with (checkout / "driftstair" / "hosts.py").open("a") as hosts:
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,4 +1,5 @@
-"""Files that are none, have no end, are too long or too deep: one clear line, soon."""
+"""Paths without a regular file, and files that are endless, too long or nested too deeply: one clear line,
+soon."""
 
 from __future__ import annotations
 
@@ -66,7 +67,7 @@
     ],
     ids=["scenario", "service", "configuration"],
 )
-def test_what_is_no_such_file_gets_one_line(
+def test_an_unusable_file_gives_one_line(
     make: Callable[[Path], None],
     name: str,
     load: Callable[[str], object],
@@ -81,7 +82,7 @@
 
 
 @pytest.mark.parametrize("version", ["1.0", "true", '"1"', "2"])
-def test_only_the_whole_number_is_the_version(version: str, tmp_path: Path) -> None:
+def test_only_the_integer_1_is_a_valid_version(version: str, tmp_path: Path) -> None:
     path = tmp_path / "a.toml"
     path.write_text(f"version = {version}\n")
     for load, error in ((load_scenario, ScenarioError), (load_service, ServiceError)):
@@ -89,14 +90,14 @@
             load(str(path))
 
 
-def test_a_deep_configuration_that_json_can_read_is_refused_too(tmp_path: Path) -> None:
+def test_a_deeply_nested_configuration_that_json_can_parse_is_refused_too(tmp_path: Path) -> None:
     path = tmp_path / "a.json"
     path.write_text('{"settings": ' + '{"a":' * 900 + "1" + "}" * 900 + "}")
     with pytest.raises(ConfigError):
         load_config({"BALANCER_CONFIG": str(path)})
 
 
-def test_the_command_ends_with_2_and_one_line(tmp_path: Path) -> None:
+def test_the_command_exits_with_2_and_one_line(tmp_path: Path) -> None:
     path = tmp_path / "a.toml"
     fifo(path)
     for words in (["rehearse", str(path)], ["config", "check", str(path)]):
@@ -106,7 +107,7 @@
         assert (done.returncode, len(done.stderr.splitlines())) == (2, 1), done.stderr
 
 
-def test_a_file_of_the_most_is_read_and_what_is_read_is_parsed(tmp_path: Path) -> None:
+def test_a_file_of_the_maximum_size_is_read_and_parsed(tmp_path: Path) -> None:
     path = tmp_path / "a"
     path.write_bytes(b"x" * SETTINGS_BYTES_MAX)
     assert len(read_text(str(path))) == SETTINGS_BYTES_MAX
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what it may hold, and that a run passes over just those."""
+"""The list of known failures: its format, and that a run expects exactly these tests to fail."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 """
 
 
-def listed(folder: Path, text: str) -> list[KnownRed]:
+def read_listed(folder: Path, text: str) -> list[KnownRed]:
     path = folder / "KNOWN-RED.txt"
     path.write_text(text)
     return read_known_red(path)
 
 
-def test_a_list_holds_three_lines_of_one_form(tmp_path: Path) -> None:
+def test_a_list_has_at_most_three_valid_lines(tmp_path: Path) -> None:
     assert read_known_red(tmp_path / "none") == []
-    assert listed(tmp_path, LINE) == [KnownRed("tests/test_it.py::test_fails", "it is broken", "57")]
+    assert read_listed(tmp_path, LINE) == [KnownRed("tests/test_it.py::test_fails", "it is broken", "57")]
     for bad in ("\n".join([LINE] * 4), "tests/test_it.py::test_fails | it is broken", "a | | 57"):
         with pytest.raises(pytest.UsageError, match="KNOWN-RED"):
-            listed(tmp_path, bad)
+            read_listed(tmp_path, bad)
 
 
 @pytest.mark.parametrize(
@@ -42,8 +42,10 @@
     [("", 1), (LINE, 0), (LINE.replace("fails", "passes"), 1)],
     ids=["none", "red", "green"],
 )
-def test_a_run_passes_over_just_what_is_listed_and_prints_it(line: str, status: int, tmp_path: Path) -> None:
-    """One that is listed and passes fails the run too."""
+def test_a_run_expects_exactly_the_listed_failures_and_prints_them(
+    line: str, status: int, tmp_path: Path
+) -> None:
+    """A listed test that passes fails the run too."""
     tests = tmp_path / "tests"
     tests.mkdir()
     (tests / "conftest.py").write_text((HERE / "conftest.py").read_text())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program itself: how it starts, refuses to start, ends, and lives within its descriptors."""
+"""The program as a process: start, refusal to start, shutdown, reload, and its limit of descriptors."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-# The program, but with time enough after SIGTERM that a slow machine gives the same verdict.
-SLOWER = """
+# The program with a longer time after SIGTERM, so that the test passes on a slow machine too.
+SLOW_SHUTDOWN = """
 import sys
 import driftstair.daemon
 from driftstair.__main__ import main
@@ -82,18 +82,18 @@
         await process.wait()
 
 
-def test_sigterm_serves_on_then_finishes_what_is_held_and_ends_with_0(tmp_path: Path) -> None:
+def test_after_sigterm_the_node_serves_then_finishes_open_requests_and_exits_with_0(tmp_path: Path) -> None:
     release = asyncio.Event()
 
-    async def waits(message: Message, writer: asyncio.StreamWriter) -> None:
+    async def answer_after_release(message: Message, writer: asyncio.StreamWriter) -> None:
         if message.body == b"held":
             await release.wait()
         writer.write(answer(body=message.body))
 
     async def test() -> None:
         async with (
-            Server("s-1", waits) as server,
-            program(configuration(server), tmp_path, code=SLOWER) as node,
+            Server("s-1", answer_after_release) as server,
+            program(configuration(server), tmp_path, code=SLOW_SHUTDOWN) as node,
         ):
             holds, idle = await node.client(), await node.client()
             assert status(await idle.ask(request(body=b"before"))) == 200
@@ -102,7 +102,7 @@
             node.process.send_signal(signal.SIGTERM)
             late = await node.client()
             up = await late.ask(request(target="/up", method="GET"))
-            while status(up) == 200:  # until the signal has arrived
+            while status(up) == 200:  # until the signal has been handled
                 up = await late.ask(request(target="/up", method="GET"))
             new = await node.client()
             got = await new.ask(request(body=b"after"))
@@ -125,24 +125,25 @@
         (400, 1000, 0.0, 1.0),
     ],
 )
-def test_after_sigterm_a_node_serves_on_as_long_as_it_can_still_answer_in_time(
+def test_after_sigterm_a_node_serves_as_long_as_it_can_answer_in_time(
     aim_ms: int, deadline_ms: int, late: float, serve_on: float, tmp_path: Path
 ) -> None:
-    assert SERVE_AFTER_SIGTERM_S_MIN > 0.4  # s: so long new connections go on coming
+    assert SERVE_AFTER_SIGTERM_S_MIN > 0.4  # s for which new connections keep arriving
     document = configuration()
     document["settings"]["Grades"] = [grade("page", "once", deadline_ms, aim_ms) | {"LateShare": late}]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document))
     planned, within = plan_shutdown(load({"BALANCER_CONFIG": str(path)}))
     assert planned == pytest.approx(serve_on)
-    assert within == pytest.approx(min(3.0, deadline_ms / 1000) + 0.4)  # SIGKILL: 0.3 s later or more
+    assert within == pytest.approx(min(3.0, deadline_ms / 1000) + 0.4)  # SIGKILL comes at least 0.3 s later
 
 
-def test_sighup_moves_the_watch_and_keeps_list_and_requests(tmp_path: Path) -> None:
-    """The environment goes on naming the old address; the file's is newer. A bad file changes nothing."""
+def test_sighup_moves_the_watch_and_keeps_the_list_and_open_requests(tmp_path: Path) -> None:
+    """The environment keeps the old address, so the file takes precedence. An invalid file changes
+    nothing."""
     release = asyncio.Event()
 
-    async def waits(message: Message, writer: asyncio.StreamWriter) -> None:
+    async def answer_after_release(message: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer(body=message.body))
 
@@ -150,7 +151,7 @@
         async with (
             Discovery() as old,
             Discovery() as new,
-            Server("s-1", waits) as server,
+            Server("s-1", answer_after_release) as server,
             Server("s-2") as later,
         ):
             document = configuration(server, discovery=old.address)
@@ -173,7 +174,7 @@
                 assert new.targets == ["GET /discovery/hosts?watch=1&from=0 HTTP/1.1"]
                 old.drop()
                 release.set()
-                assert (await client.read()).body == b"held"  # the list and the request are still there
+                assert (await client.read()).body == b"held"  # the list and the request are kept
                 new.push(3, later, full=True)
                 while not later.seen:
                     assert status(await other.ask(request("order"))) == 200
@@ -183,28 +184,28 @@
 
 
 def test_descriptors_stay_within_the_limit_and_all_are_served(tmp_path: Path) -> None:
-    most = 96
+    descriptors_max = 96
 
     def limit() -> None:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors_max, descriptors_max))
 
     async def test() -> None:
         async with Server("s-1") as server:
             document = configuration(server)
-            document["limits"]["sockets"] = most
+            document["limits"]["sockets"] = descriptors_max
             async with program(document, tmp_path, preexec_fn=limit) as node:
-                clients = [await node.client() for _ in range(3 * most)]
-                served = await asyncio.gather(*(_served(node, client) for client in clients))
-                assert set(served) <= {200, 503}  # the breaker refuses some of so many at once
+                clients = [await node.client() for _ in range(3 * descriptors_max)]
+                served = await asyncio.gather(*(_status_with_retry(node, client) for client in clients))
+                assert set(served) <= {200, 503}  # the breaker refuses some of so many concurrent requests
                 assert len(server.seen) == served.count(200) > 0
-                assert len(os.listdir(f"/proc/{node.process.pid}/fd")) <= most
+                assert len(os.listdir(f"/proc/{node.process.pid}/fd")) <= descriptors_max
                 assert node.process.returncode is None
 
     run(test())
 
 
-async def _served(node: Program, client: Client) -> int:
-    """As clients do: where the node closes between requests, the request is sent anew on another one."""
+async def _status_with_retry(node: Program, client: Client) -> int:
+    """Sends a request as clients do: if the node closes the idle connection, it is repeated on a new one."""
     while True:
         try:
             return status(await client.ask(request()))
@@ -212,8 +213,9 @@
             client = await node.client()
 
 
-def test_no_descriptor_left_neither_ends_the_node_nor_keeps_it_busy(tmp_path: Path) -> None:
-    """The process may hold fewer than it was told: what accept says then is no crash and no busy loop."""
+def test_without_free_descriptors_the_node_neither_ends_nor_spins(tmp_path: Path) -> None:
+    """The process may have fewer descriptors than configured; a failing accept must cause no crash or busy
+    loop."""
 
     def limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (30, 30))
@@ -222,18 +224,18 @@
         async with program(configuration(), tmp_path, preexec_fn=limit) as node:
             clients = [await node.client() for _ in range(60)]
             pid = node.process.pid
-            before = _cpu(pid)
+            before = _cpu_seconds(pid)
             await asyncio.sleep(0.5)
-            assert _cpu(pid) - before < 0.4
-            served = await asyncio.gather(*(_served(node, client) for client in clients))
-            assert set(served) == {503}  # it knows no server
+            assert _cpu_seconds(pid) - before < 0.4
+            served = await asyncio.gather(*(_status_with_retry(node, client) for client in clients))
+            assert set(served) == {503}  # the node has no server
             assert node.process.returncode is None
 
     run(test())
 
 
-def _cpu(pid: int) -> float:
-    """Seconds that a process has used."""
+def _cpu_seconds(pid: int) -> float:
+    """CPU time of a process in s."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -275,7 +277,7 @@
         (_with("203.0.113.9:1", "listen"), "BALANCER_LISTEN"),
     ],
 )
-def test_a_bad_configuration_is_one_line_that_names_the_key(
+def test_an_invalid_configuration_gives_one_line_that_names_the_key(
     change: Callable[[dict[str, Any]], None], named: str, tmp_path: Path
 ) -> None:
     document = configuration()
@@ -294,7 +296,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
-def test_a_configuration_file_that_is_none(text: str | None, tmp_path: Path) -> None:
+def test_a_missing_or_unparsable_configuration_file(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -307,9 +309,9 @@
     run(test())
 
 
-def test_a_new_configuration_while_the_program_comes_up_neither_ends_it_nor_is_lost(tmp_path: Path) -> None:
-    """Started as the platform starts it. SIGHUP comes from the moment the interpreter runs, before a handler
-    can stand; its default would end the process, and what the file says by then has to count."""
+def test_sighup_during_start_neither_ends_the_program_nor_is_missed(tmp_path: Path) -> None:
+    """Started as the platform starts it. SIGHUP arrives as soon as the interpreter runs, before a handler can
+    be installed: its default action would end the process, and the new file must not be missed."""
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable)
 
--- a/tests/test_processes_together.py
+++ b/tests/test_processes_together.py
@@ -1,4 +1,4 @@
-"""Several processes of the node round one discovery that fails them: what each has learned afterwards."""
+"""Several nodes with one failing discovery service: what each has learned afterwards."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from test_process import Program, program
 
 NODES = 4
-BEAT = 1.0  # s between empty lines on a watch
+HEARTBEAT_S = 1.0  # between empty lines on a watch
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class Registry:
-    """One discovery for all nodes, told by the test how to fail."""
+    """The discovery service of all nodes; the test controls its failures."""
 
     def __init__(self) -> None:
         self.version = 7
         self.servers: list[Server] = []
-        self.mute = False  # takes calls, and says nothing on any connection
+        self.mute = False  # accepts calls and sends nothing on any connection
         self.calls = 0
-        self.told: list[int] = []  # the version that each answered call was brought to
+        self.told: list[int] = []  # the version sent with each answer or change
         self.address = ""
         self._watches: list[asyncio.StreamWriter] = []
         self._open: list[asyncio.StreamWriter] = []
@@ -34,11 +34,11 @@
 
     async def __aenter__(self) -> Registry:
         await self.come_up()
-        self._beats = asyncio.create_task(self._beat())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self._beats.cancel()
+        self._heartbeat_task.cancel()
         self.go_down()
 
     async def come_up(self) -> None:
@@ -58,7 +58,7 @@
         self._watches.clear()
 
     def silence_open_watches(self) -> None:
-        """They stay open, and nothing comes on them any more; calls made from now on are answered."""
+        """Open watches stay open and silent; later calls are answered."""
         self._watches.clear()
 
     def change(self, *servers: Server) -> None:
@@ -92,9 +92,9 @@
                 if writer in kept:
                     kept.remove(writer)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(HEARTBEAT_S)
             for writer in self._watches:
                 if not self.mute:
                     writer.write(b"1\r\n\n\r\n")
@@ -130,14 +130,15 @@
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @pytest.mark.parametrize("how", ["down", "mute"])
-def test_every_process_learns_of_a_drain_told_while_discovery_was_away(
+def test_every_process_learns_of_a_drain_announced_while_discovery_was_unavailable(
     how: str, mode: str, tmp_path: Path
 ) -> None:
-    """And idle clients have filled the descriptors of each meanwhile: its call needs one that is free."""
-    most = 96
+    """Idle clients use up the descriptors of each node meanwhile, and its call to discovery needs a free
+    one."""
+    descriptors_max = 96
 
     def limit() -> None:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors_max, descriptors_max))
 
     async def test() -> None:
         async with (
@@ -147,68 +148,69 @@
             Server("s-2") as new,
         ):
             document = configuration(old, discovery=registry.address)
-            document["limits"]["sockets"] = most
+            document["limits"]["sockets"] = descriptors_max
             document["settings"]["MembershipMode"] = mode
-            document["settings"]["Contract"]["AskWithin"] = 10**9  # the first calls come soon
+            document["settings"]["Contract"]["AskWithin"] = 10**9  # so that the first calls come soon
             registry.servers = [old]
-            fleet = await nodes(stack, document, tmp_path, preexec_fn=limit)
-            await until(lambda: len(registry.told) == NODES)  # each has its watch
+            programs = await nodes(stack, document, tmp_path, preexec_fn=limit)
+            await until(lambda: len(registry.told) == NODES)  # each node has its watch
             if how == "down":
                 registry.go_down()
             registry.mute = True
-            crowd: list[Client] = []
-            for node in fleet:
-                crowd += [await node.client() for _ in range(most)]
-                assert status(await ask(node)) == 200  # the list that it has still serves
+            idle_clients: list[Client] = []
+            for node in programs:
+                idle_clients += [await node.client() for _ in range(descriptors_max)]
+                assert status(await ask(node)) == 200  # the current list still serves
             old.state = "Terminating"
             registry.change(old, new)
             if how == "down":
                 await asyncio.sleep(1.0)  # some calls fail
                 await registry.come_up()
             else:
-                # Given up and made anew: the first one was silent from before the change.
+                # The watches time out and are opened again; the first ones have been silent since before the
+                # change.
                 await until(lambda: registry.calls >= 2 * NODES and not registry._watches)
                 registry.mute = False
             await until(lambda: registry.told.count(registry.version) >= NODES)
             seen = len(old.seen)
-            for node in fleet:
+            for node in programs:
                 while not new.seen:
                     await ask(node)
                 before = len(new.seen)
                 assert status(await ask(node)) == 200
                 assert len(new.seen) == before + 1
             assert len(old.seen) == seen
-            for node in fleet:
+            for node in programs:
                 assert node.process.returncode is None
-            for client in crowd:
+            for client in idle_clients:
                 client.writer.close()
 
     run(test())
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_every_restarted_process_is_ready_though_discovery_is_away_at_its_start(
+def test_every_restarted_process_becomes_ready_though_discovery_is_unavailable_at_start(
     known: bool, tmp_path: Path
 ) -> None:
-    """At once by the list that it is given; with an empty one, as soon as discovery is back."""
+    """At once with the configured list; with an empty one, as soon as discovery is back."""
 
     async def test() -> None:
         async with AsyncExitStack() as stack, Registry() as registry, Server("s-1") as server:
             document = configuration(*([server] if known else []), discovery=registry.address)
             registry.servers = [server]
             registry.mute = True
-            fleet = await nodes(stack, document, tmp_path)
-            assert [await is_up(node) for node in fleet] == [known] * NODES
+            programs = await nodes(stack, document, tmp_path)
+            assert [await is_up(node) for node in programs] == [known] * NODES
             if not known:
                 await until(lambda: registry.calls >= NODES)
-                registry.go_down()  # and whoever calls is refused for a while
+                registry.go_down()  # calls are refused for a while
                 await asyncio.sleep(0.5)
                 await registry.come_up()
                 async with asyncio.timeout(PATIENCE):
-                    for node in fleet:
+                    for node in programs:
                         while not await is_up(node):
                             await asyncio.sleep(0.05)
-            for node in fleet:
+            for node in programs:
                 assert status(await ask(node)) == 200
 
     run(test())
