--- a/driftstair/__main__.py
+++ b/driftstair/__main__.py
@@ -17,8 +17,7 @@
 
 
 def daemon(service_file: str = "") -> int:
-    # The default action would end a process that is starting. The file is checked again once the handler is
-    # installed.
+    # The default action would end a starting process. Once the handler is set, the file is checked again.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import uvloop
 
--- a/driftstair/admission/connection_table.py
+++ b/driftstair/admission/connection_table.py
@@ -123,8 +123,7 @@
 
 
 class ConnectionTable(Generic[Connection]):
-    """The connections of one node; its front end calls this at each event. `now`: s of one monotonic
-    clock."""
+    """The connections of one node, as events change them. `now`: s of one monotonic clock."""
 
     def __init__(
         self, limits: ConnectionLimits, has_unread: Callable[[Connection], bool] = lambda _: False
@@ -148,9 +147,8 @@
         ]
         self._idle_count = 0
         self._worth_order: list[tuple[float, int, int]] = []  # (worth, kind, bucket), lowest worth first
-        self._fresh_worth = [0.0] * len(
-            REQUEST_COUNT_THRESHOLDS
-        )  # worth of a connection that becomes idle now
+        # Worth of a connection that becomes idle now, by kind.
+        self._fresh_worth = [0.0] * len(REQUEST_COUNT_THRESHOLDS)
         self._worth_updated_at = 0.0
         self._close_decisions = 0
         self._update_worth(0.0)
@@ -185,9 +183,8 @@
         record = self._records[connection]
         self._new_connections.pop(connection, None)
         if record.state is State.BODY:
-            del self._by_state[State.BODY][
-                connection
-            ]  # moves it to the end: the longest without data stays first
+            # Moves the connection to the end, so that the one longest without data stays first.
+            del self._by_state[State.BODY][connection]
             record.since = self._by_state[State.BODY][connection] = now
         elif record.state is not State.BUSY:
             self._change_state(connection, record, State.BODY, now)
--- a/driftstair/admission/return_statistics.py
+++ b/driftstair/admission/return_statistics.py
@@ -41,8 +41,7 @@
         self.exposure[bucket] += BUCKET_WIDTHS_S[bucket]
 
     def record_end(self, age: float, bucket: int, returned: bool) -> None:
-        """Records the end of an idle period at `age`, within `bucket`; earlier buckets are recorded
-        already."""
+        """Records the end of an idle period at `age`, in `bucket`, after the full buckets before it."""
         start = BUCKET_ENDS_S[bucket - 1] if bucket else 0.0
         self.exposure[bucket] += max(0.0, age - start)
         self.return_counts[bucket] += returned
--- a/driftstair/config.py
+++ b/driftstair/config.py
@@ -112,8 +112,7 @@
 
 
 def _peer_settings(document: dict[str, Any], settings_tree: dict[str, Any]) -> dict[str, Any] | None:
-    """Not validated here: without a tier it is not used, and an error in it must not keep a node from
-    starting."""
+    """Not validated here: it is unused without a tier, and an error in it must not prevent the start."""
     limits = settings_tree.get("Limits")
     if not isinstance(limits, dict) or limits.get("Peers") is not True:
         return None
--- a/driftstair/observability/event_log.py
+++ b/driftstair/observability/event_log.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from pathlib import Path
 
-from driftstair.observability.log_stream import standard_error
+from driftstair.observability.log_stream import standard_error_handler
 
 LOGGER_NAME = "driftstair.events"
 
@@ -39,7 +39,7 @@
         self._monotonic_ns = monotonic_ns
         self._wall_ns = wall_ns
         self._logger = logging.Logger(LOGGER_NAME)
-        handler = handler or standard_error()
+        handler = handler or standard_error_handler()
         handler.setFormatter(logging.Formatter("%(message)s"))
         self._logger.addHandler(handler)
 
--- a/driftstair/observability/log_stream.py
+++ b/driftstair/observability/log_stream.py
@@ -51,7 +51,7 @@
         return self._poll is None or bool(self._poll.poll(0))
 
 
-def standard_error() -> logging.Handler:
+def standard_error_handler() -> logging.Handler:
     """A handler for standard error, or a null handler if the process was started without it."""
     try:
         return LogStreamHandler(sys.stderr)
@@ -61,4 +61,4 @@
 
 def log_to_standard_error() -> None:
     """Logs everything from level INFO on to standard error."""
-    logging.basicConfig(handlers=[standard_error()], level=logging.INFO, format=LINE_FORMAT)
+    logging.basicConfig(handlers=[standard_error_handler()], level=logging.INFO, format=LINE_FORMAT)
--- a/driftstair/observability/observer.py
+++ b/driftstair/observability/observer.py
@@ -12,8 +12,7 @@
     """Called on the event loop's thread as events happen; has to return quickly and must not raise."""
 
     def request_taken(self, request: int, request_id: str, left_ms: float, waited_ms: float) -> None:
-        """`left_ms`: until the client's deadline; `waited_ms`: between the request's arrival and its
-        reading."""
+        """`left_ms`: until the client's deadline; `waited_ms`: from arrival to reading."""
 
     def attempt_started(
         self, request: int, attempt: int, server: str, told_ms: float, held_ms: float
--- a/driftstair/operations/operator_server.py
+++ b/driftstair/operations/operator_server.py
@@ -121,8 +121,7 @@
         self._server.remove_caller(self)
 
     def eof_received(self) -> bool:
-        """A caller may close its sending side after a complete call; an incomplete one can't be completed
-        now."""
+        """A caller may close its sending side after a complete call; an incomplete call is an error."""
         if not self._answered and self._parser is not None and self in self._server._callers:
             self.answer(400, {"error": "incomplete call"})
         return True
--- a/driftstair/operations/server_overrides.py
+++ b/driftstair/operations/server_overrides.py
@@ -23,9 +23,8 @@
     so none of them is set earlier than a start that the list had reported by then."""
 
     out: dict[str, int] = field(default_factory=dict)  # server -> when it was taken out
-    back: dict[str, int] = field(
-        default_factory=dict
-    )  # server -> when it was put back, while that overrides its start time
+    # Server -> when it was put back, while that overrides its start time.
+    back: dict[str, int] = field(default_factory=dict)
     drained: int = 0  # since when the node is out of service, ms of the monotonic clock; 0: in service
 
     def take_out(self, server: str, now: int, started: int = 0) -> None:
@@ -45,19 +44,18 @@
 
 
 class ServerOverrides:
-    """The servers of one node. Entries that the list reports as gone are dropped, orders about them are
-    kept."""
+    """The servers of one node. Servers that are gone are dropped from the list, their orders are kept."""
 
     def __init__(self, orders: Orders | None = None) -> None:
         self.orders = orders or Orders()
-        self.configured = Orders()  # drains from the configuration, in addition to the operators' orders
+        self.configured_orders = Orders()  # drains from the configuration, besides the operators' orders
         self.hosts: dict[str, Host] = {}
 
-    def holds(self, server: str) -> bool:
+    def is_known(self, server: str) -> bool:
         """Whether a call may name the server: it is in the list, or out of service."""
         return server in self.hosts or server in self.orders.out
 
-    def started(self, server: str) -> int:
+    def last_start_ms(self, server: str) -> int:
         """The server's last start in ms according to the list; 0: long ago."""
         host = self.hosts.get(server)
         return 0 if host is None else host.started_ms
@@ -73,37 +71,36 @@
             else:
                 self.hosts[host.id] = host
         if full:  # a server that left the list can't come back warm
-            for orders in (self.orders, self.configured):
+            for orders in (self.orders, self.configured_orders):
                 orders.back = {server: at for server, at in orders.back.items() if server in self.hosts}
-        return tuple(self.shown(host) for host in hosts)
+        return tuple(self.effective_host(host) for host in hosts)
 
     def set_orders(self, orders: Orders) -> tuple[Host, ...]:
-        """Replaces the orders; returns the whole list as it is to be shown now, or nothing if that is
-        unchanged."""
-        before = self.listed()
+        """Replaces the orders; returns the whole list as it is to be shown, or nothing if unchanged."""
+        before = self.effective_hosts()
         self.orders = orders
-        after = self.listed()
+        after = self.effective_hosts()
         return after if after != before else ()
 
     def set_configured_drains(self, drained: Iterable[str], now: int) -> tuple[Host, ...]:
         """Sets the servers that the configuration drains; returns the whole list as it is to be shown now, or
         nothing if that is unchanged. `now`: ms of Unix time."""
-        before = self.listed()
+        before = self.effective_hosts()
         drained_servers = set(drained)
-        for server in drained_servers - self.configured.out.keys():
-            self.configured.take_out(server, now, self.started(server))
-        for server in self.configured.out.keys() - drained_servers:
-            self.configured.put_back(server, now, self.started(server))
-        after = self.listed()
+        for server in drained_servers - self.configured_orders.out.keys():
+            self.configured_orders.take_out(server, now, self.last_start_ms(server))
+        for server in self.configured_orders.out.keys() - drained_servers:
+            self.configured_orders.put_back(server, now, self.last_start_ms(server))
+        after = self.effective_hosts()
         return after if after != before else ()
 
-    def listed(self) -> tuple[Host, ...]:
-        return tuple(self.shown(host) for host in self.hosts.values())
+    def effective_hosts(self) -> tuple[Host, ...]:
+        return tuple(self.effective_host(host) for host in self.hosts.values())
 
-    def shown(self, host: Host) -> Host:
-        if host.id in self.orders.out or host.id in self.configured.out:
+    def effective_host(self, host: Host) -> Host:
+        if host.id in self.orders.out or host.id in self.configured_orders.out:
             return host._replace(state=ServerState.DRAINING) if host.state is ServerState.READY else host
-        back = max(self.orders.back.get(host.id, 0), self.configured.back.get(host.id, 0))
+        back = max(self.orders.back.get(host.id, 0), self.configured_orders.back.get(host.id, 0))
         # Kept even once the list reports the start itself, which was earlier: a changed start time would
         # close the connections to the server.
         return host if not back else host._replace(started_ms=max(host.started_ms, back))
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -1,5 +1,4 @@
-"""Carries out operators' calls on the node, its front end, the stored state and the other process of the
-node."""
+"""Carries out operators' calls on the node, its stored state and the other processes of the node."""
 
 from __future__ import annotations
 
@@ -157,13 +156,13 @@
             )
         elif call.order is Order.NODE_IN:
             await self._change_orders(lambda orders: setattr(orders, "drained", 0))
-        elif not self.roster.holds(call.server):
+        elif not self.roster.is_known(call.server):
             return 404, {"error": f"no server {call.server}"}
         elif call.order is Order.SERVER_OUT:
-            started = self.roster.started(call.server)
+            started = self.roster.last_start_ms(call.server)
             await self._change_orders(lambda orders: orders.take_out(call.server, now_ms, started))
         else:
-            started = self.roster.started(call.server)
+            started = self.roster.last_start_ms(call.server)
             await self._change_orders(lambda orders: orders.put_back(call.server, now_ms, started))
         log.info("operator order carried out: %s %s", call.order.value.decode(), call.server)
         return 200, {"done": call.order.value.decode()}
--- a/tests/admission/test_hard_cases.py
+++ b/tests/admission/test_hard_cases.py
@@ -60,8 +60,7 @@
 
 
 def test_a_burst_after_silence_is_accepted() -> None:
-    """Connections with one request fill the table; after 25 s without arrivals, 60 clients connect at
-    once."""
+    """Connections with one request fill the table; 25 s later, 60 clients connect at once."""
     front = SimulatedFrontEnd(ConnectionLimits(100, platform_connections_max=80))
     for index in range(300):
         front.now += 0.02
--- a/tests/admission/test_places.py
+++ b/tests/admission/test_places.py
@@ -104,8 +104,7 @@
         front.connect(f"once{step}")
         front.serve_request(f"once{step}")
     returns = 20 * (front.now - 5.0) / away
-    # A returning client is closed only after the first request on a connection, when it looks like the
-    # others.
+    # A returning client is closed only after its first request, when it looks like the others.
     assert displaced_returning < 0.05 * returns
 
 
@@ -165,9 +164,8 @@
     gone = ("rejected", "silent", "leaves", "head", "head too")
     assert order == [(name, CloseMode.ABORT) for name in gone]
     assert table.make_room(front.now, forced=True) == ("idle", CloseMode.CLOSE)
-    assert (
-        table.make_room(front.now, forced=True) is None
-    )  # a connection with an open request is never closed
+    # A connection with an open request is never closed.
+    assert table.make_room(front.now, forced=True) is None
     assert table.state("busy") is State.BUSY
 
 
@@ -265,9 +263,8 @@
             returns.record_full_bucket(bucket)
         returns.record_end(2.0, last, returned=True)
     worth = returns.worth(0.1)
-    assert (
-        worth[bucket_of(1.5)] > 1.5 * worth[bucket_of(0.1)]
-    )  # so the newest is closed first, not the oldest
+    # So the newest is closed first, not the oldest.
+    assert worth[bucket_of(1.5)] > 1.5 * worth[bucket_of(0.1)]
 
 
 def test_bucket_of_an_age() -> None:
--- a/tests/operations/test_desk_and_upgrade.py
+++ b/tests/operations/test_desk_and_upgrade.py
@@ -90,10 +90,8 @@
                 assert await call(operators_port, "GET", "ready") == 200
                 assert await call(operators_port, "", "", b"no call at all\r\n\r\n") == 400
                 long_call = b"GET /control/ready HTTP/1.1\r\nX: %s\r\n\r\n" % (b"x" * 9000)
-                assert await call(operators_port, "", "", long_call) in (
-                    200,
-                    413,
-                )  # 200 if it was read completely
+                # 200 if the call was read completely.
+                assert await call(operators_port, "", "", long_call) in (200, 413)
                 for reader, writer in silent:  # each gets a response or is closed
                     with suppress(ConnectionResetError):
                         await reader.read()
@@ -115,9 +113,8 @@
                 message = await used.ask(request())  # still served, and told to close
                 assert status(message) == 200 and message.headers["connection"] == "close"
                 assert await idle.ended() == b"" and await silent.ended() == b""
-                assert (
-                    await call(operators_port, "GET", "ready") == 200
-                )  # the process itself is able to serve
+                # The process itself is able to serve.
+                assert await call(operators_port, "GET", "ready") == 200
                 assert await call(operators_port, "POST", "in-service") == 200
                 assert await health_status(node) == 200 and await request_status(node) == 200
 
@@ -156,9 +153,8 @@
                     # An order to either process applies to both once it is answered.
                     assert await call(second_port, "POST", "servers/s-2/offline") == 200
                     assert await request_status(old) == 503
-                    assert (
-                        await kept_client.ended() == b""
-                    )  # idle at the old process: closed at its next sweep
+                    # Idle at the old process: closed at its next sweep.
+                    assert await kept_client.ended() == b""
                     seen = len(two.seen)
                     assert await call(operators_port, "POST", "servers/s-2/online") == 200
                     old.process.send_signal(signal.SIGTERM)
@@ -166,10 +162,8 @@
                     await until(lambda: len(two.seen) > seen)
                     ended.set()
                     await asyncio.gather(*loads)  # no connection was closed without a response
-                    assert set(statuses) <= {
-                        200,
-                        503,
-                    }  # refused while both servers were out, and no other failure
+                    # Refused while both servers were out, and no other failure.
+                    assert set(statuses) <= {200, 503}
                     assert not one.seen  # still out, in a process that was never called
                     assert new.process.returncode is None
 
--- a/tests/operations/test_orders.py
+++ b/tests/operations/test_orders.py
@@ -72,7 +72,7 @@
     ]
     assert orders.out == {"a": 1000}
     # It leaves the list and returns, ready and restarted: still out of service.
-    assert overrides.apply_list(False, [host("a", GONE)])[0].state is GONE and overrides.holds("a")
+    assert overrides.apply_list(False, [host("a", GONE)])[0].state is GONE and overrides.is_known("a")
     assert overrides.apply_list(False, [host("a", started=1500)])[0].state is DRAINING
     assert [server.state for server in overrides.apply_list(True, [host("a", started=1500)])] == [DRAINING]
     orders = overrides.orders.copy()
@@ -94,7 +94,7 @@
     assert overrides.apply_list(False, [host("a", started=2500)]) == (host("a", started=3000),)
     assert overrides.apply_list(False, [host("a", started=9000)]) == (host("a", started=9000),)
     overrides.apply_list(True, [])
-    assert not overrides.holds("a") and overrides.orders.back == {}
+    assert not overrides.is_known("a") and overrides.orders.back == {}
 
 
 HOUR_MS = 3_600_000
@@ -103,8 +103,7 @@
 @pytest.mark.parametrize("clock_offset_ms", [-HOUR_MS, -5000, HOUR_MS])
 @pytest.mark.parametrize("source", ["order", "configuration"])
 def test_a_server_put_back_by_a_node_with_a_wrong_clock_is_cold(clock_offset_ms: int, source: str) -> None:
-    """The server started half an hour ago according to the list; by the node's slow clock that is in the
-    future."""
+    """By the list the server started half an hour ago; by the node's slow clock, in the future."""
     started, now = 10 * HOUR_MS, 10 * HOUR_MS + HOUR_MS // 2
     if clock_offset_ms == -5000:
         now = started + 1000  # it has just started, and the clock is off by seconds
--- a/tests/operations/test_upgrade_under_stalls.py
+++ b/tests/operations/test_upgrade_under_stalls.py
@@ -39,9 +39,8 @@
 
                 async def send_requests() -> None:
                     while not ended.is_set():
-                        statuses.append(
-                            await request_status(old)
-                        )  # raises if a connection closes without a response
+                        # Raises if a connection closes without a response.
+                        statuses.append(await request_status(old))
 
                 loads = [asyncio.create_task(send_requests()) for _ in range(CLIENTS)]
                 await until(lambda: len(statuses) >= REQUESTS_BEFORE)
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -1,5 +1,4 @@
-"""Paths without a regular file, and files that are endless, too long or nested too deeply: one clear line,
-soon."""
+"""Unusable files (not regular, endless, too long, nested too deeply) give one clear line, without a hang."""
 
 from __future__ import annotations
 
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -30,8 +30,7 @@
 
 
 def test_an_unread_log_delays_no_request(tmp_path: Path) -> None:
-    """Guards against a full standard error pipe that blocks the event loop when the node writes its
-    log."""
+    """Guards against a full standard error pipe that blocks the event loop when the node logs."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -139,8 +139,7 @@
 
 
 def test_sighup_moves_the_watch_and_keeps_the_list_and_open_requests(tmp_path: Path) -> None:
-    """The environment keeps the old address, so the file takes precedence. An invalid file changes
-    nothing."""
+    """The environment keeps the old address; the file takes precedence. An invalid file changes nothing."""
     release = asyncio.Event()
 
     async def answer_after_release(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -214,8 +213,7 @@
 
 
 def test_without_free_descriptors_the_node_neither_ends_nor_spins(tmp_path: Path) -> None:
-    """The process may have fewer descriptors than configured; a failing accept must cause no crash or busy
-    loop."""
+    """With fewer descriptors than configured, a failing accept must cause no crash or busy loop."""
 
     def limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (30, 30))
--- a/tests/test_processes_together.py
+++ b/tests/test_processes_together.py
@@ -133,8 +133,7 @@
 def test_every_process_learns_of_a_drain_announced_while_discovery_was_unavailable(
     how: str, mode: str, tmp_path: Path
 ) -> None:
-    """Idle clients use up the descriptors of each node meanwhile, and its call to discovery needs a free
-    one."""
+    """Idle clients use up the descriptors of each node, and its call to discovery needs a free one."""
     descriptors_max = 96
 
     def limit() -> None:
@@ -167,8 +166,7 @@
                 await asyncio.sleep(1.0)  # some calls fail
                 await registry.come_up()
             else:
-                # The watches time out and are opened again; the first ones have been silent since before the
-                # change.
+                # The watches, silent since before the change, time out and are opened again.
                 await until(lambda: registry.calls >= 2 * NODES and not registry._watches)
                 registry.mute = False
             await until(lambda: registry.told.count(registry.version) >= NODES)
