--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -122,7 +122,7 @@
     """One probe with six claims of others: what the tier sends most."""
     claims = [Claim(100 + number, 1_010_534_400, 3, State.ALIVE, 100 + number, Traits(1, 1, 1))
               for number in range(6)]  # fmt: skip
-    message = Message(Kind.PING, claims[0], 101, 70_000, 90_000, news=tuple(claims[1:]))
+    message = Message(Kind.PING, claims[0], 101, 70_000, 90_000, updates=tuple(claims[1:]))
     own = wire.Codec(b"sixteen bytes!!!")
     data = own.encode(message)
     flat = struct.Struct("<HIHBHBBH")
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -53,7 +53,7 @@
 
 def write_member_list(path: Path, plan: Plan, own: int) -> None:
     """As an earlier process of the node would have left it: all others are alive in their present life."""
-    life, supports = life_at(plan.wall_ns), wire.MEMBERSHIP | wire.SHARED
+    life, supports = life_at(plan.wall_ns), wire.SUPPORTS_MEMBERSHIP | wire.SUPPORTS_SHARED
     claims = tuple(
         Claim(number, life, 0, State.ALIVE, number, Traits(zone_of(number), wire.VERSION, supports))
         for number in range(plan.count) if number != own
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -78,11 +78,11 @@
         0,
         size,
         1_000,
-        Traits(0, wire.VERSION, wire.MEMBERSHIP),
+        Traits(0, wire.VERSION, wire.SUPPORTS_MEMBERSHIP),
         PERIOD,
         Random(1),
         wire.MAX_CLAIMS_BYTES,
-        wire.size,
+        wire.claim_size,
     )
     now = time.monotonic_ns()
     core.handle(now, all_alive(size))
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -83,10 +83,10 @@
         self.zone = 0
         shares = peers.of.judge
         random = random_for(peers.world.seed, "peer", str(number), str(life))
-        supports = wire.MEMBERSHIP | (wire.SHARED if shares else 0)
+        supports = wire.SUPPORTS_MEMBERSHIP | (wire.SUPPORTS_SHARED if shares else 0)
         self.core = Membership(
             number, len(peers.names), life, Traits(self.zone, wire.VERSION, supports),
-            int(peers.of.period_ms * 1e6), Random(random.random()), wire.MAX_CLAIMS_BYTES, wire.size,
+            int(peers.of.period_ms * 1e6), Random(random.random()), wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
         self.sharing: Sharing | None = None
         if shares:
@@ -105,7 +105,7 @@
             message = self._peers.codec.decode(data)
         except InvalidDatagram:
             return
-        if message.mine.number == source:
+        if message.sender_claim.number == source:
             self._tell(api.Received(message))
 
     def _carry(self, to: int, items: bytes) -> None:
@@ -114,9 +114,11 @@
     def _tell(self, event: api.Event) -> None:
         for action in self.core.handle(self._clock.now, event):
             if isinstance(action, api.Send):
-                self._peers.carry(self._number, action.message.to, self._peers.codec.encode(action.message))
+                self._peers.carry(
+                    self._number, action.message.recipient, self._peers.codec.encode(action.message)
+                )
             elif isinstance(action, api.PayloadReceived) and self.sharing is not None:
-                self.sharing.heard(action.sender, action.life, action.items)
+                self.sharing.heard(action.sender, action.life, action.payload)
             elif isinstance(action, api.Superseded) and self.sharing is not None:
                 self.sharing.close()
         self._set_timer()
@@ -143,13 +145,17 @@
     # What the shared state asks.
 
     def _sharers(self) -> list[int]:
-        return [number for number, one in self.core.known().items() if one.traits.supports & wire.SHARED]
+        return [
+            number
+            for number, one in self.core.live_claims().items()
+            if one.traits.supports & wire.SUPPORTS_SHARED
+        ]
 
     def _sound(self) -> bool:
         return not self.core.is_isolated() and self.core.health.score < DEGRADED_HEALTH_SCORE
 
     def _zones(self) -> dict[int, int]:
-        known = self.core.known().items()
+        known = self.core.live_claims().items()
         return {self._number: self.zone} | {number: one.traits.zone for number, one in known}
 
 
--- a/driftstair/model/tier/swim.py
+++ b/driftstair/model/tier/swim.py
@@ -21,8 +21,8 @@
         random = Random(f"{seed}/{host.number}/{life}")
         self.host = host
         self.core = Membership(
-            host.number, count, 100 + life, Traits(host.number % 3, 1, wire.MEMBERSHIP), int(period * SECOND),
-            random, wire.MAX_CLAIMS_BYTES, wire.size,
+            host.number, count, 100 + life, Traits(host.number % 3, 1, wire.SUPPORTS_MEMBERSHIP),
+            int(period * SECOND), random, wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
 
     def start(self) -> None:
@@ -48,18 +48,18 @@
         found: dict[int, tuple[int, int, int] | None] = {
             one.number: one.claim.rank() if one.claim else None for one in self.core.members.values()
         }
-        found[self.core.own] = self.core.mine.rank()
+        found[self.core.own_number] = self.core.own_claim.rank()
         return found
 
     def _do(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.Send):
                 message = action.message
-                size = HEAD + wire.size(message.mine) + sum(map(_size, message.news))
-                self.host.send(message.to, message, size)
-            elif isinstance(action, api.Changed):
-                self.host.held(action.claim.number, action.claim.state, action.told)
+                size = HEAD + wire.claim_size(message.sender_claim) + sum(map(_size, message.updates))
+                self.host.send(message.recipient, message, size)
+            elif isinstance(action, api.StateChanged):
+                self.host.held(action.claim.number, action.claim.state, action.announced)
 
 
 def _size(claim: Claim) -> int:
-    return wire.size(claim)
+    return wire.claim_size(claim)
--- a/driftstair/tier/loan_expiry.py
+++ b/driftstair/tier/loan_expiry.py
@@ -1,7 +1,8 @@
-"""Until when a process that ended as planned has lent what is its own: a file for the next one of its node.
+"""When the last loan of a process that shut down as planned expires: a file for the next process of its node.
 
-It is read once and gone: a process that is killed leaves none, and the next waits as long as a loan lasts.
-It counts on the boot of the machine that wrote it alone, whose monotonic clock it is by.
+The file is read once and then removed. A killed process leaves no file, and the next process waits for the
+longest possible loan. The time is on the machine's monotonic clock, so it is valid only for the boot of the
+machine that wrote it.
 """
 
 from __future__ import annotations
@@ -11,44 +12,51 @@
 from pathlib import Path
 
 from driftstair.files import FileError, parse_text, read_text
-from driftstair.tier.member_list import put
+from driftstair.tier.member_list import replace_json
 
 log = logging.getLogger(__name__)
 
 FORMAT = "driftstair.lent/1"
-BOOT = Path("/proc/sys/kernel/random/boot_id")  # random(4)
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")  # random(4)
 
 
-def boot() -> str:
-    """Of this machine; empty where it can't be told."""
+def boot_id() -> str:
+    """Of this machine; empty where it is not available."""
     try:
-        return BOOT.read_text().strip()
+        return BOOT_ID_PATH.read_text().strip()
     except OSError:
         return ""
 
 
-def write(path: Path, until: int) -> None:
-    """ns, monotonic. What can't be written is as if the process had been killed."""
+def write(path: Path, expires_at_ns: int) -> None:
+    """On the monotonic clock. A failed write has the same effect as a killed process."""
     try:
-        put(path, {"format": FORMAT, "boot": boot(), "until_ns": until})
-    except OSError as problem:
-        log.warning("the next process will not know what is lent: %s", problem.strerror)
+        replace_json(path, {"format": FORMAT, "boot": boot_id(), "until_ns": expires_at_ns})
+    except OSError as error:
+        log.warning(
+            "cannot save the expiry of loans; the next process waits for the longest loan: %s", error.strerror
+        )
 
 
 def take(path: Path) -> int | None:
-    """ns; None: nothing is known. Whoever has read it is the only one."""
-    mine = path.with_suffix(".lent-taken")
+    """Returns the expiry on the monotonic clock in ns, or None if it is unknown. The file is renamed first,
+    so that only one process reads it."""
+    claimed_path = path.with_suffix(".lent-taken")
     try:
-        path.replace(mine)
+        path.replace(claimed_path)
     except OSError:
         return None
     try:
-        tree = parse_text(read_text(str(mine)), json.loads)
-    except (FileError, ValueError) as problem:
-        log.warning("%s tells nothing of loans: %s", path.name, problem)
+        document = parse_text(read_text(str(claimed_path)), json.loads)
+    except (FileError, ValueError) as error:
+        log.warning("%s is unreadable, the expiry of loans is unknown: %s", path.name, error)
         return None
     finally:
-        mine.unlink(missing_ok=True)
-    known = isinstance(tree, dict) and tree.get("format") == FORMAT and tree.get("boot") == boot() != ""
-    until = tree.get("until_ns") if known else None
-    return until if type(until) is int else None
+        claimed_path.unlink(missing_ok=True)
+    is_valid = (
+        isinstance(document, dict)
+        and document.get("format") == FORMAT
+        and document.get("boot") == boot_id() != ""
+    )
+    expires_at_ns = document.get("until_ns") if is_valid else None
+    return expires_at_ns if type(expires_at_ns) is int else None
--- a/driftstair/tier/member_list.py
+++ b/driftstair/tier/member_list.py
@@ -1,5 +1,4 @@
-"""The last list of members, in a folder that outlives the process: versioned, checksummed, never half
-written."""
+"""The persisted list of members: versioned, checksummed, and replaced atomically."""
 
 from __future__ import annotations
 
@@ -10,59 +9,59 @@
 
 from driftstair.files import FileError, parse_text, read_text
 from driftstair.tier.membership.members import Claim, State, Traits
-from driftstair.tier.wire import fits
+from driftstair.tier.wire import is_encodable
 
 FORMAT = "driftstair.members/1"
 
 
 class MemberListError(Exception):
-    """A file that tells nothing; the text says why."""
+    """The file is unusable; the text says why, as a predicate of the file."""
 
 
-def _sum(rows: object) -> str:
+def _checksum(rows: object) -> str:
     return blake2b(json.dumps(rows).encode(), digest_size=16).hexdigest()
 
 
 def write(path: Path, claims: tuple[Claim, ...]) -> None:
     """Raises OSError."""
     rows = [[*claim[:5], *claim.traits] for claim in claims]
-    put(path, {"format": FORMAT, "sum": _sum(rows), "members": rows})
+    replace_json(path, {"format": FORMAT, "sum": _checksum(rows), "members": rows})
 
 
-def put(path: Path, tree: object) -> None:
-    """As JSON, on the disk before it takes the place of what was there. Raises OSError."""
-    new = path.with_name(f"{path.name}.new")
-    with open(new, "w", encoding="utf-8") as file:
-        json.dump(tree, file)
+def replace_json(path: Path, document: object) -> None:
+    """Writes JSON to a temporary file, syncs it to disk and renames it over the old one. Raises OSError."""
+    temporary = path.with_name(f"{path.name}.new")
+    with open(temporary, "w", encoding="utf-8") as file:
+        json.dump(document, file)
         file.flush()
         os.fsync(file.fileno())
-    new.replace(path)
+    temporary.replace(path)
 
 
 def read(path: Path) -> tuple[Claim, ...]:
-    """Nothing if there is no file. Raises MemberListError."""
+    """Returns no claims if there is no file. Raises MemberListError."""
     if not path.exists():
         return ()
     try:
-        tree = parse_text(read_text(str(path)), json.loads)
-    except (FileError, ValueError) as problem:
-        raise MemberListError(str(problem)) from None
-    if not isinstance(tree, dict) or tree.get("format") != FORMAT:
-        raise MemberListError(f"is no {FORMAT}")
-    rows = tree.get("members")
-    if not isinstance(rows, list) or tree.get("sum") != _sum(rows):
-        raise MemberListError("its sum is not right")
+        document = parse_text(read_text(str(path)), json.loads)
+    except (FileError, ValueError) as error:
+        raise MemberListError(str(error)) from None
+    if not isinstance(document, dict) or document.get("format") != FORMAT:
+        raise MemberListError(f"does not have format {FORMAT}")
+    rows = document.get("members")
+    if not isinstance(rows, list) or document.get("sum") != _checksum(rows):
+        raise MemberListError("has a wrong checksum")
     try:
-        return tuple(_claim(row) for row in rows)
-    except (TypeError, ValueError) as problem:
-        raise MemberListError(f"holds no claim: {problem}") from None
+        return tuple(_parse_claim(row) for row in rows)
+    except (TypeError, ValueError) as error:
+        raise MemberListError(f"contains an invalid claim: {error}") from None
 
 
-def _claim(row: list[int]) -> Claim:
-    number, life, incarnation, state, by, *traits = row
-    if not all(type(one) is int for one in row) or len(traits) != len(Traits._fields):
+def _parse_claim(row: list[int]) -> Claim:
+    number, life, incarnation, state, reporter, *traits = row
+    if not all(type(value) is int for value in row) or len(traits) != len(Traits._fields):
         raise ValueError(f"{row!r}")
-    claim = Claim(number, life, incarnation, State(state), by, Traits(*traits))
-    if not fits(claim):
+    claim = Claim(number, life, incarnation, State(state), reporter, Traits(*traits))
+    if not is_encodable(claim):
         raise ValueError(f"{row!r}")
     return claim
--- a/driftstair/tier/membership/core.py
+++ b/driftstair/tier/membership/core.py
@@ -1,17 +1,20 @@
-"""One node's part in the tier's membership: a state machine without clock, socket or chance of its own.
-
-`handle(now, event)` gives the actions; `wake_at` says when it wants to be woken. Times are monotonic ns.
-SWIM's probes (direct, then through others), suspicion and refutation, and Lifeguard's three corrections: the
-local health score with negative answers, suspicion that shortens with each confirmation, and telling a
-suspect first. Beyond the papers:
-
-- a node that stood still (it is woken late) judges nobody by what it missed;
-- a node that nobody answers judges nobody, and in time holds those it does not hear dead for itself alone;
-- no verdict falls on a suspect that goes on speaking to this node, up to the longest suspicion;
-- those who hear of a suspicion probe the suspect next, a few of them: it is confirmed or refuted sooner;
-- a node in doubt of itself waits longer for answers, but probes as often: else it finds no way out of it;
-- each node probes its neighbour by number too, so that each is probed in every period;
-- members that are dead, gone or never heard of are called in turn, so that halves find each other again.
+"""One node's part in the tier's membership: a deterministic state machine without clock, socket or randomness
+of its own.
+
+`handle(now_ns, event)` returns the actions to perform; `wake_at` is when it is next to be woken. Times are on
+the monotonic clock, in ns. It implements SWIM's direct and indirect probes, suspicion and refutation, and
+Lifeguard's three corrections: the local health multiplier with negative acknowledgements, suspicion timeouts
+that shorten with each confirmation, and notifying a suspect first. Beyond the papers:
+
+- A node that was stalled (it is woken late) accuses nobody on account of what it missed.
+- A node whose probes nobody answers accuses nobody. After a while it presumes the members that it does not
+  hear dead, but only locally.
+- A suspect that this node still receives datagrams from is not declared dead before the longest timeout.
+- A few of the nodes that learn of a suspicion probe the suspect at once, to confirm or refute it sooner.
+- A node with a bad health score waits longer for answers but probes at the same rate, as it could not recover
+  otherwise.
+- Each node also probes its successor by number, so that every node is probed in every period.
+- Members that are dead, gone or unknown are contacted in turn, so that a healed partition merges again.
 """
 
 from __future__ import annotations
@@ -20,610 +23,658 @@
 from random import Random
 
 from driftstair.tier.membership import events as api
-from driftstair.tier.membership.events import Action, Changed, Kind, MemberView, Message, Send
+from driftstair.tier.membership.events import Action, Kind, MemberView, Message, Send, StateChanged
 from driftstair.tier.membership.health import Health
 from driftstair.tier.membership.members import Claim, Member, State, Traits
-from driftstair.tier.membership.probing import Probe, Probing
-from driftstair.tier.membership.suspicion import MOST_TIMES, Suspicion, least
+from driftstair.tier.membership.probing import Probe, ProbeTracker
+from driftstair.tier.membership.suspicion import MAX_TIMEOUT_FACTOR, Suspicion, min_timeout_ns
 from driftstair.tier.membership.update_queue import UpdateQueue
-from driftstair.tier.replay import Window
+from driftstair.tier.replay import ReplayWindow
 
 NEVER = 1 << 62
 
-HELPERS = 3  # nodes that are asked to probe one that did not answer (SWIM's k)
-FANOUT = 3  # nodes that are told news at once
-SPREADS = 5  # times a period that news may go out
-IN_TURN = 4  # claims in a probe or an answer that are no news: what was lost is learned from them
-LOOKERS = 5  # nodes that probe a suspect beside the one that found it, about
-LOOKS_MOST = 2  # of those probes a node sends at most in a period
-LATE_BEYOND = 0.4  # of a period: a node woken so late stood still
-JOINING = 10  # periods from the start on in which a node that knows nobody calls often
-SILENT = 6  # periods in which no probe is answered: this node itself is cut off
-LIVES_MOST = 8  # times that a number is claimed back from a later life
-QUIET = 60  # periods after which such claims are forgotten
-LIFE_MOST = (1 << 32) - 1  # what a datagram holds
-INCARNATION_MOST = (1 << 16) - 1
-LEAVING = 8  # nodes that are told of a leave at once
+INDIRECT_PROBES = 3  # helpers asked to probe a member that did not answer (SWIM's k)
+GOSSIP_FANOUT = 3  # nodes that updates are sent to in each gossip round
+GOSSIP_ROUNDS_PER_PERIOD = 5  # at most
+MAX_SYNC_CLAIMS = 4  # per probe or answer, beside updates: repairs views after lost updates
+SUSPECT_PROBERS = 5  # expected number of nodes that probe a suspect on learning of the suspicion
+MAX_SUSPECT_PROBES_PER_PERIOD = 2
+STALL_THRESHOLD_PERIODS = 0.4  # a node woken later than this was stalled
+JOIN_PERIODS = 10  # after the start, in which a node that knows nobody contacts others every round
+ISOLATION_PERIODS = 6  # without any answer to a probe, after which this node is isolated
+MAX_RECLAIMS = 8  # times that this node takes its number back from a later process
+RECLAIM_MEMORY_PERIODS = 60  # without such a conflict, after which the count restarts
+MAX_LIFE = (1 << 32) - 1  # range of the datagram field
+MAX_INCARNATION = (1 << 16) - 1
+LEAVE_FANOUT = 8  # nodes that a leave is sent to immediately
 
 
 class Membership:
-    """`life` as in Claim; `period` in ns; a message has `room` bytes for claims, and each takes
-    `size(claim)` of them."""
+    """`life`: as in Claim; `max_claims_bytes`: space for claims in one message; `claim_size`: the encoded
+    length of a claim in bytes."""
 
     def __init__(
-        self, own: int, count: int, life: int, traits: Traits, period: int, random: Random, room: int,
-        size: Callable[[Claim], int],
+        self, own_number: int, count: int, life: int, traits: Traits, period_ns: int, random: Random,
+        max_claims_bytes: int, claim_size: Callable[[Claim], int],
     ) -> None:  # fmt: skip
-        self.own = own
-        self.mine = Claim(own, life, 0, State.ALIVE, own, traits)
+        self.own_number = own_number
+        self.own_claim = Claim(own_number, life, 0, State.ALIVE, own_number, traits)
         self.members: dict[int, Member] = {}
         self.health = Health()
         self.wake_at = NEVER
         self.superseded = False
         self.counts = {"replayed": 0, "old_life": 0, "misdirected": 0, "pauses": 0, "probes": 0,
                        "failed_probes": 0, "refuted": 0, "out": 0}  # fmt: skip
-        self._period = period
-        self._spread = period // SPREADS
+        self._period_ns = period_ns
+        self._gossip_interval_ns = period_ns // GOSSIP_ROUNDS_PER_PERIOD
         self._random = random
-        self._room = room
-        self._size = size
-        self._news = UpdateQueue()
-        self._order = 0  # datagrams sent in this life
-        self._probing = Probing(period, random.randrange(1 << 16))
-        self._round: list[int] = []  # numbers to probe, the next one last
-        self._calls: list[int] = []  # numbers to call, likewise
-        self._rows: list[int] = []  # numbers whose claims go round
-        self._next_period = NEVER
-        self._neighbour_at = NEVER
-        self._next_spread = NEVER
-        self._last_spread = -period
-        self._looks = 0  # in this period
-        self._answered_at = 0
-        self._joining_until = 0
-        self._alone = False
-        self._alone_since = 0
-        self._claimed = 0  # times that the own number was claimed by a later life
-        self._claimed_at = 0
-        self._left = False
+        self._max_claims_bytes = max_claims_bytes
+        self._claim_size = claim_size
+        self._updates = UpdateQueue()
+        self._next_counter = 0  # of the datagrams of this process
+        self._probes = ProbeTracker(period_ns, random.randrange(1 << 16))
+        self._probe_round: list[int] = []  # member numbers to probe, the next one last
+        self._contact_round: list[int] = []  # members to contact, likewise
+        self._sync_round: list[int] = []  # members whose claims are sent for repair, likewise
+        self._next_period_ns = NEVER
+        self._successor_probe_ns = NEVER
+        self._next_gossip_ns = NEVER
+        self._last_gossip_ns = -period_ns
+        self._suspect_probes = 0  # sent in this period
+        self._last_ack_ns = 0
+        self._join_until_ns = 0
+        self._isolated = False
+        self._isolated_since_ns = 0
+        self._reclaims = 0  # times that a later process has claimed this node's number
+        self._last_reclaim_ns = 0
+        self._leaving = False
         self._started = False
         self._actions: list[Action] = []
         self._suspects: set[int] = set()
-        self._living = 0  # others that are alive or suspect
-        self._others: list[int] | None = None  # their numbers, once they are asked for
+        self._live_count = 0  # other members that are alive or suspect
+        self._live_others_cache: list[int] | None = None  # their numbers, computed on demand
         self._resize(count)
 
-    # What others may ask.
+    # Queries.
 
-    def living(self) -> list[int]:
-        """The numbers held alive or suspect, this node's own among them."""
-        return sorted([self.own, *(one.number for one in self.members.values() if one.counts())])
+    def live_numbers(self) -> list[int]:
+        """Sorted numbers of the members that are alive or suspect, this node included."""
+        return sorted(
+            [self.own_number, *(member.number for member in self.members.values() if member.is_live())]
+        )
 
-    def known(self) -> dict[int, Claim]:
-        """Claims on others that live and that this node hears of, by number."""
+    def live_claims(self) -> dict[int, Claim]:
+        """Claims on other members that are alive or suspect and not presumed dead, by number."""
         found = {}
-        for number in self.living():
+        for number in self.live_numbers():
             member = self.members.get(number)
-            if member is not None and member.claim is not None and not member.unheard:
+            if member is not None and member.claim is not None and not member.presumed_dead:
                 found[number] = member.claim
         return found
 
     def is_isolated(self) -> bool:
-        """Whether nobody has answered for so long that this node holds itself cut off."""
-        return self._alone
+        """Whether no probe has been answered for so long that this node considers itself cut off."""
+        return self._isolated
 
-    def leaving(self) -> bool:
-        return self._left
+    def is_leaving(self) -> bool:
+        return self._leaving
 
-    def seen(self, now: int) -> list[MemberView]:
+    def member_views(self, now_ns: int) -> list[MemberView]:
         out = []
         for member in self.members.values():
             claim = member.claim or Claim(member.number, 0, 0, State.ALIVE, member.number)
             suspicion = member.suspicion
             out.append(MemberView(
-                member.number, member.state, claim.life, claim.incarnation, *claim.traits, now - member.since,
-                now - member.heard if member.heard >= 0 else -1, member.round_trip,
-                tuple(sorted(suspicion.by)) if suspicion else (),
-                max(0, suspicion.end() - now) if suspicion else -1, member.unheard,
+                member.number, member.state, claim.life, claim.incarnation, *claim.traits,
+                now_ns - member.since_ns, now_ns - member.heard_at_ns if member.heard_at_ns >= 0 else -1,
+                member.round_trip_ns,
+                tuple(sorted(suspicion.reporters)) if suspicion else (),
+                max(0, suspicion.deadline_ns() - now_ns) if suspicion else -1, member.presumed_dead,
             ))  # fmt: skip
         return out
 
-    def held(self) -> tuple[Claim, ...]:
-        """All that is claimed of members, this node first: what a folder keeps."""
-        return (self.mine, *(one.claim for one in self.members.values() if one.claim is not None))
+    def all_claims(self) -> tuple[Claim, ...]:
+        """Claims on all known members, this node first, to be persisted."""
+        return (
+            self.own_claim,
+            *(member.claim for member in self.members.values() if member.claim is not None),
+        )
 
     # Events.
 
-    def handle(self, now: int, event: api.Event) -> list[Action]:
+    def handle(self, now_ns: int, event: api.Event) -> list[Action]:
         self._actions = []
         if self.superseded:
             return []
         if self._started and not isinstance(event, api.Start):
-            self._stood_still(now)
+            self._check_stall(now_ns)
         match event:
             case api.Received(message):
-                self._hear(now, message)
+                self._receive(now_ns, message)
             case api.Wake():
                 pass
-            case api.Start(kept):
-                self._start(now, kept)
+            case api.Start(saved_claims):
+                self._start(now_ns, saved_claims)
             case api.Leave():
-                self._leave(now)
-            case api.SendPayload(to, items):
-                if to in self.members:
-                    self._send(Kind.SHARED, to, items=items)
-            case api.Peers(count, own, moved):
-                self._readdress(now, count, own, moved)
+                self._leave(now_ns)
+            case api.SendPayload(recipient, payload):
+                if recipient in self.members:
+                    self._send(Kind.SHARED, recipient, payload=payload)
+            case api.PeersChanged(count, own_number, moved):
+                self._change_peers(now_ns, count, own_number, moved)
         if self._started and not self.superseded:
-            self._due(now)
-            self._set_wake(now)
+            self._run_due(now_ns)
+            self._update_wake_at(now_ns)
         actions, self._actions = self._actions, []
         return actions
 
-    def _start(self, now: int, kept: tuple[Claim, ...]) -> None:
+    def _start(self, now_ns: int, saved_claims: tuple[Claim, ...]) -> None:
         self._started = True
-        self._answered_at = now
-        self._joining_until = now + JOINING * self._period
-        self._next_period = now
-        self._changed(self.mine, "starts")
-        for claim in kept:
-            if claim.number == self.own:
-                if claim.life >= self.mine.life:
-                    self._new_life(claim.life + 1)
+        self._last_ack_ns = now_ns
+        self._join_until_ns = now_ns + JOIN_PERIODS * self._period_ns
+        self._next_period_ns = now_ns
+        self._report_change(self.own_claim, "starts")
+        for claim in saved_claims:
+            if claim.number == self.own_number:
+                if claim.life >= self.own_claim.life:
+                    self._begin_new_life(claim.life + 1)
             elif claim.number in self.members:
-                self._merge(now, claim, "kept", spread=False)
-        self._news.add(self.mine)
-        self._next_spread = now
+                self._merge(now_ns, claim, "kept", disseminate=False)
+        self._updates.add(self.own_claim)
+        self._next_gossip_ns = now_ns
 
-    def _leave(self, now: int) -> None:
-        if self._left:
+    def _leave(self, now_ns: int) -> None:
+        if self._leaving:
             return
-        self._left = True
-        self.mine = self.mine._replace(incarnation=self.mine.incarnation + 1, state=State.LEFT)
-        self._probing.clear()
-        self._changed(self.mine, "leaves")
-        self._news.add(self.mine)
-        for number in self._some(LEAVING, ()):
+        self._leaving = True
+        self.own_claim = self.own_claim._replace(incarnation=self.own_claim.incarnation + 1, state=State.LEFT)
+        self._probes.clear()
+        self._report_change(self.own_claim, "leaves")
+        self._updates.add(self.own_claim)
+        for number in self._sample_live(LEAVE_FANOUT, ()):
             self._send(Kind.NEWS, number)
-        self._next_spread = now + self._spread
+        self._next_gossip_ns = now_ns + self._gossip_interval_ns
 
-    def _readdress(self, now: int, count: int, own: int, moved: frozenset[int]) -> None:
-        """Another machine under a number is another member; under the own number, this process is new to the
-        tier, and what it was called before is dead to the others until that number's new machine speaks."""
+    def _change_peers(self, now_ns: int, count: int, own_number: int, moved: frozenset[int]) -> None:
+        """A moved number stands for a new member. If its own number has changed, this process joins the tier
+        anew; the other nodes hold its old number dead until that number's new machine announces itself."""
         for number in moved:
             self._drop(number)
-        if own != self.own:
-            self._drop(own)
-            before, self.own = self.own, own
-            self._probing.forget(before)
-            self.mine = self.mine._replace(number=own, by=own)
-            self._new_life(self.mine.life + 1)
+        if own_number != self.own_number:
+            self._drop(own_number)
+            old_number, self.own_number = self.own_number, own_number
+            self._probes.discard(old_number)
+            self.own_claim = self.own_claim._replace(number=own_number, reporter=own_number)
+            self._begin_new_life(self.own_claim.life + 1)
         self._resize(count)
-        self._news.add(self.mine)
-        self._next_spread = now
+        self._updates.add(self.own_claim)
+        self._next_gossip_ns = now_ns
 
     def _drop(self, number: int) -> None:
         self.members.pop(number, None)
         self._suspects.discard(number)
-        self._news.forget(number)
-        self._probing.forget(number)
+        self._updates.remove(number)
+        self._probes.discard(number)
 
     def _resize(self, count: int) -> None:
         for number in [number for number in self.members if number >= count]:
             self._drop(number)
         for number in range(count):
-            if number != self.own and number not in self.members:
+            if number != self.own_number and number not in self.members:
                 self.members[number] = Member(number)
-        self._round.clear()
-        self._calls.clear()
-        self._rows.clear()
-        self._recount()
-
-    def _counted(self) -> list[int]:
-        if self._others is None:
-            self._others = [one.number for one in self.members.values() if one.counts()]
-        return self._others
-
-    def _recount(self) -> None:
-        self._living = sum(one.counts() for one in self.members.values())
-        self._others = None
-
-    # A node that stood still, and one that hears nobody.
-
-    def _stood_still(self, now: int) -> None:
-        """Guards against verdicts on others by a process that was stopped: what it missed is its own."""
-        late = now - self.wake_at
-        if late <= int(LATE_BEYOND * self._period):
+        self._probe_round.clear()
+        self._contact_round.clear()
+        self._sync_round.clear()
+        self._recount_live()
+
+    def _live_others(self) -> list[int]:
+        if self._live_others_cache is None:
+            self._live_others_cache = [member.number for member in self.members.values() if member.is_live()]
+        return self._live_others_cache
+
+    def _recount_live(self) -> None:
+        self._live_count = sum(member.is_live() for member in self.members.values())
+        self._live_others_cache = None
+
+    # Stalls and isolation.
+
+    def _check_stall(self, now_ns: int) -> None:
+        """Discards probes and restarts suspicions after a stall: a process that was stopped has missed
+        answers and refutations, so its verdicts on others would be wrong."""
+        late_ns = now_ns - self.wake_at
+        if late_ns <= int(STALL_THRESHOLD_PERIODS * self._period_ns):
             return
         self.counts["pauses"] += 1
-        self._actions.append(api.ProcessStalled(late))
-        self.health.worse(2)
-        self._probing.clear()
+        self._actions.append(api.ProcessStalled(late_ns))
+        self.health.record_failure(2)
+        self._probes.clear()
         for number in self._suspects:
             suspicion = self.members[number].suspicion
             assert suspicion is not None
-            suspicion.anew(now)
-        self._answered_at = now
-        if not self._left:
-            self._next_period = now
-        if self._next_spread < now:
-            self._next_spread = now
-
-    def _hears(self, now: int) -> bool:
-        """Whether a probe was answered of late; else the fault may be here, and nobody is judged. That others
-        are heard says little: they may not hear this node."""
-        return not self._alone and now - self._answered_at <= self._period
-
-    def _check_alone(self, now: int) -> None:
-        silent = now - self._answered_at
-        if not self._alone and silent > SILENT * self._period:
-            self._alone = True
-            self._alone_since = now
-        if self._alone and now >= self._alone_since + self._patience():
+            suspicion.restart(now_ns)
+        self._last_ack_ns = now_ns
+        if not self._leaving:
+            self._next_period_ns = now_ns
+        if self._next_gossip_ns < now_ns:
+            self._next_gossip_ns = now_ns
+
+    def _can_judge(self, now_ns: int) -> bool:
+        """Whether a probe was answered recently; otherwise the fault may be at this node, which accuses
+        nobody. Received datagrams alone prove little, as the others may not receive this node's."""
+        return not self._isolated and now_ns - self._last_ack_ns <= self._period_ns
+
+    def _check_isolation(self, now_ns: int) -> None:
+        silent_ns = now_ns - self._last_ack_ns
+        if not self._isolated and silent_ns > ISOLATION_PERIODS * self._period_ns:
+            self._isolated = True
+            self._isolated_since_ns = now_ns
+        if self._isolated and now_ns >= self._isolated_since_ns + self._isolation_grace_ns():
             for member in self.members.values():
-                if member.counts() and not member.unheard and member.heard < self._alone_since:
+                if (
+                    member.is_live()
+                    and not member.presumed_dead
+                    and member.heard_at_ns < self._isolated_since_ns
+                ):
                     assert member.claim is not None
-                    member.unheard = True
-                    member.since = now
-                    held = member.claim._replace(state=State.DEAD, by=self.own)
-                    self._actions.append(Changed(held, "nobody answers", told=False))
-
-    def _patience(self) -> int:
-        """ns that a node alone waits before it holds the others dead."""
-        return MOST_TIMES * least(self._period, self._spread, FANOUT, self._living, self._probing.trip)
-
-    def _company(self, now: int) -> None:
-        """Somebody has answered."""
-        self._answered_at = now
-        if not self._alone:
+                    member.presumed_dead = True
+                    member.since_ns = now_ns
+                    presumed = member.claim._replace(state=State.DEAD, reporter=self.own_number)
+                    self._actions.append(StateChanged(presumed, "this node is isolated", announced=False))
+
+    def _isolation_grace_ns(self) -> int:
+        """How long an isolated node waits before it presumes the others dead."""
+        return MAX_TIMEOUT_FACTOR * min_timeout_ns(
+            self._period_ns,
+            self._gossip_interval_ns,
+            GOSSIP_FANOUT,
+            self._live_count,
+            self._probes.round_trip_ns,
+        )
+
+    def _record_contact(self, now_ns: int) -> None:
+        """A probe has been answered."""
+        self._last_ack_ns = now_ns
+        if not self._isolated:
             return
-        self._alone = False
+        self._isolated = False
         for member in self.members.values():
             if member.suspicion is not None:
-                member.suspicion.anew(now)
-            if member.unheard:
-                self._heard_again(now, member)
+                member.suspicion.restart(now_ns)
+            if member.presumed_dead:
+                self._restore(now_ns, member)
 
-    def _heard_again(self, now: int, member: Member) -> None:
+    def _restore(self, now_ns: int, member: Member) -> None:
         assert member.claim is not None
-        member.unheard = False
-        member.since = now
-        self._changed(member.claim, "others are there again")
-
-    # What is due.
-
-    def _due(self, now: int) -> None:
-        for probe in self._probing.overdue(now):
-            self._failed(now, probe)
-        for probe in self._probing.unasked(now):
-            self._ask_others(probe)
-        for errand in self._probing.no_news(now, self.health.times()):
-            self._send(Kind.NACK, errand.asker, errand.seq, errand.target)
-        if self._next_period <= now:
-            self._begin_period(now)
-        if self._neighbour_at <= now:
-            self._probe_neighbour(now)
-        self._check_alone(now)
-        if self._hears(now):
+        member.presumed_dead = False
+        member.since_ns = now_ns
+        self._report_change(member.claim, "this node is no longer isolated")
+
+    # Timers.
+
+    def _run_due(self, now_ns: int) -> None:
+        for probe in self._probes.take_expired(now_ns):
+            self._handle_probe_failure(now_ns, probe)
+        for probe in self._probes.due_for_indirect(now_ns):
+            self._probe_indirectly(probe)
+        for relayed in self._probes.take_due_nacks(now_ns, self.health.timeout_multiplier()):
+            self._send(Kind.NACK, relayed.requester, relayed.requester_seq, relayed.target)
+        if self._next_period_ns <= now_ns:
+            self._begin_period(now_ns)
+        if self._successor_probe_ns <= now_ns:
+            self._probe_successor(now_ns)
+        self._check_isolation(now_ns)
+        if self._can_judge(now_ns):
             for number in list(self._suspects):
-                self._judge(now, self.members[number])
-        if self._next_spread <= now:
-            self._tell_some(now)
-
-    def _set_wake(self, now: int) -> None:
-        times = [self._next_period, self._neighbour_at, self._next_spread]
-        times += self._probing.due()
-        if self._alone:
-            times.append(max(self._alone_since + self._patience(), self._next_period))
+                self._check_suspicion(now_ns, self.members[number])
+        if self._next_gossip_ns <= now_ns:
+            self._gossip(now_ns)
+
+    def _update_wake_at(self, now_ns: int) -> None:
+        times = [self._next_period_ns, self._successor_probe_ns, self._next_gossip_ns]
+        times += self._probes.deadlines_ns()
+        if self._isolated:
+            times.append(max(self._isolated_since_ns + self._isolation_grace_ns(), self._next_period_ns))
         else:
             for number in self._suspects:
                 suspicion = self.members[number].suspicion
                 assert suspicion is not None
-                # What is overdue waits until somebody is heard.
-                times.append(max(suspicion.end(), now + self._spread if not self._hears(now) else 0))
+                # Overdue suspicions wait until this node can accuse again.
+                times.append(
+                    max(
+                        suspicion.deadline_ns(),
+                        now_ns + self._gossip_interval_ns if not self._can_judge(now_ns) else 0,
+                    )
+                )
         self.wake_at = min(times)
 
-    def _begin_period(self, now: int) -> None:
-        if self._left:
-            self._next_period = NEVER
+    def _begin_period(self, now_ns: int) -> None:
+        if self._leaving:
+            self._next_period_ns = NEVER
             return
-        self._next_period = now + self._period
-        self._looks = 0
-        if self._claimed and now - self._claimed_at > QUIET * self._period:
-            self._claimed = 0
-        self._neighbour_at = now + self._period // 2
-        target = self._next_of(self._round, lambda one: one.counts())
+        self._next_period_ns = now_ns + self._period_ns
+        self._suspect_probes = 0
+        if self._reclaims and now_ns - self._last_reclaim_ns > RECLAIM_MEMORY_PERIODS * self._period_ns:
+            self._reclaims = 0
+        self._successor_probe_ns = now_ns + self._period_ns // 2
+        target = self._next_in_round(self._probe_round, lambda member: member.is_live())
         if target is not None:
-            self._probe(now, target)
-        called = self._next_of(self._calls, lambda one: not one.counts())
-        if called is not None:
-            self._send(Kind.PING, called, self._probing.new_seq())
-
-    def _probe_neighbour(self, now: int) -> None:
-        """The next number that counts: so each node is probed by one other in every period. Chance alone
-        leaves one out for five periods in a hundredth of cases."""
-        self._neighbour_at = NEVER
-        if self._left or self._living < 2:
+            self._probe(now_ns, target)
+        contact = self._next_in_round(self._contact_round, lambda member: not member.is_live())
+        if contact is not None:
+            self._send(Kind.PING, contact, self._probes.next_seq())
+
+    def _probe_successor(self, now_ns: int) -> None:
+        """Probes the live member with the next higher number, so that every node is probed in every period.
+        With random targets alone, a node stays unprobed for five periods in 1 % of cases."""
+        self._successor_probe_ns = NEVER
+        if self._leaving or self._live_count < 2:
             return
-        others = self._counted()
-        after = [number for number in others if number > self.own]
+        others = self._live_others()
+        after = [number for number in others if number > self.own_number]
         target = min(after or others)
-        if not self._probing.probes(target):
-            self._probe(now, target)
+        if not self._probes.is_probing(target):
+            self._probe(now_ns, target)
 
-    def _call_many(self) -> None:
-        for number in self._random.sample(sorted(self.members), min(FANOUT, len(self.members))):
-            self._send(Kind.PING, number, self._probing.new_seq())
+    def _contact_several(self) -> None:
+        for number in self._random.sample(sorted(self.members), min(GOSSIP_FANOUT, len(self.members))):
+            self._send(Kind.PING, number, self._probes.next_seq())
 
-    def _next_of(self, order: list[int], wanted: Callable[[Member], bool]) -> int | None:
-        """Of a shuffled round over the members: each once, in an order drawn anew for each round."""
+    def _next_in_round(self, order: list[int], predicate: Callable[[Member], bool]) -> int | None:
+        """The next matching member of a shuffled round, which visits each once and is then reshuffled."""
         for _ in range(2):
             while order:
                 number = order.pop()
-                if number in self.members and wanted(self.members[number]):
+                if number in self.members and predicate(self.members[number]):
                     return number
-            order.extend(number for number, one in self.members.items() if wanted(one))
+            order.extend(number for number, member in self.members.items() if predicate(member))
             self._random.shuffle(order)
         return None
 
     # Probes.
 
-    def _probe(self, now: int, target: int) -> None:
+    def _probe(self, now_ns: int, target: int) -> None:
         self.counts["probes"] += 1
-        self._send(Kind.PING, target, self._probing.begin(now, target, self.health.times()))
+        self._send(Kind.PING, target, self._probes.begin(now_ns, target, self.health.timeout_multiplier()))
 
-    def _ask_others(self, probe: Probe) -> None:
-        probe.asked = True
-        self._send(Kind.PING, probe.target, probe.seq)  # once more: one datagram may be lost
-        helpers = self._some(HELPERS, (probe.target,))
-        probe.helpers = len(helpers)
+    def _probe_indirectly(self, probe: Probe) -> None:
+        probe.indirect_sent = True
+        self._send(Kind.PING, probe.target, probe.seq)  # again, as the first datagram may be lost
+        helpers = self._sample_live(INDIRECT_PROBES, (probe.target,))
+        probe.silent_helpers = len(helpers)
         for helper in helpers:
             self._send(Kind.PING_REQ, helper, probe.seq, probe.target)
 
-    def _failed(self, now: int, probe: Probe) -> None:
+    def _handle_probe_failure(self, now_ns: int, probe: Probe) -> None:
         member = self.members[probe.target]
         self.counts["failed_probes"] += 1
-        # Helpers that said nothing at all, not even that they have no answer, speak against this node.
-        self.health.worse(min(1, probe.helpers) if probe.asked else 1)
-        if member.heard >= probe.sent or not member.counts() or member.claim is None or not self._hears(now):
+        # Helpers that sent not even a NACK suggest that the fault is at this node.
+        self.health.record_failure(min(1, probe.silent_helpers) if probe.indirect_sent else 1)
+        if (
+            member.heard_at_ns >= probe.sent_at_ns
+            or not member.is_live()
+            or member.claim is None
+            or not self._can_judge(now_ns)
+        ):
             return
         claim = member.claim
-        self._merge(now, claim._replace(state=State.SUSPECT, by=self.own), "it did not answer", spread=True)
-
-    def _answered(self, now: int, message: Message) -> None:
-        about = message.mine.number if message.about == api.NO_NODE else message.about
-        itself = message.mine.number == about
-        found = self._probing.answered(now, message.seq, about, itself)
+        self._merge(
+            now_ns,
+            claim._replace(state=State.SUSPECT, reporter=self.own_number),
+            "no answer to a probe",
+            disseminate=True,
+        )
+
+    def _handle_ack(self, now_ns: int, message: Message) -> None:
+        subject = message.sender_claim.number if message.subject == api.NO_NODE else message.subject
+        is_direct = message.sender_claim.number == subject
+        found = self._probes.record_ack(now_ns, message.seq, subject, is_direct)
         if found is None:
             return
         probe, in_time = found
-        self._company(now)
-        target = self.members[about]
-        if itself:
-            target.round_trip = now - probe.sent
+        self._record_contact(now_ns)
+        target = self.members[subject]
+        if is_direct:
+            target.round_trip_ns = now_ns - probe.sent_at_ns
         else:
-            target.heard = max(target.heard, probe.sent)
+            target.heard_at_ns = max(target.heard_at_ns, probe.sent_at_ns)
         if in_time:
-            self.health.better()
+            self.health.record_success()
 
     # Datagrams.
 
-    def _hear(self, now: int, message: Message) -> None:
-        number = message.mine.number
+    def _receive(self, now_ns: int, message: Message) -> None:
+        number = message.sender_claim.number
         member = self.members.get(number)
-        if message.to != self.own or member is None:
+        if message.recipient != self.own_number or member is None:
             self.counts["misdirected"] += 1
             return
-        known = member.claim
-        if known is not None and message.mine.life < known.life:
-            # It lives on under a number that a newer process has: it is told so, and believed nothing.
+        current = member.claim
+        if current is not None and message.sender_claim.life < current.life:
+            # A newer process has taken the sender's number: the ACK tells it so, and its claims are ignored.
             self.counts["old_life"] += 1
             if message.kind is Kind.PING:
                 self._send(Kind.ACK, number, message.seq)
             return
-        if message.mine.life > member.window_life:
-            member.window, member.window_life = Window(), message.mine.life
-        if not member.window.take(message.order):
+        if message.sender_claim.life > member.replay_window_life:
+            member.replay_window, member.replay_window_life = ReplayWindow(), message.sender_claim.life
+        if not member.replay_window.accept(message.counter):
             self.counts["replayed"] += 1
             return
-        self._merge(now, message.mine, "it says so", spread=True)
+        self._merge(now_ns, message.sender_claim, "announced by itself", disseminate=True)
         if self.superseded:
             return
-        member.heard = now
-        if member.unheard:
-            self._heard_again(now, member)
-        for claim in message.news:
-            self._take(now, claim, number)
+        member.heard_at_ns = now_ns
+        if member.presumed_dead:
+            self._restore(now_ns, member)
+        for claim in message.updates:
+            self._apply_update(now_ns, claim, number)
             if self.superseded:
                 return
         match message.kind:
             case Kind.PING:
                 self._send(Kind.ACK, number, message.seq)
             case Kind.ACK:
-                self._answered(now, message)
-                errand = self._probing.errands.get(message.seq)
-                if errand is not None and errand.target == number:
-                    del self._probing.errands[message.seq]
-                    self._send(Kind.ACK, errand.asker, errand.seq, number)
+                self._handle_ack(now_ns, message)
+                relayed = self._probes.relayed.get(message.seq)
+                if relayed is not None and relayed.target == number:
+                    del self._probes.relayed[message.seq]
+                    self._send(Kind.ACK, relayed.requester, relayed.requester_seq, number)
             case Kind.NACK:
-                self._probing.no_answer(message.seq)
+                self._probes.record_nack(message.seq)
             case Kind.PING_REQ:
-                self._run_errand(now, message)
+                self._relay_probe(now_ns, message)
             case Kind.SHARED:
-                self._actions.append(api.PayloadReceived(number, message.mine.life, message.items))
+                self._actions.append(api.PayloadReceived(number, message.sender_claim.life, message.payload))
             case Kind.NEWS:
                 pass
 
-    def _run_errand(self, now: int, message: Message) -> None:
-        if message.about not in self.members or message.about == message.mine.number:
+    def _relay_probe(self, now_ns: int, message: Message) -> None:
+        if message.subject not in self.members or message.subject == message.sender_claim.number:
             return
-        seq = self._probing.run_errand(now, message.about, message.mine.number, message.seq)
-        self._send(Kind.PING, message.about, seq)
+        seq = self._probes.begin_relayed(now_ns, message.subject, message.sender_claim.number, message.seq)
+        self._send(Kind.PING, message.subject, seq)
 
-    def _take(self, now: int, claim: Claim, teller: int) -> None:
-        if claim.number == self.own:
-            self._answer_claim(now, claim)
+    def _apply_update(self, now_ns: int, claim: Claim, sender: int) -> None:
+        if claim.number == self.own_number:
+            self._refute(now_ns, claim)
         elif claim.number in self.members:
-            self._merge(now, claim, f"{teller} says so", spread=True)
+            self._merge(now_ns, claim, f"{sender} reported it", disseminate=True)
 
     # Claims.
 
-    def _answer_claim(self, now: int, claim: Claim) -> None:
-        """On this node itself: refuted where it is not so."""
-        if claim.life < self.mine.life:
+    def _refute(self, now_ns: int, claim: Claim) -> None:
+        """Handles a claim on this node itself: a wrong one is refuted."""
+        if claim.life < self.own_claim.life:
             return
-        ghost = claim.life > self.mine.life or claim.incarnation > self.mine.incarnation
-        if ghost or claim.incarnation >= INCARNATION_MOST:
-            # Its own process before this one, whose clock was ahead; or another that lives. The former can't
-            # answer, so whoever claims the number on and on is alive, and the later one keeps it.
-            self._claimed += 1
-            self._claimed_at = now
-            if self._claimed > LIVES_MOST or claim.life >= LIFE_MOST:
+        is_ahead = claim.life > self.own_claim.life or claim.incarnation > self.own_claim.incarnation
+        if is_ahead or claim.incarnation >= MAX_INCARNATION:
+            # The claim is on an earlier process of this node whose clock was ahead, or on a rival process. An
+            # earlier one can't respond, so repeated claims come from a rival. The later process wins.
+            self._reclaims += 1
+            self._last_reclaim_ns = now_ns
+            if self._reclaims > MAX_RECLAIMS or claim.life >= MAX_LIFE:
                 self.superseded = True
                 self.wake_at = NEVER
                 self._actions.append(api.Superseded(claim.life))
                 return
-            self._new_life(claim.life + 1)
-        elif claim.rank() > self.mine.rank():
+            self._begin_new_life(claim.life + 1)
+        elif claim.rank() > self.own_claim.rank():
             self.counts["refuted"] += 1
-            self.health.worse()
-            self.mine = self.mine._replace(incarnation=claim.incarnation + 1)
-            self._changed(self.mine, f"{claim.by} held it {claim.state.name.lower()}")
+            self.health.record_failure()
+            self.own_claim = self.own_claim._replace(incarnation=claim.incarnation + 1)
+            self._report_change(self.own_claim, f"{claim.reporter} reported it {claim.state.name.lower()}")
         else:
             return
-        self._news.add(self.mine)
-        self._next_spread = min(self._next_spread, now)
+        self._updates.add(self.own_claim)
+        self._next_gossip_ns = min(self._next_gossip_ns, now_ns)
 
-    def _new_life(self, life: int) -> None:
-        state = State.LEFT if self._left else State.ALIVE
-        self.mine = self.mine._replace(life=life, incarnation=0, state=state)
-        self._order = 0
-        self._changed(self.mine, "its number was claimed by another life")
+    def _begin_new_life(self, life: int) -> None:
+        state = State.LEFT if self._leaving else State.ALIVE
+        self.own_claim = self.own_claim._replace(life=life, incarnation=0, state=state)
+        self._next_counter = 0
+        self._report_change(self.own_claim, "its number was claimed by another process")
 
-    def _merge(self, now: int, claim: Claim, why: str, spread: bool) -> None:
-        """Of another member."""
+    def _merge(self, now_ns: int, claim: Claim, reason: str, disseminate: bool) -> None:
+        """Merges a claim on another member."""
         member = self.members[claim.number]
-        known = member.claim
-        if known is not None and claim.rank() <= known.rank():
-            if claim.rank() == known.rank() and claim.state is State.SUSPECT:
-                self._confirmed(now, member, claim)
+        current = member.claim
+        if current is not None and claim.rank() <= current.rank():
+            if claim.rank() == current.rank() and claim.state is State.SUSPECT:
+                self._confirm_suspicion(now_ns, member, claim)
             return
-        new_life = known is None or claim.life > known.life
-        counted = member.counts()
-        before = member.state
+        new_life = current is None or claim.life > current.life
+        was_live = member.is_live()
+        previous_state = member.state
         member.claim = claim
         if new_life:
-            member.heard = -1
-            member.round_trip = 0
-            self._probing.forget(claim.number)
+            member.heard_at_ns = -1
+            member.round_trip_ns = 0
+            self._probes.discard(claim.number)
         if claim.state is State.SUSPECT:
-            if member.suspicion is None or (known is not None and known.rank()[:2] != claim.rank()[:2]):
-                self._suspect(now, member, claim)
+            if member.suspicion is None or (current is not None and current.rank()[:2] != claim.rank()[:2]):
+                self._start_suspicion(now_ns, member, claim)
         else:
             member.suspicion = None
-            member.unheard = False
+            member.presumed_dead = False
             self._suspects.discard(claim.number)
-        if member.counts() is not counted:
-            self._living += 1 if member.counts() else -1
-            self._others = None
-        if before is not member.state or new_life:
-            member.since = now
-        self._changed(claim, why)
-        if spread:
-            self._tell(now, claim)
-
-    def _tell(self, now: int, claim: Claim) -> None:
-        self._news.add(claim)
-        self._next_spread = min(self._next_spread, max(now, self._last_spread + self._spread))
-
-    def _suspect(self, now: int, member: Member, claim: Claim) -> None:
-        times = least(self._period, self._spread, FANOUT, self._living, self._probing.trip)
-        member.suspicion = Suspicion(now, claim.by, times, self._living - 1)
-        member.unheard = False
+        if member.is_live() is not was_live:
+            self._live_count += 1 if member.is_live() else -1
+            self._live_others_cache = None
+        if previous_state is not member.state or new_life:
+            member.since_ns = now_ns
+        self._report_change(claim, reason)
+        if disseminate:
+            self._disseminate(now_ns, claim)
+
+    def _disseminate(self, now_ns: int, claim: Claim) -> None:
+        self._updates.add(claim)
+        self._next_gossip_ns = min(
+            self._next_gossip_ns, max(now_ns, self._last_gossip_ns + self._gossip_interval_ns)
+        )
+
+    def _start_suspicion(self, now_ns: int, member: Member, claim: Claim) -> None:
+        min_timeout = min_timeout_ns(
+            self._period_ns,
+            self._gossip_interval_ns,
+            GOSSIP_FANOUT,
+            self._live_count,
+            self._probes.round_trip_ns,
+        )
+        member.suspicion = Suspicion(now_ns, claim.reporter, min_timeout, self._live_count - 1)
+        member.presumed_dead = False
         self._suspects.add(claim.number)
-        self._look(now, claim)
-
-    def _look(self, now: int, claim: Claim) -> None:
-        """A few of those who hear of a suspicion probe its subject at once."""
-        if claim.by == self.own or self._left or self._looks >= LOOKS_MOST:
+        self._probe_suspect(now_ns, claim)
+
+    def _probe_suspect(self, now_ns: int, claim: Claim) -> None:
+        """Probes a suspect at once, with a probability that makes about SUSPECT_PROBERS nodes do so."""
+        if (
+            claim.reporter == self.own_number
+            or self._leaving
+            or self._suspect_probes >= MAX_SUSPECT_PROBES_PER_PERIOD
+        ):
             return
-        if self._random.random() * max(1, self._living) < LOOKERS:
-            self._looks += 1
-            self._probe(now, claim.number)
+        if self._random.random() * max(1, self._live_count) < SUSPECT_PROBERS:
+            self._suspect_probes += 1
+            self._probe(now_ns, claim.number)
 
-    def _confirmed(self, now: int, member: Member, claim: Claim) -> None:
-        if member.suspicion is not None and member.suspicion.confirm(claim.by):
-            self._tell(now, claim)
+    def _confirm_suspicion(self, now_ns: int, member: Member, claim: Claim) -> None:
+        if member.suspicion is not None and member.suspicion.confirm(claim.reporter):
+            self._disseminate(now_ns, claim)
 
-    def _judge(self, now: int, member: Member) -> None:
-        """Whether a suspect's time is over."""
+    def _check_suspicion(self, now_ns: int, member: Member) -> None:
+        """Declares a suspect dead once its timeout has expired."""
         suspicion = member.suspicion
         assert suspicion is not None and member.claim is not None
-        if suspicion.end() > now:
+        if suspicion.deadline_ns() > now_ns:
             return
-        if member.heard > suspicion.since and suspicion.defer(member.heard):
-            return  # it goes on speaking: what is lost are the answers
-        dead = member.claim._replace(state=State.DEAD, by=self.own)
-        self._merge(now, dead, "its time was over", spread=True)
-
-    def _changed(self, claim: Claim, why: str) -> None:
-        self._actions.append(Changed(claim, why))
-
-    # Telling.
-
-    def _some(self, most: int, besides: tuple[int, ...]) -> list[int]:
-        others = self._counted()
-        drawn = self._random.sample(others, min(most + len(besides), len(others)))
-        return [number for number in drawn if number not in besides][:most]
-
-    def _tell_some(self, now: int) -> None:
-        self._last_spread = now
-        if not self._living:
-            if now < self._joining_until and not self._left:
-                self._call_many()
-                self._next_spread = now + self._spread
+        if member.heard_at_ns > suspicion.since_ns and suspicion.extend(member.heard_at_ns):
+            return  # datagrams still arrive from it, so only its answers are lost
+        dead = member.claim._replace(state=State.DEAD, reporter=self.own_number)
+        self._merge(now_ns, dead, "suspicion timed out", disseminate=True)
+
+    def _report_change(self, claim: Claim, reason: str) -> None:
+        self._actions.append(StateChanged(claim, reason))
+
+    # Dissemination.
+
+    def _sample_live(self, max_count: int, excluded: tuple[int, ...]) -> list[int]:
+        others = self._live_others()
+        sampled = self._random.sample(others, min(max_count + len(excluded), len(others)))
+        return [number for number in sampled if number not in excluded][:max_count]
+
+    def _gossip(self, now_ns: int) -> None:
+        self._last_gossip_ns = now_ns
+        if not self._live_count:
+            if now_ns < self._join_until_ns and not self._leaving:
+                self._contact_several()
+                self._next_gossip_ns = now_ns + self._gossip_interval_ns
             else:
-                self._next_spread = NEVER
+                self._next_gossip_ns = NEVER
             return
-        for number in self._some(FANOUT, ()):
-            if self._news:
+        for number in self._sample_live(GOSSIP_FANOUT, ()):
+            if self._updates:
                 self._send(Kind.NEWS, number)
-        self._next_spread = now + self._spread if self._news else NEVER
+        self._next_gossip_ns = now_ns + self._gossip_interval_ns if self._updates else NEVER
 
-    def _send(self, kind: Kind, to: int, seq: int = 0, about: int = api.NO_NODE, items: bytes = b"") -> None:
-        """With what is most urgent for whom it goes to: what is held of itself, what of the node that it is
-        about, the news, and then claims in turn."""
+    def _send(
+        self, kind: Kind, recipient: int, seq: int = 0, subject: int = api.NO_NODE, payload: bytes = b""
+    ) -> None:
+        """Sends a message with the claims most relevant to its recipient: on the recipient itself, on the
+        subject, queued updates, and then claims for repair."""
         claims: list[Claim] = []
-        room = self._room
-        if items:
-            self._emit(Message(kind, self.mine, to, self._order, items=items))
+        room = self._max_claims_bytes
+        if payload:
+            self._emit(Message(kind, self.own_claim, recipient, self._next_counter, payload=payload))
             return
-        for number in (to, about):
+        for number in (recipient, subject):
             claim = self.members[number].claim if number in self.members else None
             if claim is not None:
-                room -= self._size(claim)
+                room -= self._claim_size(claim)
                 claims.append(claim)
-        news, room = self._news.take(room, self._size, self._living, (to, about, self.own))
-        claims += news
+        updates, room = self._updates.take(
+            room, self._claim_size, self._live_count, (recipient, subject, self.own_number)
+        )
+        claims += updates
         if kind is not Kind.NEWS:
-            claims += self._in_turn(room, {claim.number for claim in claims})
-        self._emit(Message(kind, self.mine, to, self._order, seq, about, tuple(claims)))
+            claims += self._next_sync_claims(room, {claim.number for claim in claims})
+        self._emit(Message(kind, self.own_claim, recipient, self._next_counter, seq, subject, tuple(claims)))
 
     def _emit(self, message: Message) -> None:
-        self._order += 1
+        self._next_counter += 1
         self.counts["out"] += 1
         self._actions.append(Send(message))
 
-    def _in_turn(self, room: int, told: set[int]) -> list[Claim]:
+    def _next_sync_claims(self, room: int, included: set[int]) -> list[Claim]:
         out: list[Claim] = []
-        for _ in range(min(IN_TURN, len(self.members))):
-            if not self._rows:
-                self._rows = list(self.members)
-                self._random.shuffle(self._rows)
-            number = self._rows.pop()
+        for _ in range(min(MAX_SYNC_CLAIMS, len(self.members))):
+            if not self._sync_round:
+                self._sync_round = list(self.members)
+                self._random.shuffle(self._sync_round)
+            number = self._sync_round.pop()
             claim = self.members[number].claim
-            if claim is None or number in told:
+            if claim is None or number in included:
                 continue
-            room -= self._size(claim)
+            room -= self._claim_size(claim)
             if room < 0:
                 break
             out.append(claim)
--- a/driftstair/tier/membership/events.py
+++ b/driftstair/tier/membership/events.py
@@ -1,4 +1,4 @@
-"""What the core is told, and what it wants done."""
+"""Events that drive the membership core, and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 from driftstair.tier.membership.members import Claim, State
 
 NO_NODE = 0xFFFF
-"""Where a message is about no third node."""
+"""The subject of a message that has none."""
 
 
 class Kind(IntEnum):
-    """Of a message. Others are a later version's, counted and passed over."""
+    """Kind of a message. Unknown kinds come from later versions; they are counted and ignored."""
 
-    PING = 1  # wants an ACK with its `seq`
-    ACK = 2  # `about`: the node that answered, if the sender passes its answer on
-    PING_REQ = 3  # wants the node `about` to be probed, and its answer passed on
-    NACK = 4  # the node `about` has not answered the sender so far
-    NEWS = 5  # wants nothing
-    SHARED = 6  # carries `items` of what is built on membership
+    PING = 1  # requests an ACK with the same `seq`
+    ACK = 2  # `subject`: the node that answered, where the sender relays its answer
+    PING_REQ = 3  # requests a probe of `subject` and its answer relayed
+    NACK = 4  # `subject` has not answered the sender so far
+    NEWS = 5  # carries updates only and requires no answer
+    SHARED = 6  # carries the `payload` of a layer above membership
 
 
 class Message(NamedTuple):
-    """One datagram. `mine`: what the sender says of itself; `order` rises by one with each that its life
-    sends."""
+    """One datagram. `sender_claim`: the sender's claim on itself; `counter` rises by one with each datagram
+    that its process sends."""
 
     kind: Kind
-    mine: Claim
-    to: int
-    order: int
+    sender_claim: Claim
+    recipient: int
+    counter: int
     seq: int = 0
-    about: int = NO_NODE
-    news: tuple[Claim, ...] = ()
-    items: bytes = b""
+    subject: int = NO_NODE
+    updates: tuple[Claim, ...] = ()
+    payload: bytes = b""
 
 
 # Events.
@@ -42,47 +42,47 @@
 
 @dataclass(slots=True, frozen=True)
 class Start:
-    """`kept`: claims that an earlier process of this number has left behind."""
+    """`saved_claims`: persisted by an earlier process of this node."""
 
-    kept: tuple[Claim, ...] = ()
+    saved_claims: tuple[Claim, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Wake:
-    """The time has come that was asked for, or later."""
+    """The requested wake-up time has been reached or passed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """A datagram whose seal is right and which came from its sender's address."""
+    """An authenticated datagram that came from its sender's address."""
 
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
 class Leave:
-    """The process is about to end as planned."""
+    """The process is about to shut down as planned."""
 
 
 @dataclass(slots=True, frozen=True)
-class Peers:
-    """The platform names other peers from now on. `moved`: numbers that stand for another machine than
-    before; `own`: this node's number."""
+class PeersChanged:
+    """The platform has supplied another list of peers. `moved`: numbers that now stand for another machine;
+    `own_number`: this node's number in the new list."""
 
     count: int
-    own: int
+    own_number: int
     moved: frozenset[int]
 
 
 @dataclass(slots=True, frozen=True)
 class SendPayload:
-    """Something of what is built on membership, for another node."""
+    """A payload of a layer above membership for another node."""
 
-    to: int
-    items: bytes
+    recipient: int
+    payload: bytes
 
 
-Event = Start | Wake | Received | Leave | Peers | SendPayload
+Event = Start | Wake | Received | Leave | PeersChanged | SendPayload
 
 
 # Actions.
@@ -94,55 +94,56 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
-    """A member's state as held here, this node's own included. `why`: for people; `told`: whether others hear
-    of it."""
+class StateChanged:
+    """A member's state at this node has changed, possibly this node's own. `reason`: for operators;
+    `announced`: whether the change is disseminated to other nodes."""
 
     claim: Claim
-    why: str
-    told: bool = True
+    reason: str
+    announced: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class Superseded:
-    """Another process claims this number again and again: this one tells the tier nothing any more."""
+    """Another process keeps claiming this node's number, so this one stops taking part in the tier."""
 
     life: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessStalled:
-    """This process did not run for so many ns beyond what it had asked for."""
+    """This process was woken later than it had requested, beyond the stall threshold."""
 
-    late: int
+    late_ns: int
 
 
 @dataclass(slots=True, frozen=True)
 class PayloadReceived:
-    """What another node's `SendPayload` brought, once, from a life that no newer one is known of."""
+    """The payload of another node's `SendPayload`, delivered at most once and only from the latest known
+    process of that node."""
 
     sender: int
     life: int
-    items: bytes
+    payload: bytes
 
 
-Action = Send | Changed | Superseded | ProcessStalled | PayloadReceived
+Action = Send | StateChanged | Superseded | ProcessStalled | PayloadReceived
 
 
 @dataclass(slots=True, frozen=True)
 class MemberView:
-    """A member for those who ask. Times are ns before now; -1: never."""
+    """A member for status reports. Ages are relative to the time of the report; -1: never."""
 
     number: int
-    state: State | None  # None: nothing has been heard of it
+    state: State | None  # None: nothing has been received about it
     life: int
     incarnation: int
     zone: int
     version: int
     supports: int
-    held: int  # so long in this state
-    heard: int
-    round_trip: int
+    state_age_ns: int
+    heard_age_ns: int
+    round_trip_ns: int
     suspected_by: tuple[int, ...]
-    ends_in: int  # ns until a suspect is dead here; -1: it is none
-    unheard: bool
+    dead_in_ns: int  # until a suspect is declared dead here; -1: not a suspect
+    presumed_dead: bool
--- a/driftstair/tier/membership/health.py
+++ b/driftstair/tier/membership/health.py
@@ -1,25 +1,25 @@
-"""A node's doubt in itself (Lifeguard's local health multiplier)."""
+"""Lifeguard's local health multiplier: a node's estimate of its own fitness as a failure detector."""
 
 from __future__ import annotations
 
-MOST = 8  # the paper's S
+MAX_SCORE = 8  # Lifeguard's S
 
 
 class Health:
-    """0 is sound. A node that misses answers, has to refute, or stood still is slower to find fault with
-    others: its waits are 1 + `score` times as long."""
+    """A score of 0 is healthy. A node that misses acknowledgements, has to refute a suspicion, or was stalled
+    multiplies its probe timeouts by 1 + `score`, so that it is slower to accuse others."""
 
     __slots__ = ("score",)
 
     def __init__(self) -> None:
         self.score = 0
 
-    def better(self) -> None:
-        """A probe was answered."""
+    def record_success(self) -> None:
+        """A probe was acknowledged in time."""
         self.score = max(0, self.score - 1)
 
-    def worse(self, by: int = 1) -> None:
-        self.score = min(MOST, self.score + by)
+    def record_failure(self, weight: int = 1) -> None:
+        self.score = min(MAX_SCORE, self.score + weight)
 
-    def times(self) -> int:
+    def timeout_multiplier(self) -> int:
         return 1 + self.score
--- a/driftstair/tier/membership/members.py
+++ b/driftstair/tier/membership/members.py
@@ -1,7 +1,8 @@
-"""What can be claimed of a member, and which of two claims stands.
+"""Claims about members, and which of two claims takes precedence.
 
-Claims on one number are in a total order, and a table keeps the greatest: so any order, repeat or delay of
-the same claims gives the same table (a join semilattice). An old life never replaces a newer one.
+Claims on one member are totally ordered and a table keeps the greatest (a join semilattice). Any reordering,
+repetition or delay of the same claims therefore yields the same table. A claim on an earlier process never
+replaces one on a later process.
 """
 
 from __future__ import annotations
@@ -11,11 +12,11 @@
 from typing import NamedTuple
 
 from driftstair.tier.membership.suspicion import Suspicion
-from driftstair.tier.replay import Window
+from driftstair.tier.replay import ReplayWindow
 
 
 class State(IntEnum):
-    """In the order in which one stands over another in the same incarnation."""
+    """In order of precedence within one incarnation, lowest first."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -24,21 +25,21 @@
 
 
 class Traits(NamedTuple):
-    """What a life says of itself, the same as long as it lasts."""
+    """What a process announces of itself; constant for its lifetime."""
 
     zone: int = 0  # its index in the settings
-    version: int = 0  # of the program's tier; 0 where it is unknown
-    supports: int = 0  # bits, see `driftstair.tier.wire`
+    version: int = 0  # of the tier's protocol; 0: unknown
+    supports: int = 0  # feature bits, see `driftstair.tier.wire`
 
 
 class Claim(NamedTuple):
-    """One member as somebody holds it."""
+    """One member's state as reported by some node."""
 
-    number: int  # in the order of the platform's peers
-    life: int  # of its process: sixteenths of a second since 2024 when it started, or more
-    incarnation: int  # raised by the member alone, to refute
+    number: int  # index in the platform's list of peers
+    life: int  # of its process: its start time in sixteenths of a second since 2024, or more
+    incarnation: int  # raised only by the member itself, to refute a claim
     state: State
-    by: int  # who suspects it or found it dead; the member itself otherwise
+    reporter: int  # who suspects it or declared it dead; otherwise the member itself
     traits: Traits = Traits()
 
     def rank(self) -> tuple[int, int, int]:
@@ -47,24 +48,24 @@
 
 @dataclass(slots=True)
 class Member:
-    """One other node. `claim` is None until something of it has been heard."""
+    """One other node. `claim` is None until any claim on it has been received."""
 
     number: int
     claim: Claim | None = None
-    since: int = 0  # ns: when the state as it stands began here
-    heard: int = -1  # ns: when it last said something itself, in its present life
-    round_trip: int = 0  # ns: of the last probe that it answered itself
+    since_ns: int = 0  # when it entered its present state at this node
+    heard_at_ns: int = -1  # when its present process last sent a datagram to this node
+    round_trip_ns: int = 0  # of the last probe that it answered directly
     suspicion: Suspicion | None = None
-    unheard: bool = False  # held dead only since this node hears nobody; told to no one
-    window: Window = field(default_factory=Window)  # which of its datagrams have been taken,
-    window_life: int = -1  # of this life
+    presumed_dead: bool = False  # only because this node is isolated; not disseminated
+    replay_window: ReplayWindow = field(default_factory=ReplayWindow)
+    replay_window_life: int = -1  # the process that the replay window belongs to
 
     @property
     def state(self) -> State | None:
         if self.claim is None:
             return None
-        return State.DEAD if self.unheard else self.claim.state
+        return State.DEAD if self.presumed_dead else self.claim.state
 
-    def counts(self) -> bool:
-        """Whether it is probed, and helps to probe."""
+    def is_live(self) -> bool:
+        """Whether the member is probed and helps to probe others: alive or suspect."""
         return self.claim is not None and self.claim.state <= State.SUSPECT
--- a/driftstair/tier/membership/probing.py
+++ b/driftstair/tier/membership/probing.py
@@ -1,143 +1,168 @@
-"""The probes that are out, those run for others, and how long to wait for an answer."""
+"""Outstanding probes, probes relayed for other nodes, and probe timeouts."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MS = 1_000_000  # ns
-HELD_MOST = 64  # probes for others at once
-MISSED_MOST = 32
-ROUND_TRIP_LEAST = 50 * MS  # an answer that takes no longer is never late
-LEAST_PART = 4  # a wait is a part of the period, one in so many, at least
-MOST_TIMES = 2  # and so many periods at most, for a sound node
-VERDICT = 3  # waits from a probe to its verdict: its own, the helpers', and one for the way
-PASSED_BY = 0.8  # of its wait: then a helper says that it has no answer either
+NS_PER_MS = 1_000_000
+MAX_RELAYED_PROBES = 64
+MAX_EXPIRED_PROBES = 32
+MIN_TIMEOUT_MARGIN_NS = 50 * NS_PER_MS  # over the smoothed round trip
+MIN_TIMEOUT_DIVISOR = 4  # the shortest timeout is the period divided by this
+MAX_TIMEOUT_PERIODS = 2  # the longest timeout of a healthy node
+TIMEOUTS_PER_PROBE = (
+    3  # from a probe to its verdict: the direct probe, the indirect ones, and the way between
+)
+NACK_FRACTION = 0.8  # of the timeout, after which a relaying node reports that it has no answer either
 
 
 @dataclass(slots=True)
 class Probe:
-    """One that is out. `helpers`: those asked that have said nothing yet."""
+    """An outstanding probe. `silent_helpers`: nodes asked to relay it that have not replied yet."""
 
     target: int
     seq: int
-    sent: int
-    indirect_at: int
-    verdict_at: int
-    asked: bool = False
-    helpers: int = 0
+    sent_at_ns: int
+    indirect_at_ns: int
+    deadline_ns: int
+    indirect_sent: bool = False
+    silent_helpers: int = 0
 
 
 @dataclass(slots=True)
-class Errand:
-    """A probe for another node."""
+class RelayedProbe:
+    """A probe on behalf of another node."""
 
     target: int
-    asker: int
-    seq: int  # of the asker's probe
-    due: int  # ns: when the asker is told that there is no answer, and then when it is forgotten
-    told: bool = False
+    requester: int
+    requester_seq: int
+    due_ns: int  # when the requester is sent a negative acknowledgement, and then when this is dropped
+    nack_sent: bool = False
 
 
-class Probing:
-    """`period` in ns. Sequence numbers are this node's own, for both kinds."""
+class ProbeTracker:
+    """Direct and relayed probes share this node's own sequence numbers."""
 
-    def __init__(self, period: int, first_seq: int) -> None:
-        self.errands: dict[int, Errand] = {}
-        self.trip = 0  # ns: smoothed round trip, and how much it varies (RFC 6298)
-        self._trip_varies = 0
-        self._period = period
+    def __init__(self, period_ns: int, first_seq: int) -> None:
+        self.relayed: dict[int, RelayedProbe] = {}
+        self.round_trip_ns = 0  # smoothed, with its mean deviation (RFC 6298)
+        self._round_trip_deviation_ns = 0
+        self._period_ns = period_ns
         self._seq = first_seq
-        self._open: dict[int, Probe] = {}
-        self._missed: dict[int, Probe] = {}  # the last that had no answer in time: one may come
+        self._pending: dict[int, Probe] = {}
+        self._expired: dict[int, Probe] = {}  # the latest ones, as an answer may still arrive
 
-    def new_seq(self) -> int:
+    def next_seq(self) -> int:
         self._seq = (self._seq + 1) % (1 << 32)
         return self._seq
 
-    def wait(self) -> int:
-        """ns for an answer."""
-        seen = self.trip + max(4 * self._trip_varies, ROUND_TRIP_LEAST) if self.trip else 0
-        return min(max(seen, self._period // LEAST_PART), MOST_TIMES * self._period)
-
-    def begin(self, now: int, target: int, times: int) -> int:
-        """Its sequence number. `times`: how much longer than usual this node waits."""
-        wait, seq = self.wait() * times, self.new_seq()
-        self._open[seq] = Probe(target, seq, now, now + wait, now + VERDICT * wait)
+    def timeout_ns(self) -> int:
+        measured_ns = (
+            self.round_trip_ns + max(4 * self._round_trip_deviation_ns, MIN_TIMEOUT_MARGIN_NS)
+            if self.round_trip_ns
+            else 0
+        )
+        return min(
+            max(measured_ns, self._period_ns // MIN_TIMEOUT_DIVISOR), MAX_TIMEOUT_PERIODS * self._period_ns
+        )
+
+    def begin(self, now_ns: int, target: int, multiplier: int) -> int:
+        """Registers a probe and returns its sequence number. `multiplier`: applied to the timeout."""
+        timeout_ns, seq = self.timeout_ns() * multiplier, self.next_seq()
+        self._pending[seq] = Probe(
+            target, seq, now_ns, now_ns + timeout_ns, now_ns + TIMEOUTS_PER_PROBE * timeout_ns
+        )
         return seq
 
-    def probes(self, target: int) -> bool:
-        return any(probe.target == target for probe in self._open.values())
+    def is_probing(self, target: int) -> bool:
+        return any(probe.target == target for probe in self._pending.values())
 
-    def overdue(self, now: int) -> list[Probe]:
-        """Those that have failed; an answer that comes yet is still measured."""
-        found = [one for one in self._open.values() if one.verdict_at <= now]
+    def take_expired(self, now_ns: int) -> list[Probe]:
+        """Probes that have failed. They are remembered for a while: a late answer still yields a round
+        trip."""
+        found = [probe for probe in self._pending.values() if probe.deadline_ns <= now_ns]
         for probe in found:
-            del self._open[probe.seq]
-            if len(self._missed) >= MISSED_MOST:
-                del self._missed[next(iter(self._missed))]
-            self._missed[probe.seq] = probe
+            del self._pending[probe.seq]
+            if len(self._expired) >= MAX_EXPIRED_PROBES:
+                del self._expired[next(iter(self._expired))]
+            self._expired[probe.seq] = probe
         return found
 
-    def unasked(self, now: int) -> list[Probe]:
-        """Those for which helpers are to be asked."""
-        return [one for one in self._open.values() if not one.asked and one.indirect_at <= now]
-
-    def answered(self, now: int, seq: int, about: int, itself: bool) -> tuple[Probe, bool] | None:
-        """The probe, and whether the answer came in time. `itself`: the answer is the target's own."""
-        for held, in_time in ((self._open, True), (self._missed, False)):
-            probe = held.get(seq)
-            if probe is not None and probe.target == about:
-                del held[seq]
-                if itself:
-                    self._measure(now - probe.sent)
+    def due_for_indirect(self, now_ns: int) -> list[Probe]:
+        """Probes for which helpers are to be asked now."""
+        return [
+            probe
+            for probe in self._pending.values()
+            if not probe.indirect_sent and probe.indirect_at_ns <= now_ns
+        ]
+
+    def record_ack(self, now_ns: int, seq: int, target: int, is_direct: bool) -> tuple[Probe, bool] | None:
+        """Returns the acknowledged probe and whether the answer was in time. `is_direct`: the answer comes
+        from the target itself."""
+        for probes, in_time in ((self._pending, True), (self._expired, False)):
+            probe = probes.get(seq)
+            if probe is not None and probe.target == target:
+                del probes[seq]
+                if is_direct:
+                    self._update_round_trip(now_ns - probe.sent_at_ns)
                 return probe, in_time
         return None
 
-    def no_answer(self, seq: int) -> None:
-        """A helper has said that it has none."""
-        probe = self._open.get(seq)
-        if probe is not None and probe.helpers:
-            probe.helpers -= 1
+    def record_nack(self, seq: int) -> None:
+        """A helper has reported that it has no answer either."""
+        probe = self._pending.get(seq)
+        if probe is not None and probe.silent_helpers:
+            probe.silent_helpers -= 1
 
-    def _measure(self, trip: int) -> None:
-        if not self.trip:
-            self.trip, self._trip_varies = trip, trip // 2
+    def _update_round_trip(self, sample_ns: int) -> None:
+        if not self.round_trip_ns:
+            self.round_trip_ns, self._round_trip_deviation_ns = sample_ns, sample_ns // 2
         else:
-            self._trip_varies += (abs(trip - self.trip) - self._trip_varies) // 4
-            self.trip += (trip - self.trip) // 8
-
-    def run_errand(self, now: int, target: int, asker: int, seq: int) -> int:
-        """For another; this node's own sequence number."""
-        if len(self.errands) >= HELD_MOST:
-            del self.errands[next(iter(self.errands))]
-        own = self.new_seq()
-        self.errands[own] = Errand(target, asker, seq, now + int(PASSED_BY * self.wait()))
-        return own
-
-    def no_news(self, now: int, times: int) -> list[Errand]:
-        """Errands whose askers are to be told that there is no answer; one may come yet for a while."""
-        due = [(seq, one) for seq, one in self.errands.items() if one.due <= now]
-        for seq, errand in due:
-            if errand.told:
-                del self.errands[seq]
-            errand.due = now + self._period * times
-        found = [one for _, one in due if not one.told]
-        for errand in found:
-            errand.told = True
+            self._round_trip_deviation_ns += (
+                abs(sample_ns - self.round_trip_ns) - self._round_trip_deviation_ns
+            ) // 4
+            self.round_trip_ns += (sample_ns - self.round_trip_ns) // 8
+
+    def begin_relayed(self, now_ns: int, target: int, requester: int, requester_seq: int) -> int:
+        """Registers a probe for another node and returns this node's own sequence number for it."""
+        if len(self.relayed) >= MAX_RELAYED_PROBES:
+            del self.relayed[next(iter(self.relayed))]
+        own_seq = self.next_seq()
+        self.relayed[own_seq] = RelayedProbe(
+            target, requester, requester_seq, now_ns + int(NACK_FRACTION * self.timeout_ns())
+        )
+        return own_seq
+
+    def take_due_nacks(self, now_ns: int, multiplier: int) -> list[RelayedProbe]:
+        """Relayed probes whose requesters are to be told that there is no answer. They are kept for another
+        period or more, as an answer may still arrive."""
+        due = [(seq, relayed) for seq, relayed in self.relayed.items() if relayed.due_ns <= now_ns]
+        for seq, relayed in due:
+            if relayed.nack_sent:
+                del self.relayed[seq]
+            relayed.due_ns = now_ns + self._period_ns * multiplier
+        found = [relayed for _, relayed in due if not relayed.nack_sent]
+        for relayed in found:
+            relayed.nack_sent = True
         return found
 
-    def forget(self, number: int) -> None:
-        """All that is under way with a node."""
-        self._open = {seq: one for seq, one in self._open.items() if one.target != number}
-        self.errands = {
-            seq: one for seq, one in self.errands.items() if number not in (one.target, one.asker)
+    def discard(self, number: int) -> None:
+        """Drops all probes that involve a node."""
+        self._pending = {seq: probe for seq, probe in self._pending.items() if probe.target != number}
+        self.relayed = {
+            seq: relayed
+            for seq, relayed in self.relayed.items()
+            if number not in (relayed.target, relayed.requester)
         }
 
     def clear(self) -> None:
-        self._open.clear()
-        self.errands.clear()
-
-    def due(self) -> list[int]:
-        """ns at which something is to be done."""
-        times = [one.verdict_at if one.asked else one.indirect_at for one in self._open.values()]
-        return times + [one.due for one in self.errands.values()]
+        self._pending.clear()
+        self.relayed.clear()
+
+    def deadlines_ns(self) -> list[int]:
+        """Times at which a probe or a relayed probe needs action."""
+        times = [
+            probe.deadline_ns if probe.indirect_sent else probe.indirect_at_ns
+            for probe in self._pending.values()
+        ]
+        return times + [relayed.due_ns for relayed in self.relayed.values()]
--- a/driftstair/tier/membership/suspicion.py
+++ b/driftstair/tier/membership/suspicion.py
@@ -1,62 +1,71 @@
-"""How long a suspect has to refute (Lifeguard's LHA-Suspicion): long where one node alone says so, shorter
-with each other node that could not reach it either."""
+"""Suspicion timeouts (Lifeguard's LHA-Suspicion): long while a single node suspects the member, shorter with
+each further node that could not reach it either."""
 
 from __future__ import annotations
 
 from math import ceil, log
 
-CONFIRMED_BY = 3  # further nodes that bring the time down to the least (the paper's K)
-MOST_TIMES = 6  # the most is so many times the least (the paper's beta)
-ALONE_TIMES = 3  # with nobody who could confirm
+MAX_CONFIRMATIONS = 3  # further reporters that shorten the timeout to its minimum (Lifeguard's K)
+MAX_TIMEOUT_FACTOR = 6  # the longest timeout in multiples of the shortest (Lifeguard's beta)
+SOLE_WITNESS_TIMEOUT_FACTOR = 3  # likewise where no other node could confirm
 
 
-def least(period: int, spread: int, fan: int, living: int, round_trip: int) -> int:
-    """ns: a suspicion spreads to its subject, the refutation to all, and half a probe's period passes.
-    News reaches about (fan + 1) times as many nodes each `spread` (ns)."""
-    rounds = ceil(log(max(2, living), fan + 1))
-    return period // 2 + 2 * (rounds * spread + round_trip)
+def min_timeout_ns(
+    period_ns: int, gossip_interval_ns: int, fanout: int, live: int, round_trip_ns: int
+) -> int:
+    """The time for a suspicion to reach its subject and for the refutation to reach every node, plus half a
+    probe period. Each gossip interval multiplies the nodes that know an update by about fanout + 1."""
+    rounds = ceil(log(max(2, live), fanout + 1))
+    return period_ns // 2 + 2 * (rounds * gossip_interval_ns + round_trip_ns)
 
 
 class Suspicion:
-    """Of one member, in one incarnation, as this node holds it."""
+    """This node's suspicion of one member in one incarnation."""
 
-    __slots__ = ("_could", "_deferred", "_least", "by", "since")
+    __slots__ = ("_expected_confirmations", "_extended_until_ns", "_min_timeout_ns", "reporters", "since_ns")
 
-    def __init__(self, now: int, by: int, least: int, could: int) -> None:
-        """`could`: nodes beside this one and the suspect that could confirm it."""
-        self.since = now
-        self.by = {by}
-        self._least = least
-        self._could = max(0, min(CONFIRMED_BY, could))
-        self._deferred = 0
+    def __init__(self, now_ns: int, reporter: int, min_timeout_ns: int, possible_confirmations: int) -> None:
+        """`possible_confirmations`: nodes other than this one and the suspect that could confirm it."""
+        self.since_ns = now_ns
+        self.reporters = {reporter}
+        self._min_timeout_ns = min_timeout_ns
+        self._expected_confirmations = max(0, min(MAX_CONFIRMATIONS, possible_confirmations))
+        self._extended_until_ns = 0
 
-    def confirm(self, by: int) -> bool:
-        """Whether this is a further voice that counts."""
-        if by in self.by or len(self.by) > CONFIRMED_BY:
+    def confirm(self, reporter: int) -> bool:
+        """Returns whether this is a new reporter that shortens the timeout."""
+        if reporter in self.reporters or len(self.reporters) > MAX_CONFIRMATIONS:
             return False
-        self.by.add(by)
+        self.reporters.add(reporter)
         return True
 
-    def end(self) -> int:
-        """ns at which the suspect is dead, unless it has refuted."""
-        return max(self._end(), self._deferred)
-
-    def _end(self) -> int:
-        if not self._could:
-            return self.since + ALONE_TIMES * self._least
-        most = MOST_TIMES * self._least
-        voices = min(len(self.by) - 1, self._could)
-        shorter = (most - self._least) * log(voices + 1) / log(self._could + 1)
-        return self.since + max(self._least, most - int(shorter))
-
-    def defer(self, heard: int) -> bool:
-        """The suspect was heard at `heard` (ns): whether that gives it more time. Not beyond the most."""
-        until = min(heard + self._least, self.since + MOST_TIMES * self._least)
-        later = until > self.end()
-        self._deferred = max(self._deferred, until)
-        return later
-
-    def anew(self, now: int) -> None:
-        """This node could not hear a refutation until now."""
-        self.since = now
-        self._deferred = 0
+    def deadline_ns(self) -> int:
+        """When the suspect is declared dead unless it has refuted the suspicion."""
+        return max(self._timeout_deadline_ns(), self._extended_until_ns)
+
+    def _timeout_deadline_ns(self) -> int:
+        if not self._expected_confirmations:
+            return self.since_ns + SOLE_WITNESS_TIMEOUT_FACTOR * self._min_timeout_ns
+        max_timeout_ns = MAX_TIMEOUT_FACTOR * self._min_timeout_ns
+        confirmations = min(len(self.reporters) - 1, self._expected_confirmations)
+        reduction = (
+            (max_timeout_ns - self._min_timeout_ns)
+            * log(confirmations + 1)
+            / log(self._expected_confirmations + 1)
+        )
+        return self.since_ns + max(self._min_timeout_ns, max_timeout_ns - int(reduction))
+
+    def extend(self, heard_at_ns: int) -> bool:
+        """The suspect was heard at `heard_at_ns`. Returns whether that extends the deadline, which never goes
+        beyond the longest timeout."""
+        until_ns = min(
+            heard_at_ns + self._min_timeout_ns, self.since_ns + MAX_TIMEOUT_FACTOR * self._min_timeout_ns
+        )
+        is_later = until_ns > self.deadline_ns()
+        self._extended_until_ns = max(self._extended_until_ns, until_ns)
+        return is_later
+
+    def restart(self, now_ns: int) -> None:
+        """Restarts the timeout, as this node could not receive a refutation until now."""
+        self.since_ns = now_ns
+        self._extended_until_ns = 0
--- a/driftstair/tier/membership/update_queue.py
+++ b/driftstair/tier/membership/update_queue.py
@@ -1,8 +1,8 @@
-"""What is still to be told, and in which order: the least told first, of those the newest first.
+"""Updates to be disseminated, in order: the least transmitted first, and the newest first among equals.
 
-A suspicion and its refutation race each other through the tier, so either goes before the news that somebody
-joined: a thousand that join at once would otherwise be told of before it is told on a second time, and who
-tells a thing once passes it to one other.
+A suspicion races its refutation through the tier, so both precede the announcements of nodes that joined.
+Otherwise, when a thousand nodes join at once, all of them would be announced before a suspicion is sent for
+the second time, and an update that each node sends only once reaches one other node per sender.
 """
 
 from __future__ import annotations
@@ -12,67 +12,67 @@
 
 from driftstair.tier.membership.members import Claim, State
 
-TIMES = 3  # each piece is told so many times the binary logarithm of the living (SWIM's lambda)
-HEAD_START = 6  # times that a piece which others wait for is told before one that they don't
+RETRANSMIT_FACTOR = 3  # transmissions per update in multiples of log2(live nodes) (SWIM's lambda)
+JOIN_PENALTY = 6  # transmissions that an urgent update gets before the first one of a join
 
 
-def _head_start(claim: Claim) -> int:
-    """Where it stands to begin with: a life that nobody doubts is told of last."""
-    return HEAD_START if claim.state is State.ALIVE and not claim.incarnation else 0
+def _initial_transmissions(claim: Claim) -> int:
+    """Where a new update enters the queue: plain announcements of a live process come last."""
+    return JOIN_PENALTY if claim.state is State.ALIVE and not claim.incarnation else 0
 
 
 class UpdateQueue:
-    """One piece for each member at most, so it is bounded by their number."""
+    """Holds at most one update per member, so its size is bounded by their number."""
 
     def __init__(self) -> None:
-        self._told: list[dict[int, Claim]] = []  # by how often told, each in the order in which it came
-        self._where: dict[int, int] = {}
+        self._by_transmissions: list[dict[int, Claim]] = []  # each in order of arrival
+        self._transmissions: dict[int, int] = {}  # by member number
 
     def __len__(self) -> int:
-        return len(self._where)
+        return len(self._transmissions)
 
     def add(self, claim: Claim) -> None:
-        """In the place of what was to be told of the same member."""
-        self.forget(claim.number)
-        self._put(claim, _head_start(claim))
+        """Replaces a queued update on the same member."""
+        self.remove(claim.number)
+        self._insert(claim, _initial_transmissions(claim))
 
-    def _put(self, claim: Claim, told: int) -> None:
-        while len(self._told) <= told:
-            self._told.append({})
-        self._told[told][claim.number] = claim
-        self._where[claim.number] = told
+    def _insert(self, claim: Claim, transmissions: int) -> None:
+        while len(self._by_transmissions) <= transmissions:
+            self._by_transmissions.append({})
+        self._by_transmissions[transmissions][claim.number] = claim
+        self._transmissions[claim.number] = transmissions
 
-    def forget(self, number: int) -> None:
-        told = self._where.pop(number, None)
-        if told is not None:
-            del self._told[told][number]
+    def remove(self, number: int) -> None:
+        transmissions = self._transmissions.pop(number, None)
+        if transmissions is not None:
+            del self._by_transmissions[transmissions][number]
 
     def take(
-        self, room: int, size: Callable[[Claim], int], living: int, told: tuple[int, ...]
+        self, max_bytes: int, claim_size: Callable[[Claim], int], live: int, included: tuple[int, ...]
     ) -> tuple[list[Claim], int]:
-        """As many as fit into `room` bytes, each counted as told once more, and the bytes that are left.
-        `told`: numbers that the datagram tells of anyhow."""
+        """Returns as many updates as fit into `max_bytes`, each counted as transmitted once more, and the
+        number of bytes left. `included`: members that the datagram already has claims on."""
         out: list[Claim] = []
-        if not self._where:
-            return out, room
+        if not self._transmissions:
+            return out, max_bytes
         taken: list[tuple[Claim, int]] = []
-        for times, pieces in enumerate(self._told):
-            for number in reversed(pieces):
-                claim = pieces[number]
-                if number not in told:
-                    room -= size(claim)
-                    if room < 0:
-                        self._again(taken, living)
-                        return out, room + size(claim)
+        for transmissions, updates in enumerate(self._by_transmissions):
+            for number in reversed(updates):
+                claim = updates[number]
+                if number not in included:
+                    max_bytes -= claim_size(claim)
+                    if max_bytes < 0:
+                        self._requeue(taken, live)
+                        return out, max_bytes + claim_size(claim)
                     out.append(claim)
-                taken.append((claim, times))
-        self._again(taken, living)
-        return out, room
-
-    def _again(self, taken: list[tuple[Claim, int]], living: int) -> None:
-        """They wait for their next turn, but for what has been told enough."""
-        enough = TIMES * ceil(log2(living + 2))
-        for claim, times in reversed(taken):  # the newest stays the newest
-            self.forget(claim.number)
-            if times + 1 < enough + _head_start(claim):
-                self._put(claim, times + 1)
+                taken.append((claim, transmissions))
+        self._requeue(taken, live)
+        return out, max_bytes
+
+    def _requeue(self, taken: list[tuple[Claim, int]], live: int) -> None:
+        """Puts updates back for their next transmission, except those that have been sent often enough."""
+        max_transmissions = RETRANSMIT_FACTOR * ceil(log2(live + 2))
+        for claim, transmissions in reversed(taken):  # keeps the newest first
+            self.remove(claim.number)
+            if transmissions + 1 < max_transmissions + _initial_transmissions(claim):
+                self._insert(claim, transmissions + 1)
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -84,11 +84,11 @@
         self._thrown_all: Counter[str] = Counter()
         self._numbers = {address: number for number, address in enumerate(peers.peers)}
         shares = shares or bool(budgets or judges or collect or permits)
-        supports = wire.MEMBERSHIP | (wire.SHARED if shares else 0)
+        supports = wire.SUPPORTS_MEMBERSHIP | (wire.SUPPORTS_SHARED if shares else 0)
         self.core = Membership(
-            peers.own, len(peers.peers), life_at(system.time_ns()),
+            peers.own_number, len(peers.peers), life_at(system.time_ns()),
             Traits(peers.zone, wire.VERSION, supports), period, Random(config.seed ^ 0x7E12),
-            wire.MAX_CLAIMS_BYTES, wire.size,
+            wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
         self.sharing: Sharing | None = None
         self._collecting: LedgerCollector | None = None
@@ -143,7 +143,11 @@
             lent_until = loan_expiry.take(self._lent) if self._lent is not None and not self._opened else None
             self._opened = True
             self.sharing.open(
-                self._told.own, self.core.mine.life, len(self._told.peers), lent_until, self._token()
+                self._told.own_number,
+                self.core.own_claim.life,
+                len(self._told.peers),
+                lent_until,
+                self._token(),
             )
             self._set_timer()
 
@@ -166,13 +170,19 @@
         return len(self._told.peers)
 
     def _sharers(self) -> list[int]:
-        return [number for number, one in self.core.known().items() if one.traits.supports & wire.SHARED]
+        return [
+            number
+            for number, one in self.core.live_claims().items()
+            if one.traits.supports & wire.SUPPORTS_SHARED
+        ]
 
     def _lives(self) -> dict[int, tuple[int, int]]:
         """By number: life and zone of those that live and share state, this node among them."""
-        known = self.core.known().items()
-        return {self._told.own: (self.core.mine.life, self._told.zone)} | {
-            number: (one.life, one.traits.zone) for number, one in known if one.traits.supports & wire.SHARED
+        known = self.core.live_claims().items()
+        return {self._told.own_number: (self.core.own_claim.life, self._told.zone)} | {
+            number: (one.life, one.traits.zone)
+            for number, one in known
+            if one.traits.supports & wire.SUPPORTS_SHARED
         }
 
     def _sound(self) -> bool:
@@ -181,8 +191,8 @@
 
     def _zones(self) -> dict[int, int]:
         """Of those that live, this node among them, by number."""
-        known = self.core.known().items()
-        return {self._told.own: self._told.zone} | {number: one.traits.zone for number, one in known}
+        known = self.core.live_claims().items()
+        return {self._told.own_number: self._told.zone} | {number: one.traits.zone for number, one in known}
 
     def wrap_module(self, module: DecisionModule) -> DecisionModule:
         return module if self.sharing is None else self.sharing.wrap_module(module)
@@ -205,14 +215,16 @@
             if number < len(before.peers) and before.peers[number] != address
         )  # fmt: skip
         self._numbers = {address: number for number, address in enumerate(peers.peers)}
-        log.info("the tier has %d nodes, and this is number %d", len(peers.peers), peers.own)
+        log.info("the tier has %d nodes, and this is number %d", len(peers.peers), peers.own_number)
         if peers.listen != before.listen:
             self._unbind()
             self._bind(first=True)
-        self._tell(api.Peers(len(peers.peers), peers.own, moved))
+        self._tell(api.PeersChanged(len(peers.peers), peers.own_number, moved))
         if self.sharing is not None and self._socket is not None:
-            self.sharing.open(peers.own, self.core.mine.life, len(peers.peers), token=self._token())
-        self._write("moved", number=peers.own, nodes=len(peers.peers))
+            self.sharing.open(
+                peers.own_number, self.core.own_claim.life, len(peers.peers), token=self._token()
+            )
+        self._write("moved", number=peers.own_number, nodes=len(peers.peers))
 
     def leave(self) -> None:
         """The process ends as planned; until `close` others are still answered."""
@@ -255,10 +267,10 @@
             match action:
                 case api.Send(message):
                     self._send(message)
-                case api.Changed(claim, why, told_too):
-                    if claim.number == self._told.own and self.sharing is not None:
+                case api.StateChanged(claim, why, told_too):
+                    if claim.number == self._told.own_number and self.sharing is not None:
                         self.sharing.set_life(claim.life)
-                    if claim.number != self._told.own:
+                    if claim.number != self._told.own_number:
                         log.info("node %d is %s: %s", claim.number, claim.state.name.lower(), why)
                     self._write(
                         "member", member=claim.number, state=claim.state.name.lower(),
@@ -272,14 +284,16 @@
                 case api.Superseded(life):
                     if self.sharing is not None:
                         self.sharing.close()  # the other process has this number's rights
-                    log.error("another process is node %d; this one is out of the tier", self._told.own)
+                    log.error(
+                        "another process is node %d; this one is out of the tier", self._told.own_number
+                    )
                     self._write("superseded", by_life=life)
         self._set_timer()
 
     def _write(self, event: str, **fields: Any) -> None:
         if self._history is not None:
             now = self._system.monotonic_ns()
-            self._history.write(now, self._told.own, self.core.mine.life, event, **fields)
+            self._history.write(now, self._told.own_number, self.core.own_claim.life, event, **fields)
 
     def _set_timer(self) -> None:
         wanted = self.core.wake_at
@@ -307,10 +321,10 @@
     # DatagramSocket.
 
     def _send(self, message: api.Message) -> None:
-        if self._socket is not None and message.to < len(self._told.peers):
+        if self._socket is not None and message.recipient < len(self._told.peers):
             data = self._codec.encode(message)
             self._bytes_out += len(data)
-            self._socket.send(data, self._told.peers[message.to])
+            self._socket.send(data, self._told.peers[message.recipient])
 
     def _came(self, data: bytes, source: tuple[str, int]) -> None:
         number = self._numbers.get(source)
@@ -322,7 +336,7 @@
         except InvalidDatagram as problem:
             self._throw(str(problem))
             return
-        if message.mine.number != number:
+        if message.sender_claim.number != number:
             self._throw("other_address")  # of a node that has been told other peers, or a forgery
             return
         self._bytes_in += len(data)
@@ -354,7 +368,7 @@
         self._keeping = self._loop.call_later(KEPT_EVERY, self._keep_again)
 
     async def _keep(self) -> None:
-        path, claims = self._kept, self.core.held()
+        path, claims = self._kept, self.core.all_claims()
         assert path is not None
         try:
             await self._system.run_blocking(lambda: member_list.write(path, claims))
@@ -403,7 +417,7 @@
     def report(self, servers: Iterable[str] = ()) -> dict[str, Any]:
         """As JSON: `driftstair.tier/1`. Times in s. `servers`: names of those that the list tells of."""
         core, socket = self.core, self._socket
-        mine = core.mine
+        mine = core.own_claim
         return {
             "format": FORMAT,
             "node": {
@@ -415,12 +429,13 @@
                 {
                     "number": one.number, "state": _name(one.state), "life": one.life,
                     "incarnation": one.incarnation, "zone": one.zone, "version": one.version,
-                    "supports": one.supports, "held_s": _seconds(one.held), "heard_s": _seconds(one.heard),
-                    "round_trip_s": round(one.round_trip / 1e9, 6) if one.round_trip else None,
-                    "suspected_by": list(one.suspected_by), "dead_in_s": _seconds(one.ends_in),
-                    "unheard": one.unheard,
+                    "supports": one.supports, "held_s": _seconds(one.state_age_ns),
+                    "heard_s": _seconds(one.heard_age_ns),
+                    "round_trip_s": round(one.round_trip_ns / 1e9, 6) if one.round_trip_ns else None,
+                    "suspected_by": list(one.suspected_by), "dead_in_s": _seconds(one.dead_in_ns),
+                    "unheard": one.presumed_dead,
                 }
-                for one in core.seen(self._system.monotonic_ns())
+                for one in core.member_views(self._system.monotonic_ns())
             ],
             "counts": {
                 **core.counts, "in": self._datagrams_in, "bytes_in": self._bytes_in,
--- a/tests/tier/test_loan_expiry.py
+++ b/tests/tier/test_loan_expiry.py
@@ -23,10 +23,10 @@
 @pytest.mark.parametrize(
     "text",
     ["", "{", "[]", "null", "[" * 9000,
-     json.dumps({"format": "x", "boot": loan_expiry.boot(), "until_ns": 1}),
+     json.dumps({"format": "x", "boot": loan_expiry.boot_id(), "until_ns": 1}),
      json.dumps({"format": loan_expiry.FORMAT, "boot": "another", "until_ns": 1}),
-     json.dumps({"format": loan_expiry.FORMAT, "boot": loan_expiry.boot(), "until_ns": "1"}),
-     json.dumps({"format": loan_expiry.FORMAT, "boot": loan_expiry.boot()})],
+     json.dumps({"format": loan_expiry.FORMAT, "boot": loan_expiry.boot_id(), "until_ns": "1"}),
+     json.dumps({"format": loan_expiry.FORMAT, "boot": loan_expiry.boot_id()})],
 )  # fmt: skip
 def test_what_is_none_of_this_boot_tells_nothing(text: str, tmp_path: Path) -> None:
     path = tmp_path / "n0.lent"
--- a/tests/tier/test_membership_machine.py
+++ b/tests/tier/test_membership_machine.py
@@ -40,7 +40,7 @@
         self.lives[number] += 1
         self.nodes[number] = node = Membership(
             number, len(self.nodes), self.lives[number], Traits(0, 1, 1), PERIOD,
-            Random(number), wire.MAX_CLAIMS_BYTES, wire.size,
+            Random(number), wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
         self.ranks = {pair: rank for pair, rank in self.ranks.items() if pair[0] != number}
         self._handle(node, api.Start())
@@ -50,13 +50,16 @@
             if isinstance(action, api.Send):
                 message = action.message
                 self.old = [*self.old[1 - OLD_MOST :], message]
-                if self.random.random() >= self.loss and (message.mine.number, message.to) != self.cut:
+                if (
+                    self.random.random() >= self.loss
+                    and (message.sender_claim.number, message.recipient) != self.cut
+                ):
                     self.order += 1
                     at = self.now + self.random.randint(1, 1 + self.delay)
                     heappush(self.flight, (at, self.order, message))
 
     def _deliver(self, message: api.Message) -> None:
-        node = self.nodes[message.to]
+        node = self.nodes[message.recipient]
         if node is not None:
             self._handle(node, api.Received(message))
 
@@ -82,7 +85,7 @@
             node = min(due, key=lambda one: one.wake_at, default=None)
             if self.flight and self.flight[0][0] <= (until if node is None else node.wake_at):
                 at, order, message = heappop(self.flight)
-                if message.to == stopped:
+                if message.recipient == stopped:
                     waiting.append((at, order, message))
                     continue
                 self.now = max(self.now, at)
@@ -103,7 +106,7 @@
         if node is not None:
             if leaves:
                 self._handle(node, api.Leave())
-            self.nodes[node.own] = None
+            self.nodes[node.own_number] = None
 
     @rule(number=st.integers(0, 4))
     def start(self, number: int) -> None:
@@ -119,13 +122,13 @@
             for member in node.members.values():
                 if member.claim is None:
                     continue
-                pair, rank = (node.own, member.number), member.claim.rank()
+                pair, rank = (node.own_number, member.number), member.claim.rank()
                 assert rank >= self.ranks.get(pair, rank)
                 self.ranks[pair] = rank
                 # Only a process raises its own life and incarnation.
                 own = self.nodes[member.number]
-                if own is not None and not own.superseded and own.mine.life == rank[0]:
-                    assert rank[1] <= own.mine.incarnation
+                if own is not None and not own.superseded and own.own_claim.life == rank[0]:
+                    assert rank[1] <= own.own_claim.incarnation
 
     @invariant()
     def each_wants_to_be_woken_and_no_datagram_is_too_long(self) -> None:
@@ -133,7 +136,7 @@
         for message in self.old[-4:]:
             assert len(codec.encode(message)) <= wire.MAX_DATAGRAM_BYTES
         for node in self.nodes:
-            if node is not None and not node.superseded and not node.leaving():
+            if node is not None and not node.superseded and not node.is_leaving():
                 assert node.wake_at <= self.now + 30 * PERIOD
 
     def teardown(self) -> None:
@@ -146,10 +149,12 @@
             if all(self._agrees(node, running) for node in running):
                 return
             self.wait(1.0, -1)
-        raise AssertionError([(node.own, node.mine, node.seen(self.now)) for node in running])
+        raise AssertionError(
+            [(node.own_number, node.own_claim, node.member_views(self.now)) for node in running]
+        )
 
     def _agrees(self, node: Membership, running: list[Membership]) -> bool:
-        living = {other.own: other.mine.rank() for other in running}
+        living = {other.own_number: other.own_claim.rank() for other in running}
         for member in node.members.values():
             rank = member.claim.rank() if member.claim is not None else None
             if member.number in living and rank != living[member.number]:
--- a/tests/tier/test_membership_world.py
+++ b/tests/tier/test_membership_world.py
@@ -12,7 +12,7 @@
 from driftstair.tier.membership.core import Membership
 from driftstair.tier.membership.health import Health
 from driftstair.tier.membership.members import State
-from driftstair.tier.membership.probing import Probing
+from driftstair.tier.membership.probing import ProbeTracker
 from driftstair.tier.membership.suspicion import Suspicion
 
 Defect = tuple[type, str, Callable[..., object]]
@@ -47,10 +47,10 @@
     for number in (1, 2):
         tier.world.crash(number)
     tier.until(lambda: tier.cores()[0].dead() == {1, 2}, 30.0)
-    assert all(one.unheard for one in tier.cores()[0].core.members.values())
+    assert all(one.presumed_dead for one in tier.cores()[0].core.members.values())
     tier.world.start(1)
     tier.until(lambda: tier.cores()[0].dead() == {2}, 20.0)
-    tier.until(lambda: not tier.cores()[0].core.members[2].unheard, 20.0)
+    tier.until(lambda: not tier.cores()[0].core.members[2].presumed_dead, 20.0)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -104,7 +104,7 @@
     tier.world.cut = lambda source, target: (source < 10) != (target < 10)
     tier.world.run(30.0)
     for node in tier.cores():
-        mine = node.core.own < 10
+        mine = node.core.own_number < 10
         assert node.dead() == {number for number in range(20) if (number < 10) != mine}
     tier.world.crash(3)
     tier.world.run(10.0)
@@ -123,7 +123,7 @@
 
 def test_all_restarted_within_a_second_are_new_lives_for_everyone() -> None:
     tier = joined(20)
-    before = {node.core.own: node.core.mine.life for node in tier.cores()}
+    before = {node.core.own_number: node.core.own_claim.life for node in tier.cores()}
     for number in range(20):
         tier.world.crash(number)
         tier.world.after(tier.world.random.random(), tier.world.start, number)
@@ -143,7 +143,7 @@
     tier.world._make = back
     tier.world.start(2)
     tier.join(10.0)
-    claims = [node.core.members[2].claim for node in tier.cores() if node.core.own != 2]
+    claims = [node.core.members[2].claim for node in tier.cores() if node.core.own_number != 2]
     assert {claim.life for claim in claims if claim is not None} == {101}
 
 
@@ -242,11 +242,11 @@
     return sum(len(tier.suspicions(since, by=set(range(SICK)))) for tier, since in played(play))
 
 
-NOT_REFUTED = (Membership, "_answer_claim", lambda self, now, claim: None)
-NOT_LONGER_ALONE = (Suspicion, "_end", lambda self: self.since + self._least)
-NOT_DEFERRED = (Suspicion, "defer", lambda self, heard: False)
-NEVER_DEAF = (Membership, "_hears", lambda self, now: True)
-NO_DOUBT = (Health, "worse", lambda self, by=1: None)
+NOT_REFUTED = (Membership, "_refute", lambda self, now_ns, claim: None)
+NOT_LONGER_ALONE = (Suspicion, "_timeout_deadline_ns", lambda self: self.since_ns + self._min_timeout_ns)
+NOT_DEFERRED = (Suspicion, "extend", lambda self, heard_at_ns: False)
+NEVER_DEAF = (Membership, "_can_judge", lambda self, now_ns: True)
+NO_DOUBT = (Health, "record_failure", lambda self, weight=1: None)
 
 
 @pytest.mark.parametrize(
@@ -276,7 +276,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     assert not any(doubts(seed) for seed in range(SEEDS))
-    monkeypatch.setattr(Probing, "no_answer", lambda self, seq: None)
+    monkeypatch.setattr(ProbeTracker, "record_nack", lambda self, seq: None)
     assert all(doubts(seed) for seed in range(SEEDS))
 
 
@@ -288,7 +288,7 @@
 
     def suspected() -> bool:
         suspicion = tier.cores()[0].core.members[1].suspicion
-        return suspicion is not None and len(suspicion.by) > 2
+        return suspicion is not None and len(suspicion.reporters) > 2
 
     tier.until(suspected, 10.0, step=0.02)
     tier.world.stop(0)
@@ -303,7 +303,7 @@
 
 def test_without_the_guard_for_pauses_one_that_woke_kills(monkeypatch: pytest.MonkeyPatch) -> None:
     assert not any(killed_by_one_that_woke(seed) for seed in range(12))
-    monkeypatch.setattr(Membership, "_stood_still", lambda self, now: None)
+    monkeypatch.setattr(Membership, "_check_stall", lambda self, now_ns: None)
     assert any(killed_by_one_that_woke(seed) for seed in range(12))
 
 
@@ -336,6 +336,6 @@
     assert first.core.superseded != detector.core.superseded
     stays = detector if first.core.superseded else first
     for node in tier.cores():
-        if node.core.own != 2:
+        if node.core.own_number != 2:
             claim = node.core.members[2].claim
-            assert claim is not None and (claim.life, claim.state) == (stays.core.mine.life, State.ALIVE)
+            assert claim is not None and (claim.life, claim.state) == (stays.core.own_claim.life, State.ALIVE)
--- a/tests/tier/test_tier_in_service.py
+++ b/tests/tier/test_tier_in_service.py
@@ -39,7 +39,7 @@
         rows += [b""] * (8 - len(rows))
         body = msgspec.msgpack.encode([*rows, {"of": "a later version"}])
         head = bytes((wire.VERSION,))
-        return head + self._seal(head, body) + body
+        return head + self._mac(head, body) + body
 
 service.Codec = Codec
 service.wire.VERSION, traits = wire.VERSION, service.Traits
@@ -214,7 +214,7 @@
     [
         ("[tier]\n", "tier.key: is missing"), ('[tier]\nkey = "{key}"\nperiod = "1ms"\n', "tier.period"),
         ('[tier]\nkey = "{key}"\npriod = "1s"\n', "period would do"),
-        ('[tier]\nkey = "{none}"\n', "can't be read"), ('[tier]\nkey = "{open}"\n', "mode 600 would do"),
+        ('[tier]\nkey = "{none}"\n', "can't be read"), ('[tier]\nkey = "{open}"\n', "set mode 600"),
         ('[tier]\nkey = "{empty}"\n', "holds a key of 0 bytes"),
         ('[tier]\nkey = "{key}"\nfolder = "{none}"\n', "is no folder"),
         ('[tier]\nkey = "{key}"\nhistory = "{none}"\n', "No such file"),
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize(
     ("changes", "why"),
     [
-        ({"peers": []}, "no list of 1 to"), ({"peers": ["127.0.0.1:1"] * 2}, "stands there twice"),
+        ({"peers": []}, "no list of 1 to"), ({"peers": ["127.0.0.1:1"] * 2}, "duplicate address"),
         ({"peers": ["x"]}, "the platform's peers"), ({"peer_listen": None}, "the platform's peers"),
     ],
 )  # fmt: skip
--- a/tests/tier/test_tier_parts.py
+++ b/tests/tier/test_tier_parts.py
@@ -19,7 +19,7 @@
 from driftstair.tier.membership.events import NO_NODE, Kind, Message
 from driftstair.tier.membership.members import Claim, State, Traits
 from driftstair.tier.membership.update_queue import UpdateQueue
-from driftstair.tier.replay import WINDOW_BITS, Window
+from driftstair.tier.replay import WINDOW_BITS, ReplayWindow
 from driftstair.tier.wire import Codec, InvalidDatagram
 
 KEY = b"sixteen bytes!!!"
@@ -41,8 +41,8 @@
 ) -> None:
     news, room = [], wire.MAX_CLAIMS_BYTES
     for claim in offered:
-        if wire.size(claim) <= room:
-            room -= wire.size(claim)
+        if wire.claim_size(claim) <= room:
+            room -= wire.claim_size(claim)
             news.append(claim)
     message = Message(kind, mine, 9, order, order, NO_NODE, tuple(news))
     data = CODEC.encode(message)
@@ -53,13 +53,13 @@
 @settings(derandomize=True, max_examples=200)
 @given(claims)
 def test_a_claims_size_is_what_it_takes(claim: Claim) -> None:
-    bare = CODEC.encode(PLAIN._replace(news=()))
-    assert len(CODEC.encode(PLAIN._replace(news=(claim,)))) - len(bare) == wire.size(claim)
+    bare = CODEC.encode(PLAIN._replace(updates=()))
+    assert len(CODEC.encode(PLAIN._replace(updates=(claim,)))) - len(bare) == wire.claim_size(claim)
 
 
 def sealed(body: bytes, version: int = wire.VERSION) -> bytes:
     head = bytes((version,))
-    return head + CODEC._seal(head, body) + body
+    return head + CODEC._mac(head, body) + body
 
 
 def rows(**changes: object) -> list[object]:
@@ -96,16 +96,16 @@
 
 
 def test_fields_of_a_later_version_are_passed_over() -> None:
-    assert CODEC.decode(sealed(msgspec.msgpack.encode(LATER))).mine == MINE
+    assert CODEC.decode(sealed(msgspec.msgpack.encode(LATER))).sender_claim == MINE
 
 
 @settings(derandomize=True, max_examples=300)
 @given(st.lists(st.integers(0, 200), max_size=60))
 def test_a_window_takes_each_count_once_and_nothing_older_than_itself(counts: list[int]) -> None:
-    window, taken, highest = Window(), set(), -1
+    window, taken, highest = ReplayWindow(), set(), -1
     for count in counts:
         wanted = count not in taken and count > highest - WINDOW_BITS
-        assert window.take(count) is wanted
+        assert window.accept(count) is wanted
         if wanted:
             taken.add(count)
             highest = max(highest, count)
@@ -150,7 +150,7 @@
     for bad in ([[1]], [[3, 77, 2, 9, 3, 1, 1, 1]], [[3, 77, 2, 0, -3, 1, 1, 1]], ["abcdefgh"], [7],
                 [[*rank[0][:7], 1 << 70]]):  # fmt: skip
         spoilt.append(
-            json.dumps({"format": member_list.FORMAT, "sum": member_list._sum(bad), "members": bad})
+            json.dumps({"format": member_list.FORMAT, "sum": member_list._checksum(bad), "members": bad})
         )
     for text in spoilt:
         path.write_text(text)
@@ -161,9 +161,9 @@
 @pytest.mark.parametrize(
     ("content", "mode", "why"),
     [
-        (b"", 0o600, "holds a key of 0 bytes; 16 to 64 would do"),
-        (b"x" * 65, 0o600, "holds a key of 65 bytes"), (KEY, 0o640, "is open to others (mode 640)"),
-        (KEY, 0o604, "mode 600 would do"),
+        (b"", 0o600, "holds a key of 0 bytes; 16 to 64 are required"),
+        (b"x" * 65, 0o600, "holds a key of 65 bytes"), (KEY, 0o640, "is accessible to others (mode 640)"),
+        (KEY, 0o604, "set mode 600"),
     ],
 )  # fmt: skip
 def test_a_key_that_is_none_is_refused_with_what_would_do(
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -151,7 +151,7 @@
 
 def test_a_run_that_a_person_ends_is_judged_as_far_as_it_went(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its report once said that every node had judged as it should, with no history looked at."""
-    monkeypatch.setattr(Suspicion, "end", lambda self: NEVER)
+    monkeypatch.setattr(Suspicion, "deadline_ns", lambda self: NEVER)
     seconds: list[float] = []
     rehearsal, log, _ = virtual.play(
         load("tier-crashes", LIGHT), seconds.append, lambda: bool(seconds) and seconds[-1] > 16
@@ -162,14 +162,14 @@
 
 
 def test_a_tier_that_does_not_refute_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Membership, "_answer_claim", lambda self, now, claim: None)
+    monkeypatch.setattr(Membership, "_refute", lambda self, now_ns, claim: None)
     found = report("tier-pauses")
     assert found["verdict"]["tier_findings"] > 0
     assert {one["member"] for one in found["tier"]["findings"]} <= {"n2", "n4", "n3"}
 
 
 def test_a_tier_that_never_finds_a_death_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Suspicion, "end", lambda self: NEVER)
+    monkeypatch.setattr(Suspicion, "deadline_ns", lambda self: NEVER)
     rules = {one["rule"] for one in report("tier-crashes")["tier"]["findings"]}
     assert "a dead node is not held dead" in rules
 
