--- a/driftstair/tier/membership/core.py
+++ b/driftstair/tier/membership/core.py
@@ -33,14 +33,14 @@
 
 NEVER = 1 << 62
 
-INDIRECT_PROBES = 3  # helpers asked to probe a member that did not answer (SWIM's k)
+INDIRECT_PROBES = 3  # helpers per probe that was not answered (SWIM's k)
 GOSSIP_FANOUT = 3  # nodes that updates are sent to in each gossip round
 GOSSIP_ROUNDS_PER_PERIOD = 5  # at most
 MAX_SYNC_CLAIMS = 4  # per probe or answer, beside updates: repairs views after lost updates
 SUSPECT_PROBERS = 5  # expected number of nodes that probe a suspect on learning of the suspicion
 MAX_SUSPECT_PROBES_PER_PERIOD = 2
 STALL_THRESHOLD_PERIODS = 0.4  # a node woken later than this was stalled
-JOIN_PERIODS = 10  # after the start, in which a node that knows nobody contacts others every round
+JOIN_PERIODS = 10  # after its start a node that knows no live member contacts others every gossip round
 ISOLATION_PERIODS = 6  # without any answer to a probe, after which this node is isolated
 MAX_RECLAIMS = 8  # times that this node takes its number back from a later process
 RECLAIM_MEMORY_PERIODS = 60  # without such a conflict, after which the count restarts
@@ -105,12 +105,12 @@
 
     def live_claims(self) -> dict[int, Claim]:
         """Claims on other members that are alive or suspect and not presumed dead, by number."""
-        found = {}
+        claims = {}
         for number in self.live_numbers():
             member = self.members.get(number)
             if member is not None and member.claim is not None and not member.presumed_dead:
-                found[number] = member.claim
-        return found
+                claims[number] = member.claim
+        return claims
 
     def is_isolated(self) -> bool:
         """Whether no probe has been answered for so long that this node considers itself cut off."""
@@ -120,18 +120,18 @@
         return self._leaving
 
     def member_views(self, now_ns: int) -> list[MemberView]:
-        out = []
+        views = []
         for member in self.members.values():
             claim = member.claim or Claim(member.number, 0, 0, State.ALIVE, member.number)
             suspicion = member.suspicion
-            out.append(MemberView(
+            views.append(MemberView(
                 member.number, member.state, claim.life, claim.incarnation, *claim.traits,
                 now_ns - member.since_ns, now_ns - member.heard_at_ns if member.heard_at_ns >= 0 else -1,
                 member.round_trip_ns,
                 tuple(sorted(suspicion.reporters)) if suspicion else (),
                 max(0, suspicion.deadline_ns() - now_ns) if suspicion else -1, member.presumed_dead,
             ))  # fmt: skip
-        return out
+        return views
 
     def all_claims(self) -> tuple[Claim, ...]:
         """Claims on all known members, this node first, to be persisted."""
@@ -427,10 +427,10 @@
     def _handle_ack(self, now_ns: int, message: Message) -> None:
         subject = message.sender_claim.number if message.subject == api.NO_NODE else message.subject
         is_direct = message.sender_claim.number == subject
-        found = self._probes.record_ack(now_ns, message.seq, subject, is_direct)
-        if found is None:
+        result = self._probes.record_ack(now_ns, message.seq, subject, is_direct)
+        if result is None:
             return
-        probe, in_time = found
+        probe, in_time = result
         self._record_contact(now_ns)
         target = self.members[subject]
         if is_direct:
@@ -642,21 +642,21 @@
         """Sends a message with the claims most relevant to its recipient: on the recipient itself, on the
         subject, queued updates, and then claims for repair."""
         claims: list[Claim] = []
-        room = self._max_claims_bytes
+        bytes_left = self._max_claims_bytes
         if payload:
             self._emit(Message(kind, self.own_claim, recipient, self._next_counter, payload=payload))
             return
         for number in (recipient, subject):
             claim = self.members[number].claim if number in self.members else None
             if claim is not None:
-                room -= self._claim_size(claim)
+                bytes_left -= self._claim_size(claim)
                 claims.append(claim)
-        updates, room = self._updates.take(
-            room, self._claim_size, self._live_count, (recipient, subject, self.own_number)
+        updates, bytes_left = self._updates.take(
+            bytes_left, self._claim_size, self._live_count, (recipient, subject, self.own_number)
         )
         claims += updates
         if kind is not Kind.NEWS:
-            claims += self._next_sync_claims(room, {claim.number for claim in claims})
+            claims += self._next_sync_claims(bytes_left, {claim.number for claim in claims})
         self._emit(Message(kind, self.own_claim, recipient, self._next_counter, seq, subject, tuple(claims)))
 
     def _emit(self, message: Message) -> None:
@@ -664,8 +664,8 @@
         self.counts["out"] += 1
         self._actions.append(Send(message))
 
-    def _next_sync_claims(self, room: int, included: set[int]) -> list[Claim]:
-        out: list[Claim] = []
+    def _next_sync_claims(self, bytes_left: int, included: set[int]) -> list[Claim]:
+        selected: list[Claim] = []
         for _ in range(min(MAX_SYNC_CLAIMS, len(self.members))):
             if not self._sync_round:
                 self._sync_round = list(self.members)
@@ -674,8 +674,8 @@
             claim = self.members[number].claim
             if claim is None or number in included:
                 continue
-            room -= self._claim_size(claim)
-            if room < 0:
+            bytes_left -= self._claim_size(claim)
+            if bytes_left < 0:
                 break
-            out.append(claim)
-        return out
+            selected.append(claim)
+        return selected
--- a/driftstair/tier/membership/probing.py
+++ b/driftstair/tier/membership/probing.py
@@ -7,12 +7,10 @@
 NS_PER_MS = 1_000_000
 MAX_RELAYED_PROBES = 64
 MAX_EXPIRED_PROBES = 32
-MIN_TIMEOUT_MARGIN_NS = 50 * NS_PER_MS  # over the smoothed round trip
+MIN_TIMEOUT_MARGIN_NS = 50 * NS_PER_MS  # over the round trip: answers faster than this are never late
 MIN_TIMEOUT_DIVISOR = 4  # the shortest timeout is the period divided by this
-MAX_TIMEOUT_PERIODS = 2  # the longest timeout of a healthy node
-TIMEOUTS_PER_PROBE = (
-    3  # from a probe to its verdict: the direct probe, the indirect ones, and the way between
-)
+MAX_TIMEOUT_PERIODS = 2  # the longest timeout, before the health multiplier
+TIMEOUTS_PER_PROBE = 3  # until a verdict: the direct probe, the indirect ones, and transit
 NACK_FRACTION = 0.8  # of the timeout, after which a relaying node reports that it has no answer either
 
 
@@ -80,13 +78,13 @@
     def take_expired(self, now_ns: int) -> list[Probe]:
         """Probes that have failed. They are remembered for a while: a late answer still yields a round
         trip."""
-        found = [probe for probe in self._pending.values() if probe.deadline_ns <= now_ns]
-        for probe in found:
+        expired = [probe for probe in self._pending.values() if probe.deadline_ns <= now_ns]
+        for probe in expired:
             del self._pending[probe.seq]
             if len(self._expired) >= MAX_EXPIRED_PROBES:
                 del self._expired[next(iter(self._expired))]
             self._expired[probe.seq] = probe
-        return found
+        return expired
 
     def due_for_indirect(self, now_ns: int) -> list[Probe]:
         """Probes for which helpers are to be asked now."""
@@ -141,10 +139,10 @@
             if relayed.nack_sent:
                 del self.relayed[seq]
             relayed.due_ns = now_ns + self._period_ns * multiplier
-        found = [relayed for _, relayed in due if not relayed.nack_sent]
-        for relayed in found:
+        unanswered = [relayed for _, relayed in due if not relayed.nack_sent]
+        for relayed in unanswered:
             relayed.nack_sent = True
-        return found
+        return unanswered
 
     def discard(self, number: int) -> None:
         """Drops all probes that involve a node."""
--- a/driftstair/tier/membership/update_queue.py
+++ b/driftstair/tier/membership/update_queue.py
@@ -52,9 +52,9 @@
     ) -> tuple[list[Claim], int]:
         """Returns as many updates as fit into `max_bytes`, each counted as transmitted once more, and the
         number of bytes left. `included`: members that the datagram already has claims on."""
-        out: list[Claim] = []
+        selected: list[Claim] = []
         if not self._transmissions:
-            return out, max_bytes
+            return selected, max_bytes
         taken: list[tuple[Claim, int]] = []
         for transmissions, updates in enumerate(self._by_transmissions):
             for number in reversed(updates):
@@ -63,11 +63,11 @@
                     max_bytes -= claim_size(claim)
                     if max_bytes < 0:
                         self._requeue(taken, live)
-                        return out, max_bytes + claim_size(claim)
-                    out.append(claim)
+                        return selected, max_bytes + claim_size(claim)
+                    selected.append(claim)
                 taken.append((claim, transmissions))
         self._requeue(taken, live)
-        return out, max_bytes
+        return selected, max_bytes
 
     def _requeue(self, taken: list[tuple[Claim, int]], live: int) -> None:
         """Puts updates back for their next transmission, except those that have been sent often enough."""
