--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -73,7 +73,7 @@
             fleet.servers.append(server)
             self.desks = [ports.tcp() for _ in range(self.count)]
             await self.start(*range(self.count))
-            await fleet.joined()
+            await fleet.wait_joined()
             traffic = Traffic(fleet)
             traffic.on(*range(self.count))
             asking = asyncio.create_task(self.ask())
@@ -142,7 +142,7 @@
     def go_on(self, number: int) -> None:
         if number in self._stopped:
             self._stopped.discard(number)
-            self.fleet.go_on(number)
+            self.fleet.resume(number)
 
     async def mend(self) -> None:
         self.say("all is mended")
@@ -152,7 +152,7 @@
             self.go_on(number)
         await self.start(*sorted(self._down))
         self._down.clear()
-        await self.fleet.joined()
+        await self.fleet.wait_joined()
 
     def say(self, line: str) -> None:
         self.lines.append(line)
@@ -196,7 +196,7 @@
         ledgers = self.folder / "ledgers"
         await self.fleet.kill(gone)
         try:
-            await self.fleet.until(lambda: billing.has(ledgers, f"n{gone}"), "not in the books")
+            await self.fleet.wait_until(lambda: billing.has(ledgers, f"n{gone}"), "not in the books")
         except AssertionError:
             return [f"the ledger of n{gone} is not in the books, once and in order"]
         return [
@@ -213,7 +213,7 @@
         self.owned = sum(one["event"] == "own" for one in events)
         self.refused = sum(one["event"] == "refused" for one in events)
         self.crashes = [
-            f"n{number}: {line}" for number, lines in self.fleet.lines.items() for line in lines
+            f"n{number}: {line}" for number, lines in self.fleet.log_lines.items() for line in lines
             if "Traceback" in line
         ]  # fmt: skip
         return [f"{one.rule}: node {one.node}: {one.evidence}" for one in found] + self.crashes
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -188,7 +188,7 @@
             for first in range(0, count, 10):
                 await fleet.start(*range(first, min(count, first + 10)))
                 await asyncio.sleep(0.5)
-            await fleet.joined()
+            await fleet.wait_joined()
             joined = time.monotonic() - began
             await asyncio.sleep(5.0)
             pids = [fleet.process(number).pid for number in range(count)]
@@ -197,10 +197,10 @@
             spent = [_cpu(pid) - one for pid, one in zip(pids, before, strict=True)]
             cpu = sum(spent) / count / (time.monotonic() - at)
             memory = median(_memory(pid) for pid in pids)
-            wrong = len(fleet.deaths())
+            wrong = len(fleet.dead_verdicts())
             killed = time.monotonic_ns()
             await fleet.kill(count - 1)
-            await fleet.held((count - 1,), "dead")
+            await fleet.wait_for_state((count - 1,), "dead")
             known = [
                 (held.at - killed) / 1e9 for process in fleet.story().processes for held in process.held
                 if held.member == count - 1 and held.state == "dead"
@@ -223,13 +223,13 @@
         async with Fleet(Path(folder), 4, period="1s") as fleet:
             table = fleet.service.read_text()
             await fleet.start(0, 1, 2)
-            await fleet.held((1, 2), "alive", by=(0,))
+            await fleet.wait_for_state((1, 2), "alive", by=(0,))
             fleet.service.write_text("version = 1\n")
             await fleet.start(3)
-            await fleet.until(lambda: 3 in fleet.ready)
+            await fleet.wait_until(lambda: 3 in fleet.addresses)
             fleet.service.write_text(table)
             clients = {
-                number: Client(*await asyncio.open_connection(*fleet.ready[number])) for number in (0, 3)
+                number: Client(*await asyncio.open_connection(*fleet.addresses[number])) for number in (0, 3)
             }
             spent: dict[int, list[float]] = {0: [], 3: []}
             for _ in range(30):
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -148,15 +148,15 @@
             fleet.servers.append(server)
             text = fleet.service.read_text()
             await fleet.start(0, 1, 2)
-            await fleet.held((1, 2), "alive", by=(0,))
+            await fleet.wait_for_state((1, 2), "alive", by=(0,))
             fleet.service.write_text(
                 'version = 1\n[[route]]\nname = "all"\nadmit = { rate = { per_s = 1e5, burst = 1000.0 } }\n'
             )
             await fleet.start(3)
-            await fleet.until(lambda: 3 in fleet.ready)
+            await fleet.wait_until(lambda: 3 in fleet.addresses)
             fleet.service.write_text(text)
             clients = {
-                number: Client(*await asyncio.open_connection(*fleet.ready[number])) for number in (0, 3)
+                number: Client(*await asyncio.open_connection(*fleet.addresses[number])) for number in (0, 3)
             }
             spent: dict[int, float] = {0: 0.0, 3: 0.0}
             for turn in range(21):
@@ -195,7 +195,7 @@
             for first in range(0, count, 10):
                 await fleet.start(*range(first, min(count, first + 10)))
                 await asyncio.sleep(0.5)
-            await fleet.joined()
+            await fleet.wait_joined()
             await asyncio.sleep(6.0)  # loans of before the start are over
             pids = [fleet.process(number).pid for number in range(count)]
             before, at = sum(map(_cpu, pids)), time.monotonic()
@@ -214,7 +214,7 @@
             def told() -> list[int]:
                 return sorted(one.begin for one in judged(fleet) if one.server == BAD)
 
-            await fleet.until(lambda: len(told()) >= len(busy))
+            await fleet.wait_until(lambda: len(told()) >= len(busy))
             first_known, known = ((one - failed) / 1e9 for one in (told()[0], told()[len(busy) - 1]))
             wrong = {one.server for one in judged(fleet)} - {BAD}
             await traffic.off()
--- a/tests/tier/fleet.py
+++ b/tests/tier/fleet.py
@@ -1,4 +1,5 @@
-"""Several processes of the program on loopback, a network of the kit between them, and their histories."""
+"""Runs several processes of the program on loopback, with simulated links between them, and reads their
+histories."""
 
 from __future__ import annotations
 
@@ -22,43 +23,43 @@
 from driftstair.rehearsal.tier.relay import Relay, RelayProcess
 
 ROOT = Path(__file__).parents[2]
-PATIENCE = 60.0  # s: only a test that has failed waits so long
-LOOK = 0.02  # s
-# A process whose wall clock is off by so many hours, whatever the machine's says.
-OFF = """
+TIMEOUT_S = 60.0  # reached only by failing tests
+POLL_INTERVAL_S = 0.02
+# A process whose wall clock is shifted by a number of hours.
+SHIFTED_CLOCK_PROGRAM = """
 import sys, time
-right = time.time_ns
-time.time_ns = lambda: right() + {hours} * 3600 * 10**9
+real = time.time_ns
+time.time_ns = lambda: real() + {hours} * 3600 * 10**9
 from driftstair.__main__ import main
 sys.exit(main())
 """
-MANY = 20  # nodes, from which on the relay is a process of its own
+RELAY_PROCESS_MIN_NODES = 20  # from this size on, the relay runs in its own process
 KEY = "the key of a tier of tests"
 PERIOD = "200ms"
 
 
 class Fleet:
-    """`count` nodes, number i named `n{i}`."""
+    """`count` nodes; node i is named `n{i}`."""
 
     def __init__(
-        self, folder: Path, count: int, table: str = "", code: str = "", period: str = PERIOD
+        self, folder: Path, count: int, table: str = "", program: str = "", period: str = PERIOD
     ) -> None:
         self.folder = folder
         self.count = count
         self.links = Links(seed=7)
         self.faults: list[Span] = []
-        self.desk = ""  # where operators call node 0, if they do
-        self.lines: dict[int, list[str]] = {}
-        self.ready: dict[int, tuple[str, int]] = {}
-        self.code = dict.fromkeys(range(count), code)  # the program, in the place of `-m driftstair`
-        self.servers: list[Server] = []  # that all nodes know from their start on
-        self._held = ports.udp(count)
+        self.operator_address = ""  # of node 0's operator interface, if it is used
+        self.log_lines: dict[int, list[str]] = {}
+        self.addresses: dict[int, tuple[str, int]] = {}
+        self.programs = dict.fromkeys(range(count), program)  # replaces `-m driftstair` if not empty
+        self.servers: list[Server] = []  # known to all nodes from the start
+        self._ports = ports.udp(count)
         self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._readers: list[asyncio.Task[None]] = []
-        self._lasting: dict[tuple[str, int], int] = {}  # faults: what befell whom, and since when
+        self._ongoing: dict[tuple[str, int], int] = {}  # faults by kind and node, with their begin in ns
         self.histories = folder / "histories"
         self.histories.mkdir()
-        self._following = Following(self.histories)
+        self._histories_reader = Following(self.histories)
         key = folder / "key"
         key.write_text(KEY)
         key.chmod(0o600)
@@ -70,9 +71,9 @@
     async def __aenter__(self) -> Fleet:
         self.discovery = Discovery()
         await self.discovery.__aenter__()
-        numbers = [one.number for one in self._held]
-        make = Relay if self.count < MANY else RelayProcess
-        self.relay: Relay | RelayProcess = make(self.links, numbers)
+        numbers = [port.number for port in self._ports]
+        relay_type = Relay if self.count < RELAY_PROCESS_MIN_NODES else RelayProcess
+        self.relay: Relay | RelayProcess = relay_type(self.links, numbers)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -81,19 +82,19 @@
                 process.send_signal(signal.SIGCONT)
                 process.kill()
         await asyncio.gather(*(process.wait() for process in self._processes.values()), *self._readers)
-        for held in self._held:
-            held.release()
+        for port in self._ports:
+            port.release()
         self.relay.close()
         await self.discovery.__aexit__()
 
-    # What befalls nodes and links.
+    # Faults on nodes and links.
 
     def document(self, number: int) -> dict[str, Any]:
         document = configuration(*self.servers, discovery=self.discovery.address, Peers=True)
         document["settings"] |= {"SelfIndex": number, "PeersTotal": self.count, "MyZone": 0}
         document["name"] = f"n{number}"
         document["seed"] = f"{number + 1:016x}"
-        document["peer_listen"] = f"127.0.0.1:{self._held[number].number}"
+        document["peer_listen"] = f"127.0.0.1:{self._ports[number].number}"
         document["peers"] = self.relay.peers(number)
         return document
 
@@ -101,38 +102,38 @@
         for number in numbers or range(self.count):
             path = self.folder / f"n{number}.json"
             path.write_text(json.dumps(self.document(number)))
-            code = self.code[number]
-            self._held[number].release()
-            options = ("-c", code) if code else ("-m", "driftstair")
+            program = self.programs[number]
+            self._ports[number].release()
+            options = ("-c", program) if program else ("-m", "driftstair")
             process = await asyncio.create_subprocess_exec(
                 sys.executable, *options, "--service", str(self.service), cwd=ROOT,
                 env={**os.environ, "BALANCER_CONFIG": str(path), **(env or {})},
                 stderr=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.DEVNULL,
             )  # fmt: skip
             self._processes[number] = process
-            self.ready.pop(number, None)
+            self.addresses.pop(number, None)
             self._end("down", number)
             self._readers.append(asyncio.create_task(self._read(number, process)))
 
     async def _read(self, number: int, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := (await process.stderr.readline()).decode().rstrip():
-            self.lines.setdefault(number, []).append(line)
+            self.log_lines.setdefault(number, []).append(line)
             if found := re.search(r"serving on (\S+):(\d+)$", line):
-                self.ready[number] = (found[1], int(found[2]))
+                self.addresses[number] = (found[1], int(found[2]))
 
     def process(self, number: int) -> asyncio.subprocess.Process:
         return self._processes[number]
 
-    def _begin(self, what: str, *numbers: int) -> None:
+    def _begin(self, kind: str, *numbers: int) -> None:
         for number in numbers:
-            self._lasting[what, number] = time.monotonic_ns()
+            self._ongoing[kind, number] = time.monotonic_ns()
 
-    def _end(self, what: str, *numbers: int) -> None:
+    def _end(self, kind: str, *numbers: int) -> None:
         for number in numbers:
-            begin = self._lasting.pop((what, number), None)
-            if begin is not None:
-                self.faults.append(Span(number, begin, time.monotonic_ns(), what == "down"))
+            begin_ns = self._ongoing.pop((kind, number), None)
+            if begin_ns is not None:
+                self.faults.append(Span(number, begin_ns, time.monotonic_ns(), kind == "down"))
 
     async def kill(self, *numbers: int) -> None:
         self._begin("down", *numbers)
@@ -143,20 +144,20 @@
     async def terminate(self, number: int) -> int:
         self._begin("down", number)
         self._processes[number].terminate()
-        return await asyncio.wait_for(self._processes[number].wait(), PATIENCE)
+        return await asyncio.wait_for(self._processes[number].wait(), TIMEOUT_S)
 
     def stop(self, *numbers: int) -> None:
         self._begin("stopped", *numbers)
         for number in numbers:
             self._processes[number].send_signal(signal.SIGSTOP)
 
-    def go_on(self, *numbers: int) -> None:
+    def resume(self, *numbers: int) -> None:
         for number in numbers:
             self._processes[number].send_signal(signal.SIGCONT)
         self._end("stopped", *numbers)
 
     def cut(self, *pairs: tuple[int, int], blame: tuple[int, ...] = ()) -> Callable[[], None]:
-        """`blame`: nodes that are not reached while it lasts."""
+        """Cuts links and returns a function that heals them. `blame`: nodes unreachable meanwhile."""
         fault, chosen = Fault(cut=True), list(pairs)
         self.links.begin(chosen, fault)
         self._begin("cut off", *blame)
@@ -171,33 +172,34 @@
         every = range(self.count)
         return [(one, other) for one in every for other in every if one != other]
 
-    # What the nodes hold.
+    # The nodes' views.
 
     def story(self) -> Story:
-        now = time.monotonic_ns()
-        lasting = [
-            Span(number, begin, now + 1, what == "down") for (what, number), begin in self._lasting.items()
+        now_ns = time.monotonic_ns()
+        ongoing = [
+            Span(number, begin_ns, now_ns + 1, kind == "down")
+            for (kind, number), begin_ns in self._ongoing.items()
         ]
-        return Story(self._following.processes(), self.faults + lasting, now)
+        return Story(self._histories_reader.processes(), self.faults + ongoing, now_ns)
 
     def events(self) -> list[dict[str, Any]]:
-        """Of all histories."""
+        """Events of all histories."""
         return [event for one in read_events(self.histories) for event in one]
 
     def findings(self, bounds: Bounds) -> list[Finding]:
         return check(self.story(), bounds)
 
-    def deaths(self) -> list[tuple[int, Held]]:
-        """Who held whom dead, but for those that stood still by their own word, as on a busy machine."""
+    def dead_verdicts(self) -> list[tuple[int, Held]]:
+        """Who declared whom dead, leaving out nodes that recorded a stall, as on a busy machine."""
         story = self.story()
-        still = {process.node for process in story.processes if process.stood_still}
+        stalled = {process.node for process in story.processes if process.stood_still}
         return [
             (process.node, one) for process in story.processes for one in process.held
-            if one.state == "dead" and not still & {process.node, one.member}
+            if one.state == "dead" and not stalled & {process.node, one.member}
         ]  # fmt: skip
 
     def views(self) -> dict[int, dict[int, str]]:
-        """By each node's latest process: what it holds of the others."""
+        """The latest states of the other members, by node, at its latest process."""
         out: dict[int, dict[int, str]] = {}
         for process in self.story().processes:
             out[process.node] = {
@@ -205,40 +207,42 @@
             }
         return out
 
-    async def until(self, what: Callable[[], object], why: str = "") -> None:
-        """Wait for something that the histories tell of."""
+    async def wait_until(self, condition: Callable[[], object], description: str = "") -> None:
+        """Waits for a condition on the histories."""
         try:
-            async with asyncio.timeout(PATIENCE):
-                while not what():
-                    await asyncio.sleep(LOOK * max(1.0, self.count / MANY))
+            async with asyncio.timeout(TIMEOUT_S):
+                while not condition():
+                    await asyncio.sleep(POLL_INTERVAL_S * max(1.0, self.count / RELAY_PROCESS_MIN_NODES))
         except TimeoutError:
-            logs = "\n".join(f"n{one}: {line}" for one, lines in self.lines.items() for line in lines[-15:])
-            raise AssertionError(f"{why or 'never so'}: {self.views()}\n{logs}") from None
+            logs = "\n".join(
+                f"n{one}: {line}" for one, lines in self.log_lines.items() for line in lines[-15:]
+            )
+            raise AssertionError(f"{description or 'condition not met'}: {self.views()}\n{logs}") from None
 
-    async def held(self, members: tuple[int, ...], *states: str, by: tuple[int, ...] = ()) -> None:
-        """Until all of `by` (left out: all others) hold each of these in one of these states."""
+    async def wait_for_state(self, members: tuple[int, ...], *states: str, by: tuple[int, ...] = ()) -> None:
+        """Waits until all of `by` (default: all other nodes) hold each member in one of the states."""
         watchers = by or tuple(number for number in range(self.count) if number not in members)
 
-        def so() -> bool:
+        def is_held() -> bool:
             views = self.views()
             return all(
                 views.get(one, {}).get(member) in states for one in watchers for member in members
                 if one != member
             )  # fmt: skip
 
-        await self.until(so, f"{members} never {states} by {watchers}")
+        await self.wait_until(is_held, f"{members} never {states} at {watchers}")
 
-    async def joined(self) -> None:
-        """All alive for all, and all hold the same."""
+    async def wait_joined(self) -> None:
+        """Waits until every node holds every other alive and all views agree."""
         every = tuple(range(self.count))
-        await self.held(every, "alive", by=every)
-        await self.agreed()
+        await self.wait_for_state(every, "alive", by=every)
+        await self.wait_agreed()
 
-    async def joined_but(self, *gone: int) -> None:
-        """All alive for all, but for these, which are dead."""
+    async def wait_joined_except(self, *gone: int) -> None:
+        """Waits until the remaining nodes hold each other alive and `gone` dead."""
         rest = tuple(number for number in range(self.count) if number not in gone)
-        await self.held(rest, "alive", by=rest)
-        await self.held(gone, "dead", by=rest)
+        await self.wait_for_state(rest, "alive", by=rest)
+        await self.wait_for_state(gone, "dead", by=rest)
 
-    async def agreed(self) -> None:
-        await self.until(lambda: disagreement(self.story(), Bounds(settle=0.0)) == [], "views differ")
+    async def wait_agreed(self) -> None:
+        await self.wait_until(lambda: disagreement(self.story(), Bounds(settle=0.0)) == [], "views differ")
--- a/tests/tier/test_budgets_processes.py
+++ b/tests/tier/test_budgets_processes.py
@@ -51,7 +51,7 @@
         async with Fleet(folder, count, folder_line + TABLE, **more) as fleet, Server("s0") as server:
             fleet.servers.append(server)
             await fleet.start()
-            await fleet.joined()
+            await fleet.wait_joined()
             traffic = Traffic(fleet)
             try:
                 await act(fleet, traffic)
@@ -68,12 +68,12 @@
     async def act(fleet: Fleet, traffic: Traffic) -> None:
         traffic.on(0)
         for lender in (1, 2, 3, 4):
-            await fleet.until(lambda lender=lender: moved(fleet, "took", 0, lender))  # type: ignore[misc]
+            await fleet.wait_until(lambda lender=lender: moved(fleet, "took", 0, lender))  # type: ignore[misc]
         await fleet.kill(1)
         before = moved(fleet, "renewed", 0)
-        await fleet.until(lambda: moved(fleet, "renewed", 0) > before + 12)
+        await fleet.wait_until(lambda: moved(fleet, "renewed", 0) > before + 12)
         await fleet.start(1)  # it does not know what it has lent
-        await fleet.until(lambda: moved(fleet, "lent", 1) > 3 and moved(fleet, "took", 0, 1) > 4)
+        await fleet.wait_until(lambda: moved(fleet, "lent", 1) > 3 and moved(fleet, "took", 0, 1) > 4)
         assert {200, 503} & set(traffic.answered[0]) == {200, 503}
 
     played(tmp_path, 5, act)
@@ -87,13 +87,13 @@
         def begins() -> list[int]:
             return [one["own"] for one in events(fleet) if one["event"] == "budget" and one["node"] == 1]
 
-        await fleet.until(lambda: (kept / "n1.members").exists())
+        await fleet.wait_until(lambda: (kept / "n1.members").exists())
         assert await fleet.terminate(1) == 0
         await fleet.start(1)
-        await fleet.until(lambda: len(begins()) == 2)
+        await fleet.wait_until(lambda: len(begins()) == 2)
         await fleet.kill(1)
         await fleet.start(1)
-        await fleet.until(lambda: len(begins()) == 3)
+        await fleet.wait_until(lambda: len(begins()) == 3)
         # It had been up for longer than a loan lasts, and had lent nothing.
         assert begins() == [1, 32, 1]
 
@@ -103,13 +103,13 @@
 def test_a_borrower_that_stood_still_has_nothing_left_of_its_loans(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic) -> None:
         traffic.on(0, 1)
-        await fleet.until(lambda: moved(fleet, "took", 0) > 3)
+        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3)
         fleet.stop(0)
         before = moved(fleet, "took", 1)
-        await fleet.until(lambda: moved(fleet, "took", 1) > before + 3)  # what it had, another has
-        fleet.go_on(0)
+        await fleet.wait_until(lambda: moved(fleet, "took", 1) > before + 3)  # what it had, another has
+        fleet.resume(0)
         after = spent(fleet, 0)
-        await fleet.until(lambda: spent(fleet, 0) > after + 20)
+        await fleet.wait_until(lambda: spent(fleet, 0) > after + 20)
 
     played(tmp_path, 5, act)
 
@@ -118,17 +118,17 @@
     async def act(fleet: Fleet, traffic: Traffic) -> None:
         one, other = (0, 1, 2), (3, 4, 5, 6)
         traffic.on(0, 3)
-        await fleet.until(lambda: moved(fleet, "took", 0) > 3 and moved(fleet, "took", 3) > 3)
+        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3 and moved(fleet, "took", 3) > 3)
         pairs = [pair for pair in fleet.all_pairs() if (pair[0] in one) != (pair[1] in one)]
         heal = fleet.cut(*pairs, blame=tuple(range(7)))
-        await fleet.held(other, "dead", by=one)
+        await fleet.wait_for_state(other, "dead", by=one)
         before = spent(fleet, 0), spent(fleet, 3)
-        await fleet.until(lambda: spent(fleet, 0) > before[0] + 60 and spent(fleet, 3) > before[1] + 60)
+        await fleet.wait_until(lambda: spent(fleet, 0) > before[0] + 60 and spent(fleet, 3) > before[1] + 60)
         heal()
-        await fleet.joined()
+        await fleet.wait_joined()
         await traffic.off(3)
         across = sum(moved(fleet, "took", 0, number) for number in other)
-        await fleet.until(lambda: sum(moved(fleet, "took", 0, number) for number in other) > across)
+        await fleet.wait_until(lambda: sum(moved(fleet, "took", 0, number) for number in other) > across)
 
     played(tmp_path, 7, act)
 
@@ -136,14 +136,14 @@
 def test_one_that_reaches_none_has_its_own_part_and_others_take_over_what_it_borrowed(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic) -> None:
         traffic.on(0)
-        await fleet.until(lambda: moved(fleet, "took", 0) > 3)
+        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3)
         heal = fleet.cut(*((0, number) for number in (1, 2, 3, 4)), blame=(0,))
         traffic.on(1)
-        await fleet.until(lambda: moved(fleet, "took", 1) > 8)
+        await fleet.wait_until(lambda: moved(fleet, "took", 1) > 8)
         before = spent(fleet, 0)
-        await fleet.until(lambda: spent(fleet, 0) > before + 40)
+        await fleet.wait_until(lambda: spent(fleet, 0) > before + 40)
         heal()
-        await fleet.joined()
+        await fleet.wait_joined()
 
     played(tmp_path, 5, act)
 
@@ -171,14 +171,14 @@
 
     async def act(fleet: Fleet, traffic: Traffic) -> None:
         traffic.on(0, 1)
-        await fleet.until(lambda: moved(fleet, "took", 0) > 3)
+        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3)
         trigger.touch()
-        await fleet.until(lambda: not trigger.exists())
+        await fleet.wait_until(lambda: not trigger.exists())
         before = moved(fleet, "took", 1)
-        await fleet.until(lambda: moved(fleet, "took", 1) > before + 3)
-        fleet.go_on(0)
+        await fleet.wait_until(lambda: moved(fleet, "took", 1) > before + 3)
+        fleet.resume(0)
         after = spent(fleet, 0)
-        await fleet.until(lambda: spent(fleet, 0) > after + 20)
+        await fleet.wait_until(lambda: spent(fleet, 0) > after + 20)
 
     played(tmp_path, 5, act, code=STOPS_ITSELF.format(trigger=str(trigger)))
 
@@ -212,9 +212,9 @@
 def test_a_planted_defect_is_seen_in_the_histories(module: str, what: str, tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic) -> None:
         traffic.on(0, 1)
-        await fleet.until(lambda: moved(fleet, "took", 0) > 3 and moved(fleet, "took", 1) > 3)
+        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3 and moved(fleet, "took", 1) > 3)
         fleet.stop(0)
-        await fleet.until(lambda: any("two holders" in one.rule for one in check(events(fleet))))
-        fleet.go_on(0)
+        await fleet.wait_until(lambda: any("two holders" in one.rule for one in check(events(fleet))))
+        fleet.resume(0)
 
     played(tmp_path, 5, act, bound=False, code=DEFECT.format(module=module, what=what))
--- a/tests/tier/test_collecting_processes.py
+++ b/tests/tier/test_collecting_processes.py
@@ -69,7 +69,7 @@
             async with Fleet(folder, count, table) as fleet:
                 fleet.servers.append(server)
                 await fleet.start()
-                await fleet.joined()
+                await fleet.wait_joined()
                 traffic = Traffic(fleet)
                 traffic.on(*range(count))
                 try:
@@ -91,15 +91,15 @@
     tmp_path: Path,
 ) -> None:
     async def act(fleet: Fleet, traffic: Traffic, billing: Billing, ledgers: Path) -> None:
-        await fleet.until(lambda: owner(fleet) >= 0)
+        await fleet.wait_until(lambda: owner(fleet) >= 0)
         first = owner(fleet)
         gone = [number for number in range(5) if number != first][:1]
         await fleet.kill(*gone)
-        await fleet.until(lambda: billing.has(ledgers, f"n{gone[0]}"))
+        await fleet.wait_until(lambda: billing.has(ledgers, f"n{gone[0]}"))
         await billing.kill()
         await fleet.kill(first)  # whoever brought it in is gone as well
         await billing.start()
-        await fleet.until(lambda: billing.has(ledgers, f"n{first}"))
+        await fleet.wait_until(lambda: billing.has(ledgers, f"n{first}"))
         assert owner(fleet) not in (first, *gone)
         await fleet.start(first, *gone)
         living = [path.name for path in billing.folder.glob("*.ledger")]
@@ -112,17 +112,17 @@
 
 def test_an_owner_that_stood_still_between_check_and_act_changes_nothing(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic, billing: Billing, ledgers: Path) -> None:
-        await fleet.until(lambda: owner(fleet) >= 0)
+        await fleet.wait_until(lambda: owner(fleet) >= 0)
         first = owner(fleet)
         victims = [number for number in range(5) if number != first]
         fleet.stop(first)
-        await fleet.until(lambda: owner(fleet) != first)
+        await fleet.wait_until(lambda: owner(fleet) != first)
         second = owner(fleet)
         victim = next(number for number in victims if number != second)
         await fleet.kill(victim)
-        await fleet.until(lambda: billing.has(ledgers, f"n{victim}"))
-        fleet.go_on(first)
-        await fleet.joined_but(victim)
+        await fleet.wait_until(lambda: billing.has(ledgers, f"n{victim}"))
+        fleet.resume(first)
+        await fleet.wait_joined_except(victim)
         assert billing.has(ledgers, f"n{victim}")
 
     played(tmp_path, 5, act)
--- a/tests/tier/test_judgements_processes.py
+++ b/tests/tier/test_judgements_processes.py
@@ -50,13 +50,13 @@
         async with AsyncExitStack() as stack, Fleet(folder, count, "judge = true\n") as fleet:
             servers = {name: await stack.enter_async_context(Server(name)) for name in SERVERS}
             fleet.servers = list(servers.values())
-            fleet.code |= dict.fromkeys(liars, LIAR)
+            fleet.programs |= dict.fromkeys(liars, LIAR)
             await fleet.start(*range(1, count))
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", 0))
-                fleet.desk = f"127.0.0.1:{probe.getsockname()[1]}"
-            await fleet.start(0, env={"BALANCER_OPS": fleet.desk})
-            await fleet.joined()
+                fleet.operator_address = f"127.0.0.1:{probe.getsockname()[1]}"
+            await fleet.start(0, env={"BALANCER_OPS": fleet.operator_address})
+            await fleet.wait_joined()
             traffic = Traffic(fleet)
             traffic.on(*range(count))
             try:
@@ -71,7 +71,7 @@
 
 def state(fleet: Fleet) -> dict[str, Any]:
     done = subprocess.run(
-        [sys.executable, "-m", "driftstair", "tier", "state", fleet.desk, "--json"], cwd=ROOT,
+        [sys.executable, "-m", "driftstair", "tier", "state", fleet.operator_address, "--json"], cwd=ROOT,
         capture_output=True, text=True, timeout=60,
     )  # fmt: skip
     found: dict[str, Any] = json.loads(done.stdout)
@@ -81,7 +81,7 @@
 def test_a_failing_server_is_held_back_by_all_that_run_and_back_once_it_is_sound(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic, servers: dict[str, Server]) -> None:
         servers[BAD].script = says(answer(500))
-        await fleet.until(holding(fleet, 0, 1, 2, 3, 4))
+        await fleet.wait_until(holding(fleet, 0, 1, 2, 3, 4))
         found = await asyncio.to_thread(state, fleet)
         assert [one["server"] for one in found["held_back"]] == [BAD]
         assert found["state"]["0"]["nodes"] == 5
@@ -89,10 +89,10 @@
         fleet.stop(2)
         await fleet.kill(3)
         await fleet.start(3)
-        await fleet.until(holding(fleet, 3))  # it has not seen much of it itself
+        await fleet.wait_until(holding(fleet, 3))  # it has not seen much of it itself
         servers[BAD].script = serves
-        fleet.go_on(2)
-        await fleet.until(lambda: all(one.end < 1 << 62 for one in judged(fleet)))
+        fleet.resume(2)
+        await fleet.wait_until(lambda: all(one.end < 1 << 62 for one in judged(fleet)))
 
     played(tmp_path, 5, act)
 
@@ -106,21 +106,21 @@
 def test_one_node_tries_a_server_for_all_and_another_does_once_that_one_is_gone(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic, servers: dict[str, Server]) -> None:
         servers[BAD].script = says(answer(500))
-        await fleet.until(holding(fleet, 0, 1, 2, 3, 4))
-        await fleet.until(lambda: probers(fleet))
+        await fleet.wait_until(holding(fleet, 0, 1, 2, 3, 4))
+        await fleet.wait_until(lambda: probers(fleet))
         (first,) = probers(fleet)
         found = await asyncio.to_thread(state, fleet)
         (task,) = found["tasks"].values()
         assert task["owner"] in (first, None)  # a member of the council that has not heard of it yet
         await fleet.kill(first)
-        await fleet.until(lambda: len(set(probers(fleet))) > 1)
+        await fleet.wait_until(lambda: len(set(probers(fleet))) > 1)
         second = probers(fleet)[-1]
         fleet.stop(second)
-        await fleet.until(lambda: probers(fleet)[-1] not in (first, second))
-        fleet.go_on(second)
+        await fleet.wait_until(lambda: probers(fleet)[-1] not in (first, second))
+        fleet.resume(second)
         await fleet.start(first)
         servers[BAD].script = serves
-        await fleet.until(lambda: all(one.end < 1 << 62 for one in judged(fleet)))
+        await fleet.wait_until(lambda: all(one.end < 1 << 62 for one in judged(fleet)))
 
     played(tmp_path, 5, act)
 
@@ -128,7 +128,7 @@
 def test_two_that_say_that_every_server_fails_are_not_believed(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic, servers: dict[str, Server]) -> None:
         servers[BAD].script = says(answer(500))
-        await fleet.until(holding(fleet, 0, 2, 3, 5, 6))
+        await fleet.wait_until(holding(fleet, 0, 2, 3, 5, 6))
         # What a node tells of itself goes round as other facts do.
         while (await asyncio.to_thread(state, fleet))["state"]["0"]["finding_all_bad"] != [1, 4]:
             await asyncio.sleep(0.1)
@@ -141,12 +141,12 @@
         one, other = (0, 1, 2), (3, 4, 5, 6)
         pairs = [pair for pair in fleet.all_pairs() if (pair[0] in one) != (pair[1] in one)]
         heal = fleet.cut(*pairs, blame=tuple(range(7)))
-        await fleet.held(other, "dead", by=one)
+        await fleet.wait_for_state(other, "dead", by=one)
         servers[BAD].script = says(answer(500))
-        await fleet.until(holding(fleet, *range(7)))
+        await fleet.wait_until(holding(fleet, *range(7)))
         heal()
-        await fleet.joined()
+        await fleet.wait_joined()
         servers[BAD].script = serves
-        await fleet.until(lambda: all(one.end < 1 << 62 for one in judged(fleet)))
+        await fleet.wait_until(lambda: all(one.end < 1 << 62 for one in judged(fleet)))
 
     played(tmp_path, 7, act)
--- a/tests/tier/test_loan_expiry.py
+++ b/tests/tier/test_loan_expiry.py
@@ -1,4 +1,4 @@
-"""What a process that ends as planned tells the next one of its loans."""
+"""The loan expiry that a process saves for its successor at a planned shutdown."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from driftstair.tier.shared.rights import Ask, Rights
 
 
-def test_it_is_read_once(tmp_path: Path) -> None:
+def test_the_file_is_read_once(tmp_path: Path) -> None:
     path = tmp_path / "n0.lent"
     assert loan_expiry.take(path) is None
     loan_expiry.write(path, 123)
@@ -28,18 +28,18 @@
      json.dumps({"format": loan_expiry.FORMAT, "boot": loan_expiry.boot_id(), "until_ns": "1"}),
      json.dumps({"format": loan_expiry.FORMAT, "boot": loan_expiry.boot_id()})],
 )  # fmt: skip
-def test_what_is_none_of_this_boot_tells_nothing(text: str, tmp_path: Path) -> None:
+def test_an_invalid_file_or_one_of_another_boot_is_ignored(text: str, tmp_path: Path) -> None:
     path = tmp_path / "n0.lent"
     path.write_text(text)
     assert loan_expiry.take(path) is None and not path.exists()
 
 
-def test_a_folder_that_is_gone_is_one_line(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_missing_folder_logs_one_line(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     loan_expiry.write(tmp_path / "none" / "n0.lent", 5)
     assert len(caplog.records) == 1
 
 
-def test_the_next_process_holds_all_from_when_nothing_is_out() -> None:
+def test_the_next_process_holds_all_shares_once_all_loans_have_expired() -> None:
     first = Rights(0, 1, TERMS, -(10**12))
     assert first.lend(0, Ask(1, 1, 0, 4), 4) is not None
     until = first.lent_until()
@@ -48,5 +48,5 @@
     following.known(until)
     assert following.held(until - 1) == TERMS.floor and following.held(until) == TERMS.shares
     late = Rights(0, 3, TERMS, 10**9)
-    late.known(10**15)  # whatever it says, no longer than a loan can last
+    late.known(10**15)  # whatever the file says, no longer than a loan can last
     assert late.held(10**9 + TERMS.waited()) == TERMS.shares
--- a/tests/tier/test_membership_machine.py
+++ b/tests/tier/test_membership_machine.py
@@ -1,4 +1,4 @@
-"""Any interleaving of loss, delay, repeat, pause, crash and restart, on 2 to 5 nodes."""
+"""State machine test: any interleaving of loss, delay, replay, stall, crash and restart on 2 to 5 nodes."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from driftstair.tier.membership.core import Membership
 from driftstair.tier.membership.members import Traits
 
-PERIOD = 1_000_000_000
-OLD_MOST = 60  # datagrams that may come once more, however late
+PERIOD_NS = 1_000_000_000
+MAX_REPLAYABLE = 60  # latest datagrams that may be delivered again at any time
 
 
 class Tier(RuleBasedStateMachine):
-    """A network that carries, loses and delays, and old datagrams that come again at any time."""
+    """A network that delivers, loses, delays and replays datagrams."""
 
     @initialize(count=st.integers(2, 5))
     def begin(self, count: int) -> None:
-        self.now = 0
+        self.now_ns = 0
         self.lives = [0] * count
         self.nodes: list[Membership | None] = [None] * count
-        self.flight: list[tuple[int, int, api.Message]] = []
-        self.old: list[api.Message] = []
+        self.in_flight: list[tuple[int, int, api.Message]] = []
+        self.sent: list[api.Message] = []
         self.loss, self.delay, self.cut = 0.0, 0, (-1, -1)
         self.random = Random(count)
-        self.order = 0
+        self.sequence = 0
         self.ranks: dict[tuple[int, int], Any] = {}
         for number in range(count):
             self._start(number)
@@ -39,69 +39,69 @@
     def _start(self, number: int) -> None:
         self.lives[number] += 1
         self.nodes[number] = node = Membership(
-            number, len(self.nodes), self.lives[number], Traits(0, 1, 1), PERIOD,
+            number, len(self.nodes), self.lives[number], Traits(0, 1, 1), PERIOD_NS,
             Random(number), wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
         self.ranks = {pair: rank for pair, rank in self.ranks.items() if pair[0] != number}
         self._handle(node, api.Start())
 
     def _handle(self, node: Membership, event: api.Event) -> None:
-        for action in node.handle(self.now, event):
+        for action in node.handle(self.now_ns, event):
             if isinstance(action, api.Send):
                 message = action.message
-                self.old = [*self.old[1 - OLD_MOST :], message]
+                self.sent = [*self.sent[1 - MAX_REPLAYABLE :], message]
                 if (
                     self.random.random() >= self.loss
                     and (message.sender_claim.number, message.recipient) != self.cut
                 ):
-                    self.order += 1
-                    at = self.now + self.random.randint(1, 1 + self.delay)
-                    heappush(self.flight, (at, self.order, message))
+                    self.sequence += 1
+                    arrival_ns = self.now_ns + self.random.randint(1, 1 + self.delay)
+                    heappush(self.in_flight, (arrival_ns, self.sequence, message))
 
     def _deliver(self, message: api.Message) -> None:
         node = self.nodes[message.recipient]
         if node is not None:
             self._handle(node, api.Received(message))
 
-    @rule(index=st.integers(0, OLD_MOST))
-    def again(self, index: int) -> None:
-        if self.old:
-            self._deliver(self.old[index % len(self.old)])
+    @rule(index=st.integers(0, MAX_REPLAYABLE))
+    def replay(self, index: int) -> None:
+        if self.sent:
+            self._deliver(self.sent[index % len(self.sent)])
 
     @rule(
         loss=st.sampled_from([0.0, 0.0, 0.4, 0.9, 1.0]), delay=st.sampled_from([0.01, 0.3, 3.0]),
-        one=st.integers(-1, 4), other=st.integers(0, 4),
+        source=st.integers(-1, 4), destination=st.integers(0, 4),
     )  # fmt: skip
-    def weather(self, loss: float, delay: float, one: int, other: int) -> None:
-        self.loss, self.delay, self.cut = loss, int(delay * PERIOD), (one, other)
+    def change_network(self, loss: float, delay: float, source: int, destination: int) -> None:
+        self.loss, self.delay, self.cut = loss, int(delay * PERIOD_NS), (source, destination)
 
-    @rule(part=st.sampled_from([0.3, 1.0, 2.5, 8.0, 20.0]), stopped=st.integers(0, 9))
-    def wait(self, part: float, stopped: int) -> None:
-        """Time passes, for all but one that stands still; what comes for that one waits."""
-        until, waiting = self.now + int(part * PERIOD), []
+    @rule(periods=st.sampled_from([0.3, 1.0, 2.5, 8.0, 20.0]), stalled=st.integers(0, 9))
+    def wait(self, periods: float, stalled: int) -> None:
+        """Advances time for all nodes but a stalled one, whose datagrams are queued."""
+        until_ns, waiting = self.now_ns + int(periods * PERIOD_NS), []
         while True:
             due = [node for number, node in enumerate(self.nodes)
-                   if node is not None and number != stopped and node.wake_at <= until]  # fmt: skip
-            node = min(due, key=lambda one: one.wake_at, default=None)
-            if self.flight and self.flight[0][0] <= (until if node is None else node.wake_at):
-                at, order, message = heappop(self.flight)
-                if message.recipient == stopped:
-                    waiting.append((at, order, message))
+                   if node is not None and number != stalled and node.wake_at <= until_ns]  # fmt: skip
+            node = min(due, key=lambda node: node.wake_at, default=None)
+            if self.in_flight and self.in_flight[0][0] <= (until_ns if node is None else node.wake_at):
+                arrival_ns, sequence, message = heappop(self.in_flight)
+                if message.recipient == stalled:
+                    waiting.append((arrival_ns, sequence, message))
                     continue
-                self.now = max(self.now, at)
+                self.now_ns = max(self.now_ns, arrival_ns)
                 self._deliver(message)
             elif node is not None:
-                self.now = max(self.now, node.wake_at)
+                self.now_ns = max(self.now_ns, node.wake_at)
                 self._handle(node, api.Wake())
             else:
                 break
-        self.now = until
-        for one in waiting:
-            heappush(self.flight, one)
+        self.now_ns = until_ns
+        for entry in waiting:
+            heappush(self.in_flight, entry)
 
     @precondition(lambda self: any(node is not None for node in self.nodes))
     @rule(number=st.integers(0, 4), leaves=st.booleans())
-    def end(self, number: int, leaves: bool) -> None:
+    def end_process(self, number: int, leaves: bool) -> None:
         node = self.nodes[number % len(self.nodes)]
         if node is not None:
             if leaves:
@@ -109,13 +109,13 @@
             self.nodes[node.own_number] = None
 
     @rule(number=st.integers(0, 4))
-    def start(self, number: int) -> None:
+    def start_process(self, number: int) -> None:
         number %= len(self.nodes)
         if self.nodes[number] is None:
             self._start(number)
 
     @invariant()
-    def what_is_held_only_rises_and_is_nobodys_invention(self) -> None:
+    def claims_only_advance_and_none_are_invented(self) -> None:
         for node in self.nodes:
             if node is None:
                 continue
@@ -131,26 +131,26 @@
                     assert rank[1] <= own.own_claim.incarnation
 
     @invariant()
-    def each_wants_to_be_woken_and_no_datagram_is_too_long(self) -> None:
+    def every_node_requests_a_wake_up_and_no_datagram_is_too_long(self) -> None:
         codec = wire.Codec(b"sixteen bytes!!!")
-        for message in self.old[-4:]:
+        for message in self.sent[-4:]:
             assert len(codec.encode(message)) <= wire.MAX_DATAGRAM_BYTES
         for node in self.nodes:
             if node is not None and not node.superseded and not node.is_leaving():
-                assert node.wake_at <= self.now + 30 * PERIOD
+                assert node.wake_at <= self.now_ns + 30 * PERIOD_NS
 
     def teardown(self) -> None:
-        """Once the network is sound again and time passes, all hold the same of those that run."""
+        """Once the network has recovered, all views of the running nodes converge."""
         if not hasattr(self, "nodes"):
             return
         running = [node for node in self.nodes if node is not None]
-        self.weather(0.0, 0.01, -1, 0)
+        self.change_network(0.0, 0.01, -1, 0)
         for _ in range(200):
             if all(self._agrees(node, running) for node in running):
                 return
             self.wait(1.0, -1)
         raise AssertionError(
-            [(node.own_number, node.own_claim, node.member_views(self.now)) for node in running]
+            [(node.own_number, node.own_claim, node.member_views(self.now_ns)) for node in running]
         )
 
     def _agrees(self, node: Membership, running: list[Membership]) -> bool:
--- a/tests/tier/test_permits_processes.py
+++ b/tests/tier/test_permits_processes.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from fleet import OFF, ROOT, Fleet
+from fleet import ROOT, SHIFTED_CLOCK_PROGRAM, Fleet
 from rig import configuration, run_for
 
 from driftstair.rehearsal import ports
@@ -54,7 +54,7 @@
         """Until one is known to itself."""
         while True:
             for number in range(self.fleet.count):
-                if number in self.fleet.ready and self.fleet.process(number).returncode is None:
+                if number in self.fleet.addresses and self.fleet.process(number).returncode is None:
                     found = await self.report(number, "permits")
                     if found["is_steward"]:
                         return number
@@ -71,7 +71,7 @@
             desks = Desks(fleet)
             try:
                 await desks.start()
-                await fleet.joined()
+                await fleet.wait_joined()
                 await act(fleet, desks)
                 assert permits.check(fleet.events(), 1, {}) == []
             finally:
@@ -91,7 +91,7 @@
             await desks.start(number)
 
         await asyncio.gather(*(restart(number) for number in range(3)))
-        await fleet.joined()
+        await fleet.wait_joined()
         took = [one for one in fleet.events() if one["event"] == "permit" and one["what"] == "took"]
         assert {one["node"] for one in took} == {0, 1, 2}
 
@@ -105,14 +105,14 @@
         status, _, err = await desks.call(others[0], "permit", "--for", "drain", "--within", "60")
         assert status == 0, err
         fleet.stop(old)
-        await fleet.held((old,), "dead")
+        await fleet.wait_for_state((old,), "dead")
         while (new := await asyncio.wait_for(_another(fleet, desks, others), 90.0)) == old:
             pass
         # Who holds one says so to the next steward, and two would be out with another.
         status, _, err = await desks.call(others[1], "permit", "--within", "2")
         assert status == 1 and "no permit within 2 s" in err
-        fleet.go_on(old)
-        await fleet.joined()
+        fleet.resume(old)
+        await fleet.wait_joined()
         status, out, _ = await desks.call(others[0], "give-back")
         assert (status, out) == (0, "in service; nothing is wanted or held\n")
         status, _, err = await desks.call(others[1], "permit", "--within", "60")
@@ -170,17 +170,17 @@
                 return [one["token"] for one in fleet.events() if one["event"] == "own"]
 
             await fleet.start()
-            await fleet.until(tokens, "no owner")
+            await fleet.wait_until(tokens, "no owner")
             # Two of three make an owner: the third one's disk may take its token later.
-            await fleet.until(lambda: len(list(disks.glob("*.tokens"))) == 3, "a member has no token")
+            await fleet.wait_until(lambda: len(list(disks.glob("*.tokens"))) == 3, "a member has no token")
             await fleet.kill(0, 1, 2)
             before = tokens()
             assert len(list(disks.glob("*.tokens"))) == 3
             for path in disks.glob("*.members"):
                 path.unlink()  # else a process knows by it what its life has to be above
-            fleet.code = dict.fromkeys(range(3), OFF.format(hours=-24))
+            fleet.programs = dict.fromkeys(range(3), SHIFTED_CLOCK_PROGRAM.format(hours=-24))
             await fleet.start()
-            await fleet.until(lambda: len(tokens()) > len(before), "no owner after the restart")
+            await fleet.wait_until(lambda: len(tokens()) > len(before), "no owner after the restart")
             assert min(tokens()[len(before) :]) > max(before)
             lives = {one["node"]: one["life"] for one in fleet.events()}
             began = {one["node"]: one["life"] for one in reversed(fleet.events())}
--- a/tests/tier/test_tier_in_service.py
+++ b/tests/tier/test_tier_in_service.py
@@ -60,15 +60,15 @@
 def test_half_of_the_nodes_on_a_later_version_are_one_tier(tmp_path: Path) -> None:
     async def test() -> None:
         async with Fleet(tmp_path, 5) as fleet:
-            fleet.code |= dict.fromkeys((1, 3), LATER)
+            fleet.programs |= dict.fromkeys((1, 3), LATER)
             await fleet.start()
-            await fleet.joined()
+            await fleet.wait_joined()
             await fleet.kill(3)
-            await fleet.held((3,), "dead")
-            fleet.code[3] = ""  # the upgrade is taken back
+            await fleet.wait_for_state((3,), "dead")
+            fleet.programs[3] = ""  # the upgrade is taken back
             await fleet.start(3)
-            await fleet.joined()
-            assert any("other_kind" in line for lines in fleet.lines.values() for line in lines)
+            await fleet.wait_joined()
+            assert any("other_kind" in line for lines in fleet.log_lines.values() for line in lines)
 
     run_for(test(), MOST)
 
@@ -78,17 +78,19 @@
 ) -> None:
     async def test() -> None:
         async with Fleet(tmp_path, 4) as fleet:
-            fleet.code |= dict.fromkeys((2, 3), UNLIKE)
+            fleet.programs |= dict.fromkeys((2, 3), UNLIKE)
             await fleet.start()
-            await fleet.held((1,), "alive", by=(0,))
-            await fleet.held((3,), "alive", by=(2,))
-            await fleet.until(lambda: any("other_version" in line for line in fleet.lines.get(0, [])))
+            await fleet.wait_for_state((1,), "alive", by=(0,))
+            await fleet.wait_for_state((3,), "alive", by=(2,))
+            await fleet.wait_until(
+                lambda: any("other_version" in line for line in fleet.log_lines.get(0, []))
+            )
             assert set(fleet.views()[0]) == {1}
             for number in (2, 3):
                 assert await fleet.terminate(number) == 0
-                fleet.code[number] = ""
+                fleet.programs[number] = ""
                 await fleet.start(number)
-            await fleet.joined()
+            await fleet.wait_joined()
 
     run_for(test(), MOST)
 
@@ -97,7 +99,7 @@
     async def test() -> None:
         async with Fleet(tmp_path, 3, period="500ms") as fleet:
             await fleet.start()
-            await fleet.joined()
+            await fleet.wait_joined()
             port = int(fleet.document(0)["peer_listen"].rsplit(":", 1)[1])
             stop = asyncio.Event()
 
@@ -111,17 +113,17 @@
             flooding = asyncio.create_task(flood())
             try:
                 for _ in range(60):
-                    client = Client(*await asyncio.open_connection(*fleet.ready[0]))
+                    client = Client(*await asyncio.open_connection(*fleet.addresses[0]))
                     # There is no server, and it says so.
                     assert status(await client.ask(request())) == 503
                     client.writer.close()
-                await fleet.until(lambda: any("unknown_address" in line for line in fleet.lines[0]))
+                await fleet.wait_until(lambda: any("unknown_address" in line for line in fleet.log_lines[0]))
             finally:
                 stop.set()
                 await flooding
-            await fleet.joined()
+            await fleet.wait_joined()
             # The kernel drops what is not read of a flood, and what peers send with it. The others bear it.
-            assert not [one for _, one in fleet.deaths() if one.member != 0]
+            assert not [one for _, one in fleet.dead_verdicts() if one.member != 0]
 
     run_for(test(), MOST)
 
@@ -132,7 +134,7 @@
     async def test() -> None:
         async with Fleet(tmp_path, 3) as fleet:
             await fleet.start()
-            await fleet.joined()
+            await fleet.wait_joined()
             before = {number: fleet.document(number) for number in (0, 2)}
             await fleet.terminate(1)
             fleet.relay.close()
@@ -151,7 +153,7 @@
                         latest[process.node, held.member] = held.state
                 return latest.get((0, 1)) == "alive" and latest.get((1, 0)) == "alive"
 
-            await fleet.until(both, "the two never found each other under their new numbers")
+            await fleet.wait_until(both, "the two never found each other under their new numbers")
 
     run_for(test(), MOST)
 
@@ -171,10 +173,10 @@
                 desk = f"127.0.0.1:{probe.getsockname()[1]}"
             await fleet.start(0, env={"BALANCER_OPS": desk})
             await fleet.start(1, 2)
-            await fleet.joined()
+            await fleet.wait_joined()
             fleet.stop(2)
-            await fleet.held((2,), "dead")
-            await fleet.until(lambda: 0 in fleet.ready)
+            await fleet.wait_for_state((2,), "dead")
+            await fleet.wait_until(lambda: 0 in fleet.addresses)
             shown = await asyncio.to_thread(asked, desk, "--json")
             found = json.loads(shown.stdout)
             assert [(one["number"], one["state"]) for one in found["members"]] == [(1, "alive"), (2, "dead")]
--- a/tests/tier/traffic.py
+++ b/tests/tier/traffic.py
@@ -33,7 +33,7 @@
         answers = self.answered.setdefault(node, [])
         while True:
             try:
-                client = Client(*await asyncio.open_connection(*self._fleet.ready[node]))
+                client = Client(*await asyncio.open_connection(*self._fleet.addresses[node]))
                 while True:
                     answers.append(status(await client.ask(request())))
                     await asyncio.sleep(PAUSE)
