--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -60,7 +60,7 @@
     """A connection is used again at once, whatever its server still writes."""
     reuse_delay.REUSE_DELAY_MIN_NS = 0
     reuse_delay.ReuseDelay.on_unsolicited_bytes = lambda self, now, lateness: None  # type: ignore[method-assign]
-    server_connection.Connection.is_quiet = lambda self: True  # type: ignore[method-assign]
+    server_connection.Connection.has_no_unread_data = lambda self: True  # type: ignore[method-assign]
 
 
 def unsafe_repeat() -> None:
--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -1,4 +1,4 @@
-"""The pools of connections to servers, within the descriptors that the node may use for them."""
+"""Connection pools, one for each server, within a shared limit on open sockets."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
     from driftstair.net.server_attempt import Attempt
     from driftstair.net.server_connection import Connection
 
-IDLE_PART = 0.9  # of the server's idle limit: what is written to a connection after that limit is lost
+IDLE_LIMIT_SHARE = 0.9  # of the server's idle time-out: a request written after that time-out is lost
 
 
 class Pool:
-    """The idle connections to one server. After a restart or with a new address it gets another pool."""
+    """The idle connections to one server. A server that restarts or changes its address gets a new pool."""
 
     def __init__(self, pools: Pools, address: tuple[str, int], started: int) -> None:
         self.pools = pools
         self.address = address
         self.started = started
         self.retired = False
-        self.idle: list[Connection] = []  # the most recently used last
-        self.dialing: dict[Attempt, None] = {}  # in the order in which they began
+        self.idle: list[Connection] = []  # least recently used first
+        self.dialing: dict[Attempt, None] = {}  # in start order
 
     def take(self) -> Connection | None:
         now = self.pools.now()
-        rested = now - self.pools.rest.needed(now)
-        # They stand in the order in which they came to rest: those that have rested long enough come first.
-        able = bisect_right(self.idle, rested, key=lambda one: one.idle_since)
-        for index in range(able - 1, -1, -1):
+        idle_before = now - self.pools.reuse_delay.needed(now)
+        # Ordered by idle_since, so the connections whose reuse delay has passed come first.
+        reusable_count = bisect_right(self.idle, idle_before, key=lambda one: one.idle_since)
+        for index in range(reusable_count - 1, -1, -1):
             connection = self.idle.pop(index)
             if (
                 not connection.closed
                 and connection.idle_since >= now - self.pools.idle_limit
-                and connection.is_quiet()
+                and connection.has_no_unread_data()
             ):
                 return connection
             connection.close()
@@ -53,20 +53,20 @@
             connection.idle_since = self.pools.now()
             self.idle.append(connection)
 
-    def lost(self, connection: Connection) -> None:
+    def on_closed(self, connection: Connection) -> None:
         self.pools.sockets -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
     def drop_idle(self, before: int | None = None) -> None:
-        """Close the idle connections, or those that are idle since before a time."""
-        dropped = [one for one in self.idle if before is None or one.idle_since < before]
-        self.idle = self.idle[len(dropped) :]
-        for connection in dropped:
+        """Closes the idle connections; with `before`, only those that became idle before that time."""
+        to_close = [one for one in self.idle if before is None or one.idle_since < before]
+        self.idle = self.idle[len(to_close) :]
+        for connection in to_close:
             connection.close()
 
     def retire(self) -> None:
-        """The server drains, is gone or restarted: nothing new may reach it, nor what waits for a dial."""
+        """The server drains, is gone or has restarted: it gets no new attempt; pending dials are ended."""
         self.retired = True
         self.drop_idle()
         for attempt in list(self.dialing):
@@ -74,22 +74,22 @@
 
 
 class Pools:
-    """All pools, within the descriptors that the node may use for servers."""
+    """The pools of all servers, within the sockets that the node may use for them."""
 
     def __init__(
-        self, sockets_most: int, dial_timeout: int, idle_close: int, system: System = SOCKET_SYSTEM
+        self, sockets_max: int, dial_timeout: int, idle_close: int, system: System = SOCKET_SYSTEM
     ) -> None:
         self.system = system
         self.now = system.monotonic_ns
         self.sockets = 0  # open or being dialed
-        self.rest = ReuseDelay()
-        self.has_news: Callable[[], bool] = bool  # of the servers has come what is not read yet
-        self.flows: dict[Connection, None] = {}  # whose answers are passed on as they come
+        self.reuse_delay = ReuseDelay()
+        self.has_unread_updates: Callable[[], bool] = bool  # whether updates of the server list wait unread
+        self.flows: dict[Connection, None] = {}  # whose answers are being streamed
         self.dial_timeout = dial_timeout
-        self.idle_limit = int(idle_close * IDLE_PART)
-        self._sockets_most = sockets_most
+        self.idle_limit = int(idle_close * IDLE_LIMIT_SHARE)
+        self._sockets_max = sockets_max
         self._pools: dict[ServerId, Pool] = {}
-        self._sweep_every = idle_close * (1 - IDLE_PART) / 2 / 1e9
+        self._sweep_every = idle_close * (1 - IDLE_LIMIT_SHARE) / 2 / 1e9
 
     def start(self) -> None:
         asyncio.get_running_loop().call_later(self._sweep_every, self._sweep)
@@ -98,15 +98,15 @@
         before = self.now() - self.idle_limit
         for pool in self._pools.values():
             pool.drop_idle(before)
-        stuck = self.now() - int(SILENCE_MOST * 1e9)
-        for connection in [one for one in self.flows if one.is_stuck(stuck)]:
+        stalled_since = self.now() - int(SILENCE_MOST * 1e9)
+        for connection in [one for one in self.flows if one.is_stalled(stalled_since)]:
             connection.give_up()
         self.start()
 
     def get(self, server: ServerId) -> Pool | None:
         return self._pools.get(server)
 
-    def enrol(self, server: ServerId, address: tuple[str, int], started: int) -> None:
+    def add_server(self, server: ServerId, address: tuple[str, int], started: int) -> None:
         pool = self._pools.get(server)
         if pool is not None and (pool.address, pool.started) == (address, started):
             return
@@ -122,14 +122,14 @@
     def servers(self) -> list[ServerId]:
         return list(self._pools)
 
-    def room(self) -> bool:
-        """Whether one more connection may be opened; closes the longest idle one to make room."""
-        if self.sockets < self._sockets_most:
+    def make_room(self) -> bool:
+        """Whether one more connection may be opened; at the limit, closes the longest idle one for it."""
+        if self.sockets < self._sockets_max:
             return True
         idle = [pool for pool in self._pools.values() if pool.idle]
         if not idle:
             return False
-        # Its descriptor is free only once the transport is gone, so one is kept in reserve for each dial.
+        # Its descriptor is released only with the transport, so the limit has a spare one for each dial.
         oldest = min(idle, key=lambda pool: pool.idle[0].idle_since)
         oldest.idle.pop(0).close()
         return True
--- a/driftstair/net/discovery.py
+++ b/driftstair/net/discovery.py
@@ -80,14 +80,14 @@
         for watch in former:
             watch.close()
 
-    def has_news(self) -> bool:
+    def has_unread_updates(self) -> bool:
         """Whether something of a watch is with the kernel that the loop has not read yet, or an agent is
         about to answer the call that a watch begins with."""
         current = cast("DiscoveryConnection | None", self._watch)
         if self._is_agent and current is not None and self._is_awaited(current):
             return True
         watches = self._former if current is None else [current, *self._former]
-        return not all(watch.is_quiet() for watch in watches)
+        return not all(watch.has_no_unread_data() for watch in watches)
 
     def _is_awaited(self, watch: DiscoveryConnection) -> bool:
         return not watch.answered and (watch.age() < AGENT_ANSWERS or watch.is_overdue())
@@ -174,13 +174,13 @@
         self._discovery = owner
         self.version = version
         self.documents = JsonStreamParser()
-        self.is_quiet: Callable[[], bool] = lambda: True  # not once it is up
+        self.has_no_unread_data: Callable[[], bool] = lambda: True  # not once it is up
         self._system = system
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         if self._discovery.is_current(self):
-            self.is_quiet = self._system.configure_connection(cast(asyncio.Transport, transport))
+            self.has_no_unread_data = self._system.configure_connection(cast(asyncio.Transport, transport))
 
     def data_received(self, data: bytes) -> None:
         super().data_received(data)
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -286,7 +286,7 @@
     def withdraw(self, number: int) -> None:
         """Its client has left, or may have: what is out goes on, and nothing begins."""
         request = self._open.get(number)
-        if request is None or request.answered or any(one.is_out() for one in request.out.values()):
+        if request is None or request.answered or any(one.has_been_sent() for one in request.out.values()):
             return
         # A client that is still there is told at once, and whether it may ask again.
         self._answer_and_close(request, 502 if request.may_have_run else 503, AnswerReason.CLIENT_LEFT)
--- a/driftstair/net/request.py
+++ b/driftstair/net/request.py
@@ -9,7 +9,7 @@
 import httptools
 
 from driftstair.net.flow import HELD_WHOLE, INLINE_MOST, LONGEST, Budget, Stream
-from driftstair.net.server_connection import HEAD_MOST, HOP_BY_HOP
+from driftstair.net.server_connection import HEAD_BYTES_MAX, HOP_BY_HOP_HEADERS
 from driftstair.settings import Config
 from lichenspring.interface import Repeat
 
@@ -24,7 +24,7 @@
 UNITS = {b"m": 1_000_000, b"u": 1_000}
 ABSOLUTE = re.compile(rb"https?://[^/?#]*", re.IGNORECASE)
 IDENTITY = re.compile(rb"[0-9A-Za-z._:~-]{1,64}")
-NOT_FORWARDED = HOP_BY_HOP | {b"x-deadline", b"expect"}
+NOT_FORWARDED = HOP_BY_HOP_HEADERS | {b"x-deadline", b"expect"}
 SINGLE = frozenset((
     b"host", b"content-length", b"transfer-encoding", b"expect", b"x-request-id", b"x-class", b"x-tenant",
     b"x-key", b"x-deadline", b"x-retry", b"idempotency-key",
@@ -204,7 +204,7 @@
             # Lines without an end are never handed out.
             incoming.size += len(piece)
             body_most = FRAMING_LEAST + FRAMING_TIMES * incoming.received
-            if incoming.size > (body_most if self._in_body else HEAD_MOST):
+            if incoming.size > (body_most if self._in_body else HEAD_BYTES_MAX):
                 self.error = 413 if self._in_body else 431
         if self.error:
             self._give_back()
--- a/driftstair/net/server_attempt.py
+++ b/driftstair/net/server_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a server: the dial or a kept connection, its time, and how it ends."""
+"""One attempt at a server: over a pooled or a new connection, with its time-outs and its result."""
 
 from __future__ import annotations
 
@@ -15,34 +15,35 @@
 if TYPE_CHECKING:
     from driftstair.net.connection_pools import Pool
 
-LATE_LEAST = 20_000_000  # ns that a time-out may come late: more, and the process stood still
-LAST_LOOK = 0.01  # s for what came meanwhile to be read
-NEWS_LOOK = 0.005  # s between two looks at whether news of the servers have been read
-NEWS_LOOKS = 20  # of them: the next turn of the loop reads, so what is unread for longer is none
-UPLOAD_LOOK = 1_000_000_000  # ns between two looks at whether a long body gets on
+STALL_MIN_NS = 20_000_000  # a timer that is later than this shows that the process was stalled
+LATE_READ_GRACE_S = 0.01  # to read what arrived during a stall before a time-out counts
+UPDATES_POLL_INTERVAL_S = 0.005  # between checks whether updates of the server list have been read
+UPDATES_POLLS_MAX = 20  # the loop reads in its next turn, so what stays unread for longer is no update
+UPLOAD_CHECK_INTERVAL_NS = 1_000_000_000  # between checks whether a streamed request body progresses
 
 
 class Attempt:
-    """One request at one server. It ends once: by `end`, and then `on_end` hears of it."""
+    """One request at one server. It ends exactly once, in `end`, which calls `on_end`."""
 
     __slots__ = (
-        "_body", "_connection", "_dial", "_head", "_on_end", "_patience", "_permit", "_timer", "_told",
-        "done", "expires", "first_byte", "moved", "pool", "written_at",
+        "_body", "_connection", "_dial", "_head", "_on_end", "_patience", "_permit", "_timer",
+        "_transmitted_deadline",
+        "done", "expires", "first_byte", "last_progress", "pool", "written_at",
     )  # fmt: skip
 
     def __init__(
         self, pool: Pool, head: bytes, body: bytes | Stream, expires: int,
         on_end: Callable[[Result, Answer | None], None], permit: AttemptPermit, first_byte: int = 0,
     ) -> None:  # fmt: skip
-        """`permit` is asked right before the bytes go out, however long that takes."""
+        """`permit` is checked immediately before the request is written, however late that is."""
         self.pool = pool
         self.expires = expires  # monotonic ns
-        self.first_byte = first_byte  # ns until the answer must have begun; 0: no such limit, or it has
+        self.first_byte = first_byte  # ns until the answer must have begun; 0: no such limit, or it has begun
         self.done = False
-        self.written_at = 0  # when the last byte of a stream was out, monotonic ns
-        self.moved = 0  # when a stream last got on
-        self._told = 0  # the deadline that the server is told, ns
-        self._patience = expires - pool.pools.now()  # for a stream: from its last byte on
+        self.written_at = 0  # when the last byte of a streamed body was written, monotonic ns
+        self.last_progress = 0  # when a streamed body last progressed, monotonic ns
+        self._transmitted_deadline = 0  # time to the deadline as sent to the server, ns
+        self._patience = expires - pool.pools.now()  # for a streamed body: counts from its last byte
         self._head = head
         self._body = body
         self._on_end = on_end
@@ -52,23 +53,23 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        if self.pool.pools.has_news():
-            self._wait_for_news()
+        if self.pool.pools.has_unread_updates():
+            self._wait_for_updates()
         else:
             self._begin()
 
-    def _wait_for_news(self) -> None:
-        """Parked as one that is dialed, and so ended by the list if that retires its server. Guards against a
-        loop that stood still: a request and the list that came after it are read in one turn, in any order,
-        and the list counts as told since it came."""
+    def _wait_for_updates(self) -> None:
+        """Waits in `dialing`, so a list that retires the server ends this attempt too. After a stall of the
+        event loop, a request and a list that arrived after it are read in the same turn in any order, and
+        the list counts as known from its arrival."""
         self.pool.dialing[self] = None
-        self._expires_at(self.expires)
-        self._dial = asyncio.get_running_loop().create_task(self._begin_after_news())
+        self._set_timer(self.expires)
+        self._dial = asyncio.get_running_loop().create_task(self._begin_after_updates())
 
-    async def _begin_after_news(self) -> None:
-        for _ in range(NEWS_LOOKS):
-            await asyncio.sleep(NEWS_LOOK)
-            if not self.pool.pools.has_news():
+    async def _begin_after_updates(self) -> None:
+        for _ in range(UPDATES_POLLS_MAX):
+            await asyncio.sleep(UPDATES_POLL_INTERVAL_S)
+            if not self.pool.pools.has_unread_updates():
                 break
         self._dial = None
         self.pool.dialing.pop(self, None)
@@ -83,38 +84,38 @@
         connection = self.pool.take()
         if connection is not None:
             self._write(connection)
-        elif not self.pool.pools.room():
-            # The node's own want of descriptors is no failure of the server.
+        elif not self.pool.pools.make_room():
+            # The node is out of descriptors, which is not a failure of the server.
             self.end(Result.NOT_SENT)
         else:
             self.pool.dialing[self] = None
             pools = self.pool.pools
-            self._expires_at(min(self.expires, pools.now() + pools.dial_timeout))
+            self._set_timer(min(self.expires, pools.now() + pools.dial_timeout))
             self._dial = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
-        self.pool.pools.sockets += 1  # while it is dialed; an open connection counts itself
+        self.pool.pools.sockets += 1  # during the dial; an open connection counts itself
         try:
             protocol = await dial(self.pool.pools.system, lambda: Connection(self.pool), self.pool.address)
-        except OSError as problem:
+        except OSError as error:
             self._dial = None
-            local = problem.errno in LOCAL_ERRORS
-            self.end(Result.NOT_SENT if local else Result.CONNECT_FAILED)
+            is_local = error.errno in LOCAL_ERRORS
+            self.end(Result.NOT_SENT if is_local else Result.CONNECT_FAILED)
             return
         finally:
             self.pool.pools.sockets -= 1
         connection = cast(Connection, protocol)
         self._dial = None
         self.pool.dialing.pop(self, None)
-        if self.done:  # it ended in the moment in which the connection came up
+        if self.done:  # the attempt ended just as the connection was established
             connection.close()
         elif connection.closed:
             self.end(Result.CONNECT_FAILED)
-        elif self.pool.pools.has_news():
+        elif self.pool.pools.has_unread_updates():
             if self._timer is not None:
                 self._timer.cancel()
             self.pool.put(connection)
-            self._wait_for_news()
+            self._wait_for_updates()
         else:
             if self._timer is not None:
                 self._timer.cancel()
@@ -127,10 +128,10 @@
             self.end(Result.NOT_SENT)
             return
         if isinstance(self._body, Stream):
-            self._connection, self.moved = connection, now
-            self._expires_at(now + UPLOAD_LOOK)
+            self._connection, self.last_progress = connection, now
+            self._set_timer(now + UPLOAD_CHECK_INTERVAL_NS)
             patience = self._patience // 1000
-            self._told = self._patience
+            self._transmitted_deadline = self._patience
             connection.send(self, b"%sX-Deadline: %du\r\n\r\n" % (self._head, patience), self._body)
             return
         left = self.expires - now
@@ -139,57 +140,57 @@
             self.end(Result.CONNECT_FAILED)
             return
         self._connection = connection
-        first = self.pool.pools.now() + self.first_byte if self.first_byte else self.expires
-        self._expires_at(min(first, self.expires))
-        self._told = left
+        first_byte_by = self.pool.pools.now() + self.first_byte if self.first_byte else self.expires
+        self._set_timer(min(first_byte_by, self.expires))
+        self._transmitted_deadline = left
         connection.send(self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, left // 1000, self._body))
 
-    def _expires_at(self, at: int) -> None:
-        # The loop counts in whole milliseconds and rounds. Guards against a time-out that comes a little
-        # early: the module would find time left, and spend a further attempt that has none on each of the
-        # other servers, to each of which it would look like a failure.
+    def _set_timer(self, at: int) -> None:
+        # Rounded up, as the loop rounds to whole milliseconds. After a time-out that is slightly early, the
+        # decision module would see time left and make an attempt with almost none at each other server, and
+        # count each of those as a failure of that server.
         delay = max(0, at - self.pool.pools.now()) // 1_000_000 + 1
-        self._timer = asyncio.get_running_loop().call_later(delay / 1000, self._expire, at)
+        self._timer = asyncio.get_running_loop().call_later(delay / 1000, self._on_timer, at)
 
-    def _expire(self, at: int, looked: bool = False) -> None:
+    def _on_timer(self, at: int, grace_given: bool = False) -> None:
         now = self.pool.pools.now()
         if now < at:
-            self._expires_at(at)
+            self._set_timer(at)
             return
-        if now - at >= LATE_LEAST and not looked:
-            # Timers run before sockets are read. Guards against a time-out of an answer, or of a dial, that
-            # came while the process stood still.
-            self._timer = asyncio.get_running_loop().call_later(LAST_LOOK, self._expire, at, True)
+        if now - at >= STALL_MIN_NS and not grace_given:
+            # The loop runs timers before it reads sockets: an answer or a connection that arrived while the
+            # process was stalled must not time out unread.
+            self._timer = asyncio.get_running_loop().call_later(LATE_READ_GRACE_S, self._on_timer, at, True)
             return
-        uploads = self.moved and not self.written_at
-        if uploads and now - self.moved < SILENCE_MOST * 1e9:
-            self._expires_at(now + UPLOAD_LOOK)  # its time counts from its last byte
+        is_uploading = self.last_progress and not self.written_at
+        if is_uploading and now - self.last_progress < SILENCE_MOST * 1e9:
+            self._set_timer(now + UPLOAD_CHECK_INTERVAL_NS)  # its time-out counts from its last byte
             return
-        may_be_whole = self._connection is not None and self._connection.may_be_whole
-        self.end(Result.TIMEOUT if may_be_whole else Result.CONNECT_FAILED)
+        may_be_fully_sent = self._connection is not None and self._connection.may_be_fully_sent
+        self.end(Result.TIMEOUT if may_be_fully_sent else Result.CONNECT_FAILED)
 
     def wrote(self) -> None:
-        """Its first bytes are with the kernel."""
-        self._permit.wrote(self.pool.pools.now(), self._told)
+        """The first bytes of the request have been passed to the kernel."""
+        self._permit.wrote(self.pool.pools.now(), self._transmitted_deadline)
 
-    def uploaded(self) -> None:
-        """The last byte of a stream is out: its time counts from now on."""
+    def on_upload_complete(self) -> None:
+        """The last byte of a streamed body has been written: the time-out counts from now."""
         self.written_at = self.pool.pools.now()
         self.expires = self.written_at + self._patience
         if self._timer is not None:
             self._timer.cancel()
         if not self.done:
-            self._expires_at(self.expires)
+            self._set_timer(self.expires)
 
-    def begins(self) -> None:
-        """The first byte of its answer has come: from now on the whole time counts."""
+    def on_answer_begun(self) -> None:
+        """The first byte of the answer has arrived: from now on only the overall time-out applies."""
         self.first_byte = 0
         if self._timer is not None:
             self._timer.cancel()
-        self._expires_at(self.expires)
+        self._set_timer(self.expires)
 
-    def is_out(self) -> bool:
-        """Some of it has been written."""
+    def has_been_sent(self) -> bool:
+        """Whether some of the request has been written."""
         return self._connection is not None
 
     def cancel(self) -> None:
--- a/driftstair/net/server_connection.py
+++ b/driftstair/net/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: it carries one request at a time and reads its answer."""
+"""HTTP/1.1 client connection to a server: sends one request at a time and parses its answer."""
 
 from __future__ import annotations
 
@@ -15,165 +15,172 @@
     from driftstair.net.connection_pools import Pool
     from driftstair.net.server_attempt import Attempt
 
-HEAD_MOST = 16 << 10
-INTERIM_MOST = 16  # 1xx answers ahead of one
-WRITE_TURNS = 2  # of the loop, after which what is left of a write is known to be here
-NO_FAULT_OF_THE_REQUEST = (408, 429)  # 4xx, yet of the server's own time and load
-HOP_BY_HOP = frozenset((
+HEAD_BYTES_MAX = 16 << 10
+INTERIM_ANSWERS_MAX = 16  # 1xx answers ahead of the final one
+WRITE_REPORT_TURNS = 2  # loop turns after which the write buffer shows what the kernel did not accept
+SERVER_SIDE_4XX = (408, 429)  # caused by the time-outs and the load of the server, not by the request
+HOP_BY_HOP_HEADERS = frozenset((
     b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization", b"proxy-connection", b"te",
     b"trailer", b"transfer-encoding", b"upgrade", b"content-length",
 ))  # fmt: skip
-"""Headers that belong to one connection, and the length, which each side states anew."""
+"""Headers that apply to one connection only, and Content-Length, which is generated for each hop."""
 
 
 class Answer(NamedTuple):
-    """What a server has answered to one attempt, 1xx left out."""
+    """A server's final answer to one attempt; 1xx answers are not included."""
 
     status: int
-    headers: list[tuple[bytes, bytes]]  # end to end, as they came
-    body: bytes | Stream  # one over INLINE_MOST comes on after the answer is told of
+    headers: list[tuple[bytes, bytes]]  # end-to-end headers, as received
+    body: bytes | Stream  # a body over INLINE_MOST is streamed after the answer is delivered
     load: bytes  # the load report; empty if there is none
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a server; it carries one request at a time."""
+    """A connection to a server, which carries one request at a time."""
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
         self._transport: asyncio.Transport | None = None
-        self._quiet: Callable[[], bool] = bool  # not once it is up
+        self._has_no_unread_data: Callable[[], bool] = bool  # replaced when the connection is established
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._attempt: Attempt | None = None
-        self.written = False  # the last byte of the request is with the kernel, as far as the loop has told
-        self.may_be_whole = False  # it may be, though the loop has not told: never ran is not proven
+        self.written = False  # the loop has reported that the kernel has the whole request
+        self.may_be_fully_sent = False  # the kernel may have it, though not reported: the request may run
         self.closed = False
         self.idle_since = 0
         self._reusable = False
-        self._status = self._interims = self._length = 0
+        self._status = self._interim_answers = self._length = 0
         self._headers: list[tuple[bytes, bytes]] = []
         self._load = b""
         self._not_run = False
-        self._framed = False
+        self._framed = False  # the head states how the answer ends
         self._body: list[bytes] = []
         self._size = 0
         self._in_head = True
-        self._whole = False  # the answer has come
-        self._until_close = False  # it ends with its connection
-        self._upload: Stream | None = None  # the rest of a request
-        self._stuffed = False  # the kernel takes no more of it for now
-        self._flow: Stream | None = None  # the rest of an answer
-        self._told = False  # of the answer that flows
-        self._stopped = False  # its taker is slow
-        self.moved = 0  # when it last got on, monotonic ns
+        self._is_complete = False  # the answer is complete
+        self._ends_at_close = False  # the answer ends where the connection is closed
+        self._upload: Stream | None = None  # the unsent part of a request body
+        self._write_blocked = False  # the kernel accepts no more of it for now
+        self._answer_stream: Stream | None = None  # the body of an answer that is streamed to the client
+        self._delivered = False  # the head of the streamed answer has been delivered
+        self._is_reading_paused = False  # reading is paused, since the client reads slowly
+        self.last_progress = 0  # of the streamed answer, monotonic ns
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
         self._pool.pools.sockets += 1
-        self._quiet = self._pool.pools.system.configure_connection(transport)
-        # With no room in the buffer each write is tried at once, and what is left over tells when it is out.
+        self._has_no_unread_data = self._pool.pools.system.configure_connection(transport)
+        # With a zero limit, `resume_writing` reports when the kernel has taken what was left of a write.
         transport.set_write_buffer_limits(high=0)
 
-    def is_quiet(self) -> bool:
-        """Nothing has come that was not asked for, nor the end. Guards against a second copy of an answer
-        that is with the kernel still: the next client would get it for its own."""
-        return self._quiet()
+    def has_no_unread_data(self) -> bool:
+        """Whether neither data nor an end of stream waits unread. A second copy of an answer that is still
+        in the receive buffer would otherwise be delivered to the next client."""
+        return self._has_no_unread_data()
 
-    def send(self, attempt: Attempt, data: bytes, rest: Stream | None = None) -> None:
+    def send(self, attempt: Attempt, data: bytes, upload: Stream | None = None) -> None:
         transport = self._transport
         assert transport is not None
         self._attempt = attempt
-        self._reusable = self.written = self.may_be_whole = self._stuffed = self._told = False
-        self._forget_answer()
+        self._reusable = self.written = self.may_be_fully_sent = self._write_blocked = self._delivered = False
+        self._reset_answer()
         transport.write(data)
         attempt.wrote()
-        if rest is None:
-            self._note_handed(attempt)
+        if upload is None:
+            self._on_last_byte_buffered(attempt)
         else:
-            self._upload = rest
-            rest.on_more = self._pump
-            self._stuffed = bool(transport.get_write_buffer_size())
-            self._pump()
-
-    def _note_handed(self, attempt: Attempt) -> None:
-        """The last byte is with the transport. What the kernel did not take at once goes out in the next turn
-        of the loop, which tells of that in the one after; what is still here then is truly here."""
+            self._upload = upload
+            upload.on_more = self._forward_upload
+            self._write_blocked = bool(transport.get_write_buffer_size())
+            self._forward_upload()
+
+    def _on_last_byte_buffered(self, attempt: Attempt) -> None:
+        """The transport has the last byte. What the kernel did not accept at once is written in the next turn
+        of the loop and reported in the one after; what is still buffered then has not been sent."""
         transport = self._transport
         assert transport is not None
-        self.may_be_whole = not transport.is_closing()  # one that closes in a write has not sent all of it
-        self.written = self.may_be_whole and not transport.get_write_buffer_size()
-        if self.may_be_whole and not self.written:
-            asyncio.get_running_loop().call_soon(self._look_at_write, attempt, WRITE_TURNS)
+        # A transport that closed during the write has not sent all.
+        self.may_be_fully_sent = not transport.is_closing()
+        self.written = self.may_be_fully_sent and not transport.get_write_buffer_size()
+        if self.may_be_fully_sent and not self.written:
+            asyncio.get_running_loop().call_soon(self._check_write_buffer, attempt, WRITE_REPORT_TURNS)
 
-    def _look_at_write(self, attempt: Attempt, turns: int) -> None:
+    def _check_write_buffer(self, attempt: Attempt, turns: int) -> None:
         if self._attempt is not attempt or self.written or self.closed:
             return
         if turns > 1:
-            asyncio.get_running_loop().call_soon(self._look_at_write, attempt, turns - 1)
+            asyncio.get_running_loop().call_soon(self._check_write_buffer, attempt, turns - 1)
         elif self._transport is not None and not self._transport.is_closing():
-            self.may_be_whole = False
-
-    def _pump(self) -> None:
-        """Pass on what has come of a long body, as fast as the server takes it."""
-        transport, rest, attempt = self._transport, self._upload, self._attempt
-        if rest is None or transport is None or attempt is None or self._stuffed or transport.is_closing():
+            self.may_be_fully_sent = False
+
+    def _forward_upload(self) -> None:
+        """Forwards what has been received of a streamed request body, as fast as the server reads it."""
+        transport, upload, attempt = self._transport, self._upload, self._attempt
+        if (
+            upload is None
+            or transport is None
+            or attempt is None
+            or self._write_blocked
+            or transport.is_closing()
+        ):
             return
-        data = rest.take()
-        if rest.length is None:
-            data = chunk(data) + (LAST_CHUNK if rest.is_done() else b"")
+        data = upload.take()
+        if upload.length is None:
+            data = chunk(data) + (LAST_CHUNK if upload.is_done() else b"")
         if data:
-            attempt.moved = self._pool.pools.now()
+            attempt.last_progress = self._pool.pools.now()
             transport.write(data)
-            self._stuffed = bool(transport.get_write_buffer_size())
-            rest.halt(self._stuffed)
-        if rest.is_done():
+            self._write_blocked = bool(transport.get_write_buffer_size())
+            upload.halt(self._write_blocked)
+        if upload.is_done():
             self._upload = None
-            self._note_handed(attempt)
-            if not self._stuffed and not transport.is_closing():
-                self._all_written()
+            self._on_last_byte_buffered(attempt)
+            if not self._write_blocked and not transport.is_closing():
+                self._on_all_written()
         else:
-            rest.passed_on()
+            upload.passed_on()
 
-    def _all_written(self) -> None:
-        self.written = self.may_be_whole = self._attempt is not None
-        if self._attempt is not None and self._attempt.moved:
-            self._attempt.uploaded()
+    def _on_all_written(self) -> None:
+        self.written = self.may_be_fully_sent = self._attempt is not None
+        if self._attempt is not None and self._attempt.last_progress:
+            self._attempt.on_upload_complete()
 
     def resume_writing(self) -> None:
-        self._stuffed = False
+        self._write_blocked = False
         if self._upload is not None:
             self._upload.halt(False)
-            self._pump()
+            self._forward_upload()
         else:
-            self._all_written()
+            self._on_all_written()
 
     def eof_received(self) -> None:
-        # An answer with no length that said so ends here (RFC 9112, section 6.3); any other one is cut.
-        if self._until_close and not self._in_head and not self._whole:
-            self._whole = True
+        # A close-delimited answer ends here (RFC 9112, section 6.3); any other answer is truncated.
+        if self._ends_at_close and not self._in_head and not self._is_complete:
+            self._is_complete = True
             self._reusable = False
-            if self._flow is not None:
-                self._flow_on()
+            if self._answer_stream is not None:
+                self._forward_answer()
             else:
                 self._complete()
 
-    def _forget_answer(self) -> None:
-        self._status = self._size = self._interims = self._length = 0
+    def _reset_answer(self) -> None:
+        self._status = self._size = self._interim_answers = self._length = 0
         self._headers = []
         self._body = []
         self._load = b""
-        self._not_run = self._framed = self._whole = self._until_close = False
+        self._not_run = self._framed = self._is_complete = self._ends_at_close = False
         self._in_head = True
 
     def release(self, attempt: Attempt) -> None:
-        """Its attempt has ended: back to the pool, if the whole answer has come."""
+        """The attempt has ended: returns to the pool if the answer was received completely, else closes."""
         if self._attempt is not attempt:
             return
         self._attempt = None
         if self._upload is not None:
             self._upload.on_more = nothing
             self._upload = None
-        if self._flow is not None:
-            return  # the answer goes on
+        if self._answer_stream is not None:
+            return  # the answer is still being streamed
         if self._reusable and self.written and not self.closed:
             self._pool.put(self)
         else:
@@ -185,116 +192,116 @@
 
     def data_received(self, data: bytes) -> None:
         attempt = self._attempt
-        if (attempt is None and self._flow is None) or self._parser is None:  # nothing was asked
+        if (attempt is None and self._answer_stream is None) or self._parser is None:  # no request is pending
             pools = self._pool.pools
-            pools.rest.on_unsolicited_bytes(pools.now(), pools.now() - self.idle_since)
+            pools.reuse_delay.on_unsolicited_bytes(pools.now(), pools.now() - self.idle_since)
             self.close()
             return
         if attempt is not None and attempt.first_byte:
-            attempt.begins()
+            attempt.on_answer_begun()
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self._whole:
-                self._break(Result.ERROR)
+            if not self._is_complete:
+                self._fail(Result.ERROR)
                 return
             self._reusable = False
-        if self._flow is not None:
-            self._flow_on()
-        elif self._whole:
+        if self._answer_stream is not None:
+            self._forward_answer()
+        elif self._is_complete:
             self._complete()
         elif self._in_head:
             self._size += len(data)
-            if self._size > HEAD_MOST:
-                self._break(Result.ERROR)
+            if self._size > HEAD_BYTES_MAX:
+                self._fail(Result.ERROR)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self._pool.lost(self)
-        self._break()
-        self._parser = None  # the two hold each other, and would stay until the collector comes
-
-    def _break(self, result: Result = Result.RESET) -> None:
-        """The connection can't bring the answer any more. An answer that came spoilt is an error: a reset
-        would tell of a connection that was lost, and of the others that they may be."""
-        attempt, flow = self._attempt, self._flow
+        self._pool.on_closed(self)
+        self._fail()
+        self._parser = None  # breaks the reference cycle, which would last until a garbage collection
+
+    def _fail(self, result: Result = Result.RESET) -> None:
+        """Ends the attempt, as the answer can no longer be received. A malformed answer is an error and not a
+        reset: a reset would mean a lost connection, and that others to this server may be lost too."""
+        attempt, stream = self._attempt, self._answer_stream
         self._reusable = False
-        if flow is not None and self._told:
-            self._end_flow()
-            flow.break_off()
+        if stream is not None and self._delivered:
+            self._end_answer_stream()
+            stream.break_off()
         elif attempt is not None:
-            self._end_flow()
-            attempt.end(result if self.may_be_whole else Result.CONNECT_FAILED)
+            self._end_answer_stream()
+            attempt.end(result if self.may_be_fully_sent else Result.CONNECT_FAILED)
         self.close()
 
-    # An answer that is passed on as it comes.
+    # Streamed answers.
 
-    def _begin_flow(self, length: int | None) -> None:
-        self._flow = Stream(length)
+    def _begin_answer_stream(self, length: int | None) -> None:
+        self._answer_stream = Stream(length)
         for piece in self._body:
-            self._flow.put(piece)
+            self._answer_stream.put(piece)
         self._body = []
 
-    def _flow_on(self) -> None:
-        """More of it has come, or its end. It is told of first: its taker has to be there."""
-        flow, attempt, transport = self._flow, self._attempt, self._transport
-        assert flow is not None and transport is not None
-        self.moved = self._pool.pools.now()
-        if not self._told and attempt is not None:
-            self._told = True
+    def _forward_answer(self) -> None:
+        """More of the body, or its end, has arrived. The head is delivered first, to attach the reader."""
+        stream, attempt, transport = self._answer_stream, self._attempt, self._transport
+        assert stream is not None and transport is not None
+        self.last_progress = self._pool.pools.now()
+        if not self._delivered and attempt is not None:
+            self._delivered = True
             self._pool.pools.flows[self] = None
-            flow.on_room = self._room
-            attempt.end(Result.OK, Answer(self._status, self._headers, flow, self._load))
-        if flow.broken:
-            self.close()  # nobody takes it
-        elif self._whole:
-            self._end_flow()
-            flow.end()
+            stream.on_room = self._on_stream_room
+            attempt.end(Result.OK, Answer(self._status, self._headers, stream, self._load))
+        if stream.broken:
+            self.close()  # the reader is gone
+        elif self._is_complete:
+            self._end_answer_stream()
+            stream.end()
             if self._reusable and self.written and not self.closed:
                 self._pool.put(self)
             else:
                 self.close()
-        elif flow.is_full() and not self._stopped:
-            self._stopped = True
+        elif stream.is_full() and not self._is_reading_paused:
+            self._is_reading_paused = True
             transport.pause_reading()
 
-    def _room(self) -> None:
-        flow, transport = self._flow, self._transport
-        if flow is None or transport is None:
+    def _on_stream_room(self) -> None:
+        stream, transport = self._answer_stream, self._transport
+        if stream is None or transport is None:
             return
-        self.moved = self._pool.pools.now()
-        if flow.broken:
-            self._end_flow()
+        self.last_progress = self._pool.pools.now()
+        if stream.broken:
+            self._end_answer_stream()
             self.close()
-        elif self._stopped and not transport.is_closing():
-            self._stopped = False
+        elif self._is_reading_paused and not transport.is_closing():
+            self._is_reading_paused = False
             transport.resume_reading()
 
-    def _end_flow(self) -> None:
-        flow, self._flow = self._flow, None
+    def _end_answer_stream(self) -> None:
+        stream, self._answer_stream = self._answer_stream, None
         self._pool.pools.flows.pop(self, None)
-        if flow is not None:
-            flow.on_room = nothing
-        if self._stopped and self._transport is not None and not self._transport.is_closing():
-            self._stopped = False
+        if stream is not None:
+            stream.on_room = nothing
+        if self._is_reading_paused and self._transport is not None and not self._transport.is_closing():
+            self._is_reading_paused = False
             self._transport.resume_reading()
 
-    def is_stuck(self, before: int) -> bool:
-        """Nothing has come of its answer since, though it was wanted."""
-        return not self._stopped and self.moved < before
+    def is_stalled(self, since: int) -> bool:
+        """Whether the answer has made no progress since then, though reading was not paused."""
+        return not self._is_reading_paused and self.last_progress < since
 
     def give_up(self) -> None:
-        self._break()
+        self._fail()
 
-    # What the parser finds.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        if self._whole:  # more than one answer to one request: nothing that follows can be trusted
+        if self._is_complete:  # a second answer to one request: nothing that follows can be trusted
             self._reusable = False
-            raise ValueError("an answer that nobody asked for")
-        interims = self._interims
-        self._forget_answer()
-        self._interims = interims
+            raise ValueError("unsolicited answer")
+        interim_answers = self._interim_answers
+        self._reset_answer()
+        self._interim_answers = interim_answers
 
     def on_header(self, name: bytes, value: bytes) -> None:
         lower = name.lower()
@@ -303,54 +310,54 @@
         elif not self._in_head:
             pass  # a trailer
         elif lower == b"connection":
-            self._until_close |= value.strip().lower() == b"close"
+            self._ends_at_close |= value.strip().lower() == b"close"
         elif lower == b"x-not-run":
             self._not_run = value.strip() == b"1"
         elif lower == b"content-length":
-            # Refused at its head: up to the limit, a body is read before it shows that it does not end.
+            # Rejected by its header: otherwise the body would be read up to the limit first.
             if int(value) > LONGEST:
-                raise ValueError("an answer that is too long")
+                raise ValueError("answer body too long")
             self._framed, self._length = True, int(value)
         elif lower == b"transfer-encoding":
             self._framed = True
-        elif lower not in HOP_BY_HOP:
+        elif lower not in HOP_BY_HOP_HEADERS:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         assert self._parser is not None
         self._status = self._parser.get_status_code()
         if self._status < 200:
-            self._interims += 1
-            if self._interims > INTERIM_MOST:
-                raise ValueError("interim answers without end")
+            self._interim_answers += 1
+            if self._interim_answers > INTERIM_ANSWERS_MAX:
+                raise ValueError("too many interim answers")
         elif self._framed or self._status in (204, 304):
-            self._until_close = False
+            self._ends_at_close = False
         elif self._parser.get_http_version() == "1.0":
-            self._until_close = True
-        elif not self._until_close:
-            # It would end with its connection, and so would one that was cut.
-            raise ValueError("an answer with neither length nor end")
+            self._ends_at_close = True
+        elif not self._ends_at_close:
+            # Delimited only by the end of the connection, it could not be told from a truncated answer.
+            raise ValueError("answer with neither a length nor Connection: close")
         self._in_head = False
         self._size = 0
         if self._status == 200 and self._length > INLINE_MOST:
-            self._begin_flow(self._length)
+            self._begin_answer_stream(self._length)
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
         if self._size > (LONGEST if self._status == 200 else INLINE_MOST):
-            raise ValueError("an answer that is too long")
-        if self._flow is not None:
-            self._flow.put(data)
+            raise ValueError("answer body too long")
+        if self._answer_stream is not None:
+            self._answer_stream.put(data)
             return
         self._body.append(data)
         if self._size > INLINE_MOST:
-            self._begin_flow(None)
+            self._begin_answer_stream(None)
 
     def on_message_complete(self) -> None:
         if self._status >= 200:  # an interim answer is followed by the real one
             assert self._parser is not None
             self._reusable = self._parser.should_keep_alive()
-            self._whole = True
+            self._is_complete = True
 
     def _complete(self) -> None:
         attempt = self._attempt
@@ -360,7 +367,7 @@
             result = Result.OK
         elif self._status in (503, 504) and self._not_run:
             result = Result.FULL
-        elif 400 <= self._status < 500 and self._status not in NO_FAULT_OF_THE_REQUEST:
+        elif 400 <= self._status < 500 and self._status not in SERVER_SIDE_4XX:
             result = Result.REJECTED
         else:
             result = Result.ERROR
--- a/driftstair/net/server_directory.py
+++ b/driftstair/net/server_directory.py
@@ -54,7 +54,7 @@
             self.on_list, self._on_watch_failed, system, self._is_pushed,
         )  # fmt: skip
         self._call_due = 0.0  # when the next call is to be made, by the loop's clock; 0: none waits
-        pools.has_news = self.has_news
+        pools.has_unread_updates = self.has_unread_updates
 
     def start(self) -> None:
         """With the list that the node is told at its start."""
@@ -113,12 +113,12 @@
         self._call_due = 0.0
         self.discovery.watch()
 
-    def has_news(self) -> bool:
+    def has_unread_updates(self) -> bool:
         """Whether discovery has told something that is not read yet, or an agent is about to. A call that is
         overdue is about to be made: the process has stood still."""
         if self._call_due and asyncio.get_running_loop().time() > self._call_due + LATE_LEAST:
             return True
-        return self.discovery.has_news()
+        return self.discovery.has_unread_updates()
 
     def _follow(self, kind: ListKind, hosts: tuple[Host, ...]) -> None:
         servers = tuple(self._server(host) for host in hosts)
@@ -128,7 +128,7 @@
         leaving = {} if kind is ListKind.DELTA else dict.fromkeys(self._pools.servers())
         for host, server in zip(hosts, servers, strict=True):
             if host.state is ServerState.READY:
-                self._pools.enrol(server.id, host.address, server.started)
+                self._pools.add_server(server.id, host.address, server.started)
                 leaving.pop(server.id, None)
             else:
                 leaving[server.id] = None
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -86,7 +86,7 @@
             peers = [writer.get_extra_info("socket") for writer in writers]
             for peer in peers:
                 os.write(peer.fileno(), answer(body=b"copy"))
-            assert [one.is_quiet() for one in pool.idle] == [False, False]
+            assert [one.has_no_unread_data() for one in pool.idle] == [False, False]
             assert pool.take() is None and not pool.idle
             assert (await client.ask(request(body=b"three"))).body == b"three"
             assert server.connections == 3
@@ -199,10 +199,10 @@
 def test_want_of_descriptors_is_no_fault_of_a_server_and_idle_ones_make_room() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Server("s-2") as other, Rig(configuration(server)) as rig:
-            rig.node._pools._sockets_most = 2
+            rig.node._pools._sockets_max = 2
             assert await ask_at_once(rig, 2) == [200, 200]
             rig.node.servers.on_list(change(server, other))
-            rig.node._pools._sockets_most = 1
+            rig.node._pools._sockets_max = 1
             server.script = other.script = silent
             clients = [await rig.client() for _ in range(3)]
             for client in clients:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -94,7 +94,7 @@
             def take(pool: Pool) -> Connection | None:
                 connection = taken(pool)
                 if pool is idle and not crossed:
-                    assert connection is not None and connection.is_quiet()
+                    assert connection is not None and connection.has_no_unread_data()
                     used.transport.abort()  # in its next turn, after this write
                     crossed.append(len(rig.spy.outcomes()))
                 return connection
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -271,7 +271,7 @@
 
 
 ALLOWED = {
-    ("server_connection.py", "write"): {"Connection.send", "Connection._pump"},
+    ("server_connection.py", "write"): {"Connection.send", "Connection._forward_upload"},
     ("server_attempt.py", "send"): {"Attempt._write"},
     ("client_connection.py", "write"): {
         "ClientConnection._next",  # 100 Continue
@@ -327,8 +327,9 @@
 def test_a_planted_way_round_is_seen() -> None:
     source = (NET / "server_connection.py").read_text()
     planted = source.replace(
-        "    def is_quiet(self)",
-        "    def sneak(self) -> None:\n        self._transport.write(b'')\n\n    def is_quiet(self)",
+        "    def has_no_unread_data(self)",
+        "    def sneak(self) -> None:\n        self._transport.write(b'')\n\n"
+        "    def has_no_unread_data(self)",
     )
     assert planted != source
     assert calls(planted)["write"] - ALLOWED["server_connection.py", "write"] == {"Connection.sneak"}
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -88,9 +88,11 @@
             client = await rig.client()
             client.writer.write(request())
             await client.reader.readuntil(b"\r\n\r\n")
-            await until(lambda: any(one._stopped for one in rig.node._pools.flows))
-            (passed,) = rig.node._pools.flows
-            assert passed._flow is not None and passed._flow._held <= HELD_MOST + (256 << 10)
+            await until(lambda: any(one._is_reading_paused for one in rig.node._pools.flows))
+            (streamed,) = rig.node._pools.flows
+            assert streamed._answer_stream is not None and streamed._answer_stream._held <= HELD_MOST + (
+                256 << 10
+            )
             assert sent < 40 << 20
             assert len(await client.reader.readexactly(40 << 20)) == 40 << 20  # all of it, once it reads
             assert sent == 40 << 20
