--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -60,7 +60,7 @@
     """A connection is used again at once, whatever its server still writes."""
     reuse_delay.REUSE_DELAY_MIN_NS = 0
     reuse_delay.ReuseDelay.on_unsolicited_bytes = lambda self, now, lateness: None  # type: ignore[method-assign]
-    server_connection.Connection.is_quiet = lambda self: True  # type: ignore[method-assign]
+    server_connection.Connection.has_no_unread_data = lambda self: True  # type: ignore[method-assign]
 
 
 def unsafe_repeat() -> None:
@@ -73,7 +73,7 @@
 
 def send_to_draining() -> None:
     """A server that drains is taken for one that is ready."""
-    follow = server_directory.ServerDirectory._follow
+    follow = server_directory.ServerDirectory._update_servers
 
     def ready(self: server_directory.ServerDirectory, kind: Any, hosts: Any) -> None:
         state = server_directory.ServerState
@@ -83,7 +83,7 @@
             tuple(one._replace(state=state.READY) if one.state is state.DRAINING else one for one in hosts),
         )
 
-    server_directory.ServerDirectory._follow = ready  # type: ignore[method-assign]
+    server_directory.ServerDirectory._update_servers = ready  # type: ignore[method-assign]
 
 
 def wall_clock_in_deadlines() -> None:
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -106,7 +106,7 @@
         self._node.servers.watch()
         with suppress(TimeoutError):
             async with asyncio.timeout(LIST_TIMEOUT_S):
-                await self._node.servers.told.wait()
+                await self._node.servers.list_received.wait()
         await predecessor.update_state()
         assert self._store is not None
         state = self._store.read()
@@ -195,7 +195,7 @@
     def _apply(self, orders: Orders) -> None:
         hosts = self.roster.set_orders(orders)
         if hosts:
-            self._node.servers.apply_roster(hosts)
+            self._node.servers.apply_overrides(hosts)
         if not orders.drained:
             self._front.drain = None
         elif self._front.drain is None:
@@ -207,7 +207,7 @@
     def _store_state(self) -> None:
         assert self._store is not None
         known, discovery, learned = (
-            self._node.servers.listed(),
+            self._node.servers.current_list(),
             _format_address(self._node.servers.address),
             self._node.exported_memory(),
         )
