--- /dev/null
+++ b/driftstair/net/body_stream.py
@@ -0,0 +1,135 @@
+"""Bodies that are forwarded while they still arrive: buffering, flow control and size limits. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+INLINE_BODY_BYTES_MAX = (
+    64 << 10
+)  # larger answers are streamed; of larger requests, bytes are counted in a budget
+BODY_BYTES_MAX = 48 << 20
+STREAM_BUFFER_BYTES_MAX = 64 << 10  # buffered in a stream before its producer is paused
+HELD_BODY_BYTES_MAX = 1 << 20  # of a request's body that is held until it is complete, if the budget allows
+BODY_BUDGET_SHARE = 0.25  # of the memory that the process itself does not need
+BODY_BUDGET_BYTES_MIN = 1 << 20
+PROCESS_MEMORY_BYTES = 32 << 20  # reserved for the process itself
+STREAM_STALL_S_MAX = 12.0  # without progress, whichever side the stream waits for
+
+
+def no_op() -> None:
+    pass
+
+
+class BodyBudget:
+    """Memory shared by all request bodies that are buffered until they are complete, in bytes."""
+
+    def __init__(self, memory: int) -> None:
+        self.bytes_left = max(BODY_BUDGET_BYTES_MIN, int(BODY_BUDGET_SHARE * (memory - PROCESS_MEMORY_BYTES)))
+
+    def try_reserve(self, size: int) -> bool:
+        if size > self.bytes_left:
+            return False
+        self.bytes_left -= size
+        return True
+
+    def release(self, size: int) -> None:
+        self.bytes_left += size
+
+
+class Stream:
+    """An ordered byte stream. The producer puts data in and ends or fails it; the consumer takes it out."""
+
+    __slots__ = (
+        "_buffered_bytes",
+        "_chunks",
+        "_is_blocked",
+        "_was_full",
+        "consumed",
+        "ended",
+        "failed",
+        "length",
+        "on_readable",
+        "on_writable",
+    )  # fmt: skip
+
+    def __init__(self, length: int | None = None) -> None:
+        self.length = length  # total bytes, if known
+        self.consumed = False  # some data has been taken, so the body can't be sent again from its start
+        self.ended = False  # the producer has put in everything
+        self.failed = False  # the rest will never arrive
+        self.on_readable: Callable[[], None] = no_op  # there is more to take, or the stream has ended
+        self.on_writable: Callable[[], None] = no_op  # there is buffer space again
+        self._chunks: list[bytes] = []
+        self._buffered_bytes = 0
+        self._was_full = False
+        self._is_blocked = False
+
+    def put(self, data: bytes) -> None:
+        if data and not self.failed:
+            self._chunks.append(data)
+            self._buffered_bytes += len(data)
+            self.on_readable()
+
+    def end(self) -> None:
+        self.ended = True
+        self.on_readable()
+
+    def fail(self) -> None:
+        """Called by the producer when the rest will never arrive or is no longer wanted."""
+        if not self.ended and not self.failed:
+            self.failed = True
+            self._chunks.clear()
+            self._buffered_bytes = 0
+            self.on_readable()
+
+    def abandon(self) -> None:
+        """Called by the consumer when it stops reading; the producer is notified by `on_writable`."""
+        self.on_readable = no_op
+        if not self.failed:
+            self.failed = True
+            self._chunks.clear()
+            self._buffered_bytes = 0
+            self.on_writable()
+
+    def take(self) -> bytes:
+        """Returns everything buffered. The caller must call `mark_forwarded` once it has written the data."""
+        data = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
+        if data:
+            self.consumed = True
+            self._chunks.clear()
+            self._was_full |= self.is_full()
+            self._buffered_bytes = 0
+        return data
+
+    def mark_forwarded(self) -> None:
+        """The data taken last has been written, so the producer may continue. Notifying the producer within
+        `take` would reorder the stream: it would put in more data at once, which would be written first."""
+        if self._was_full and not self.is_full():
+            self._was_full = False
+            self.on_writable()
+
+    def set_blocked(self, blocked: bool) -> None:
+        """Whether data taken from the stream waits in the consumer's socket buffer. The producer is paused
+        meanwhile; otherwise the data of a slow reader is buffered twice, here and before the socket: 500 KB
+        for each reader."""
+        self._is_blocked = blocked
+        self._was_full |= blocked
+
+    def is_full(self) -> bool:
+        return self._is_blocked or self._buffered_bytes >= STREAM_BUFFER_BYTES_MAX
+
+    def is_done(self) -> bool:
+        """The stream has ended and all of its data has been taken."""
+        return self.ended and not self._buffered_bytes
+
+
+def encode_chunk(data: bytes) -> bytes:
+    return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
+
+
+def body_length(body: bytes | Stream) -> int | None:
+    """Length in bytes, or None if it is not known yet."""
+    return body.length if isinstance(body, Stream) else len(body)
+
+
+LAST_CHUNK = b"0\r\n\r\n"
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, cast
 
 from driftstair.net.arrival import Arrival, ArrivalDates
-from driftstair.net.flow import LAST_CHUNK, Stream, chunk, nothing, size
+from driftstair.net.body_stream import LAST_CHUNK, Stream, body_length, encode_chunk, no_op
 from driftstair.net.identifiers import key_number
 from driftstair.net.in_flight import Call
 from driftstair.net.request import UP, Incoming, Reader
@@ -165,7 +165,7 @@
         if self._reader.is_partial():
             self._reader.error = 408
             if self._upload is not None:
-                self._upload.break_off()
+                self._upload.fail()
             self._next()
         else:
             self.close(CloseReason.TOO_SLOW)
@@ -240,10 +240,10 @@
         self._reader.go_on()
         if upload.ended:
             self._upload = None
-            upload.on_room = nothing
+            upload.on_writable = no_op
             if self._number:
                 self._front.node.whole(self._number, self._reader.newest)
-        elif upload.broken:
+        elif upload.failed:
             self._upload = None
             number, self._number = self._number, 0
             if number:  # neither whole nor answered
@@ -252,7 +252,7 @@
                 self._answer_itself(self._reader.error or 400, AnswerReason.UNREADABLE)
 
     def _free(self) -> None:
-        self._front.budget.give(self._reserved)
+        self._front.budget.release(self._reserved)
         self._reserved = 0
 
     def _serve(self, incoming: Incoming) -> None:
@@ -262,7 +262,7 @@
         self._deadline = 0
         if incoming.stream is not None:
             self._upload = incoming.stream
-            incoming.stream.on_room = self._next
+            incoming.stream.on_writable = self._next
         if incoming.path == UP:
             self.answer(200 if self._front.is_up() else 503, [], b"")
             return
@@ -320,9 +320,9 @@
         keep = self._keep_alive and (more or (not rejected and self._front.keeps_alive(self)))
         if self._upload is not None:
             keep = keep and self._upload.ended  # what is left of it would be read as the next request
-            self._upload.on_room = nothing
+            self._upload.on_writable = no_op
             self._upload = None
-        length = size(body)
+        length = body_length(body)
         self._chunked = length is None and self._version != b"1.0"
         self._all_out = False
         lines = [b"HTTP/1.1 ", NUMBERED[status], b"\r\n"]
@@ -348,7 +348,7 @@
             transport.write(b"".join(lines))
             self._flow = body
             self._front.on_answer_taken(self)
-            body.on_more = self._pass_on
+            body.on_readable = self._pass_on
             self._pass_on()
             return
         lines.append(body)
@@ -367,25 +367,25 @@
         flow, transport = self._flow, self._transport
         if flow is None or transport is None or transport.is_closing():
             return
-        if flow.broken:
+        if flow.failed:
             self.abort(CloseReason.ANSWER_BROKEN)  # so that the client can tell
             return
         if transport.get_write_buffer_size():
             return  # `resume_writing` follows
         data = flow.take()
         if self._chunked:
-            data = chunk(data) + (LAST_CHUNK if flow.is_done() else b"")
+            data = encode_chunk(data) + (LAST_CHUNK if flow.is_done() else b"")
         if data:
             transport.write(data)
             self._front.on_answer_taken(self)
-            flow.halt(bool(transport.get_write_buffer_size()))
+            flow.set_blocked(bool(transport.get_write_buffer_size()))
         if flow.is_done():
             self._all_out = True
-            flow.on_more = nothing
+            flow.on_readable = no_op
             if not transport.get_write_buffer_size():
                 self._flowed()
         else:
-            flow.passed_on()
+            flow.mark_forwarded()
 
     def _flowed(self) -> None:
         self._flow = None
@@ -398,7 +398,7 @@
             if self._all_out:
                 self._flowed()
             else:
-                self._flow.halt(False)
+                self._flow.set_blocked(False)
                 self._pass_on()
         elif self._slow_reader is not None:
             self._slow_reader.cancel()
--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from driftstair.net.flow import SILENCE_MOST
+from driftstair.net.body_stream import STREAM_STALL_S_MAX
 from driftstair.net.reuse_delay import ReuseDelay
 from driftstair.net.system import SOCKET_SYSTEM, System
 from lichenspring.interface import Result, ServerId
@@ -98,7 +98,7 @@
         before = self.now() - self.idle_limit
         for pool in self._pools.values():
             pool.drop_idle(before)
-        stuck = self.now() - int(SILENCE_MOST * 1e9)
+        stuck = self.now() - int(STREAM_STALL_S_MAX * 1e9)
         for connection in [one for one in self.flows if one.is_stuck(stuck)]:
             connection.give_up()
         self.start()
--- a/driftstair/net/frontend.py
+++ b/driftstair/net/frontend.py
@@ -10,8 +10,8 @@
 
 from driftstair.admission.body_progress import BodyProgress
 from driftstair.admission.connection_table import CloseMode, ConnectionLimits, ConnectionTable
+from driftstair.net.body_stream import STREAM_STALL_S_MAX, BodyBudget
 from driftstair.net.client_connection import ClientConnection
-from driftstair.net.flow import SILENCE_MOST, Budget
 from driftstair.net.loop_monitor import LoopMonitor
 from driftstair.net.node import Node
 from driftstair.net.request_guard import ProcessState
@@ -58,7 +58,7 @@
         self._ended = False  # what is begun from now on would not be finished
         self._limits = limits
         self.places: ConnectionTable[ClientConnection] = ConnectionTable(limits, ClientConnection.has_unread)
-        self.budget = Budget(config.memory_bytes_max)  # for bodies that are held until they are whole
+        self.budget = BodyBudget(config.memory_bytes_max)  # for bodies that are held until they are whole
         self.bodies: dict[ClientConnection, BodyProgress] = {}  # that are on their way from clients
         self.flows: dict[ClientConnection, float] = {}  # long answers, and since when each stands still
         self._loop = asyncio.get_running_loop()
@@ -168,7 +168,7 @@
         now = self._loop.time()
         for connection in [one for one, pace in self.bodies.items() if pace.is_too_slow(now)]:
             connection.time_out()
-        for connection in [one for one, since in self.flows.items() if now - since > SILENCE_MOST]:
+        for connection in [one for one, since in self.flows.items() if now - since > STREAM_STALL_S_MAX]:
             connection.abort(CloseReason.SLOW_READER)
         self._thin_out()
         if self.drain is not None:
--- a/driftstair/net/in_flight.py
+++ b/driftstair/net/in_flight.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from driftstair.net.flow import Stream
+from driftstair.net.body_stream import Stream
 from driftstair.net.server_attempt import Attempt
 from lichenspring.interface import Result
 
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -9,8 +9,8 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
+from driftstair.net.body_stream import Stream, body_length
 from driftstair.net.connection_pools import Pools
-from driftstair.net.flow import Stream, size
 from driftstair.net.in_flight import Call, InFlightRequest
 from driftstair.net.load_report import LoadReports
 from driftstair.net.request_guard import (
@@ -223,7 +223,7 @@
             self._reply(request, 409, [], b"", AnswerReason.DUPLICATE_ID)
         elif len(self._open) >= self._config.open_cap:
             self._reply(request, 503, [], b"", AnswerReason.TOO_MANY_OPEN)
-        elif rules is not None and 0 < rules.body < (size(call.body) or 0):
+        elif rules is not None and 0 < rules.body < (body_length(call.body) or 0):
             self._reply(request, 413, [], b"", AnswerReason.BODY_TOO_LONG)
         elif self.tenants is not None and call.asked is not None and (
             (wait := self.tenants.admit(now, request, call.asked.tenant)) is not None
@@ -365,7 +365,7 @@
             self.metrics.retries[request.last_result] += 1
         pool = self._pools.get(action.server)
         body = request.call.body
-        passed_on = isinstance(body, Stream) and body.begun
+        passed_on = isinstance(body, Stream) and body.consumed
         over = gone or request.answered or passed_on
         if pool is None or over or index >= self._config.settings.max_attempts:
             why = self.guard.forbids(request.number, index, action.server, self._now())
@@ -428,7 +428,7 @@
                 self._answer(request.number, answer.status, [], AnswerReason.REJECTED_BY_SERVER)
         elif answer is not None and isinstance(answer.body, Stream):
             answer.body.abandon()
-        if not request.answered and isinstance(request.call.body, Stream) and request.call.body.begun:
+        if not request.answered and isinstance(request.call.body, Stream) and request.call.body.consumed:
             self._give_up(request, result)
         self._forget_if_done(request)
         report = () if answer is None else self._load_reports.read(answer.load)
--- a/driftstair/net/request.py
+++ b/driftstair/net/request.py
@@ -8,7 +8,13 @@
 
 import httptools
 
-from driftstair.net.flow import HELD_WHOLE, INLINE_MOST, LONGEST, Budget, Stream
+from driftstair.net.body_stream import (
+    BODY_BYTES_MAX,
+    HELD_BODY_BYTES_MAX,
+    INLINE_BODY_BYTES_MAX,
+    BodyBudget,
+    Stream,
+)
 from driftstair.net.server_connection import HEAD_MOST, HOP_BY_HOP
 from driftstair.settings import Config
 from lichenspring.interface import Repeat
@@ -105,7 +111,7 @@
 
     def check_length(self) -> None:
         length = self.fields.get(b"content-length", b"0")
-        if int(length) > LONGEST:  # the parser let only digits pass
+        if int(length) > BODY_BYTES_MAX:  # the parser let only digits pass
             raise Rejected(413)
         coding = self.fields.get(b"transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
@@ -130,9 +136,9 @@
 
     def __init__(
         self, config: Config, now: Callable[[], int], serves: Callable[[bytes], bool] = lambda _: False,
-        budget: Budget | None = None,
+        budget: BodyBudget | None = None,
     ) -> None:  # fmt: skip
-        self._budget = budget or Budget(config.memory_bytes_max)
+        self._budget = budget or BodyBudget(config.memory_bytes_max)
         self.streaming: Stream | None = None  # the body of a request that was handed out before it was whole
         self._now = now
         self._serves = serves
@@ -154,12 +160,12 @@
         self.ready.clear()
         self._give_back()
         if self.streaming is not None:
-            self.streaming.break_off()
+            self.streaming.fail()
             self.streaming = None
 
     def _give_back(self) -> None:
         if self._incoming is not None:
-            self._budget.give(self._incoming.reserved)
+            self._budget.release(self._incoming.reserved)
             self._incoming.reserved = 0
 
     def feed(self, data: bytes, oldest: int = 0, newest: int = 0) -> None:
@@ -210,7 +216,7 @@
             self._give_back()
             self._rest, self._incoming = b"", None
             if self.streaming is not None:
-                self.streaming.break_off()
+                self.streaming.fail()
                 self.streaming = None
 
     def is_partial(self) -> bool:
@@ -267,21 +273,21 @@
         incoming.keep_alive = self._parser.should_keep_alive()
         incoming.version = self._parser.get_http_version().encode()
         self._in_body = True
-        if int(incoming.fields.get(b"content-length", b"0")) > HELD_WHOLE:
+        if int(incoming.fields.get(b"content-length", b"0")) > HELD_BODY_BYTES_MAX:
             self._hand_out(incoming)
 
     def on_body(self, data: bytes) -> None:
         incoming = self._incoming
         assert incoming is not None
         incoming.received += len(data)
-        if incoming.received > LONGEST:
+        if incoming.received > BODY_BYTES_MAX:
             raise Rejected(413)
         if incoming.stream is not None:
             incoming.stream.put(data)
             return
         incoming.body += data
-        if incoming.received > INLINE_MOST:
-            if incoming.received <= HELD_WHOLE and self._budget.take(len(data)):
+        if incoming.received > INLINE_BODY_BYTES_MAX:
+            if incoming.received <= HELD_BODY_BYTES_MAX and self._budget.try_reserve(len(data)):
                 incoming.reserved += len(data)
             else:
                 self._hand_out(incoming)
--- a/driftstair/net/server_attempt.py
+++ b/driftstair/net/server_attempt.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, cast
 
+from driftstair.net.body_stream import STREAM_STALL_S_MAX, Stream
 from driftstair.net.dialing import LOCAL_ERRORS, dial
-from driftstair.net.flow import SILENCE_MOST, Stream
 from driftstair.net.request_guard import AttemptPermit
 from driftstair.net.server_connection import Answer, Connection
 from lichenspring.interface import Result
@@ -162,7 +162,7 @@
             self._timer = asyncio.get_running_loop().call_later(LAST_LOOK, self._expire, at, True)
             return
         uploads = self.moved and not self.written_at
-        if uploads and now - self.moved < SILENCE_MOST * 1e9:
+        if uploads and now - self.moved < STREAM_STALL_S_MAX * 1e9:
             self._expires_at(now + UPLOAD_LOOK)  # its time counts from its last byte
             return
         may_be_whole = self._connection is not None and self._connection.may_be_whole
--- a/driftstair/net/server_connection.py
+++ b/driftstair/net/server_connection.py
@@ -8,7 +8,14 @@
 
 import httptools
 
-from driftstair.net.flow import INLINE_MOST, LAST_CHUNK, LONGEST, Stream, chunk, nothing
+from driftstair.net.body_stream import (
+    BODY_BYTES_MAX,
+    INLINE_BODY_BYTES_MAX,
+    LAST_CHUNK,
+    Stream,
+    encode_chunk,
+    no_op,
+)
 from lichenspring.interface import Result
 
 if TYPE_CHECKING:
@@ -31,7 +38,7 @@
 
     status: int
     headers: list[tuple[bytes, bytes]]  # end to end, as they came
-    body: bytes | Stream  # one over INLINE_MOST comes on after the answer is told of
+    body: bytes | Stream  # one over INLINE_BODY_BYTES_MAX comes on after the answer is told of
     load: bytes  # the load report; empty if there is none
 
 
@@ -90,7 +97,7 @@
             self._note_handed(attempt)
         else:
             self._upload = rest
-            rest.on_more = self._pump
+            rest.on_readable = self._pump
             self._stuffed = bool(transport.get_write_buffer_size())
             self._pump()
 
@@ -119,19 +126,19 @@
             return
         data = rest.take()
         if rest.length is None:
-            data = chunk(data) + (LAST_CHUNK if rest.is_done() else b"")
+            data = encode_chunk(data) + (LAST_CHUNK if rest.is_done() else b"")
         if data:
             attempt.moved = self._pool.pools.now()
             transport.write(data)
             self._stuffed = bool(transport.get_write_buffer_size())
-            rest.halt(self._stuffed)
+            rest.set_blocked(self._stuffed)
         if rest.is_done():
             self._upload = None
             self._note_handed(attempt)
             if not self._stuffed and not transport.is_closing():
                 self._all_written()
         else:
-            rest.passed_on()
+            rest.mark_forwarded()
 
     def _all_written(self) -> None:
         self.written = self.may_be_whole = self._attempt is not None
@@ -141,7 +148,7 @@
     def resume_writing(self) -> None:
         self._stuffed = False
         if self._upload is not None:
-            self._upload.halt(False)
+            self._upload.set_blocked(False)
             self._pump()
         else:
             self._all_written()
@@ -170,7 +177,7 @@
             return
         self._attempt = None
         if self._upload is not None:
-            self._upload.on_more = nothing
+            self._upload.on_readable = no_op
             self._upload = None
         if self._flow is not None:
             return  # the answer goes on
@@ -221,7 +228,7 @@
         self._reusable = False
         if flow is not None and self._told:
             self._end_flow()
-            flow.break_off()
+            flow.fail()
         elif attempt is not None:
             self._end_flow()
             attempt.end(result if self.may_be_whole else Result.CONNECT_FAILED)
@@ -243,9 +250,9 @@
         if not self._told and attempt is not None:
             self._told = True
             self._pool.pools.flows[self] = None
-            flow.on_room = self._room
+            flow.on_writable = self._room
             attempt.end(Result.OK, Answer(self._status, self._headers, flow, self._load))
-        if flow.broken:
+        if flow.failed:
             self.close()  # nobody takes it
         elif self._whole:
             self._end_flow()
@@ -263,7 +270,7 @@
         if flow is None or transport is None:
             return
         self.moved = self._pool.pools.now()
-        if flow.broken:
+        if flow.failed:
             self._end_flow()
             self.close()
         elif self._stopped and not transport.is_closing():
@@ -274,7 +281,7 @@
         flow, self._flow = self._flow, None
         self._pool.pools.flows.pop(self, None)
         if flow is not None:
-            flow.on_room = nothing
+            flow.on_writable = no_op
         if self._stopped and self._transport is not None and not self._transport.is_closing():
             self._stopped = False
             self._transport.resume_reading()
@@ -308,7 +315,7 @@
             self._not_run = value.strip() == b"1"
         elif lower == b"content-length":
             # Refused at its head: up to the limit, a body is read before it shows that it does not end.
-            if int(value) > LONGEST:
+            if int(value) > BODY_BYTES_MAX:
                 raise ValueError("an answer that is too long")
             self._framed, self._length = True, int(value)
         elif lower == b"transfer-encoding":
@@ -332,18 +339,18 @@
             raise ValueError("an answer with neither length nor end")
         self._in_head = False
         self._size = 0
-        if self._status == 200 and self._length > INLINE_MOST:
+        if self._status == 200 and self._length > INLINE_BODY_BYTES_MAX:
             self._begin_flow(self._length)
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
-        if self._size > (LONGEST if self._status == 200 else INLINE_MOST):
+        if self._size > (BODY_BYTES_MAX if self._status == 200 else INLINE_BODY_BYTES_MAX):
             raise ValueError("an answer that is too long")
         if self._flow is not None:
             self._flow.put(data)
             return
         self._body.append(data)
-        if self._size > INLINE_MOST:
+        if self._size > INLINE_BODY_BYTES_MAX:
             self._begin_flow(None)
 
     def on_message_complete(self) -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -9,8 +9,8 @@
 
 from driftstair.admission import body_progress
 from driftstair.admission.body_progress import BYTES_PER_S_MIN, GRACE_S, SILENCE_S_MAX, BodyProgress
-from driftstair.net import flow, reuse_delay, server_connection
-from driftstair.net.flow import HELD_MOST, Budget, Stream
+from driftstair.net import body_stream, reuse_delay, server_connection
+from driftstair.net.body_stream import STREAM_BUFFER_BYTES_MAX, BodyBudget, Stream
 from driftstair.net.frontend import SWEEP
 from lichenspring.interface import Result
 
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize(("data", "closes"), [
     (answer(body=LONG), False),
-    (answer(body=LONG[: flow.INLINE_MOST + 1]), False),
+    (answer(body=LONG[: body_stream.INLINE_BODY_BYTES_MAX + 1]), False),
     (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG), False),
     (HEAD + b"TRANSFER-ENCODING: Chunked\r\n\r\n" + chunked(LONG[:100_000], 1000), False),
     (HEAD + b"Connection: close\r\n\r\n" + LONG, True),
@@ -90,7 +90,9 @@
             await client.reader.readuntil(b"\r\n\r\n")
             await until(lambda: any(one._stopped for one in rig.node._pools.flows))
             (passed,) = rig.node._pools.flows
-            assert passed._flow is not None and passed._flow._held <= HELD_MOST + (256 << 10)
+            assert passed._flow is not None and passed._flow._buffered_bytes <= STREAM_BUFFER_BYTES_MAX + (
+                256 << 10
+            )
             assert sent < 40 << 20
             assert len(await client.reader.readexactly(40 << 20)) == 40 << 20  # all of it, once it reads
             assert sent == 40 << 20
@@ -119,7 +121,7 @@
 
 
 def test_an_answer_without_end_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_connection, "LONGEST", 1 << 20)
+    monkeypatch.setattr(server_connection, "BODY_BYTES_MAX", 1 << 20)
 
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
@@ -230,7 +232,7 @@
                 # It is read on after that, and nothing of the budget is kept.
                 client.writer.write(request(target="/up", method="GET"))
                 assert status(await client.read()) == 200
-                assert rig.front.budget.left == Budget(rig.config.memory_bytes_max).left
+                assert rig.front.budget.bytes_left == BodyBudget(rig.config.memory_bytes_max).bytes_left
                 assert not rig.front.bodies
 
     run(test())
@@ -378,12 +380,12 @@
 def test_a_stream_tells_both_sides() -> None:
     told: list[str] = []
     stream = Stream()
-    stream.on_more, stream.on_room = lambda: told.append("more"), lambda: told.append("room")
-    stream.put(b"x" * HELD_MOST)
-    assert stream.is_full() and not stream.begun
-    assert stream.take() == b"x" * HELD_MOST and stream.begun and not stream.is_full()
+    stream.on_readable, stream.on_writable = lambda: told.append("more"), lambda: told.append("room")
+    stream.put(b"x" * STREAM_BUFFER_BYTES_MAX)
+    assert stream.is_full() and not stream.consumed
+    assert stream.take() == b"x" * STREAM_BUFFER_BYTES_MAX and stream.consumed and not stream.is_full()
     assert told == ["more"]  # what was taken is not on its way yet: more must not overtake it
-    stream.passed_on()
+    stream.mark_forwarded()
     stream.put(b"y")
     stream.end()
     assert not stream.is_done() and stream.take() == b"y" and stream.is_done()
