--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -17,7 +17,7 @@
     server_connection,
     server_directory,
 )
-from driftstair.net.arrival import Arrival, ArrivalDates
+from driftstair.net.arrival import ArrivalEstimator, ArrivalRange
 from driftstair.net.in_flight import InFlightRequest
 
 
@@ -36,8 +36,8 @@
 def deadline_from_reading() -> None:
     """A request's time counts from when it is read."""
 
-    def now(self: client_connection.ClientConnection, size: int) -> Arrival:
-        return Arrival(self._front.now(), self._front.now())
+    def now(self: client_connection.ClientConnection, size: int) -> ArrivalRange:
+        return ArrivalRange(self._front.now(), self._front.now())
 
     client_connection.ClientConnection._date_arrival = now  # type: ignore[method-assign]
 
@@ -90,9 +90,9 @@
     """The time of a request is taken from the wall clock."""
     off = time.time_ns() - time.monotonic_ns()
 
-    def wall(self: client_connection.ClientConnection, size: int) -> Arrival:
+    def wall(self: client_connection.ClientConnection, size: int) -> ArrivalRange:
         now = time.time_ns() - off
-        return Arrival(now, now)
+        return ArrivalRange(now, now)
 
     client_connection.ClientConnection._date_arrival = wall  # type: ignore[method-assign]
 
@@ -130,8 +130,8 @@
 
 def bursts_by_reading() -> None:
     """The parts of a long body count from when each is read, whenever they were written."""
-    ArrivalDates._may_have_been_ready = lambda self, size, reached: False  # type: ignore[method-assign]
-    ArrivalDates._backlog = lambda self, now, size, oldest, reached: 0  # type: ignore[method-assign]
+    ArrivalEstimator._may_have_been_ready = lambda self, size, reached: False  # type: ignore[method-assign]
+    ArrivalEstimator._backlog_start = lambda self, now, size, oldest, reached: 0  # type: ignore[method-assign]
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -155,7 +155,7 @@
         limits = configuration.combined(table)
     node, front = build_node(config, system, limits, roster)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, note_end, told_to_end, front.monitor.earliest)
+        loop.add_signal_handler(number, note_end, told_to_end, front.monitor.earliest_event_time)
     event_log = None if service is None else service.event_log(config, system)
     if event_log is not None:
         node.observe(event_log[0])
--- a/driftstair/net/__init__.py
+++ b/driftstair/net/__init__.py
@@ -1,1 +1,1 @@
-"""The node on its sockets: clients, servers and discovery."""
+"""Network I/O of a node: connections to clients, to servers and to discovery."""
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -7,10 +7,10 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, cast
 
-from driftstair.net.arrival import Arrival, ArrivalDates
+from driftstair.net.arrival import ArrivalEstimator, ArrivalRange
 from driftstair.net.body_stream import LAST_CHUNK, Stream, body_length, encode_chunk, no_op
 from driftstair.net.identifiers import key_number
-from driftstair.net.in_flight import Call
+from driftstair.net.in_flight import ParsedRequest
 from driftstair.net.request import UP, Incoming, Reader
 from driftstair.observability.reasons import AnswerReason, CloseReason
 
@@ -55,7 +55,7 @@
         self._departed: Callable[[], int | None] = lambda: None
         self._last_arrival: Callable[[], int] = int  # ns since data came; 0 until it is up
         self._unread: Callable[[], bool] = bool  # not before it is up
-        self._arrivals = ArrivalDates(self._front.now())
+        self._arrivals = ArrivalEstimator(self._front.now())
         self._left_at: int | None = None  # when the client closed, or ended its sending, monotonic ns
         self._there_at = -STILL_THERE  # when the kernel was last asked and had seen no end, monotonic ns
         self._dropped = 0  # bytes that came after the end
@@ -76,8 +76,8 @@
     def _date_acceptance(self, transport: asyncio.Transport) -> None:
         """What the client sent while its connection waited to be accepted lies with the kernel."""
         age = self._front.accepted_age(transport)
-        up_since = self._front.now() - age if age else self._front.monitor.earliest()
-        self._arrivals.accepted(up_since, self._unread())
+        up_since = self._front.now() - age if age else self._front.monitor.earliest_event_time()
+        self._arrivals.on_accept(up_since, self._unread())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._ends = True
@@ -109,9 +109,9 @@
             self._front.on_body_end(self)
         self._next()
 
-    def _date_arrival(self, size: int) -> Arrival:
+    def _date_arrival(self, size: int) -> ArrivalRange:
         """When the bytes came that are read now."""
-        now, earliest = self._front.now(), self._front.monitor.earliest()
+        now, earliest = self._front.now(), self._front.monitor.earliest_event_time()
         return self._arrivals.on_read(now, size, self._last_arrival(), earliest, self._paused)
 
     def eof_received(self) -> bool:
@@ -152,7 +152,7 @@
         return max(1, now - self._left_at)
 
     def _end_came(self, age: int) -> int:
-        return self._arrivals.end_came(self._front.now(), age, self._there_at)
+        return self._arrivals.date_peer_close(self._front.now(), age, self._there_at)
 
     def _withdraw(self, number: int) -> None:
         if number == self._number:
@@ -269,25 +269,25 @@
         if self._front.refuses():
             self._answer_itself(503, AnswerReason.PROCESS_ENDING)
             return
-        call = self._call(incoming)
-        self._deadline = 0 if incoming.stream is not None else call.deadline
-        number = self._front.node.take(call)
+        parsed = self._parsed_request(incoming)
+        self._deadline = 0 if incoming.stream is not None else parsed.deadline
+        number = self._front.node.take(parsed)
         if number and self._busy and not self._ends and self._flow is None:
             self._number = number
             if incoming.stream is not None and self._reader.wants_continue():
                 assert self._transport is not None
                 self._transport.write(CONTINUE)
 
-    def _call(self, incoming: Incoming) -> Call:
+    def _parsed_request(self, incoming: Incoming) -> ParsedRequest:
         """The request in the node's terms."""
         fields, tenants = incoming.fields, self._front.config.tenants
         limits = self._front.node.limits
         key = fields.get(b"x-key")
-        return Call(
+        return ParsedRequest(
             client=self,
             has_disconnected=self.has_disconnected,
             disconnected_for=self.disconnected_for,
-            identity=fields[b"x-request-id"],
+            request_id=fields[b"x-request-id"],
             head=incoming.forwarded_head(),
             body=bytes(incoming.body) if incoming.stream is None else incoming.stream,
             class_index=incoming.class_index,
@@ -296,7 +296,7 @@
             resubmitted=fields.get(b"x-retry") == b"1",
             deadline=incoming.arrived + incoming.patience,
             patience=incoming.patience,
-            asked=limits.route_query(incoming.method, incoming.path, fields) if limits is not None else None,
+            query=limits.route_query(incoming.method, incoming.path, fields) if limits is not None else None,
         )
 
     def _answer_itself(self, status: int, reason: AnswerReason) -> None:
--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -32,7 +32,7 @@
 
     def take(self) -> Connection | None:
         now = self.pools.now()
-        rested = now - self.pools.rest.needed(now)
+        rested = now - self.pools.rest.current_ns(now)
         # They stand in the order in which they came to rest: those that have rested long enough come first.
         able = bisect_right(self.idle, rested, key=lambda one: one.idle_since)
         for index in range(able - 1, -1, -1):
--- a/driftstair/net/frontend.py
+++ b/driftstair/net/frontend.py
@@ -49,7 +49,7 @@
         self.data_age_probe = system.data_age_probe
         self.unread_probe = system.unread_probe
         self.unread_bytes = system.unread_bytes
-        self.monitor = LoopMonitor(system.monotonic_ns, node.note_loop_held)
+        self.monitor = LoopMonitor(system.monotonic_ns, node.note_loop_stall)
         self._system = system
         self.closing = False  # answers end their connections
         self.stopping = False  # `/up` sends clients elsewhere
@@ -156,7 +156,7 @@
 
     def _sweep(self) -> None:
         """Guards against clients that say nothing, stop half way, send slowly or keep what they don't use."""
-        if self.monitor.was_held() and not self._sweep_put_off:
+        if self.monitor.has_just_stalled() and not self._sweep_put_off:
             # What they sent meanwhile is to be read first: nobody is late for what the node did not read.
             # Once: a node that is held up again and again still has to let go of those that say nothing.
             self._sweep_put_off = True
--- a/driftstair/net/in_flight.py
+++ b/driftstair/net/in_flight.py
@@ -1,4 +1,4 @@
-"""A client's request as the node holds it: what was asked, and what is out for it."""
+"""A client's request while the node handles it: its content and its attempts in flight."""
 
 from __future__ import annotations
 
@@ -18,42 +18,42 @@
 
 
 class Client(Protocol):
-    """Who asked: gets one answer."""
+    """The recipient of a request's one answer."""
 
     def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes | Stream) -> None:
-        """A body that is a stream is taken as it comes, or abandoned."""
+        """A streamed body is forwarded as it arrives, or abandoned."""
 
 
 @dataclass(slots=True, eq=False)
-class Call:
-    """A request as the front has read it."""
+class ParsedRequest:
+    """A request as parsed from the client's connection."""
 
     client: Client
-    identity: bytes  # new with every request, as clients give it
-    head: bytes  # request line and headers for a server, but for X-Deadline and the blank line
-    body: bytes | Stream  # one that is not whole yet
+    request_id: bytes  # chosen by the client, new for each request
+    head: bytes  # request line and headers for a server, without X-Deadline and the final blank line
+    body: bytes | Stream  # a stream if it is not complete yet
     class_index: int
     tenant: int
     key: int
     resubmitted: bool
-    deadline: int  # monotonic ns; that of a stream counts from its last byte, and is later
+    deadline: int  # monotonic ns; for a streamed body it is moved when the last byte arrives
     patience: int  # ns from the last byte to the deadline
-    has_disconnected: Callable[[], bool]  # the client has left: nothing may begin for it
-    disconnected_for: Callable[[], int]  # ns since it closed or ended its sending; 0: it has not
-    asked: RouteQuery | None = None  # in the terms of routes, where there are any
+    has_disconnected: Callable[[], bool]  # if so, no attempt may start
+    disconnected_for: Callable[[], int]  # ns since the client closed or half-closed; 0: it has not
+    query: RouteQuery | None = None  # if the node has routes
 
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request that is unanswered or has attempts out."""
+    """A request that is unanswered or has attempts in flight."""
 
     number: int
-    call: Call
+    parsed: ParsedRequest
     watchdog: asyncio.TimerHandle | None = None
     answered: bool = False
-    sent: int = 0  # attempts so far
-    may_have_run: bool = False  # one of those that have ended
-    last_result: Result = Result.NOT_SENT  # of the attempt that ended last
-    out: dict[int, Attempt] = field(default_factory=dict)
-    counted: Counted | None = None  # in the ledger, where one is kept
-    tenant: TenantUse | None = None  # whose requests in flight it is one of, where tenants have limits
+    attempts_sent: int = 0  # so far
+    may_have_run: bool = False  # by the attempts that have ended
+    last_result: Result = Result.NOT_SENT  # of the attempt that ended most recently
+    attempts_out: dict[int, Attempt] = field(default_factory=dict)
+    ledger_record: Counted | None = None  # if a ledger is kept
+    tenant: TenantUse | None = None  # counts the tenant's requests in flight, if tenants have limits
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -11,7 +11,7 @@
 
 from driftstair.net.body_stream import Stream, body_length
 from driftstair.net.connection_pools import Pools
-from driftstair.net.in_flight import Call, InFlightRequest
+from driftstair.net.in_flight import InFlightRequest, ParsedRequest
 from driftstair.net.load_report import LoadReports
 from driftstair.net.request_guard import (
     AttemptPermit,
@@ -118,7 +118,7 @@
             "servers_ready": len(self.servers.ready), "server_connections": self._pools.sockets,
         } | self.metrics.flat()  # fmt: skip
 
-    def note_loop_held(self, held: int) -> None:
+    def note_loop_stall(self, held: int) -> None:
         """The loop did not run for so long, ns."""
         self.metrics.loop_held_ns = max(self.metrics.loop_held_ns, held)
         if self.observer is not None:
@@ -177,7 +177,7 @@
             self._answer(action.request, 503, headers, AnswerReason.REFUSED)
         elif isinstance(action, api.Fail):
             request = self._open.get(action.request)
-            late = request is not None and self._now() >= request.call.deadline - TRANSIT
+            late = request is not None and self._now() >= request.parsed.deadline - TRANSIT
             self._answer(action.request, 504 if late else 502, [], AnswerReason.FAILED)
         elif isinstance(action, api.SetTimer):
             self._set_timer(action.at, action.token)
@@ -201,58 +201,62 @@
 
     # Requests.
 
-    def take(self, call: Call) -> int:
+    def take(self, parsed: ParsedRequest) -> int:
         """A client's request has come. Returns its number, for `client_gone`; 0 if it is answered already."""
         self._last_number += 1
-        request = InFlightRequest(self._last_number, call)
-        if self.ledger is not None and call.asked is not None:
-            aim = self._config.settings.classes[call.class_index].aim
-            call.client = request.counted = self.ledger.follow(
-                call.client, call.asked.tenant, aim, call.resubmitted
+        request = InFlightRequest(self._last_number, parsed)
+        if self.ledger is not None and parsed.query is not None:
+            aim = self._config.settings.classes[parsed.class_index].aim
+            parsed.client = request.ledger_record = self.ledger.follow(
+                parsed.client, parsed.query.tenant, aim, parsed.resubmitted
             )
         now = self._now()
-        left = call.deadline - TRANSIT - now
+        left = parsed.deadline - TRANSIT - now
         if self.observer is not None:
-            waited = call.patience - (call.deadline - now)
-            self.observer.request_taken(request.number, call.identity.decode(), left / MS, waited / MS)
-        rules = self.limits.find(call.asked) if self.limits is not None and call.asked is not None else None
+            waited = parsed.patience - (parsed.deadline - now)
+            self.observer.request_taken(request.number, parsed.request_id.decode(), left / MS, waited / MS)
+        rules = (
+            self.limits.find(parsed.query) if self.limits is not None and parsed.query is not None else None
+        )
         if left <= 0:
             self._reply(request, 504, [], b"", AnswerReason.NO_TIME_LEFT)
-        elif call.identity in self._identities:
+        elif parsed.request_id in self._identities:
             # Guards against a stranger that sends another client's id: a server would take it for a copy.
             self._reply(request, 409, [], b"", AnswerReason.DUPLICATE_ID)
         elif len(self._open) >= self._config.open_cap:
             self._reply(request, 503, [], b"", AnswerReason.TOO_MANY_OPEN)
-        elif rules is not None and 0 < rules.body < (body_length(call.body) or 0):
+        elif rules is not None and 0 < rules.body < (body_length(parsed.body) or 0):
             self._reply(request, 413, [], b"", AnswerReason.BODY_TOO_LONG)
-        elif self.tenants is not None and call.asked is not None and (
-            (wait := self.tenants.admit(now, request, call.asked.tenant)) is not None
+        elif self.tenants is not None and parsed.query is not None and (
+            (wait := self.tenants.admit(now, request, parsed.query.tenant)) is not None
         ):  # fmt: skip
             self._turn_away(request, wait)
         else:
             self._open[request.number] = request
-            self._identities.add(call.identity)
+            self._identities.add(parsed.request_id)
             self._guard_request(request)
-            if not isinstance(call.body, Stream):
+            if not isinstance(parsed.body, Stream):
                 self._watch_over(request)
             self._tell(
                 api.Request(
                     request.number,
                     left,
-                    call.class_index,
-                    call.tenant,
-                    call.key,
-                    call.resubmitted,
+                    parsed.class_index,
+                    parsed.tenant,
+                    parsed.key,
+                    parsed.resubmitted,
                     None if rules is None else rules.module_limits,
                 )
             )
         return 0 if request.answered or request.number not in self._open else request.number
 
     def _guard_request(self, request: InFlightRequest) -> None:
-        call = request.call
-        kind = self._config.settings.classes[call.class_index]
-        deadline = 0 if isinstance(call.body, Stream) else call.deadline
-        self.guard.start(request.number, GuardedRequest(kind, call.key != 0, deadline, call.disconnected_for))
+        parsed = request.parsed
+        kind = self._config.settings.classes[parsed.class_index]
+        deadline = 0 if isinstance(parsed.body, Stream) else parsed.deadline
+        self.guard.start(
+            request.number, GuardedRequest(kind, parsed.key != 0, deadline, parsed.disconnected_for)
+        )
 
     def _note_violation(self, invariant: Invariant, number: int, detail: str) -> None:
         self.metrics.violations[invariant.value] += 1
@@ -261,23 +265,23 @@
             self.observer.invariant_violated(invariant.value, number, detail)
 
     def _watch_over(self, request: InFlightRequest) -> None:
-        left = request.call.deadline - self._now()
+        left = request.parsed.deadline - self._now()
         request.watchdog = self._loop.call_later(left / 1e9, self._overdue, request)
 
     def whole(self, number: int, arrived: int) -> None:
         """The last byte of a request's stream has come: its time counts from then on (monotonic ns)."""
         request = self._open.get(number)
         if request is not None and not request.answered:
-            request.call.deadline = arrived + request.call.patience
-            self.guard.dated(number, request.call.deadline)
+            request.parsed.deadline = arrived + request.parsed.patience
+            self.guard.dated(number, request.parsed.deadline)
             self._watch_over(request)
 
     def client_gone(self, number: int) -> None:
         request = self._open.get(number)
         if request is None or request.answered:
             return
-        if request.counted is not None:
-            request.counted.gone()
+        if request.ledger_record is not None:
+            request.ledger_record.gone()
         if self.observer is not None:
             self.observer.request_abandoned(number)
         self.guard.abandoned(number)
@@ -286,7 +290,7 @@
     def withdraw(self, number: int) -> None:
         """Its client has left, or may have: what is out goes on, and nothing begins."""
         request = self._open.get(number)
-        if request is None or request.answered or any(one.is_out() for one in request.out.values()):
+        if request is None or request.answered or any(one.is_out() for one in request.attempts_out.values()):
             return
         # A client that is still there is told at once, and whether it may ask again.
         self._answer_and_close(request, 502 if request.may_have_run else 503, AnswerReason.CLIENT_LEFT)
@@ -305,7 +309,7 @@
         """Over without an action of the module: it is told, and nothing goes on for it."""
         self._finish(request)
         self._tell(api.ClientGone(request.number))
-        for attempt in list(request.out.values()):
+        for attempt in list(request.attempts_out.values()):
             attempt.cancel()
 
     def _answer(
@@ -326,13 +330,13 @@
         self.metrics.answers[reason] += 1
         if self.observer is not None:
             self.observer.request_answered(request.number, status, reason.value)
-        request.call.client.answer(status, headers, body)
+        request.parsed.client.answer(status, headers, body)
 
     def _turn_away(self, request: InFlightRequest, wait: int) -> None:
         """Over a limit of its tenant, before anything is done for it; refused as over a route's. `wait`: ns
         until it may pass; 0: nobody knows."""
         settings = self._config.settings
-        told = min(wait or settings.classes[request.call.class_index].aim, settings.max_retry_after)
+        told = min(wait or settings.classes[request.parsed.class_index].aim, settings.max_retry_after)
         headers = _retry_after(told if settings.retry_after else 0)
         self._reply(request, 503, headers, b"", AnswerReason.TENANT_LIMIT)
 
@@ -345,8 +349,8 @@
         self._forget_if_done(request)
 
     def _forget_if_done(self, request: InFlightRequest) -> None:
-        if request.answered and not request.out and self._open.pop(request.number, None) is not None:
-            self._identities.discard(request.call.identity)
+        if request.answered and not request.attempts_out and self._open.pop(request.number, None) is not None:
+            self._identities.discard(request.parsed.request_id)
             self.guard.forget(request.number)
 
     # Attempts.
@@ -356,15 +360,15 @@
         if request is None:
             self._tell(api.Outcome(action.request, True, Result.NOT_SENT, 0, action.server, 0, ()))
             return
-        gone = request.call.has_disconnected()
+        gone = request.parsed.has_disconnected()
         if gone:
             self.withdraw(request.number)
-        index = request.sent
-        request.sent += 1
+        index = request.attempts_sent
+        request.attempts_sent += 1
         if index:
             self.metrics.retries[request.last_result] += 1
         pool = self._pools.get(action.server)
-        body = request.call.body
+        body = request.parsed.body
         passed_on = isinstance(body, Stream) and body.consumed
         over = gone or request.answered or passed_on
         if pool is None or over or index >= self._config.settings.max_attempts:
@@ -374,22 +378,22 @@
                 api.Outcome(request.number, request.answered, Result.NOT_SENT, 0, action.server, index, ())
             )
             return
-        if request.out and request.counted is not None:
-            request.counted.copied()
+        if request.attempts_out and request.ledger_record is not None:
+            request.ledger_record.copied()
         now = self._now()
         # Of a stream: as if its last byte had come now. Its attempt counts from when that is written.
-        deadline = now + request.call.patience if isinstance(body, Stream) else request.call.deadline
+        deadline = now + request.parsed.patience if isinstance(body, Stream) else request.parsed.deadline
         latest = deadline - TRANSIT
         expires = min(latest, now + action.time_out) if action.time_out else latest
         ended = partial(self._ended, request, index, action.server, now)
-        call = request.call
+        parsed = request.parsed
         permit = AttemptPermit(
             self.guard, request.number, index, action.server,
             now + action.begin_within if action.begin_within else 0,
-            call.has_disconnected, self._not_begun, self._written,
+            parsed.has_disconnected, self._not_begun, self._written,
         )  # fmt: skip
-        attempt = Attempt(pool, call.head, call.body, expires, ended, permit, action.first_byte)
-        request.out[index] = attempt
+        attempt = Attempt(pool, parsed.head, parsed.body, expires, ended, permit, action.first_byte)
+        request.attempts_out[index] = attempt
         attempt.start()
 
     def _not_begun(self, number: int, index: int, why: NotBegun | None) -> None:
@@ -414,7 +418,7 @@
         result: Result,
         answer: Answer | None,
     ) -> None:
-        elapsed = self._now() - (request.out.pop(index).written_at or since)
+        elapsed = self._now() - (request.attempts_out.pop(index).written_at or since)
         request.may_have_run |= result not in NEVER_RAN
         request.last_result = result
         self.guard.ended(request.number, index, result)
@@ -428,7 +432,7 @@
                 self._answer(request.number, answer.status, [], AnswerReason.REJECTED_BY_SERVER)
         elif answer is not None and isinstance(answer.body, Stream):
             answer.body.abandon()
-        if not request.answered and isinstance(request.call.body, Stream) and request.call.body.consumed:
+        if not request.answered and isinstance(request.parsed.body, Stream) and request.parsed.body.consumed:
             self._give_up(request, result)
         self._forget_if_done(request)
         report = () if answer is None else self._load_reports.read(answer.load)
@@ -438,7 +442,7 @@
         """What has been passed on of a stream can't be sent again: no other attempt is possible."""
         settings = self._config.settings
         if result in NEVER_RAN:
-            aim = settings.classes[request.call.class_index].aim
+            aim = settings.classes[request.parsed.class_index].aim
             wait = min(aim, settings.max_retry_after) if settings.retry_after else 0
             self._answer(request.number, 503, _retry_after(wait), AnswerReason.STREAM_BROKEN)
         else:
--- a/tests/acceptance/test_told_deadline.py
+++ b/tests/acceptance/test_told_deadline.py
@@ -33,7 +33,7 @@
 def left_us(rig: Rig, at: int) -> float:
     """Microseconds that the node's one open request had left at a time (monotonic ns)."""
     (held,) = rig.node._open.values()
-    return (held.call.deadline - at) / 1000
+    return (held.parsed.deadline - at) / 1000
 
 
 async def until_time(at: int) -> None:
--- a/tests/observability/test_event_log.py
+++ b/tests/observability/test_event_log.py
@@ -13,7 +13,7 @@
 from rig import Discovery, Rig, Server, answer, configuration, request, run, says, status, until
 from test_process import ROOT, program
 
-from driftstair.net.loop_monitor import TICK_S, LoopMonitor
+from driftstair.net.loop_monitor import TICK_INTERVAL_S, LoopMonitor
 from driftstair.observability.reasons import AnswerReason
 
 
@@ -100,13 +100,13 @@
         held: list[int] = []
         monitor = LoopMonitor(lambda: clock[0], held.append)
         monitor.start()
-        clock[0] = int(TICK_S * 1e9) + 10_000_000
-        assert monitor.earliest() == clock[0]  # the usual noise
+        clock[0] = int(TICK_INTERVAL_S * 1e9) + 10_000_000
+        assert monitor.earliest_event_time() == clock[0]  # the usual noise
         clock[0] = 700_000_000
-        assert monitor.earliest() == 0
+        assert monitor.earliest_event_time() == 0
         await until(lambda: held)
-        assert held == [700_000_000 - int(TICK_S * 1e9)]
-        assert monitor.earliest() == 700_000_000
+        assert held == [700_000_000 - int(TICK_INTERVAL_S * 1e9)]
+        assert monitor.earliest_event_time() == 700_000_000
         await asyncio.sleep(0)
 
     run(test())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -547,7 +547,7 @@
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
-            monkeypatch.setattr(rig.front.monitor, "was_held", lambda: True)
+            monkeypatch.setattr(rig.front.monitor, "has_just_stalled", lambda: True)
             monkeypatch.setattr(rig.front.places, "limits", ConnectionLimits(100, first_head_s_max=0.1))
             client = await rig.client()
             assert await client.ended() == b""
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -280,17 +280,17 @@
 def test_the_rest_follows_what_comes_unasked_and_fades() -> None:
     rest = reuse_delay.ReuseDelay()
     second = 1_000_000_000
-    assert rest.needed(0) == reuse_delay.REUSE_DELAY_MIN_NS
+    assert rest.current_ns(0) == reuse_delay.REUSE_DELAY_MIN_NS
     rest.on_unsolicited_bytes(second, 100_000_000)
-    assert rest.needed(second) == 400_000_000
+    assert rest.current_ns(second) == 400_000_000
     rest.on_unsolicited_bytes(2 * second, 1_000_000)  # an earlier one tells nothing against the late one
-    assert rest.needed(2 * second) == 400_000_000
+    assert rest.current_ns(2 * second) == 400_000_000
     rest.on_unsolicited_bytes(3 * second, 3600 * second)
-    assert rest.needed(3 * second) == reuse_delay.REST_MOST
-    faded = [rest.needed(3 * second + fades * reuse_delay.REST_FADES) for fades in (1, 2, 1000)]
+    assert rest.current_ns(3 * second) == reuse_delay.REUSE_DELAY_MAX_NS
+    faded = [rest.current_ns(3 * second + fades * reuse_delay.DECAY_HALF_LIFE_NS) for fades in (1, 2, 1000)]
     assert faded == [
-        reuse_delay.REST_MOST // 2,
-        reuse_delay.REST_MOST // 4,
+        reuse_delay.REUSE_DELAY_MAX_NS // 2,
+        reuse_delay.REUSE_DELAY_MAX_NS // 4,
         reuse_delay.REUSE_DELAY_MIN_NS,
     ]
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -129,7 +129,7 @@
 
                 def crosses() -> None:
                     there.sendall(answer())
-                    sleep(max(0, held.call.deadline + 5 * MS - monotonic_ns()) / 1e9)
+                    sleep(max(0, held.parsed.deadline + 5 * MS - monotonic_ns()) / 1e9)
 
                 near, far = socket.socketpair()
                 stack.enter_context(far)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -309,9 +309,9 @@
             client.writer.write(request("order", body=b"x" * 65536))
             accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), PATIENCE)
             (held,) = rig.node._open.values()
-            await until(lambda: held.out[0]._connection)
+            await until(lambda: held.attempts_out[0]._connection)
             # Some turns later, the loop has told that it is not whole with the kernel.
-            await until(lambda: not held.out[0]._connection.may_be_whole)  # type: ignore[union-attr]
+            await until(lambda: not held.attempts_out[0]._connection.may_be_whole)  # type: ignore[union-attr]
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             accepted.close()
             assert status(await client.read()) == 503
