--- a/driftstair/net/body_stream.py
+++ b/driftstair/net/body_stream.py
@@ -40,16 +40,8 @@
     """An ordered byte stream. The producer puts data in and ends or fails it; the consumer takes it out."""
 
     __slots__ = (
-        "_buffered_bytes",
-        "_chunks",
-        "_is_blocked",
-        "_was_full",
-        "consumed",
-        "ended",
-        "failed",
-        "length",
-        "on_readable",
-        "on_writable",
+        "_buffered_bytes", "_chunks", "_is_blocked", "_was_full", "consumed", "ended", "failed", "length",
+        "on_readable", "on_writable",
     )  # fmt: skip
 
     def __init__(self, length: int | None = None) -> None:
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -11,7 +11,7 @@
 from driftstair.net.body_stream import LAST_CHUNK, Stream, body_length, encode_chunk, no_op
 from driftstair.net.identifiers import key_number
 from driftstair.net.in_flight import ParsedRequest
-from driftstair.net.request import UP, Incoming, Reader
+from driftstair.net.request import HEALTH_PATH, IncomingRequest, RequestReader
 from driftstair.observability.reasons import AnswerReason, CloseReason
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
         self._front = front
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._reader = Reader(front.config, front.now, front.node.serves, front.budget)
+        self._reader = RequestReader(front.config, front.now, front.node.serves, front.budget)
         self._reserved = 0  # of the budget, by the body of the request that is served
         self._upload: Stream | None = None  # a body that is passed on as it comes
         self._flow: Stream | None = None  # an answer, likewise
@@ -163,7 +163,7 @@
         if self.has_unread():
             return  # what it has sent is to be read first; it is looked at again
         if self._reader.is_partial():
-            self._reader.error = 408
+            self._reader.error_status = 408
             if self._upload is not None:
                 self._upload.fail()
             self._next()
@@ -180,7 +180,7 @@
 
     def refuse(self) -> None:
         """Told to take what it has begun elsewhere."""
-        self._reader.error = 503
+        self._reader.error_status = 503
         self._next()
 
     # Requests in turn.
@@ -195,16 +195,16 @@
                 self._follow_upload(self._upload)
             if self._busy or self._ends or transport.is_closing():
                 break
-            reader.go_on()
+            reader.parse_available()
             if reader.ready:
                 self._busy = self._served = True
                 self._front.on_request(self)
                 self._serve(reader.ready.popleft())
-            elif reader.error:
+            elif reader.error_status:
                 # Where framing is lost nothing that follows can be read; what came before is answered.
                 self._busy = True
                 self._keep_alive = False
-                self._answer_itself(reader.error, AnswerReason.UNREADABLE)
+                self._answer_itself(reader.error_status, AnswerReason.UNREADABLE)
             else:
                 break
         self._in_turn = False
@@ -237,33 +237,33 @@
 
     def _follow_upload(self, upload: Stream) -> None:
         """A body that is passed on as it comes goes on, has come whole, or never will."""
-        self._reader.go_on()
+        self._reader.parse_available()
         if upload.ended:
             self._upload = None
             upload.on_writable = no_op
             if self._number:
-                self._front.node.whole(self._number, self._reader.newest)
+                self._front.node.whole(self._number, self._reader.newest_arrival)
         elif upload.failed:
             self._upload = None
             number, self._number = self._number, 0
             if number:  # neither whole nor answered
                 self._front.node.client_gone(number)
                 self._keep_alive = False
-                self._answer_itself(self._reader.error or 400, AnswerReason.UNREADABLE)
+                self._answer_itself(self._reader.error_status or 400, AnswerReason.UNREADABLE)
 
     def _free(self) -> None:
         self._front.budget.release(self._reserved)
         self._reserved = 0
 
-    def _serve(self, incoming: Incoming) -> None:
+    def _serve(self, incoming: IncomingRequest) -> None:
         self._keep_alive = incoming.keep_alive
         self._version = incoming.version
-        self._reserved, incoming.reserved = incoming.reserved, 0
+        self._reserved, incoming.reserved_bytes = incoming.reserved_bytes, 0
         self._deadline = 0
         if incoming.stream is not None:
             self._upload = incoming.stream
             incoming.stream.on_writable = self._next
-        if incoming.path == UP:
+        if incoming.path == HEALTH_PATH:
             self.answer(200 if self._front.is_up() else 503, [], b"")
             return
         if self._front.refuses():
@@ -278,7 +278,7 @@
                 assert self._transport is not None
                 self._transport.write(CONTINUE)
 
-    def _parsed_request(self, incoming: Incoming) -> ParsedRequest:
+    def _parsed_request(self, incoming: IncomingRequest) -> ParsedRequest:
         """The request in the node's terms."""
         fields, tenants = incoming.fields, self._front.config.tenants
         limits = self._front.node.limits
@@ -294,7 +294,7 @@
             tenant=tenants.get(fields.get(b"x-tenant", b""), len(tenants)),
             key=key_number(key) if key else 0,
             resubmitted=fields.get(b"x-retry") == b"1",
-            deadline=incoming.arrived + incoming.patience,
+            deadline=incoming.arrived_at + incoming.patience,
             patience=incoming.patience,
             query=limits.route_query(incoming.method, incoming.path, fields) if limits is not None else None,
         )
@@ -316,7 +316,7 @@
         # A client whose request is at fault would ask the same again at once, as fast as it is answered.
         rejected = 400 <= status < 500
         # What was read behind it is answered first: closed now, it would be lost.
-        more = bool(self._reader.ready or self._reader.error) or self._reader.has_unread()
+        more = bool(self._reader.ready or self._reader.error_status) or self._reader.has_unread()
         keep = self._keep_alive and (more or (not rejected and self._front.keeps_alive(self)))
         if self._upload is not None:
             keep = keep and self._upload.ended  # what is left of it would be read as the next request
@@ -440,7 +440,7 @@
         if reason not in OF_THE_CLIENT:
             # What follows a request that itself says `close` is none (RFC 9112, section 9.6).
             waiting = len(self._reader.ready) if self._keep_alive else 0
-            node.guard.closed(self._number, waiting, reason.value, self._closes_over_unread(reason))
+            node.guard.record_close(self._number, waiting, reason.value, self._closes_over_unread(reason))
         if node.observer is not None:
             node.observer.connection_closed(self._number, reason.value)
 
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -273,7 +273,7 @@
         request = self._open.get(number)
         if request is not None and not request.answered:
             request.parsed.deadline = arrived + request.parsed.patience
-            self.guard.dated(number, request.parsed.deadline)
+            self.guard.set_deadline(number, request.parsed.deadline)
             self._watch_over(request)
 
     def client_gone(self, number: int) -> None:
@@ -284,7 +284,7 @@
             request.ledger_record.gone()
         if self.observer is not None:
             self.observer.request_abandoned(number)
-        self.guard.abandoned(number)
+        self.guard.mark_abandoned(number)
         self._close(request)
 
     def withdraw(self, number: int) -> None:
@@ -326,7 +326,7 @@
         reason: AnswerReason,
     ) -> None:  # fmt: skip
         """The one way by which a request gets its final answer."""
-        self.guard.answered(request.number, status)
+        self.guard.record_answer(request.number, status)
         self.metrics.answers[reason] += 1
         if self.observer is not None:
             self.observer.request_answered(request.number, status, reason.value)
@@ -421,7 +421,7 @@
         elapsed = self._now() - (request.attempts_out.pop(index).written_at or since)
         request.may_have_run |= result not in NEVER_RAN
         request.last_result = result
-        self.guard.ended(request.number, index, result)
+        self.guard.record_attempt_end(request.number, index, result)
         if self.observer is not None:
             self.observer.attempt_ended(request.number, index, result.value, elapsed / MS)
         if answer is not None and not request.answered:
--- a/driftstair/net/request_guard.py
+++ b/driftstair/net/request_guard.py
@@ -1,9 +1,10 @@
-"""The invariants of requests, in one place: what may begin, what may be repeated, what a client may be told,
-and what may be closed. No I/O; times are monotonic ns and handed in.
+"""The invariants of requests: which attempts may start or repeat, how a client may be answered, and which
+connections may be closed. No I/O; times are monotonic ns and passed in.
 
-Each step of a request passes here twice. Before an attempt's bytes go out `forbids` decides on what is known
-in that moment; `wrote`, `answered` and `closed` then check what was done, whatever decided it, and count what
-broke an invariant. In operation a violation is a count and a line of the log; in tests it raises (`strict`).
+Each step of a request is checked twice. Before the bytes of an attempt are written, `forbids` decides from
+the current state. Afterwards `record_write`, `record_answer` and `record_close` check what was done, whatever
+code decided it, and report each violated invariant. In operation a violation is counted and logged; in tests
+it raises (`strict`).
 """
 
 from __future__ import annotations
@@ -15,32 +16,32 @@
 from lichenspring.interface import NEVER_RAN, Group, Repeat, RequestClass, Result, ServerId
 
 MS = 1_000_000  # ns
-LEFT_MOST = 100 * MS  # after a client's close in which an attempt may still begin, by the platform's rules
-TOLD_SLACK = 150 * MS  # that a server may be told beyond what the client has left, likewise
-REFUSALS = (429, 503)  # answers that promise that trying again is harmless
+DISCONNECTED_NS_MAX = 100 * MS  # since the client's close; the platform allows new attempts until then
+DEADLINE_SLACK_NS = 150 * MS  # by which the platform lets a server's deadline exceed the client's
+REFUSAL_STATUSES = (429, 503)  # tell the client that a retry is harmless
 
 
 class ProcessState(Enum):
     SERVING = "serving"
-    STOPPING = "stopping"  # told to end: what comes is served still
-    ENDED = "ended"  # what is begun now would not be finished
+    STOPPING = "stopping"  # asked to stop; new requests are still served
+    ENDED = "ended"  # a request that starts now would not be finished
 
 
 class NotBegun(Enum):
-    """Why an attempt must not begin."""
+    """Why an attempt must not start."""
 
     UNKNOWN_REQUEST = "unknown_request"
     ANSWERED = "answered"
     CLIENT_LEFT = "client_left"
     NO_TIME_LEFT = "no_time_left"
-    WINDOW_OVER = "window_over"  # its repeat would not be dropped any more
-    MAY_HAVE_RUN = "may_have_run"  # of a class that must not run twice
+    WINDOW_OVER = "window_over"  # servers no longer deduplicate the repeat
+    MAY_HAVE_RUN = "may_have_run"  # and its class must not run twice
     SERVER_LEAVING = "server_leaving"
     PROCESS_ENDED = "process_ended"
 
 
 class Invariant(Enum):
-    """What must hold, by the name that counts and the event log use."""
+    """The invariants; the values are their names in metrics and in the event log."""
 
     NO_ATTEMPT_WITHOUT_REQUEST = "no_attempt_without_request"
     NO_ATTEMPT_AFTER_ANSWER = "no_attempt_after_answer"
@@ -58,7 +59,7 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant did not hold, in a test."""
+    """Raised in tests when an invariant is violated."""
 
     def __init__(self, invariant: Invariant, request: int, detail: str) -> None:
         super().__init__(f"{invariant.value}: request {request}: {detail}")
@@ -68,11 +69,11 @@
 
 @dataclass(slots=True, eq=False)
 class GuardedAttempt:
-    """One whose bytes have gone out."""
+    """An attempt whose bytes have been written."""
 
     server: ServerId
     written_at: int
-    result: Result | None = None  # None: it is out
+    result: Result | None = None  # None: in flight
 
     def may_have_run(self) -> bool:
         return self.result not in NEVER_RAN
@@ -80,10 +81,10 @@
 
 @dataclass(slots=True, eq=False)
 class GuardedRequest:
-    kind: RequestClass
+    request_class: RequestClass
     has_key: bool
-    deadline: int  # of the client; 0: not known before its last byte has come
-    disconnected_for: Callable[[], int]  # ns since its client closed or ended its sending; 0: it has not
+    deadline: int  # of the client; 0: not known until the last byte has arrived
+    disconnected_for: Callable[[], int]  # ns since the client closed or half-closed; 0: it has not
     answered: bool = False
     attempts: dict[int, GuardedAttempt] = field(default_factory=dict)
 
@@ -91,20 +92,24 @@
         return any(attempt.may_have_run() for attempt in self.attempts.values())
 
     def may_be_refused(self) -> bool:
-        if self.kind.repeat is Repeat.SAFE or not self.may_have_run():
+        if self.request_class.repeat is Repeat.SAFE or not self.may_have_run():
             return True
-        return self.kind.repeat is Repeat.KEYED and self.kind.group is Group.ALL and self.has_key
+        return (
+            self.request_class.repeat is Repeat.KEYED
+            and self.request_class.group is Group.ALL
+            and self.has_key
+        )
 
-    def repeat_ends(self) -> int:
-        """When servers forget the earliest attempt that may have run; 0: there is none, or none is needed."""
-        if self.kind.repeat is not Repeat.KEYED or not self.attempts:
+    def repeat_window_end(self) -> int:
+        """When servers forget the earliest attempt that may have run; 0: there is no limit."""
+        if self.request_class.repeat is not Repeat.KEYED or not self.attempts:
             return 0
-        written = [one.written_at for one in self.attempts.values() if one.may_have_run()]
-        return min(written) + self.kind.window if written else 0
+        written = [attempt.written_at for attempt in self.attempts.values() if attempt.may_have_run()]
+        return min(written) + self.request_class.window if written else 0
 
 
 class RequestGuard:
-    """Of one process."""
+    """The guard of all requests of one process."""
 
     def __init__(self, on_violation: Callable[[Invariant, int, str], None]) -> None:
         self.state = ProcessState.SERVING
@@ -113,47 +118,48 @@
         self._requests: dict[int, GuardedRequest] = {}
         self._ready: set[ServerId] = set()
 
-    def _violated(self, invariant: Invariant, request: int, detail: str) -> None:
+    def _report_violation(self, invariant: Invariant, request: int, detail: str) -> None:
         self._on_violation(invariant, request, detail)
         if self.strict:
             raise InvariantError(invariant, request, detail)
 
-    def _expect(self, holds: bool, invariant: Invariant, request: int, detail: str) -> None:
+    def _require(self, holds: bool, invariant: Invariant, request: int, detail: str) -> None:
         if not holds:
-            self._violated(invariant, request, detail)
+            self._report_violation(invariant, request, detail)
 
-    # What the guard is told.
+    # State changes.
 
-    def servers_ready(self, servers: Iterable[ServerId]) -> None:
-        """All that may be sent to from now on; the others drain or are gone."""
+    def set_ready_servers(self, servers: Iterable[ServerId]) -> None:
+        """Replaces the set of servers that accept new attempts; the others drain or are gone."""
         self._ready = set(servers)
 
     def start(self, number: int, request: GuardedRequest) -> None:
-        """A request is taken in."""
+        """A request has been accepted."""
         if self.state is ProcessState.ENDED:
-            self._violated(Invariant.NO_START_AFTER_END, number, "the process has answered all that it held")
+            self._report_violation(
+                Invariant.NO_START_AFTER_END, number, "the process has already answered all open requests"
+            )
         self._requests[number] = request
 
-    def dated(self, number: int, deadline: int) -> None:
-        """The last byte of a long body has come."""
+    def set_deadline(self, number: int, deadline: int) -> None:
+        """Called when the last byte of a streamed body has arrived."""
         request = self._requests.get(number)
         if request is not None:
             request.deadline = deadline
 
-    def ended(self, number: int, index: int, result: Result) -> None:
-        """An attempt is over."""
+    def record_attempt_end(self, number: int, index: int, result: Result) -> None:
         request = self._requests.get(number)
         if request is not None and index in request.attempts:
             request.attempts[index].result = result
 
     def forget(self, number: int) -> None:
-        """It is answered, and nothing is out for it."""
+        """The request is answered and has no attempts in flight."""
         self._requests.pop(number, None)
 
-    # What may begin.
+    # Decisions.
 
     def forbids(self, number: int, index: int, server: ServerId, now: int) -> NotBegun | None:
-        """Why the bytes of an attempt must not go out in this moment; None: they may."""
+        """Why the bytes of an attempt must not be written now; None: they may be."""
         request = self._requests.get(number)
         if request is None:
             return NotBegun.UNKNOWN_REQUEST
@@ -166,103 +172,102 @@
         if request.deadline and now >= request.deadline:
             return NotBegun.NO_TIME_LEFT
         if request.attempts:
-            if request.kind.repeat is Repeat.UNSAFE and request.may_have_run():
+            if request.request_class.repeat is Repeat.UNSAFE and request.may_have_run():
                 return NotBegun.MAY_HAVE_RUN
-            if 0 < request.repeat_ends() <= now:
+            if 0 < request.repeat_window_end() <= now:
                 return NotBegun.WINDOW_OVER
         return None
 
-    # What was done.
+    # Checks of what was done.
 
-    def wrote(self, number: int, index: int, server: ServerId, now: int, told: int) -> None:
-        """The first bytes of an attempt have gone out, with this deadline (ns) in them."""
+    def record_write(self, number: int, index: int, server: ServerId, now: int, announced_ns: int) -> None:
+        """The first bytes of an attempt have been written. `announced_ns`: the deadline in them."""
         request = self._requests.get(number)
         if request is None:
-            self._violated(Invariant.NO_ATTEMPT_WITHOUT_REQUEST, number, f"attempt {index}")
+            self._report_violation(Invariant.NO_ATTEMPT_WITHOUT_REQUEST, number, f"attempt {index}")
             return
-        self._expect(not request.answered, Invariant.NO_ATTEMPT_AFTER_ANSWER, number, f"attempt {index}")
+        self._require(not request.answered, Invariant.NO_ATTEMPT_AFTER_ANSWER, number, f"attempt {index}")
         disconnected_for = request.disconnected_for()
-        self._expect(
-            disconnected_for < LEFT_MOST,
+        self._require(
+            disconnected_for < DISCONNECTED_NS_MAX,
             Invariant.NO_ATTEMPT_AFTER_CLIENT_LEFT,
             number,
             f"{disconnected_for / MS:.0f} ms",
         )
         if request.deadline:
-            self._check_deadline(request, number, now, told)
-        self._expect(server in self._ready, Invariant.NO_ATTEMPT_TO_LEAVING_SERVER, number, server.hex())
+            self._check_deadline(request, number, now, announced_ns)
+        self._require(server in self._ready, Invariant.NO_ATTEMPT_TO_LEAVING_SERVER, number, server.hex())
         if request.attempts:
             self._check_repeat(request, number, now)
         request.attempts[index] = GuardedAttempt(server, now)
 
-    def _check_deadline(self, request: GuardedRequest, number: int, now: int, told: int) -> None:
+    def _check_deadline(self, request: GuardedRequest, number: int, now: int, announced_ns: int) -> None:
         left = request.deadline - now
-        detail = f"{left / MS:.0f} ms left, {told / MS:.0f} ms told"
-        if left <= -TOLD_SLACK:
-            self._violated(Invariant.NO_ATTEMPT_AFTER_DEADLINE, number, detail)
-        elif told > left + TOLD_SLACK:
-            self._violated(Invariant.NO_DEADLINE_BEYOND_CLIENTS, number, detail)
+        detail = f"{left / MS:.0f} ms left, server was told {announced_ns / MS:.0f} ms"
+        if left <= -DEADLINE_SLACK_NS:
+            self._report_violation(Invariant.NO_ATTEMPT_AFTER_DEADLINE, number, detail)
+        elif announced_ns > left + DEADLINE_SLACK_NS:
+            self._report_violation(Invariant.NO_DEADLINE_BEYOND_CLIENTS, number, detail)
 
     def _check_repeat(self, request: GuardedRequest, number: int, now: int) -> None:
-        unsafe = request.kind.repeat is Repeat.UNSAFE and request.may_have_run()
-        self._expect(not unsafe, Invariant.NO_REPEAT_OF_UNSAFE, number, "an earlier attempt may have run")
-        ends = request.repeat_ends()
-        over = f"{(now - ends) / MS:.0f} ms after the window"
-        self._expect(not 0 < ends < now, Invariant.NO_REPEAT_AFTER_WINDOW, number, over)
-
-    def answered(self, number: int, status: int) -> None:
-        """A request gets its final answer."""
+        unsafe = request.request_class.repeat is Repeat.UNSAFE and request.may_have_run()
+        self._require(not unsafe, Invariant.NO_REPEAT_OF_UNSAFE, number, "an earlier attempt may have run")
+        ends = request.repeat_window_end()
+        over = f"{(now - ends) / MS:.0f} ms after the repeat window"
+        self._require(not 0 < ends < now, Invariant.NO_REPEAT_AFTER_WINDOW, number, over)
+
+    def record_answer(self, number: int, status: int) -> None:
         request = self._requests.get(number)
         if request is None:
-            return  # turned away before it was taken in
-        self._expect(not request.answered, Invariant.NO_SECOND_ANSWER, number, f"status {status}")
-        harmless = status not in REFUSALS or request.may_be_refused()
-        self._expect(harmless, Invariant.NO_REFUSAL_AFTER_EFFECT, number, f"status {status}")
+            return  # refused before it was accepted
+        self._require(not request.answered, Invariant.NO_SECOND_ANSWER, number, f"status {status}")
+        harmless = status not in REFUSAL_STATUSES or request.may_be_refused()
+        self._require(harmless, Invariant.NO_REFUSAL_AFTER_EFFECT, number, f"status {status}")
         request.answered = True
 
-    def abandoned(self, number: int) -> None:
-        """Its client has closed the connection: nobody is left to answer."""
+    def mark_abandoned(self, number: int) -> None:
+        """The client has closed the connection, so there is no one to answer."""
         request = self._requests.get(number)
         if request is not None:
             request.answered = True
 
-    def closed(self, number: int, waiting: int, why: str, has_unread: bool = False) -> None:
-        """The node closes a client's connection, which has one request open (0: none) and so many more that
-        were read whole. `has_unread`: and something that it has not read, of a client that may still ask."""
-        self._expect(not number and not waiting, Invariant.NO_CLOSE_UNANSWERED, number, why)
-        self._expect(not has_unread, Invariant.NO_CLOSE_OVER_UNREAD, number, why)
+    def record_close(self, number: int, waiting: int, why: str, has_unread: bool = False) -> None:
+        """The node closes a client's connection. `number`: its open request, or 0; `waiting`: number of
+        complete requests behind it; `has_unread`: the client may still send requests and has unread bytes."""
+        self._require(not number and not waiting, Invariant.NO_CLOSE_UNANSWERED, number, why)
+        self._require(not has_unread, Invariant.NO_CLOSE_OVER_UNREAD, number, why)
 
 
 @dataclass(slots=True, eq=False)
 class AttemptPermit:
-    """What one attempt asks before its bytes go out, and tells when they have."""
+    """Checks one attempt right before its bytes are written, and records the write."""
 
     guard: RequestGuard
     request: int
     index: int
     server: ServerId
-    begin_by: int  # a repeat must not be written from then on, monotonic ns; 0: no such limit
-    has_disconnected: Callable[[], bool]  # the client: nothing may begin for it
+    start_by: int  # latest start of a repeat, monotonic ns; 0: no limit
+    has_disconnected: Callable[[], bool]  # the client; if so, the attempt must not start
     on_refused: Callable[[int, int, NotBegun], None]
     on_written: Callable[[int, int, ServerId, int, int], None]
-    asked_at: int = 0  # when it was last asked, monotonic ns
+    checked_at: int = 0  # time of the last `forbids`, monotonic ns
 
     def forbids(self, now: int) -> NotBegun | None:
-        """Asked in the very moment before the write; says so to `on_refused` where it forbids."""
-        self.asked_at = now
-        reason = self._reason(now)
+        """To be called right before the write. Calls `on_refused` if the write is forbidden."""
+        self.checked_at = now
+        reason = self._refusal_reason(now)
         if reason is not None:
             self.on_refused(self.request, self.index, reason)
         return reason
 
-    def _reason(self, now: int) -> NotBegun | None:
+    def _refusal_reason(self, now: int) -> NotBegun | None:
         if self.has_disconnected():
             return NotBegun.CLIENT_LEFT
-        if 0 < self.begin_by <= now:
+        if 0 < self.start_by <= now:
             return NotBegun.WINDOW_OVER
         return self.guard.forbids(self.request, self.index, self.server, now)
 
-    def wrote(self, now: int, told: int) -> None:
-        """`told`: the deadline (ns) that went out with the first bytes."""
-        self.guard.wrote(self.request, self.index, self.server, now, told)
-        self.on_written(self.request, self.index, self.server, told, now - self.asked_at)
+    def record_write(self, now: int, announced_ns: int) -> None:
+        """`announced_ns`: the deadline that was written with the first bytes."""
+        self.guard.record_write(self.request, self.index, self.server, now, announced_ns)
+        self.on_written(self.request, self.index, self.server, announced_ns, now - self.checked_at)
--- a/driftstair/net/server_attempt.py
+++ b/driftstair/net/server_attempt.py
@@ -170,7 +170,7 @@
 
     def wrote(self) -> None:
         """Its first bytes are with the kernel."""
-        self._permit.wrote(self.pool.pools.now(), self._told)
+        self._permit.record_write(self.pool.pools.now(), self._told)
 
     def uploaded(self) -> None:
         """The last byte of a stream is out: its time counts from now on."""
--- a/driftstair/net/server_directory.py
+++ b/driftstair/net/server_directory.py
@@ -132,7 +132,9 @@
                 leaving.pop(server.id, None)
             else:
                 leaving[server.id] = None
-        self._guard.servers_ready(identity for identity in self._pools.servers() if identity not in leaving)
+        self._guard.set_ready_servers(
+            identity for identity in self._pools.servers() if identity not in leaving
+        )
         # The module is told before the others are retired: what ends by that may be sent elsewhere at once.
         self._tell(api.ServerList(kind, servers))
         for identity in leaving:
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -40,19 +40,19 @@
         self.found: list[Invariant] = []
         self.disconnected_for = 0
         self.guard = RequestGuard(lambda invariant, number, detail: self.found.append(invariant))
-        self.guard.servers_ready([SERVER])
+        self.guard.set_ready_servers([SERVER])
         self.guard.start(1, GuardedRequest(kind, True, DEADLINE, lambda: self.disconnected_for))
 
     def write(self, index: int = 0, now: int = SECOND, told: int = SECOND, server: bytes = SERVER) -> None:
-        self.guard.wrote(1, index, server, now, told)
+        self.guard.record_write(1, index, server, now, told)
 
 
 def unknown(one: Guarded) -> None:
-    one.guard.wrote(2, 0, SERVER, SECOND, SECOND)
+    one.guard.record_write(2, 0, SERVER, SECOND, SECOND)
 
 
 def after_answer(one: Guarded) -> None:
-    one.guard.answered(1, 503)
+    one.guard.record_answer(1, 503)
     one.write()
 
 
@@ -75,37 +75,37 @@
 
 def unsafe_repeat(one: Guarded) -> None:
     one.write(0)
-    one.guard.ended(1, 0, Result.RESET)
+    one.guard.record_attempt_end(1, 0, Result.RESET)
     one.write(1)
 
 
 def after_window(one: Guarded) -> None:
     one.write(0, now=SECOND)
-    one.guard.ended(1, 0, Result.TIMEOUT)
+    one.guard.record_attempt_end(1, 0, Result.TIMEOUT)
     one.write(1, now=SECOND + KEYED.window + 1)
 
 
 def second_answer(one: Guarded) -> None:
-    one.guard.answered(1, 200)
-    one.guard.answered(1, 200)
+    one.guard.record_answer(1, 200)
+    one.guard.record_answer(1, 200)
 
 
 def refusal(one: Guarded) -> None:
     one.write(0)
-    one.guard.ended(1, 0, Result.TIMEOUT)
-    one.guard.answered(1, 503)
+    one.guard.record_attempt_end(1, 0, Result.TIMEOUT)
+    one.guard.record_answer(1, 503)
 
 
 def close_open(one: Guarded) -> None:
-    one.guard.closed(1, 0, "idle")
+    one.guard.record_close(1, 0, "idle")
 
 
 def close_read(one: Guarded) -> None:
-    one.guard.closed(0, 1, "idle")
+    one.guard.record_close(0, 1, "idle")
 
 
 def close_unread(one: Guarded) -> None:
-    one.guard.closed(0, 0, "too_slow", has_unread=True)
+    one.guard.record_close(0, 0, "too_slow", has_unread=True)
 
 
 def start_after_end(one: Guarded) -> None:
@@ -154,11 +154,11 @@
         one = Guarded(kind)
         one.disconnected_for = 99 * MS
         one.write(0)
-        one.guard.ended(1, 0, result)
+        one.guard.record_attempt_end(1, 0, result)
         assert one.guard.forbids(1, 1, SERVER, SECOND + MS) is None
         one.write(1, now=SECOND + MS, told=DEADLINE - SECOND)
-        one.guard.answered(1, 502)
-        one.guard.closed(0, 0, "idle")
+        one.guard.record_answer(1, 502)
+        one.guard.record_close(0, 0, "idle")
         one.guard.forget(1)
         assert not one.found
     every_server = Guarded(replace(KEYED, group=api.Group.ALL))
@@ -175,14 +175,14 @@
     assert forbids(1, 0, SERVER, DEADLINE) is NotBegun.NO_TIME_LEFT
     one.write(0)
     assert forbids(1, 1, SERVER, SECOND) is NotBegun.MAY_HAVE_RUN
-    one.guard.ended(1, 0, Result.FULL)
+    one.guard.record_attempt_end(1, 0, Result.FULL)
     assert forbids(1, 1, SERVER, SECOND) is None
     keyed = Guarded(KEYED)
     keyed.write(0, now=SECOND)
     assert keyed.guard.forbids(1, 1, SERVER, SECOND + KEYED.window) is NotBegun.WINDOW_OVER
     one.guard.state = ProcessState.ENDED
     assert forbids(1, 1, SERVER, SECOND) is NotBegun.PROCESS_ENDED
-    one.guard.answered(1, 504)
+    one.guard.record_answer(1, 504)
     assert forbids(1, 1, SERVER, SECOND) is NotBegun.ANSWERED
 
 
@@ -340,10 +340,10 @@
     attempt = (NET / "server_attempt.py").read_text()
     connection = (NET / "client_connection.py").read_text()
     assert "Connection.send" in calls(upstream)["wrote"] and "Attempt._write" in calls(attempt)["forbids"]
-    assert "Node._reply" in calls(node)["answered"]
+    assert "Node._reply" in calls(node)["record_answer"]
     ends = {"ClientConnection.close", "ClientConnection.abort", "ClientConnection._answered"}
     assert calls(connection)["_note_close"] == ends
-    assert calls(connection)["closed"] == {"ClientConnection._note_close"}
+    assert calls(connection)["record_close"] == {"ClientConnection._note_close"}
 
 
 def test_the_client_is_asked_for_again_in_the_moment_of_the_write() -> None:
