--- a/benchmarks/soak/planted.py
+++ b/benchmarks/soak/planted.py
@@ -119,7 +119,7 @@
         finish(self, request)
         request.watchdog = watchdog
 
-    node.Node._overdue = overdue  # type: ignore[method-assign]
+    node.Node._on_overdue = overdue  # type: ignore[method-assign]
     node.Node._finish = keep_watchdog  # type: ignore[method-assign]
 
 
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -87,7 +87,7 @@
         self._free()
         number, self._number = self._number, 0
         if number:
-            self._front.node.client_gone(number)
+            self._front.node.on_client_closed(number)
         if self._flow is not None:
             self._flow.abandon()
             self._flow = None
@@ -242,12 +242,12 @@
             self._upload = None
             upload.on_writable = no_op
             if self._number:
-                self._front.node.whole(self._number, self._reader.newest_arrival)
+                self._front.node.on_body_complete(self._number, self._reader.newest_arrival)
         elif upload.failed:
             self._upload = None
             number, self._number = self._number, 0
             if number:  # neither whole nor answered
-                self._front.node.client_gone(number)
+                self._front.node.on_client_closed(number)
                 self._keep_alive = False
                 self._answer_itself(self._reader.error_status or 400, AnswerReason.UNREADABLE)
 
@@ -271,7 +271,7 @@
             return
         parsed = self._parsed_request(incoming)
         self._deadline = 0 if incoming.stream is not None else parsed.deadline
-        number = self._front.node.take(parsed)
+        number = self._front.node.submit(parsed)
         if number and self._busy and not self._ends and self._flow is None:
             self._number = number
             if incoming.stream is not None and self._reader.wants_continue():
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -1,4 +1,4 @@
-"""One node: what happens on its sockets becomes the balancer's events, its actions become calls."""
+"""A node: turns socket activity into events for the balancer and executes the balancer's actions."""
 
 from __future__ import annotations
 
@@ -41,28 +41,28 @@
 log = logging.getLogger(__name__)
 
 MS = 1_000_000  # ns
-TRANSIT = 5 * MS  # a final answer sets out so much before the client's deadline, to be there in time
-MENDED_AFTER = 1_000 * MS  # a timer whose event the module failed on is set again after so long
+ANSWER_TRANSIT_NS = 5 * MS  # an answer is sent so long before the client's deadline, to arrive in time
+TIMER_RETRY_DELAY_NS = 1_000 * MS  # until a timer whose event raised in the module fires again
 
 
 def _retry_after(wait: int) -> list[tuple[bytes, bytes]]:
-    """`wait` in ns; 0: nothing is said."""
+    """`wait` in ns; 0: no header."""
     return [(b"Retry-After", b"%.3f" % (wait / 1e9))] if wait else []
 
 
 class Node:
-    """Owns the balancer; it sees one event at a time, each once all actions on the one before are done."""
+    """Owns the balancer, which gets one event at a time, after all actions for the previous one are done."""
 
     def __init__(
         self, config: Config, pools: Pools, system: System = SOCKET_SYSTEM,
-        limits: RequestTable | None = None, roster: ServerOverrides | None = None,
+        limits: RequestTable | None = None, server_overrides: ServerOverrides | None = None,
     ) -> None:  # fmt: skip
-        self.limits = limits  # routes of the service file
+        self.limits = limits  # of the service file's routes
         self.ledger: Keeper | None = None
-        self.tenants: TenantLimits | None = None  # of the configuration
+        self.tenants: TenantLimits | None = None  # from the configuration
         self.metrics = Metrics()
         self.guard = RequestGuard(self._note_violation)
-        self.observer: Observer | None = None  # the event log, where the service file has one
+        self.observer: Observer | None = None  # the event log, if the service file configures one
         self._config = config
         self._now = system.monotonic_ns
         self._pools = pools
@@ -72,41 +72,41 @@
             self._balancer = limits.limiting_module(self._balancer, config.settings, system.time_ns)
         self._loop = asyncio.get_running_loop()
         self._events: deque[api.Event] = deque()
-        self._telling = False
-        self._open: dict[int, InFlightRequest] = {}
-        self._identities: set[bytes] = set()  # of the requests in _open
+        self._dispatching = False
+        self._open_requests: dict[int, InFlightRequest] = {}
+        self._open_request_ids: set[bytes] = set()  # of the requests in _open_requests
         self._last_number = 0
         self._load_reports = LoadReports(config.report_fields)
-        self.servers = ServerDirectory(config, pools, self.guard, roster, self._tell, system)
+        self.servers = ServerDirectory(config, pools, self.guard, server_overrides, self._dispatch, system)
 
     # Start and stop.
 
     def start(self) -> None:
         self._pools.start()
-        self._act_on(self._balancer.start(self._now()))
+        self._execute_all(self._balancer.start(self._now()))
         self.servers.start()
 
     def reload(self, config: Config) -> None:
-        """A new configuration: the watch moves to the address that it names. List and requests stay."""
+        """Moves the watch to the discovery address of a new configuration. Server list and requests stay."""
         kept = replace(
             config, discovery=self._config.discovery, initial_list=self._config.initial_list,
             seed=self._config.seed, peer_settings=self._config.peer_settings,
         )  # fmt: skip
         if kept != self._config:
-            log.warning("of the new configuration only discovery is used before a restart")
+            log.warning("only the discovery address of the new configuration takes effect before a restart")
         log.info("discovery is at %s:%d", *config.discovery)
         self._config = replace(self._config, discovery=config.discovery)
         self.servers.move(config.discovery)
 
     def replace_limits(self, limits: RequestTable) -> None:
-        """Other routes, for requests from now on. Only where there were some from the start."""
+        """Replaces the routes for new requests. Only possible if the node was started with routes."""
         assert isinstance(self._balancer, limits.module_type)
         self._balancer.replace_rules(self._now(), limits.rules)
         self.limits = limits
         log.info("limits of %s", limits.source)
 
     def serves(self, path: bytes) -> bool:
-        """Whether a path beside the platform's is served."""
+        """Whether a path is served in addition to the platform's."""
         return self.limits is not None and self.limits.serves(path)
 
     def can_serve(self) -> bool:
@@ -114,70 +114,70 @@
 
     def counters(self) -> dict[str, int]:
         return {
-            "requests": self._last_number, "requests_open": len(self._open),
+            "requests": self._last_number, "requests_open": len(self._open_requests),
             "servers_ready": len(self.servers.ready), "server_connections": self._pools.sockets,
         } | self.metrics.flat()  # fmt: skip
 
-    def note_loop_stall(self, held: int) -> None:
-        """The loop did not run for so long, ns."""
-        self.metrics.loop_held_ns = max(self.metrics.loop_held_ns, held)
+    def note_loop_stall(self, stall_ns: int) -> None:
+        """The event loop did not run for `stall_ns`."""
+        self.metrics.loop_held_ns = max(self.metrics.loop_held_ns, stall_ns)
         if self.observer is not None:
-            self.observer.loop_held(held / MS)
+            self.observer.loop_held(stall_ns / MS)
 
     def observe(self, observer: Observer) -> None:
-        """Steps of requests and of the list are told to it from now on."""
+        """From now on `observer` is notified of the steps of requests and of server lists."""
         self.observer = self.servers.discovery.observer = observer
 
     def fail_all(self) -> None:
-        """The process is about to end: whoever still waits is told."""
-        for request in list(self._open.values()):
+        """Answers all open requests, as the process is about to end."""
+        for request in list(self._open_requests.values()):
             self._answer_and_close(request, 504, AnswerReason.PROCESS_ENDING)
 
-    # The balancer.
+    # Balancer events and actions.
 
-    def _tell(self, event: api.Event) -> None:
+    def _dispatch(self, event: api.Event) -> None:
         self._events.append(event)
-        if self._telling:
-            return  # no event comes in the midst of another one's actions
-        self._telling = True
+        if self._dispatching:
+            return  # handled after the actions of the current event
+        self._dispatching = True
         try:
             while self._events:
                 event = self._events.popleft()
-                self._act_on(self._decide(event))
+                self._execute_all(self._decide(event))
         finally:
-            self._telling = False
+            self._dispatching = False
 
     def _decide(self, event: api.Event) -> list[api.Action]:
         try:
             return self._balancer.handle(self._now(), event)
         except Exception:
-            log.exception("the module failed on %r", event)
+            log.exception("decision module failed on %r", event)
         if isinstance(event, api.Timer):
-            # Some of the module's timers each set the next: one failure would stop them for good.
-            self._set_timer(self._now() + MENDED_AFTER, event.token)
+            # A periodic timer of the module sets its own successor, so one failure would stop it for good.
+            self._set_timer(self._now() + TIMER_RETRY_DELAY_NS, event.token)
         elif isinstance(event, api.Request | api.Outcome):
             number = event.id if isinstance(event, api.Request) else event.request
-            request = self._open.get(number)
+            request = self._open_requests.get(number)
             if request is not None:
                 self._answer_and_close(request, 502, AnswerReason.MODULE_ERROR)
         return []
 
-    def _act_on(self, actions: list[api.Action]) -> None:
+    def _execute_all(self, actions: list[api.Action]) -> None:
         for action in actions:
             try:
-                self._do(action)
+                self._execute(action)
             except Exception:
                 log.exception("action failed: %r", action)
 
-    def _do(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._send(action)
         elif isinstance(action, api.Refuse):
             headers = _retry_after(action.retry_after)
             self._answer(action.request, 503, headers, AnswerReason.REFUSED)
         elif isinstance(action, api.Fail):
-            request = self._open.get(action.request)
-            late = request is not None and self._now() >= request.parsed.deadline - TRANSIT
+            request = self._open_requests.get(action.request)
+            late = request is not None and self._now() >= request.parsed.deadline - ANSWER_TRANSIT_NS
             self._answer(action.request, 504 if late else 502, [], AnswerReason.FAILED)
         elif isinstance(action, api.SetTimer):
             self._set_timer(action.at, action.token)
@@ -189,20 +189,20 @@
             self.servers.watch()
 
     def _set_timer(self, at: int, token: int) -> None:
-        # Rounded up to the loop's milliseconds: a timer that comes early finds nothing due yet.
+        # Rounded up to the loop's whole milliseconds: a timer that fires early finds nothing due.
         delay = max(0, at - self._now()) // MS + 1
-        self._loop.call_later(delay / 1000, self._due, at, token)
+        self._loop.call_later(delay / 1000, self._on_timer, at, token)
 
-    def _due(self, at: int, token: int) -> None:
+    def _on_timer(self, at: int, token: int) -> None:
         if self._now() < at:
             self._set_timer(at, token)
         else:
-            self._tell(api.Timer(token))
+            self._dispatch(api.Timer(token))
 
     # Requests.
 
-    def take(self, parsed: ParsedRequest) -> int:
-        """A client's request has come. Returns its number, for `client_gone`; 0 if it is answered already."""
+    def submit(self, parsed: ParsedRequest) -> int:
+        """Starts a client's request. Returns its number, or 0 if it is already answered."""
         self._last_number += 1
         request = InFlightRequest(self._last_number, parsed)
         if self.ledger is not None and parsed.query is not None:
@@ -211,7 +211,7 @@
                 parsed.client, parsed.query.tenant, aim, parsed.resubmitted
             )
         now = self._now()
-        left = parsed.deadline - TRANSIT - now
+        left = parsed.deadline - ANSWER_TRANSIT_NS - now
         if self.observer is not None:
             waited = parsed.patience - (parsed.deadline - now)
             self.observer.request_taken(request.number, parsed.request_id.decode(), left / MS, waited / MS)
@@ -220,24 +220,24 @@
         )
         if left <= 0:
             self._reply(request, 504, [], b"", AnswerReason.NO_TIME_LEFT)
-        elif parsed.request_id in self._identities:
-            # Guards against a stranger that sends another client's id: a server would take it for a copy.
+        elif parsed.request_id in self._open_request_ids:
+            # A server would treat another client's request with the same id as a repeat of the first.
             self._reply(request, 409, [], b"", AnswerReason.DUPLICATE_ID)
-        elif len(self._open) >= self._config.open_cap:
+        elif len(self._open_requests) >= self._config.open_cap:
             self._reply(request, 503, [], b"", AnswerReason.TOO_MANY_OPEN)
         elif rules is not None and 0 < rules.body < (body_length(parsed.body) or 0):
             self._reply(request, 413, [], b"", AnswerReason.BODY_TOO_LONG)
         elif self.tenants is not None and parsed.query is not None and (
             (wait := self.tenants.admit(now, request, parsed.query.tenant)) is not None
         ):  # fmt: skip
-            self._turn_away(request, wait)
+            self._refuse_for_tenant_limit(request, wait)
         else:
-            self._open[request.number] = request
-            self._identities.add(parsed.request_id)
+            self._open_requests[request.number] = request
+            self._open_request_ids.add(parsed.request_id)
             self._guard_request(request)
             if not isinstance(parsed.body, Stream):
-                self._watch_over(request)
-            self._tell(
+                self._start_watchdog(request)
+            self._dispatch(
                 api.Request(
                     request.number,
                     left,
@@ -248,7 +248,7 @@
                     None if rules is None else rules.module_limits,
                 )
             )
-        return 0 if request.answered or request.number not in self._open else request.number
+        return 0 if request.answered or request.number not in self._open_requests else request.number
 
     def _guard_request(self, request: InFlightRequest) -> None:
         parsed = request.parsed
@@ -264,20 +264,20 @@
         if self.observer is not None:
             self.observer.invariant_violated(invariant.value, number, detail)
 
-    def _watch_over(self, request: InFlightRequest) -> None:
+    def _start_watchdog(self, request: InFlightRequest) -> None:
         left = request.parsed.deadline - self._now()
-        request.watchdog = self._loop.call_later(left / 1e9, self._overdue, request)
+        request.watchdog = self._loop.call_later(left / 1e9, self._on_overdue, request)
 
-    def whole(self, number: int, arrived: int) -> None:
-        """The last byte of a request's stream has come: its time counts from then on (monotonic ns)."""
-        request = self._open.get(number)
+    def on_body_complete(self, number: int, arrived: int) -> None:
+        """The last byte of a streamed body arrived at `arrived` (monotonic ns), where the patience starts."""
+        request = self._open_requests.get(number)
         if request is not None and not request.answered:
             request.parsed.deadline = arrived + request.parsed.patience
             self.guard.set_deadline(number, request.parsed.deadline)
-            self._watch_over(request)
+            self._start_watchdog(request)
 
-    def client_gone(self, number: int) -> None:
-        request = self._open.get(number)
+    def on_client_closed(self, number: int) -> None:
+        request = self._open_requests.get(number)
         if request is None or request.answered:
             return
         if request.ledger_record is not None:
@@ -285,30 +285,30 @@
         if self.observer is not None:
             self.observer.request_abandoned(number)
         self.guard.mark_abandoned(number)
-        self._close(request)
+        self._close_request(request)
 
     def withdraw(self, number: int) -> None:
-        """Its client has left, or may have: what is out goes on, and nothing begins."""
-        request = self._open.get(number)
+        """The client has left or half-closed: attempts in flight continue, but no new ones start."""
+        request = self._open_requests.get(number)
         if request is None or request.answered or any(one.is_out() for one in request.attempts_out.values()):
             return
-        # A client that is still there is told at once, and whether it may ask again.
+        # A client that only half-closed gets its answer at once; the status tells if it may retry.
         self._answer_and_close(request, 502 if request.may_have_run else 503, AnswerReason.CLIENT_LEFT)
 
-    def _overdue(self, request: InFlightRequest) -> None:
-        """Guards against a request that nobody answers, whatever the reason."""
+    def _on_overdue(self, request: InFlightRequest) -> None:
+        """Answers a request that is still open at its deadline, whatever the reason."""
         self._answer_and_close(request, 504, AnswerReason.OVERDUE)
 
     def _answer_and_close(self, request: InFlightRequest, status: int, reason: AnswerReason) -> None:
-        """Answered by the node itself, if it is not yet; what is out for it is cancelled."""
+        """The node itself answers the request, unless it is answered, and cancels its attempts."""
         if not request.answered:
             self._reply(request, status, [], b"", reason)
-            self._close(request)
+            self._close_request(request)
 
-    def _close(self, request: InFlightRequest) -> None:
-        """Over without an action of the module: it is told, and nothing goes on for it."""
+    def _close_request(self, request: InFlightRequest) -> None:
+        """Ends a request without an action of the module, which is notified; cancels its attempts."""
         self._finish(request)
-        self._tell(api.ClientGone(request.number))
+        self._dispatch(api.ClientGone(request.number))
         for attempt in list(request.attempts_out.values()):
             attempt.cancel()
 
@@ -316,7 +316,7 @@
         self, number: int, status: int, headers: list[tuple[bytes, bytes]], reason: AnswerReason,
         body: bytes | Stream = b"",
     ) -> None:  # fmt: skip
-        request = self._open.get(number)
+        request = self._open_requests.get(number)
         if request is not None and not request.answered:
             self._reply(request, status, headers, body, reason)
             self._finish(request)
@@ -325,19 +325,19 @@
         self, request: InFlightRequest, status: int, headers: list[tuple[bytes, bytes]], body: bytes | Stream,
         reason: AnswerReason,
     ) -> None:  # fmt: skip
-        """The one way by which a request gets its final answer."""
+        """The only place that sends a request's final answer."""
         self.guard.record_answer(request.number, status)
         self.metrics.answers[reason] += 1
         if self.observer is not None:
             self.observer.request_answered(request.number, status, reason.value)
         request.parsed.client.answer(status, headers, body)
 
-    def _turn_away(self, request: InFlightRequest, wait: int) -> None:
-        """Over a limit of its tenant, before anything is done for it; refused as over a route's. `wait`: ns
-        until it may pass; 0: nobody knows."""
+    def _refuse_for_tenant_limit(self, request: InFlightRequest, wait: int) -> None:
+        """Refuses a request above its tenant's limit, like one above a route's limit. `wait`: ns until it may
+        be admitted; 0: unknown."""
         settings = self._config.settings
-        told = min(wait or settings.classes[request.parsed.class_index].aim, settings.max_retry_after)
-        headers = _retry_after(told if settings.retry_after else 0)
+        retry_after = min(wait or settings.classes[request.parsed.class_index].aim, settings.max_retry_after)
+        headers = _retry_after(retry_after if settings.retry_after else 0)
         self._reply(request, 503, headers, b"", AnswerReason.TENANT_LIMIT)
 
     def _finish(self, request: InFlightRequest) -> None:
@@ -349,19 +349,23 @@
         self._forget_if_done(request)
 
     def _forget_if_done(self, request: InFlightRequest) -> None:
-        if request.answered and not request.attempts_out and self._open.pop(request.number, None) is not None:
-            self._identities.discard(request.parsed.request_id)
+        if (
+            request.answered
+            and not request.attempts_out
+            and self._open_requests.pop(request.number, None) is not None
+        ):
+            self._open_request_ids.discard(request.parsed.request_id)
             self.guard.forget(request.number)
 
     # Attempts.
 
     def _send(self, action: api.Send) -> None:
-        request = self._open.get(action.request)
+        request = self._open_requests.get(action.request)
         if request is None:
-            self._tell(api.Outcome(action.request, True, Result.NOT_SENT, 0, action.server, 0, ()))
+            self._dispatch(api.Outcome(action.request, True, Result.NOT_SENT, 0, action.server, 0, ()))
             return
-        gone = request.parsed.has_disconnected()
-        if gone:
+        has_left = request.parsed.has_disconnected()
+        if has_left:
             self.withdraw(request.number)
         index = request.attempts_sent
         request.attempts_sent += 1
@@ -369,47 +373,49 @@
             self.metrics.retries[request.last_result] += 1
         pool = self._pools.get(action.server)
         body = request.parsed.body
-        passed_on = isinstance(body, Stream) and body.consumed
-        over = gone or request.answered or passed_on
+        body_consumed = isinstance(body, Stream) and body.consumed
+        over = has_left or request.answered or body_consumed
         if pool is None or over or index >= self._config.settings.max_attempts:
             why = self.guard.forbids(request.number, index, action.server, self._now())
-            self._not_begun(request.number, index, NotBegun.CLIENT_LEFT if gone else why)
-            self._tell(
+            self._note_not_begun(request.number, index, NotBegun.CLIENT_LEFT if has_left else why)
+            self._dispatch(
                 api.Outcome(request.number, request.answered, Result.NOT_SENT, 0, action.server, index, ())
             )
             return
         if request.attempts_out and request.ledger_record is not None:
             request.ledger_record.copied()
         now = self._now()
-        # Of a stream: as if its last byte had come now. Its attempt counts from when that is written.
+        # For a stream, as if its last byte had arrived now; the attempt is timed from the write of that byte.
         deadline = now + request.parsed.patience if isinstance(body, Stream) else request.parsed.deadline
-        latest = deadline - TRANSIT
+        latest = deadline - ANSWER_TRANSIT_NS
         expires = min(latest, now + action.time_out) if action.time_out else latest
-        ended = partial(self._ended, request, index, action.server, now)
+        ended = partial(self._on_attempt_end, request, index, action.server, now)
         parsed = request.parsed
         permit = AttemptPermit(
             self.guard, request.number, index, action.server,
             now + action.begin_within if action.begin_within else 0,
-            parsed.has_disconnected, self._not_begun, self._written,
+            parsed.has_disconnected, self._note_not_begun, self._note_written,
         )  # fmt: skip
         attempt = Attempt(pool, parsed.head, parsed.body, expires, ended, permit, action.first_byte)
         request.attempts_out[index] = attempt
         attempt.start()
 
-    def _not_begun(self, number: int, index: int, why: NotBegun | None) -> None:
-        """`why`; None: all that the module may spend on it is spent, or part of its body is."""
+    def _note_not_begun(self, number: int, index: int, why: NotBegun | None) -> None:
+        """`why`: None if no attempts are left or part of the streamed body is already consumed."""
         reason = "no_attempt_left" if why is None else why.value
         self.metrics.attempts_not_begun[reason] += 1
         if self.observer is not None:
             self.observer.attempt_not_begun(number, index, reason)
 
-    def _written(self, number: int, index: int, server: api.ServerId, told: int, held: int) -> None:
-        """An attempt's bytes have gone out. `told`: the deadline in them; `held`: between the last look at
-        whether they may go and their being written; ns."""
+    def _note_written(
+        self, number: int, index: int, server: api.ServerId, announced_ns: int, delay_ns: int
+    ) -> None:
+        """The first bytes of an attempt have been written. `announced_ns`: the deadline in them; `delay_ns`:
+        from the last check by the guard to the write."""
         if self.observer is not None:
-            self.observer.attempt_started(number, index, server.hex(), told / MS, held / MS)
+            self.observer.attempt_started(number, index, server.hex(), announced_ns / MS, delay_ns / MS)
 
-    def _ended(
+    def _on_attempt_end(
         self,
         request: InFlightRequest,
         index: int,
@@ -428,18 +434,18 @@
             if result is Result.OK:
                 self._answer(request.number, 200, answer.headers, AnswerReason.SERVED, answer.body)
             elif result is Result.REJECTED:
-                # The request is at fault: another server would say the same, and none is worse for it.
+                # The request is invalid: another server would answer the same, and this one is not at fault.
                 self._answer(request.number, answer.status, [], AnswerReason.REJECTED_BY_SERVER)
         elif answer is not None and isinstance(answer.body, Stream):
             answer.body.abandon()
         if not request.answered and isinstance(request.parsed.body, Stream) and request.parsed.body.consumed:
-            self._give_up(request, result)
+            self._fail_streamed_request(request, result)
         self._forget_if_done(request)
         report = () if answer is None else self._load_reports.read(answer.load)
-        self._tell(api.Outcome(request.number, request.answered, result, elapsed, server, index, report))
+        self._dispatch(api.Outcome(request.number, request.answered, result, elapsed, server, index, report))
 
-    def _give_up(self, request: InFlightRequest, result: Result) -> None:
-        """What has been passed on of a stream can't be sent again: no other attempt is possible."""
+    def _fail_streamed_request(self, request: InFlightRequest, result: Result) -> None:
+        """Answers a request whose streamed body is partly consumed, so that no other attempt is possible."""
         settings = self._config.settings
         if result in NEVER_RAN:
             aim = settings.classes[request.parsed.class_index].aim
@@ -449,19 +455,19 @@
             status = 504 if result is Result.TIMEOUT else 502
             self._answer(request.number, status, [], AnswerReason.STREAM_BROKEN)
 
-    # What the module knows.
+    # State of the module.
 
     def exported_memory(self) -> dict[str, Any]:
-        """What the module knows, for a process that takes over on this machine."""
+        """The learned state of the module, for a process that takes over on this machine."""
         from lichenspring.memory import export_state
 
         return export_state(self._core)
 
     def restore_memory(self, learned: dict[str, Any]) -> None:
-        """Once the list is known; what can't be used is passed over."""
+        """To be called once the server list is known. Unusable state is ignored."""
         from lichenspring.memory import restore_state
 
         try:
             restore_state(self._core, self._now(), learned)
         except (KeyError, TypeError, ValueError, AttributeError) as problem:
-            log.warning("what the old process had learned is not used: %r", problem)
+            log.warning("ignoring the state handed over by the old process: %r", problem)
--- a/driftstair/net/request.py
+++ b/driftstair/net/request.py
@@ -60,7 +60,8 @@
 
     __slots__ = (
         "arrived_at", "body", "body_bytes", "class_index", "expects_continue", "fields", "headers",
-        "keep_alive", "method", "parsed_bytes", "path", "patience", "reserved_bytes", "stream", "url", "version",
+        "keep_alive", "method", "parsed_bytes", "path", "patience", "reserved_bytes", "stream", "url",
+        "version",
     )  # fmt: skip
 
     def __init__(self) -> None:
--- a/tests/acceptance/test_told_deadline.py
+++ b/tests/acceptance/test_told_deadline.py
@@ -32,7 +32,7 @@
 
 def left_us(rig: Rig, at: int) -> float:
     """Microseconds that the node's one open request had left at a time (monotonic ns)."""
-    (held,) = rig.node._open.values()
+    (held,) = rig.node._open_requests.values()
     return (held.parsed.deadline - at) / 1000
 
 
--- a/tests/limits/test_limits_on_sockets.py
+++ b/tests/limits/test_limits_on_sockets.py
@@ -163,7 +163,7 @@
                 await until(lambda: len(node.spy.events) and len(one.seen) + len(other.seen) >= 1)
                 await until(lambda: len(one.seen) + len(other.seen) == 2)
                 client.writer.transport.abort()
-                await until(lambda: not node.node._open)
+                await until(lambda: not node.node._open_requests)
                 assert node.node._balancer is not None
                 await until(lambda: one.open + other.open == 0)  # both attempts given up
 
--- a/tests/node_configuration/test_tenant_limits.py
+++ b/tests/node_configuration/test_tenant_limits.py
@@ -82,7 +82,7 @@
             assert status(refused) == 503 and float(refused.headers["retry-after"]) > 0
             holds.writer.transport.abort()
             release.set()
-            await until(lambda: not rig.node._open or not rig.node.tenants._uses["acme"].in_flight)  # type: ignore[union-attr]
+            await until(lambda: not rig.node._open_requests or not rig.node.tenants._uses["acme"].in_flight)  # type: ignore[union-attr]
             assert status(await other.ask(request(X_Tenant="acme"))) == 200
             assert status(await other.ask(request(X_Tenant="acme"))) == 200  # one after the other
             assert status(await other.ask(request(X_Tenant="zeta"))) == 200
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -276,7 +276,7 @@
 
     def watch(self) -> None:
         """Have the watch opened now; the module would ask within seconds."""
-        self.node._do(api.Watch())
+        self.node._execute(api.Watch())
 
 
 class LateDials(SocketSystem):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -159,7 +159,7 @@
             release.set()
             assert status(await owner.read()) == 200
             assert status(await owner.ask(request("order", X_Request_Id="mine"))) == 200
-            assert len(server.seen) == 2 and not rig.node._identities
+            assert len(server.seen) == 2 and not rig.node._open_request_ids
 
     run(test())
 
@@ -193,7 +193,7 @@
             (connection,) = rig.front._connections
             await until(lambda: connection._paused)
             assert len(connection._reader.ready) < 50
-            assert len(rig.node._open) == 1
+            assert len(rig.node._open_requests) == 1
 
     run(test())
 
@@ -441,14 +441,14 @@
             assert status(await client.ask(request("order"))) == 502
             assert "in the module" in caplog.text and "Traceback" in caplog.text
             assert status(await client.ask(request())) == 200
-            assert len(rig.node._open) == 1  # the other one is out still
+            assert len(rig.node._open_requests) == 1  # the other one is out still
 
     run(test())
 
 
 def test_a_timer_that_the_module_failed_on_comes_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a breaker that never updates again: its tick sets the next one itself."""
-    monkeypatch.setattr("driftstair.net.node.MENDED_AFTER", 1_000_000)
+    monkeypatch.setattr("driftstair.net.node.TIMER_RETRY_DELAY_NS", 1_000_000)
     failed: list[int] = []
 
     def broken(event: api.Event) -> list[api.Action] | None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -144,7 +144,7 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: len(server.seen) == 3)
-            rig.node._do(api.CloseIdleConnections(digest("s-1")))
+            rig.node._execute(api.CloseIdleConnections(digest("s-1")))
             await until(lambda: server.open == 1)
 
     run(test())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -125,7 +125,7 @@
                 there, _ = await loop.run_in_executor(None, box.accept)
                 stack.enter_context(there)
                 await loop.run_in_executor(None, there.recv, 1 << 12)
-                (held,) = rig.node._open.values()
+                (held,) = rig.node._open_requests.values()
 
                 def crosses() -> None:
                     there.sendall(answer())
@@ -137,7 +137,7 @@
                 far.send(b"now")
                 first = status(await client.read())
                 assert first in (200, 502, 503, 504)
-                await until(lambda: not rig.node._open)
+                await until(lambda: not rig.node._open_requests)
                 if first != 200:
                     assert not any(pool.idle for pool in rig.node._pools._pools.values())
                 client.writer.write(request(target="/nowhere"))
@@ -325,7 +325,7 @@
             client = await rig.client()
             if why == "its id is taken":
                 (taken,) = [request()]
-                rig.node._identities.add(taken.split(b"X-Request-Id: ")[1].split(b"\r\n")[0])
+                rig.node._open_request_ids.add(taken.split(b"X-Request-Id: ")[1].split(b"\r\n")[0])
                 client.writer.write(taken + request(X_Key="second"))
             else:
                 client.writer.write(request(X_Key="first") + request(X_Key="second"))
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -60,7 +60,7 @@
 
 
 async def over(rig: Rig) -> None:
-    await until(lambda: not rig.node._open and not rig.front._connections)
+    await until(lambda: not rig.node._open_requests and not rig.front._connections)
 
 
 def test_one_that_left_while_it_waited_to_be_taken_in_is_not_sent_on() -> None:
@@ -145,7 +145,7 @@
                     connection._left_at = None
                 dials.up.set()
                 if not told:
-                    await until(lambda: not rig.node._open)
+                    await until(lambda: not rig.node._open_requests)
                     connection._transport.resume_reading()  # type: ignore[union-attr]
                 await over(rig)
                 results = {one.result for one in rig.spy.outcomes()}
@@ -201,11 +201,11 @@
                 first.writer.write(request(X_Key="k"))
                 await until(lambda: server.seen)
                 second.writer.write(request(X_Key="k"))
-                await until(lambda: len(rig.node._open) == 2)
-                waiting = max(rig.node._open)
+                await until(lambda: len(rig.node._open_requests) == 2)
+                waiting = max(rig.node._open_requests)
                 (connection,) = [one for one in rig.front._connections if one._number == waiting]
                 second.writer.close()
-                await until(lambda: waiting not in rig.node._open)
+                await until(lambda: waiting not in rig.node._open_requests)
                 await until(lambda: connection not in rig.front._connections)
                 assert any(isinstance(one, api.ClientGone) for one in rig.spy.events)
                 held.release.set()
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -80,7 +80,7 @@
             assert (outcome.result, outcome.closed, outcome.attempt) == (result, closed, 0)
             if result is Result.OK:
                 assert got.body == b"frame"
-            assert not rig.node._open
+            assert not rig.node._open_requests
 
     run(test())
 
@@ -140,7 +140,7 @@
             async with Rig(configuration(server)) as rig:
                 client = await rig.client()
                 client.writer.write(request("order"))
-                await until(lambda: rig.node._open)
+                await until(lambda: rig.node._open_requests)
                 server.state = "Terminating"
                 rig.node.servers.on_list(
                     parse_list({"version": 8, "full": False, "servers": [server.entry()]})
@@ -167,7 +167,7 @@
             await until(lambda: server.open == 0)  # its connection is closed, never pooled
             # The connection is still good, and what comes next is the next request's.
             assert status(await client.ask(request(target="/nowhere"))) == 404
-            assert not rig.node._open
+            assert not rig.node._open_requests
 
     run(test())
 
@@ -200,7 +200,7 @@
             client = await rig.client()
             assert status(await client.ask(request(X_Deadline="150m"))) == 504
             assert [event for event in rig.spy.events if isinstance(event, api.ClientGone)]
-            assert not rig.node._open
+            assert not rig.node._open_requests
 
     run(test())
 
@@ -219,7 +219,7 @@
             assert len(gone) == 1
             (outcome,) = rig.spy.outcomes()
             assert (outcome.result, outcome.closed) == (Result.CANCELLED, True)
-            assert not rig.node._open
+            assert not rig.node._open_requests
 
     run(test())
 
@@ -308,7 +308,7 @@
             client = await rig.client()
             client.writer.write(request("order", body=b"x" * 65536))
             accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), PATIENCE)
-            (held,) = rig.node._open.values()
+            (held,) = rig.node._open_requests.values()
             await until(lambda: held.attempts_out[0]._connection)
             # Some turns later, the loop has told that it is not whole with the kernel.
             await until(lambda: not held.attempts_out[0]._connection.may_be_whole)  # type: ignore[union-attr]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -158,7 +158,7 @@
             client.writer.transport.abort()
             await until(lambda: not server.open)
             await until(lambda: not rig.front._connections)
-            assert not rig.node._pools.flows and not rig.node._open
+            assert not rig.node._pools.flows and not rig.node._open_requests
 
     run(test())
 
@@ -258,7 +258,7 @@
             client.writer.close()
             await asyncio.wait_for(taker.ended.wait(), 10)
             assert not taker.whole.is_set()
-            await until(lambda: not rig.node._open)
+            await until(lambda: not rig.node._open_requests)
 
     run(test())
 
