--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from driftstair.net.frontend import BACKLOG, Frontend
+from driftstair.net.frontend import LISTEN_BACKLOG, Frontend
 from driftstair.net.node import Node
 from driftstair.net.system import SocketListener, System, bind_listening_socket
 from driftstair.operations.calls import OF_THE_TIER, Call, Order
@@ -66,7 +66,7 @@
         """The clients' listening socket: handed over, or a new one. Raises OSError."""
         # Shared: where a process can't hand its socket over, both listen for a while.
         handed = None if self._predecessor is None else self._predecessor.listening
-        own = handed or bind_listening_socket(self.config.listen, BACKLOG, shared=True)
+        own = handed or bind_listening_socket(self.config.listen, LISTEN_BACKLOG, shared=True)
         own.setblocking(False)
         self._listening = own
         return SocketListener(own)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -203,13 +203,14 @@
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert (
-        ConnectionLimits(1).first_head_s_max + frontend.SWEEP < 3.0 and ConnectionLimits(1).idle_s_max >= 2.0
+        ConnectionLimits(1).first_head_s_max + frontend.SWEEP_INTERVAL_S < 3.0
+        and ConnectionLimits(1).idle_s_max >= 2.0
     )
-    monkeypatch.setattr(frontend, "SWEEP", 0.02)
+    monkeypatch.setattr(frontend, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = ConnectionLimits(100, first_head_s_max=0.3, next_head_s_max=0.3)
+            rig.front.table.limits = ConnectionLimits(100, first_head_s_max=0.3, next_head_s_max=0.3)
             used, idle = await rig.client(), await rig.client()
             for client in (used, idle):
                 assert status(await client.ask(request())) == 200
@@ -229,11 +230,11 @@
 
 
 def test_a_used_connection_is_closed_when_it_has_been_idle_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "SWEEP", 0.02)
+    monkeypatch.setattr(frontend, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = ConnectionLimits(100, idle_s_max=0.1)
+            rig.front.table.limits = ConnectionLimits(100, idle_s_max=0.1)
             client = await rig.client()
             assert status(await client.ask(request())) == 200
             assert await client.ended() == b""
@@ -244,7 +245,7 @@
 def test_those_that_never_asked_make_room_first_then_idle_ones_and_rejected_ones_at_once() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = ConnectionLimits(3)
+            rig.front.table.limits = ConnectionLimits(3)
             used = await rig.client()
             assert status(await used.ask(request())) == 200
             rejected = await rig.client()
@@ -256,7 +257,7 @@
             new = await rig.client()
             assert status(await new.ask(request())) == 200
             assert status(await used.ask(request())) == 200
-            assert len(server.seen) == 3 and rig.front._open <= 3
+            assert len(server.seen) == 3 and rig.front._open_connections <= 3
 
     run(test())
 
@@ -266,11 +267,11 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = ConnectionLimits(400, platform_connections_max=30)
+            rig.front.table.limits = ConnectionLimits(400, platform_connections_max=30)
             clients = [await rig.client() for _ in range(60)]
             for client in clients:
                 assert status(await client.ask(request())) == 200
-            assert rig.front.places.idle_count() <= 30 and rig.front.places.closed_early >= 30
+            assert rig.front.table.idle_count() <= 30 and rig.front.table.closed_early >= 30
             assert status(await (await rig.client()).ask(request())) == 200
 
     run(test())
@@ -282,7 +283,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.places.limits = ConnectionLimits(20)
+            rig.front.table.limits = ConnectionLimits(20)
             used = [await rig.client() for _ in range(10)]
             for client in used:
                 assert status(await client.ask(request())) == 200
@@ -292,7 +293,7 @@
             assert status(await late.ask(request())) == 200
             # Half of the table and more at a time, each with 0.1 s to bring something; a tenth took 30 s.
             assert asyncio.get_running_loop().time() - begun < 12
-            assert rig.front._open <= 20 + frontend.ACCEPTS
+            assert rig.front._open_connections <= 20 + frontend.ACCEPTS_PER_TURN
             for client in crowd:
                 client.writer.close()
 
@@ -395,7 +396,7 @@
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request(X_Deadline="300m"))
-                await until(lambda: connection._slow_reader is not None)
+                await until(lambda: connection._slow_reader_timer is not None)
                 await until(lambda: not rig.front._connections)
 
     run(test())
@@ -535,7 +536,7 @@
             (connection,) = rig.front._connections
             connection._transport = Slow(connection._transport)  # type: ignore[assignment,arg-type]
             assert status(await client.ask(request())) == 503
-            assert connection._number == 0
+            assert connection._request_number == 0
 
     run(test())
 
@@ -548,7 +549,7 @@
     async def test() -> None:
         async with Rig(configuration()) as rig:
             monkeypatch.setattr(rig.front.monitor, "has_just_stalled", lambda: True)
-            monkeypatch.setattr(rig.front.places, "limits", ConnectionLimits(100, first_head_s_max=0.1))
+            monkeypatch.setattr(rig.front.table, "limits", ConnectionLimits(100, first_head_s_max=0.1))
             client = await rig.client()
             assert await client.ended() == b""
             assert rig.node.metrics.closes
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -159,7 +159,7 @@
                 late.settimeout(PATIENCE)
                 data = request("order", body=b"late")
                 late.sendall(data[:-1])
-                await until(lambda: rig.front.bodies)
+                await until(lambda: rig.front.uploads)
                 ends = rig.node.fail_all
 
                 def ends_then() -> None:
@@ -239,7 +239,7 @@
             client.writer.write(request("order", body=b"second"))
             assert await client.ended() == b""
             (connection,) = rig.front._connections
-            await until(lambda: connection._dropped)
+            await until(lambda: connection._discarded_bytes)
             client.writer.close()
             await until(lambda: not rig.front._connections)
             assert [one.body for one in server.seen] == [b"first"]
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -37,7 +37,7 @@
 @pytest.fixture(autouse=True)
 def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """No grace for what begins just after, so that no test has to wait for it to be over."""
-    monkeypatch.setattr(client_connection, "GONE_AFTER", 0.0)
+    monkeypatch.setattr(client_connection, "DISCONNECT_GRACE_S", 0.0)
 
 
 class Holding:
@@ -54,7 +54,7 @@
 
 async def leave(rig: Rig, client: Client, also: Callable[[], object] = lambda: True) -> None:
     """The client closes, and the node has been told."""
-    (connection,) = [one for one in rig.front._connections if one._number]
+    (connection,) = [one for one in rig.front._connections if one._request_number]
     client.writer.close()
     await until(lambda: connection._half_closed and also())
 
@@ -142,7 +142,7 @@
                     connection._transport.pause_reading()  # type: ignore[union-attr]
                     client.writer.close()
                     await until(lambda: connection.has_disconnected())  # noqa: B023
-                    connection._left_at = None
+                    connection._disconnected_at = None
                 dials.up.set()
                 if not told:
                     await until(lambda: not rig.node._open_requests)
@@ -203,7 +203,7 @@
                 second.writer.write(request(X_Key="k"))
                 await until(lambda: len(rig.node._open_requests) == 2)
                 waiting = max(rig.node._open_requests)
-                (connection,) = [one for one in rig.front._connections if one._number == waiting]
+                (connection,) = [one for one in rig.front._connections if one._request_number == waiting]
                 second.writer.close()
                 await until(lambda: waiting not in rig.node._open_requests)
                 await until(lambda: connection not in rig.front._connections)
@@ -242,7 +242,7 @@
 
 def test_a_client_that_has_only_just_ended_its_sending_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """The usual way of simple clients: the request, then the end, then the wait."""
-    monkeypatch.setattr(client_connection, "GONE_AFTER", PATIENCE)
+    monkeypatch.setattr(client_connection, "DISCONNECT_GRACE_S", PATIENCE)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -205,7 +205,7 @@
             Rig(configuration(one, two)) as rig,
         ):
             monkeypatch.setattr(ClientConnection, "has_disconnected", lambda self: False)
-            monkeypatch.setattr(client_connection, "GONE_AFTER", 9.0)
+            monkeypatch.setattr(client_connection, "DISCONNECT_GRACE_S", 9.0)
             rig.node.guard.strict = False
             client = await rig.client()
             client.writer.write(request())
@@ -274,25 +274,25 @@
     ("server_connection.py", "write"): {"Connection.send", "Connection._pump"},
     ("server_attempt.py", "send"): {"Attempt._write"},
     ("client_connection.py", "write"): {
-        "ClientConnection._next",  # 100 Continue
+        "ClientConnection._advance",  # 100 Continue
         "ClientConnection._serve",  # likewise
         "ClientConnection.answer",
-        "ClientConnection._pass_on",
+        "ClientConnection._forward_answer",
     },
     ("client_connection.py", "close"): {
         "ClientConnection.close",
         "ClientConnection.connection_lost",  # its reader
         "ClientConnection.time_out",
-        "ClientConnection._next",
-        "ClientConnection._answered",
+        "ClientConnection._advance",
+        "ClientConnection._on_answer_written",
         "ClientConnection.close_if_unused",
     },
     ("client_connection.py", "abort"): {
         "ClientConnection.abort",
         "ClientConnection.data_received",
-        "ClientConnection._pass_on",
+        "ClientConnection._forward_answer",
     },
-    ("client_connection.py", "write_eof"): {"ClientConnection._answered"},
+    ("client_connection.py", "write_eof"): {"ClientConnection._on_answer_written"},
     ("node.py", "answer"): {"Node._reply"},
     ("node.py", "Attempt"): {"Node._send"},
 }
@@ -341,7 +341,7 @@
     connection = (NET / "client_connection.py").read_text()
     assert "Connection.send" in calls(upstream)["wrote"] and "Attempt._write" in calls(attempt)["forbids"]
     assert "Node._reply" in calls(node)["record_answer"]
-    ends = {"ClientConnection.close", "ClientConnection.abort", "ClientConnection._answered"}
+    ends = {"ClientConnection.close", "ClientConnection.abort", "ClientConnection._on_answer_written"}
     assert calls(connection)["_note_close"] == ends
     assert calls(connection)["record_close"] == {"ClientConnection._note_close"}
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -11,7 +11,7 @@
 from driftstair.admission.body_progress import BYTES_PER_S_MIN, GRACE_S, SILENCE_S_MAX, BodyProgress
 from driftstair.net import body_stream, reuse_delay, server_connection
 from driftstair.net.body_stream import STREAM_BUFFER_BYTES_MAX, BodyBudget, Stream
-from driftstair.net.frontend import SWEEP
+from driftstair.net.frontend import SWEEP_INTERVAL_S
 from lichenspring.interface import Result
 
 LONG = b"".join(b"%08d" % number for number in range(384_000))  # 3 MB, and no two pieces alike
@@ -67,7 +67,7 @@
                 assert len(body) in (5, 65537, 100_000, len(LONG)) and (b"short" + LONG).find(body) in (0, 5)
             assert server.connections == (2 if closes else 1)
             assert [one.result for one in rig.spy.outcomes()] == [Result.OK] * 2
-            assert not rig.node._pools.flows and not rig.front.flows
+            assert not rig.node._pools.flows and not rig.front.streamed_answers
 
     run(test())
 
@@ -233,7 +233,7 @@
                 client.writer.write(request(target="/up", method="GET"))
                 assert status(await client.read()) == 200
                 assert rig.front.budget.bytes_left == BodyBudget(rig.config.memory_bytes_max).bytes_left
-                assert not rig.front.bodies
+                assert not rig.front.uploads
 
     run(test())
 
@@ -270,7 +270,7 @@
             client = await rig.client()
             client.writer.write(head + body[:1_500_000])
             await until(lambda: len(taker.got) > 1_000_000)
-            (pace,) = rig.front.bodies.values()
+            (pace,) = rig.front.uploads.values()
             pace.since -= 60.0  # a minute for 1.5 MB
             assert status(await client.read()) == 408
             await asyncio.wait_for(taker.ended.wait(), 10)
@@ -357,7 +357,7 @@
     pace.resume(150.0)
     assert not pace.is_too_slow(150.0 + SILENCE_S_MAX - 0.1)
     assert pace.is_too_slow(150.0 + SILENCE_S_MAX + 0.01)
-    assert SILENCE_S_MAX < 3.0 - 2 * SWEEP
+    assert SILENCE_S_MAX < 3.0 - 2 * SWEEP_INTERVAL_S
 
 
 @pytest.mark.parametrize("sent", [100_000, 399_999])
