--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -176,7 +176,7 @@
     then one of six servers fails."""
     sys.path[:0] = ["tests", "tests/tier"]
     from fleet import Fleet
-    from rig import Server, answer, says
+    from rig import Server, answer, sends
     from test_judgements_processes import BAD, SERVERS, judged
     from traffic import Traffic
 
@@ -209,7 +209,7 @@
             ended = time.monotonic_ns()
             spent = sum(one["event"] == "spend" and began <= one["t_ns"] < ended for one in fleet.events())
             failed = time.monotonic_ns()
-            servers[BAD].script = says(answer(500))
+            servers[BAD].script = sends(answer(500))
 
             def told() -> list[int]:
                 return sorted(one.begin for one in judged(fleet) if one.server == BAD)
--- a/tests/acceptance/test_early_kill.py
+++ b/tests/acceptance/test_early_kill.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from rig import PATIENCE, Discovery, Message, Server, answer, configuration, request, run_for, status, until
+from rig import TIMEOUT_S, Discovery, Message, Server, answer, configuration, request, run_for, status, until
 from test_process import Program, program, start
 
 LIVES = 3  # killed at each moment, one after the other
@@ -16,7 +16,7 @@
 
 async def killed(node: Program) -> None:
     node.process.kill()
-    assert await asyncio.wait_for(node.process.wait(), PATIENCE) == -9
+    assert await asyncio.wait_for(node.process.wait(), TIMEOUT_S) == -9
 
 
 @pytest.mark.parametrize("moment", ["begun", "watching", "serving", "request out", "request half sent"])
@@ -46,7 +46,7 @@
                     path.write_text(json.dumps(document))
                     process = await start(path)
                     process.kill()
-                    assert await asyncio.wait_for(process.wait(), PATIENCE) == -9
+                    assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == -9
                 else:
                     async with program(document, tmp_path) as node:
                         client = await node.client()
@@ -71,4 +71,4 @@
             assert bodies == [b"life %d" % life for life in range(LIVES)]  # nothing is sent a second time
             held.set()
 
-    run_for(test(), 4 * PATIENCE)
+    run_for(test(), 4 * TIMEOUT_S)
--- a/tests/acceptance/test_late_silence.py
+++ b/tests/acceptance/test_late_silence.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from rig import PATIENCE, Server, configuration, run_for, status, until
+from rig import TIMEOUT_S, Server, configuration, run_for, status, until
 from test_processes_together import Registry, ask, nodes
 
 HEARD_FOR = 13.5  # s
@@ -48,4 +48,4 @@
             assert len(drained.seen) == seen
             assert registry.told.count(registry.version) == len(fleet)
 
-    run_for(test(), HEARD_FOR + COUNTS_AS_TOLD + PATIENCE)
+    run_for(test(), HEARD_FOR + COUNTS_AS_TOLD + TIMEOUT_S)
--- a/tests/acceptance/test_stalled_process.py
+++ b/tests/acceptance/test_stalled_process.py
@@ -14,7 +14,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Client,
     Message,
     Server,
@@ -272,7 +272,7 @@
             async with stopped(node):
                 script.release.set()
                 await asyncio.sleep(STALL)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_S):
                 assert status(await client.read()) in (200, 502, 503)
             for message in (one.seen + two.seen)[1:]:
                 assert told(message) <= 2.0 - STALL + SLACK
--- a/tests/acceptance/test_told_deadline.py
+++ b/tests/acceptance/test_told_deadline.py
@@ -7,7 +7,7 @@
 from time import monotonic_ns
 
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     LateDials,
     Message,
     Rig,
@@ -47,7 +47,7 @@
             client = await rig.client()
             asked = monotonic_ns()
             client.writer.write(request(X_Deadline=f"{PATIENCE_MS}m"))
-            await asyncio.wait_for(dials.begun.wait(), PATIENCE)
+            await asyncio.wait_for(dials.begun.wait(), TIMEOUT_S)
             await until_time(asked + DIALED_FOR * MS)
             most = left_us(rig, monotonic_ns())
             dials.up.set()
@@ -82,7 +82,7 @@
                 rig.node._pools.system = dials = LateDials(1)
                 client = await rig.client()
                 client.writer.write(request(X_Deadline=f"{PATIENCE_MS}m"))
-                await asyncio.wait_for(dials.begun.wait(), PATIENCE)
+                await asyncio.wait_for(dials.begun.wait(), TIMEOUT_S)
                 begun = monotonic_ns()
                 await until_time(begun + DIALED_FOR * MS)
                 most.append(left_us(rig, monotonic_ns()))
--- a/tests/acceptance/test_turned_away.py
+++ b/tests/acceptance/test_turned_away.py
@@ -10,7 +10,7 @@
 
 import pytest
 from fleet_of_modules import NEVER, SERVES, Reply, Servers, SoleNode
-from rig import PATIENCE, Client, Message, Rig, Server, configuration, grade, request, run, status
+from rig import TIMEOUT_S, Client, Message, Rig, Server, configuration, grade, request, run, status
 from world import BASE, FALL_MULTIPLE, FALL_TIME, MS, SECOND, START, server, settings, whole
 
 from driftstair.net.node import Node
@@ -92,7 +92,7 @@
                 shut_caps(rig.node)
                 clients = [await rig.client() for _ in range(8)]
                 begun = loop.time()
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_S):
                     await asyncio.gather(*(ask_on(client, begun + PLAYED) for client in clients))
                 for since, until in pairwise([begun, *tried, begun + PLAYED]):
                     turned_away = sum(since < at < until for at in refused)
--- a/tests/acceptance/test_whole_list.py
+++ b/tests/acceptance/test_whole_list.py
@@ -6,7 +6,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Discovery,
     LateDials,
     Message,
@@ -88,7 +88,7 @@
             rig.node._pools.system = dials = LateDials()
             client = await rig.client()
             client.writer.write(request("order", body=b"once"))
-            await asyncio.wait_for(dials.begun.wait(), PATIENCE)
+            await asyncio.wait_for(dials.begun.wait(), TIMEOUT_S)
             source.push(9, kept, full=True)
             await until(lambda: rig.spy.lists(ListKind.FULL))
             dials.up.set()
--- a/tests/control/control_rig.py
+++ b/tests/control/control_rig.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from rig import PATIENCE
+from rig import TIMEOUT_S
 
 from driftstair.configuration.change_sets import Change, ChangeSet, LoggedChangeSet
 from driftstair.configuration.messages import (
@@ -95,7 +95,7 @@
 async def exchange(address: tuple[str, int], data: bytes, end: bool = False) -> bytes:
     """What comes until the server closes the connection. `end`: the client's sending ends behind the data."""
     reader, writer = await asyncio.open_connection(*address)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         writer.write(data)
         if end:
             writer.write_eof()
@@ -113,7 +113,7 @@
     head = f"{method} {target} HTTP/1.1\r\nHost: test\r\nContent-Length: {len(body)}\r\n\r\n"
     writer.write(head.encode() + body)
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             return await read_answer(reader)
     finally:
         writer.close()
@@ -146,7 +146,7 @@
         self.reader, self.writer = await asyncio.open_connection(*self.address, limit=self.limit)
         target = f"/configuration?watch=1&from={self.start}&node=n1{self.query}"
         self.writer.write(f"GET {target} HTTP/1.1\r\nHost: test\r\n\r\n".encode())
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             head = await self.reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200 "), head
         self._task = asyncio.create_task(self._read())
@@ -177,7 +177,7 @@
 
     async def until(self, what: Callable[[], object]) -> None:
         """Wait until it is so, looking each time that something came."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while not what():
                 await self._arrived.wait()
                 self._arrived.clear()
--- a/tests/ledger/test_keeper.py
+++ b/tests/ledger/test_keeper.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from rig import Server, configuration, request, run, says, serves, silent, status, until
+from rig import Server, configuration, request, run, sends, serves, silent, status, until
 from test_process import Program, program
 
 from benchmarks.soak.shim import Options, build, environment
@@ -27,7 +27,7 @@
 from driftstair.ledger.reconcile import joined
 from driftstair.ledger.segments import Store
 
-errs = says(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
+errs = sends(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 NOON = 1_800_000_000_000  # ms, Unix time
 
 
--- a/tests/limits/test_limits_on_sockets.py
+++ b/tests/limits/test_limits_on_sockets.py
@@ -13,7 +13,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Message,
     Rig,
     Server,
@@ -21,7 +21,7 @@
     configuration,
     request,
     run,
-    says,
+    sends,
     silent,
     status,
     until,
@@ -172,7 +172,7 @@
 
 def test_a_back_off_before_another_box() -> None:
     async def test() -> None:
-        bad = says(answer(500))
+        bad = sends(answer(500))
         async with Server("s-1", bad) as one, Server("s-2", bad) as other:
             text = routes('retry = { attempts = 2, backoff = "200ms", jitter = 0.0 }')
             async with Rig(configuration(one, other), text) as node:
@@ -226,7 +226,7 @@
     )
     done = subprocess.run(
         [sys.executable, "-m", "driftstair", "--service", str(service)], cwd=ROOT, capture_output=True,
-        text=True, timeout=PATIENCE, env={**os.environ, "BALANCER_CONFIG": str(config)},
+        text=True, timeout=TIMEOUT_S, env={**os.environ, "BALANCER_CONFIG": str(config)},
     )  # fmt: skip
     assert done.returncode == 2
     lines = done.stderr.splitlines()
@@ -251,7 +251,7 @@
                 async def reload(text: str, word: bytes) -> None:
                     service.write_text(text)
                     node.process.send_signal(signal.SIGHUP)
-                    while word not in await asyncio.wait_for(stderr.readline(), PATIENCE):
+                    while word not in await asyncio.wait_for(stderr.readline(), TIMEOUT_S):
                         pass
 
                 await reload(routes("admit = { rate = { per_s = 0.001, burst = 1.0 } }"), b"limits of")
--- a/tests/node_configuration/test_in_the_daemon.py
+++ b/tests/node_configuration/test_in_the_daemon.py
@@ -15,7 +15,7 @@
 
 import pytest
 from control_server import BUDGET, DRAIN, ROUTE, TENANT, ControlServer, Log, change
-from rig import PATIENCE, Client, Message, Server, answer, configuration, request, run, status, until
+from rig import TIMEOUT_S, Client, Message, Server, answer, configuration, request, run, status, until
 from test_process import Program, program
 
 ROOT = Path(__file__).parents[2]
@@ -177,7 +177,7 @@
                     await in_force(control, 1)
                     await until(lambda: list(kept.glob("*.configuration")))
                     node.process.send_signal(signal.SIGTERM)
-                    assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+                    assert await asyncio.wait_for(node.process.wait(), TIMEOUT_S) == 0
             async with program(configuration(server), tmp_path, env=env) as node:
                 client = await node.client()
                 assert [await asked(client) for _ in range(2)] == [200, 503]
@@ -192,7 +192,7 @@
 
 async def lines_until(node: Program, word: str) -> str:
     assert node.process.stderr is not None
-    while word not in (line := (await asyncio.wait_for(node.process.stderr.readline(), PATIENCE)).decode()):
+    while word not in (line := (await asyncio.wait_for(node.process.stderr.readline(), TIMEOUT_S)).decode()):
         assert line, "the node ended"
     return line
 
@@ -341,7 +341,7 @@
     config = tmp_path / "config.json"
     config.write_text(json.dumps(configuration()))
     done = subprocess.run(
-        [sys.executable, "-m", "driftstair"], cwd=ROOT, capture_output=True, text=True, timeout=PATIENCE,
+        [sys.executable, "-m", "driftstair"], cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S,
         env={**environment(tmp_path, f"version = 1\n[control]\n{table}\n"), "BALANCER_CONFIG": str(config)},
     )  # fmt: skip
     assert done.returncode == 2 and "Traceback" not in done.stderr
@@ -381,7 +381,7 @@
         code = WITH_A_FILE.format(path=str(path), text='version = 1\n[[route]]\nname = "r"\n')
     done = subprocess.run(
         [sys.executable, "-c", code + LOADED.format(names=names)], cwd=ROOT, capture_output=True, text=True,
-        timeout=PATIENCE,
+        timeout=TIMEOUT_S,
     )  # fmt: skip
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
--- a/tests/node_configuration/test_with_a_control_server.py
+++ b/tests/node_configuration/test_with_a_control_server.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from rig import PATIENCE, Server, configuration, request, run_for, status
+from rig import TIMEOUT_S, Server, configuration, request, run_for, status
 from test_in_the_daemon import environment, free_port
 from test_process import Program, program
 
@@ -26,7 +26,7 @@
         sys.executable, "-m", "driftstair", "control", *words, "--json", cwd=ROOT,
         stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
-    said, errors = await asyncio.wait_for(process.communicate(), PATIENCE)
+    said, errors = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
     assert process.returncode == 0, (said, errors)
     return json.loads(said)
 
@@ -59,7 +59,7 @@
 
 async def in_force(server: str, revision: int) -> dict[str, Any]:
     """Until the control server tells that the node has it in force; what it tells."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             told: dict[str, Any] = await command("status", "--servers", server)
             if any(one["revision"] == revision and one["in_force"] == 1 for one in told["revisions"]):
--- a/tests/observability/test_event_log.py
+++ b/tests/observability/test_event_log.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from rig import Discovery, Rig, Server, answer, configuration, request, run, says, status, until
+from rig import Discovery, Rig, Server, answer, configuration, request, run, sends, status, until
 from test_process import ROOT, program
 
 from driftstair.net.loop_monitor import TICK_INTERVAL_S, LoopMonitor
@@ -34,8 +34,8 @@
     async def test() -> None:
         async with (
             Discovery() as discovery,
-            Server("s-1", says(answer(500))) as one,
-            Server("s-2", says(answer(500))) as two,
+            Server("s-1", sends(answer(500))) as one,
+            Server("s-2", sends(answer(500))) as two,
         ):
             document = configuration(one, two, discovery=discovery.address)
             document["settings"]["Contract"]["AskWithin"] = 10**8
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""The real node on loopback sockets, between small servers, a discovery and clients that a test scripts."""
+"""A real node on loopback sockets, with small servers, a discovery service and clients scripted by a test."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 from driftstair.settings import Config
 from lichenspring import interface as api
 
-SYSTEM = SOCKET_SYSTEM  # of the nodes in this process
-PATIENCE = 20.0  # s: only a test that has failed waits so long
+SYSTEM = SOCKET_SYSTEM  # used by the nodes in this process
+TIMEOUT_S = 20.0  # only a failing test waits so long
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    run_for(test, PATIENCE * 2)
+    run_for(test, TIMEOUT_S * 2)
 
 
-def run_for(test: Coroutine[Any, Any, None], most: float) -> None:
-    """`most`: s that only a test that has failed takes."""
+def run_for(test: Coroutine[Any, Any, None], timeout_s: float) -> None:
+    """Only a failing test runs into `timeout_s`."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(test, most))
+        runner.run(asyncio.wait_for(test, timeout_s))
 
 
-async def until(what: Callable[[], object]) -> None:
-    """Wait for something that no one tells of."""
-    async with asyncio.timeout(PATIENCE):
-        while not what():
+async def until(condition: Callable[[], object]) -> None:
+    """Polls until a condition holds that has no notification."""
+    async with asyncio.timeout(TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.002)
 
 
@@ -70,7 +70,7 @@
     writer.write(answer())
 
 
-def says(data: bytes, close: bool = False, abort: bool = False) -> Script:
+def sends(data: bytes, close: bool = False, abort: bool = False) -> Script:
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         await writer.drain()
@@ -87,7 +87,7 @@
 
 
 class Server:
-    """One server; its script answers each request."""
+    """A server whose script answers each request."""
 
     def __init__(self, name: str, script: Script = serves) -> None:
         self.name = name
@@ -136,7 +136,7 @@
 
 
 class Discovery:
-    """Takes watches and holds them open."""
+    """Accepts watches and keeps them open."""
 
     def __init__(self) -> None:
         self.targets: list[str] = []
@@ -175,7 +175,7 @@
         self.push_bytes(json.dumps({"version": version, "full": full, "servers": entries}).encode() + b"\n")
 
     def close(self) -> None:
-        """End the latest watch behind what it was told."""
+        """Closes the latest watch after its pending data."""
         self._writers[-1].close()
 
     def drop(self) -> None:
@@ -214,18 +214,18 @@
     }  # fmt: skip
 
 
-class Spy:
-    """The balancer of a node, with its events noted; a test may put a decision of its own in their place."""
+class EventRecorder:
+    """Wraps a node's balancer and records its events. A test may override its decisions."""
 
     def __init__(self, node: Node) -> None:
         self.events: list[api.Event] = []
-        self.instead: Callable[[api.Event], list[api.Action] | None] = lambda event: None
+        self.override: Callable[[api.Event], list[api.Action] | None] = lambda event: None
         self._balancer = node._balancer
         node._balancer = self  # type: ignore[assignment]
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         self.events.append(event)
-        done = self.instead(event)
+        done = self.override(event)
         return self._balancer.handle(now, event) if done is None else done
 
     def outcomes(self) -> list[api.Outcome]:
@@ -236,7 +236,7 @@
 
 
 class Rig:
-    """A node in this process."""
+    """A node that runs in this process."""
 
     def __init__(self, document: dict[str, Any], service: str | None = None) -> None:
         self._document = document
@@ -245,7 +245,7 @@
         self.config: Config
         self.node: Node
         self.front: Frontend
-        self.spy: Spy
+        self.spy: EventRecorder
         self.address: tuple[str, int]
 
     async def __aenter__(self) -> Rig:
@@ -260,7 +260,7 @@
             limits = ServiceFile("service.toml", self._service).table(self.config, 541)
         self.node, self.front = build_node(self.config, SYSTEM, limits)
         self.node.guard.strict = True
-        self.spy = Spy(self.node)
+        self.spy = EventRecorder(self.node)
         self.node._balancer.start = self.spy._balancer.start  # type: ignore[method-assign]
         self.address = self.front.listen()
         self.node.start()
@@ -275,12 +275,12 @@
         return Client(*await asyncio.open_connection(*self.address, limit=1 << 20))
 
     def watch(self) -> None:
-        """Have the watch opened now; the module would ask within seconds."""
+        """Opens the watch now; the module would open it only within seconds."""
         self.node._execute(api.Watch())
 
 
 class LateDials(SocketSystem):
-    """The first `before` connections come up as they do, later ones when they are let."""
+    """Delays all dials after the first `before` ones until `up` is set."""
 
     def __init__(self, before: int = 0) -> None:
         self.before = before
@@ -297,7 +297,7 @@
 
 
 class FailingDials(SocketSystem):
-    """The first dials fail as connect(2) and socket(2) may."""
+    """Lets the first dials fail as connect(2) and socket(2) may."""
 
     def __init__(self, error: int, times: int) -> None:
         self.error = error
@@ -310,26 +310,26 @@
         return await super().dial(factory, address)
 
 
-class Holds(asyncio.Protocol):
-    """Holds up the loop as it reads: what comes due meanwhile runs before any socket is read again."""
+class LoopBlocker(asyncio.Protocol):
+    """Blocks the loop when it reads: timers that become due meanwhile run before any socket is read again."""
 
-    def __init__(self, what: Callable[[], None]) -> None:
-        self._what = what
+    def __init__(self, action: Callable[[], None]) -> None:
+        self._action = action
 
     def data_received(self, data: bytes) -> None:
-        self._what()
+        self._action()
 
 
-numbers = count(1)
+request_numbers = count(1)
 
 
 def request(
     kind: str = "", method: str = "", target: str = "/api", body: bytes = b"", **headers: str
 ) -> bytes:
-    """One with a body is of a class that is unsafe to repeat, as the method follows from the class."""
+    """A request with a body is of a class that is unsafe to repeat, as the class determines the method."""
     kind = kind or ("order" if body else "page")
     method = method or ("GET" if kind == "page" else "POST")
-    given = {"Host": "service.internal", "X-Request-Id": f"{next(numbers):016x}", "X-Class": kind}
+    given = {"Host": "service.internal", "X-Request-Id": f"{next(request_numbers):016x}", "X-Class": kind}
     given |= {name.replace("_", "-"): value for name, value in headers.items()}
     if body or method != "GET":
         given["Content-Length"] = str(len(body))
@@ -343,7 +343,7 @@
         self.writer = writer
 
     async def read(self) -> Message:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             return await read_message(self.reader)
 
     async def ask(self, data: bytes) -> Message:
@@ -351,8 +351,8 @@
         return await self.read()
 
     async def ended(self) -> bytes:
-        """What comes until the node has closed the connection."""
-        async with asyncio.timeout(PATIENCE):
+        """The bytes received until the node closes the connection."""
+        async with asyncio.timeout(TIMEOUT_S):
             try:
                 return await self.reader.read()
             except OSError:
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -1,4 +1,4 @@
-"""When bytes came that are read now, after holds of the process: whose machine they lay with."""
+"""Estimated arrival times of data that are read_now after a stall of the process."""
 
 from __future__ import annotations
 
@@ -15,129 +15,144 @@
     ArrivalRange,
 )
 
-HELD_SINCE, RESUMED = 1000 * MS, 1600 * MS
-FULL = 64 << 10  # bytes of a read that empties a full receive window
+STALLED_SINCE, RESUMED = 1000 * MS, 1600 * MS
+WINDOW_BYTES = 64 << 10  # bytes in a full receive window
 
 
-def held() -> ArrivalEstimator:
-    """A connection that had been read until a hold, and whose full window is read after it."""
-    dates = ArrivalEstimator(900 * MS)
-    first = dates.on_read(RESUMED, FULL, age=500 * MS, earliest=HELD_SINCE, is_paused=False)
-    assert first == ArrivalRange(HELD_SINCE, RESUMED - 500 * MS)  # of these the kernel knows
-    return dates
+def stalled_connection() -> ArrivalEstimator:
+    """A connection whose receive window filled up during a stall and has been read after it."""
+    estimator = ArrivalEstimator(900 * MS)
+    first = estimator.on_read(RESUMED, WINDOW_BYTES, age=500 * MS, earliest=STALLED_SINCE, is_paused=False)
+    assert first == ArrivalRange(STALLED_SINCE, RESUMED - 500 * MS)  # dated by the kernel
+    return estimator
 
 
-def read(dates: ArrivalEstimator, now: int, size: int) -> ArrivalRange:
-    """A read of bytes that have only just reached the kernel, by a process that runs."""
-    return dates.on_read(now, size, age=0, earliest=now, is_paused=False)
+def read_now(estimator: ArrivalEstimator, now: int, size: int) -> ArrivalRange:
+    """A read, without a stall, of bytes that have just reached the kernel."""
+    return estimator.on_read(now, size, age=0, earliest=now, is_paused=False)
 
 
-def test_what_follows_a_full_window_without_a_gap_counts_from_the_hold() -> None:
-    dates, now = held(), RESUMED
-    for size in (FULL, BACKLOG_READ_BYTES_MIN, FULL, 700):  # the last one is what was left
+def test_data_right_after_a_full_window_are_dated_to_the_stall() -> None:
+    estimator, now = stalled_connection(), RESUMED
+    for size in (WINDOW_BYTES, BACKLOG_READ_BYTES_MIN, WINDOW_BYTES, 700):  # the last one is the rest
         now += MS
-        assert read(dates, now, size) == ArrivalRange(HELD_SINCE, HELD_SINCE)
-    assert dates.date_peer_close(now + MS, age=MS) == HELD_SINCE  # it lay behind them
+        assert read_now(estimator, now, size) == ArrivalRange(STALLED_SINCE, STALLED_SINCE)
+    assert estimator.date_peer_close(now + MS, age=MS) == STALLED_SINCE  # the FIN waited behind them
 
 
 def test_a_slow_sender_is_dated_by_the_kernel_again() -> None:
-    """Guards against a body of seconds that is dated by a hold at its beginning: it would be cut off."""
-    dates, now = held(), RESUMED
+    """A body that takes seconds would be cut off if all of it were dated by a stall at its beginning."""
+    estimator, now = stalled_connection(), RESUMED
     now += MS
-    assert read(dates, now, 1300).newest == HELD_SINCE  # may have been ready
+    assert read_now(estimator, now, 1300).newest == STALLED_SINCE  # may have been ready at the sender
     for _ in range(100):
         now += MS
-        assert read(dates, now, 1300).newest == now
-    assert dates.date_peer_close(now + MS, age=MS) == now
+        assert read_now(estimator, now, 1300).newest == now
+    assert estimator.date_peer_close(now + MS, age=MS) == now
 
 
-def test_after_a_gap_bytes_are_new_unless_they_fill_the_window() -> None:
-    dates = held()
+def test_data_after_a_gap_are_new_and_end_the_backlog() -> None:
+    estimator = stalled_connection()
     now = RESUMED + READY_DATA_GAP_NS_MAX + MS
-    assert read(dates, now, FULL_WINDOW_BYTES_MIN - 1) == ArrivalRange(now, now)
+    assert read_now(estimator, now, FULL_WINDOW_BYTES_MIN - 1) == ArrivalRange(now, now)
     now += MS
-    assert read(dates, now, FULL) == ArrivalRange(now, now)  # nor does a backlog that has ended come back
-
-
-def test_a_loop_that_has_much_else_to_read_makes_nothing_younger() -> None:
-    """The gap is that to the arrival, by the kernel; of a full window it only knows the newest byte."""
-    dates, now = held(), RESUMED
-    for size, age in ((FULL, 0), (FULL, 70 * MS), (BACKLOG_READ_BYTES_MIN, 75 * MS), (700, 79 * MS)):
+    assert read_now(estimator, now, WINDOW_BYTES) == ArrivalRange(now, now)  # the backlog has ended
+
+
+def test_a_slow_loop_does_not_make_data_look_newer() -> None:
+    """The gap is measured to the kernel's arrival time, which covers only the newest byte of a window."""
+    estimator, now = stalled_connection(), RESUMED
+    for size, age in (
+        (WINDOW_BYTES, 0),
+        (WINDOW_BYTES, 70 * MS),
+        (BACKLOG_READ_BYTES_MIN, 75 * MS),
+        (700, 79 * MS),
+    ):
         now += 80 * MS
-        arrival = dates.on_read(now, size, age, earliest=now, is_paused=False)
-        assert arrival == ArrivalRange(HELD_SINCE, HELD_SINCE)
-    assert dates.date_peer_close(now + MS, age=80 * MS) == HELD_SINCE
-
-
-def test_what_lay_with_the_kernel_at_the_acceptance_counts_from_when_its_connection_came_up() -> None:
-    accepted = RESUMED + 200 * MS  # long after the hold: nothing else tells of it
-    for has_unread, dated in ((True, HELD_SINCE), (False, accepted)):
-        dates = ArrivalEstimator(accepted)
-        dates.on_accept(HELD_SINCE, has_unread)
-        assert read(dates, accepted, FULL + 1).newest == dated
-        assert read(dates, accepted + MS, FULL).newest == dated
-        dates.end_backlog()
-        assert read(dates, accepted + 2 * MS, 700).newest == accepted + 2 * MS
-
-
-def test_a_burst_that_takes_many_turns_of_a_slow_loop_counts_from_its_first_read() -> None:
-    """No turn is long enough to count as a hold; all of it, and its end, may have been written at once."""
-    dates, now = ArrivalEstimator(900 * MS), RESUMED
-    for size, age in ((FULL + 3000, 0), (FULL + 3000, 0), (FULL, 0), (700, 40 * MS)):
-        arrival = dates.on_read(now, size, age, earliest=now, is_paused=False)
+        arrival = estimator.on_read(now, size, age, earliest=now, is_paused=False)
+        assert arrival == ArrivalRange(STALLED_SINCE, STALLED_SINCE)
+    assert estimator.date_peer_close(now + MS, age=80 * MS) == STALLED_SINCE
+
+
+def test_data_unread_at_the_accept_are_dated_to_the_start_of_the_connection() -> None:
+    accepted = RESUMED + 200 * MS  # long after the stall, so nothing else shows it
+    for has_unread, expected in ((True, STALLED_SINCE), (False, accepted)):
+        estimator = ArrivalEstimator(accepted)
+        estimator.on_accept(STALLED_SINCE, has_unread)
+        assert read_now(estimator, accepted, WINDOW_BYTES + 1).newest == expected
+        assert read_now(estimator, accepted + MS, WINDOW_BYTES).newest == expected
+        estimator.end_backlog()
+        assert read_now(estimator, accepted + 2 * MS, 700).newest == accepted + 2 * MS
+
+
+def test_a_burst_over_many_turns_of_a_slow_loop_is_dated_to_its_first_read() -> None:
+    """No turn of the loop counts as a stall, but burst and FIN may have been written at once."""
+    estimator, now = ArrivalEstimator(900 * MS), RESUMED
+    for size, age in (
+        (WINDOW_BYTES + 3000, 0),
+        (WINDOW_BYTES + 3000, 0),
+        (WINDOW_BYTES, 0),
+        (700, 40 * MS),
+    ):
+        arrival = estimator.on_read(now, size, age, earliest=now, is_paused=False)
         assert arrival.newest == RESUMED
         now += 40 * MS
-    assert dates.date_peer_close(now, age=80 * MS) == RESUMED
+    assert estimator.date_peer_close(now, age=80 * MS) == RESUMED
 
 
-def test_no_more_is_dated_back_than_the_other_machine_takes_in_ahead() -> None:
-    dates, now = held(), RESUMED
-    for _ in range(SENDER_BUFFER_BYTES_MAX // FULL - 1):
+def test_no_more_data_are_backdated_than_the_senders_buffer_holds() -> None:
+    estimator, now = stalled_connection(), RESUMED
+    for _ in range(SENDER_BUFFER_BYTES_MAX // WINDOW_BYTES - 1):
         now += MS
-        assert read(dates, now, FULL).newest == HELD_SINCE
+        assert read_now(estimator, now, WINDOW_BYTES).newest == STALLED_SINCE
     now += MS
-    assert read(dates, now, FULL).newest == now
+    assert read_now(estimator, now, WINDOW_BYTES).newest == now
 
 
 @pytest.mark.parametrize(
-    ("size", "age", "dated"),
-    [(FULL + 1, 0, HELD_SINCE), (FULL + 1, 300 * MS, RESUMED - 300 * MS), (FULL, 0, RESUMED)],
+    ("size", "age", "expected"),
+    [
+        (WINDOW_BYTES + 1, 0, STALLED_SINCE),
+        (WINDOW_BYTES + 1, 300 * MS, RESUMED - 300 * MS),
+        (WINDOW_BYTES, 0, RESUMED),
+    ],
 )
-def test_a_read_of_more_than_the_window_took_in_what_came_during_itself(
-    size: int, age: int, dated: int
+def test_a_read_larger_than_the_window_includes_data_received_during_it(
+    size: int, age: int, expected: int
 ) -> None:
-    dates = ArrivalEstimator(900 * MS)
-    assert dates.on_read(RESUMED, size, age, HELD_SINCE, is_paused=False).newest == dated
+    estimator = ArrivalEstimator(900 * MS)
+    assert estimator.on_read(RESUMED, size, age, STALLED_SINCE, is_paused=False).newest == expected
 
 
-def test_what_comes_after_a_whole_request_is_new() -> None:
-    dates = held()
-    assert read(dates, RESUMED + MS, FULL).newest == HELD_SINCE
-    dates.end_backlog()
-    assert read(dates, RESUMED + 2 * MS, FULL).newest == RESUMED + 2 * MS
+def test_data_after_a_complete_request_are_new() -> None:
+    estimator = stalled_connection()
+    assert read_now(estimator, RESUMED + MS, WINDOW_BYTES).newest == STALLED_SINCE
+    estimator.end_backlog()
+    assert read_now(estimator, RESUMED + 2 * MS, WINDOW_BYTES).newest == RESUMED + 2 * MS
 
 
 @pytest.mark.parametrize(
-    ("size", "hold"), [(FULL_WINDOW_BYTES_MIN - 1, 600 * MS), (FULL, READ_DELAY_NS_MIN - MS), (FULL, 0)],
+    ("size", "stall_ns"),
+    [(FULL_WINDOW_BYTES_MIN - 1, 600 * MS), (WINDOW_BYTES, READ_DELAY_NS_MIN - MS), (WINDOW_BYTES, 0)],
 )  # fmt: skip
-def test_without_a_full_window_or_a_hold_the_kernel_knows_all(size: int, hold: int) -> None:
-    dates = ArrivalEstimator(900 * MS)
-    dates.on_read(RESUMED, size, age=0, earliest=RESUMED - hold, is_paused=False)
-    assert read(dates, RESUMED + MS, FULL).newest == RESUMED + MS
+def test_without_a_full_window_or_a_stall_the_kernel_dates_everything(size: int, stall_ns: int) -> None:
+    estimator = ArrivalEstimator(900 * MS)
+    estimator.on_read(RESUMED, size, age=0, earliest=RESUMED - stall_ns, is_paused=False)
+    assert read_now(estimator, RESUMED + MS, WINDOW_BYTES).newest == RESUMED + MS
 
 
-def test_an_end_that_came_later_than_the_last_bytes_is_not_dated_with_them() -> None:
-    dates = held()
-    read(dates, RESUMED + MS, FULL)
+def test_a_close_after_the_last_bytes_is_not_dated_with_them() -> None:
+    estimator = stalled_connection()
+    read_now(estimator, RESUMED + MS, WINDOW_BYTES)
     later = RESUMED + 800 * MS
-    assert dates.date_peer_close(later, age=100 * MS) == later - 100 * MS
+    assert estimator.date_peer_close(later, age=100 * MS) == later - 100 * MS
 
 
-def test_what_was_left_with_the_kernel_counts_from_the_pause() -> None:
-    dates = ArrivalEstimator(900 * MS)
-    dates.pause(1000 * MS)
+def test_data_left_in_the_kernel_are_dated_to_the_pause() -> None:
+    estimator = ArrivalEstimator(900 * MS)
+    estimator.pause(1000 * MS)
     now = 1300 * MS
-    assert dates.on_read(now, 300, age=250 * MS, earliest=now, is_paused=False) == ArrivalRange(
+    assert estimator.on_read(now, 300, age=250 * MS, earliest=now, is_paused=False) == ArrivalRange(
         1000 * MS, 1050 * MS
     )
-    assert read(dates, now + MS, 300) == ArrivalRange(now + MS, now + MS)
+    assert read_now(estimator, now + MS, 300) == ArrivalRange(now + MS, now + MS)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,7 +16,7 @@
     grade,
     request,
     run,
-    says,
+    sends,
     silent,
     status,
     until,
@@ -31,7 +31,9 @@
 def test_a_request_goes_on_as_protocol_says() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(answer(X_Load="depth=2,load_share=0.61", Content_Type="image/png"))) as server,
+            Server(
+                "s-1", sends(answer(X_Load="depth=2,load_share=0.61", Content_Type="image/png"))
+            ) as server,
             Rig(configuration(server)) as rig,
         ):
             client = await rig.client()
@@ -383,7 +385,7 @@
 
 def test_a_client_that_reads_too_slowly_gets_nothing_after_its_deadline() -> None:
     async def test() -> None:
-        large = says(answer(body=b"x" * 65536))
+        large = sends(answer(body=b"x" * 65536))
         async with Server("s-1", large) as server, Rig(configuration(server)) as rig:
             loop = asyncio.get_running_loop()
             with socket.socket() as client:
@@ -434,11 +436,11 @@
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = broken
+            rig.spy.override = broken
             other, client = await rig.client(), await rig.client()
             other.writer.write(request())
             await until(lambda: server.seen)
-            server.script = says(answer())
+            server.script = sends(answer())
             assert status(await client.ask(request("order"))) == 502
             assert "in the module" in caplog.text and "Traceback" in caplog.text
             assert status(await client.ask(request())) == 200
@@ -460,7 +462,7 @@
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
-            rig.spy.instead = broken
+            rig.spy.override = broken
             await until(lambda: failed)
             await until(lambda: rig.spy.events.count(api.Timer(failed[0])) > 1)
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -18,7 +18,7 @@
     configuration,
     request,
     run,
-    says,
+    sends,
     serves,
     silent,
     status,
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("reply", [answer(Connection="close"), answer().replace(b"HTTP/1.1", b"HTTP/1.0")])
 def test_a_connection_that_the_server_ends_is_not_kept(reply: bytes) -> None:
     async def test() -> None:
-        async with Server("s-1", says(reply)) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", sends(reply)) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             for count in (1, 2):
                 assert status(await client.ask(request())) == 200
@@ -221,7 +221,7 @@
     back, on days on which connections are ever new."""
 
     async def test() -> None:
-        once = says(answer(Connection="close"))
+        once = sends(answer(Connection="close"))
         async with Server("s-1", once) as server, Rig(configuration(server)) as rig:
             gc.collect()
             gc.disable()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,10 +13,10 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Client,
-    Holds,
     LateDials,
+    LoopBlocker,
     Message,
     Rig,
     Server,
@@ -55,7 +55,7 @@
                 rig.node._pools.system = dials = LateDials(1)
                 client = await rig.client()
                 client.writer.write(request("pay", method="POST", Idempotency_Key="5c0f", X_Key="k"))
-                await asyncio.wait_for(dials.begun.wait(), PATIENCE)
+                await asyncio.wait_for(dials.begun.wait(), TIMEOUT_S)
                 over = monotonic_ns() + 260 * MS
                 await until(lambda: monotonic_ns() > over)
                 dials.up.set()
@@ -133,7 +133,7 @@
 
                 near, far = socket.socketpair()
                 stack.enter_context(far)
-                await loop.create_connection(lambda: Holds(crosses), sock=near)
+                await loop.create_connection(lambda: LoopBlocker(crosses), sock=near)
                 far.send(b"now")
                 first = status(await client.read())
                 assert first in (200, 502, 503, 504)
@@ -156,7 +156,7 @@
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
             with socket.create_connection(rig.address) as late:
-                late.settimeout(PATIENCE)
+                late.settimeout(TIMEOUT_S)
                 data = request("order", body=b"late")
                 late.sendall(data[:-1])
                 await until(lambda: rig.front.uploads)
@@ -183,10 +183,10 @@
             waiting = [socket.create_connection(rig.address) for _ in range(5)]
             for one in waiting:
                 one.sendall(request("order", body=b"queued"))
-            stopping = asyncio.create_task(rig.front.stop(0.0, PATIENCE))
+            stopping = asyncio.create_task(rig.front.stop(0.0, TIMEOUT_S))
             for one in waiting:
                 with one:
-                    one.settimeout(PATIENCE)
+                    one.settimeout(TIMEOUT_S)
                     got = await asyncio.get_running_loop().run_in_executor(None, one.recv, 1 << 12)
                     assert got.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in got
             await stopping
@@ -211,18 +211,18 @@
             node.process.send_signal(signal.SIGTERM)
             stderr = node.process.stderr
             assert stderr is not None
-            while b"stopping" not in await asyncio.wait_for(stderr.readline(), PATIENCE):
+            while b"stopping" not in await asyncio.wait_for(stderr.readline(), TIMEOUT_S):
                 pass
             (tmp_path / "config.json").write_text("{")
             node.process.send_signal(signal.SIGHUP)
-            while b"not used" not in await asyncio.wait_for(stderr.readline(), PATIENCE):
+            while b"not used" not in await asyncio.wait_for(stderr.readline(), TIMEOUT_S):
                 pass
             node.process.send_signal(signal.SIGTERM)
             assert await other.ended() == b""  # at rest: closed, and nothing said
             release.set()
             got = await holds.read()
             assert (got.body, got.headers["connection"]) == (b"held", "close")
-            assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+            assert await asyncio.wait_for(node.process.wait(), TIMEOUT_S) == 0
 
     run(test())
 
@@ -304,7 +304,7 @@
 
                     near, far = socket.socketpair()
                     stack.enter_context(far)
-                    await loop.create_connection(lambda: Holds(stands_still), sock=near)
+                    await loop.create_connection(lambda: LoopBlocker(stands_still), sock=near)
                     far.send(b"now")
                     await answers()
                     assert len(drained.seen) == seen and rig.node.servers.ready == {digest("s-2")}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 from time import sleep, time
 
 import pytest
-from rig import Discovery, FailingDials, Holds, Rig, Server, configuration, request, run, until
+from rig import Discovery, FailingDials, LoopBlocker, Rig, Server, configuration, request, run, until
 
 from driftstair.hosts import parse_address
 from driftstair.net import discovery, server_directory
@@ -341,7 +341,7 @@
                     sleep(0.4)
 
                 near, far = socket.socketpair()
-                await loop.create_connection(lambda: Holds(stands_still), sock=near)
+                await loop.create_connection(lambda: LoopBlocker(stands_still), sock=near)
                 far.send(b"now")
                 await until(lambda: len(rig.spy.lists(ListKind.DELTA)) == 2)
                 assert rig.node.servers.discovery._watch is watch
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,5 +1,5 @@
-"""A client that has left: nothing begins for it any more, on whatever path its request waits. What is out
-when it ends its sending is still answered, since a close and a half-close look alike when they arrive."""
+"""No attempt starts for a client that has left, wherever its request waits. An attempt in flight at the
+client's FIN is still answered, as a close and a half-close can't be told apart."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Client,
     LateDials,
     Message,
@@ -20,7 +20,7 @@
     grade,
     request,
     run,
-    says,
+    sends,
     silent,
     status,
     until,
@@ -35,13 +35,13 @@
 
 
 @pytest.fixture(autouse=True)
-def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No grace for what begins just after, so that no test has to wait for it to be over."""
+def no_disconnect_grace(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disables the grace period, so that the tests need not wait for its end."""
     monkeypatch.setattr(client_connection, "DISCONNECT_GRACE_S", 0.0)
 
 
-class Holding:
-    """A script that answers when it is let."""
+class DelayedAnswer:
+    """A script that answers once it is released."""
 
     def __init__(self, reply: bytes = b"") -> None:
         self.release = asyncio.Event()
@@ -52,72 +52,74 @@
         writer.write(self.reply)
 
 
-async def leave(rig: Rig, client: Client, also: Callable[[], object] = lambda: True) -> None:
-    """The client closes, and the node has been told."""
+async def close_client(rig: Rig, client: Client, also: Callable[[], object] = lambda: True) -> None:
+    """Closes the client and waits until the node has noticed."""
     (connection,) = [one for one in rig.front._connections if one._request_number]
     client.writer.close()
     await until(lambda: connection._half_closed and also())
 
 
-async def over(rig: Rig) -> None:
+async def all_closed(rig: Rig) -> None:
     await until(lambda: not rig.node._open_requests and not rig.front._connections)
 
 
-def test_one_that_left_while_it_waited_to_be_taken_in_is_not_sent_on() -> None:
-    """The node stands at a full table, or still: the client's request and its end come in one read."""
+def test_a_request_of_a_client_that_left_before_the_accept_is_not_sent() -> None:
+    """While the node is stalled or its table is full, a client's request and FIN arrive in one read."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             rig.front._pause()
             for end in (socket.SHUT_WR, None):
-                gone = socket.create_connection(rig.address)
-                gone.sendall(request())
+                client_socket = socket.create_connection(rig.address)
+                client_socket.sendall(request())
                 if end is None:
-                    gone.close()
+                    client_socket.close()
                 else:
-                    gone.shutdown(end)  # it would read an answer
+                    client_socket.shutdown(end)  # it still reads an answer
                 rig.front._resume()
                 if end is not None:
-                    with gone:
-                        gone.settimeout(PATIENCE)
-                        reply = await asyncio.get_running_loop().run_in_executor(None, gone.recv, 1 << 10)
+                    with client_socket:
+                        client_socket.settimeout(TIMEOUT_S)
+                        reply = await asyncio.get_running_loop().run_in_executor(
+                            None, client_socket.recv, 1 << 10
+                        )
                         assert reply.startswith(b"HTTP/1.1 503 ")
-                await over(rig)
+                await all_closed(rig)
                 rig.front._pause()
             assert not server.seen
 
     run(test())
 
 
-def test_what_is_pipelined_behind_is_not_sent_on_once_the_client_has_left() -> None:
+def test_pipelined_requests_are_not_sent_once_the_client_has_left() -> None:
     async def test() -> None:
-        held = Holding()
-        async with Server("s-1", held) as server, Rig(configuration(server)) as rig:
+        reply = DelayedAnswer()
+        async with Server("s-1", reply) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(request("order", body=b"first") + request("order", body=b"second"))
             await until(lambda: server.seen)
             (connection,) = rig.front._connections
-            assert connection._paused  # its end stays unread with the kernel
+            assert connection._paused  # its FIN stays unread in the kernel
             client.writer.close()
             await until(lambda: connection.has_disconnected())
-            held.release.set()
-            await over(rig)
+            reply.release.set()
+            await all_closed(rig)
             assert [one.body for one in server.seen] == [b"first"]
 
     run(test())
 
 
-def test_a_half_closed_client_gets_the_answer_that_is_out_and_a_refusal_of_the_rest() -> None:
+def test_a_half_closed_client_gets_its_pending_answer_and_refusals_of_the_rest() -> None:
     async def test() -> None:
-        held = Holding()
-        async with Server("s-1", held) as server, Rig(configuration(server)) as rig:
+        reply = DelayedAnswer()
+        async with Server("s-1", reply) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(request("order", body=b"first") + request("order", body=b"second"))
             await until(lambda: server.seen)
             client.writer.write_eof()
             (connection,) = rig.front._connections
             await until(lambda: connection.has_disconnected())
-            held.release.set()
+            reply.release.set()
             assert [status(await client.read()) for _ in range(2)] == [200, 503]
             assert await client.ended() == b""
             assert len(server.seen) == 1
@@ -125,18 +127,20 @@
     run(test())
 
 
-def test_one_that_leaves_while_its_attempt_is_dialed_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both orders: the node reads of the end before the connection is up, or only after."""
+def test_no_request_is_written_for_a_client_that_leaves_during_the_dial(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The node may read the FIN before the connection is up, or only after."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            for told in (True, False):
+            for fin_first in (True, False):
                 rig.node._pools.system = dials = LateDials()
                 client = await rig.client()
                 client.writer.write(request())
-                await asyncio.wait_for(dials.begun.wait(), PATIENCE)
-                if told:
-                    await leave(rig, client)
+                await asyncio.wait_for(dials.begun.wait(), TIMEOUT_S)
+                if fin_first:
+                    await close_client(rig, client)
                 else:
                     (connection,) = rig.front._connections
                     connection._transport.pause_reading()  # type: ignore[union-attr]
@@ -144,10 +148,10 @@
                     await until(lambda: connection.has_disconnected())  # noqa: B023
                     connection._disconnected_at = None
                 dials.up.set()
-                if not told:
+                if not fin_first:
                     await until(lambda: not rig.node._open_requests)
                     connection._transport.resume_reading()  # type: ignore[union-attr]
-                await over(rig)
+                await all_closed(rig)
                 results = {one.result for one in rig.spy.outcomes()}
                 assert results <= {Result.NOT_SENT, Result.CANCELLED}
                 for pool in rig.node._pools._pools.values():
@@ -157,16 +161,16 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["500", "turned away", "reset"])
-def test_after_a_failure_nothing_more_is_sent_for_one_that_has_left(how: str) -> None:
-    replies = {"500": answer(500), "turned away": answer(503, X_Not_Run="1"), "reset": b"HTTP/1.1 2"}
+@pytest.mark.parametrize("failure", ["500", "not run", "reset"])
+def test_no_retry_is_sent_for_a_client_that_has_left(failure: str) -> None:
+    answers = {"500": answer(500), "not run": answer(503, X_Not_Run="1"), "reset": b"HTTP/1.1 2"}
 
     async def test() -> None:
-        held = Holding(replies[how])
+        reply = DelayedAnswer(answers[failure])
 
         async def script(message: Message, writer: asyncio.StreamWriter) -> None:
-            await held(message, writer)
-            if how == "reset":
+            await reply(message, writer)
+            if failure == "reset":
                 await writer.drain()
                 writer.transport.abort()
 
@@ -178,23 +182,23 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: one.seen or two.seen)
-            await leave(rig, client)
-            held.release.set()
-            await over(rig)
+            await close_client(rig, client)
+            reply.release.set()
+            await all_closed(rig)
             assert len(one.seen) + len(two.seen) == 1
 
     run(test())
 
 
-def test_one_that_leaves_while_it_waits_in_the_module_is_not_sent_on() -> None:
-    """For its key's turn, or for the end of a back-off: whatever the module says then."""
+def test_a_request_of_a_client_that_leaves_while_it_waits_in_the_module_is_not_sent() -> None:
+    """A request that waits for its key's turn is dropped, whatever the module decides later."""
 
     async def test() -> None:
-        held = Holding()
+        reply = DelayedAnswer()
         document = configuration()
         in_turn = {"OneAtATime": True, "LateShare": 0.5}
         document["settings"]["Grades"][0] = grade("page", "repeatable", aim_ms=1000) | in_turn
-        async with Server("s-1", held) as server:
+        async with Server("s-1", reply) as server:
             document["known"]["servers"] = [server.entry()]
             async with Rig(document) as rig:
                 first, second = await rig.client(), await rig.client()
@@ -208,23 +212,23 @@
                 await until(lambda: waiting not in rig.node._open_requests)
                 await until(lambda: connection not in rig.front._connections)
                 assert any(isinstance(one, api.ClientGone) for one in rig.spy.events)
-                held.release.set()
+                reply.release.set()
                 assert status(await first.read()) == 200
                 third = await rig.client()
-                assert status(await third.ask(request(X_Key="k"))) == 200  # the turn was passed on
+                assert status(await third.ask(request(X_Key="k"))) == 200  # the turn was released
                 assert len(server.seen) == 2
 
     run(test())
 
 
-def test_what_may_have_run_is_not_answered_as_refused_to_one_that_may_still_be_there() -> None:
-    """A refusal says that trying again is harmless."""
+def test_a_half_closed_client_gets_no_refusal_of_a_request_that_may_have_run() -> None:
+    """A refusal tells the client that a retry is harmless."""
 
     async def test() -> None:
-        held = Holding(answer(500))
+        reply = DelayedAnswer(answer(500))
         async with (
-            Server("s-1", held) as one,
-            Server("s-2", held) as two,
+            Server("s-1", reply) as one,
+            Server("s-2", reply) as two,
             Rig(configuration(one, two)) as rig,
         ):
             client = await rig.client()
@@ -233,16 +237,16 @@
             client.writer.write_eof()
             (connection,) = rig.front._connections
             await until(lambda: connection._half_closed)
-            held.release.set()
+            reply.release.set()
             assert status(await client.read()) == 502
             assert len(one.seen) + len(two.seen) == 1
 
     run(test())
 
 
-def test_a_client_that_has_only_just_ended_its_sending_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The usual way of simple clients: the request, then the end, then the wait."""
-    monkeypatch.setattr(client_connection, "DISCONNECT_GRACE_S", PATIENCE)
+def test_a_client_that_has_just_half_closed_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Simple clients send a request, half-close, and wait for the answer."""
+    monkeypatch.setattr(client_connection, "DISCONNECT_GRACE_S", TIMEOUT_S)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -255,35 +259,35 @@
     run(test())
 
 
-def test_the_kernel_tells_how_long_a_peer_has_been_gone() -> None:
+def test_the_kernel_reports_how_long_ago_the_peer_closed() -> None:
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_connection(asyncio.Protocol, *listener.getsockname())
         peer, _ = listener.accept()
         transport.pause_reading()
-        departed = SOCKET_SYSTEM.peer_close_probe(transport)
-        assert departed() is None
+        close_age_ns = SOCKET_SYSTEM.peer_close_probe(transport)
+        assert close_age_ns() is None
         peer.sendall(b"unread")
-        assert departed() is None
+        assert close_age_ns() is None
         peer.close()
-        await until(lambda: departed() is not None)
-        ago = departed()
-        assert ago is not None and 0 <= ago < PATIENCE * 1e9 < LONG_AGO
+        await until(lambda: close_age_ns() is not None)
+        age_ns = close_age_ns()
+        assert age_ns is not None and 0 <= age_ns < TIMEOUT_S * 1e9 < LONG_AGO
         transport.abort()
         listener.close()
 
     run(test())
 
 
-def timers(rig: Rig, token: int) -> int:
+def timer_count(rig: Rig, token: int) -> int:
     return sum(isinstance(one, api.Timer) and one.token == token for one in rig.spy.events)
 
 
-def test_one_that_leaves_during_a_back_off_is_not_sent_on() -> None:
+def test_no_retry_is_sent_for_a_client_that_leaves_during_the_back_off() -> None:
     async def test() -> None:
         text = 'version = 1\n[[route]]\nname = "r"\nretry = { attempts = 3, backoff = "200ms" }\n'
-        fails = says(answer(500))
+        fails = sends(answer(500))
         async with (
             Server("s-1", fails) as one,
             Server("s-2", fails) as two,
@@ -293,39 +297,39 @@
             client.writer.write(request())
             await until(lambda: rig.spy.outcomes())
             client.writer.close()
-            await over(rig)
-            await until(lambda: timers(rig, DEFERRED_TOKEN))  # the back-off is over
+            await all_closed(rig)
+            await until(lambda: timer_count(rig, DEFERRED_TOKEN))  # the back-off has ended
             assert len(one.seen) + len(two.seen) == 1
 
     run(test())
 
 
-def test_no_second_copy_is_sent_for_one_that_has_left() -> None:
+def test_no_second_copy_is_sent_for_a_client_that_has_left() -> None:
     async def test() -> None:
-        held = Holding()
+        reply = DelayedAnswer()
         text = 'version = 1\n[[route]]\nname = "r"\nmatch = { class = "page" }\ncopy = { after = "200ms" }\n'
         async with (
-            Server("s-1", held) as one,
-            Server("s-2", held) as two,
+            Server("s-1", reply) as one,
+            Server("s-2", reply) as two,
             Rig(configuration(one, two), text) as rig,
         ):
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: one.seen or two.seen)
-            await leave(rig, client)
-            await until(lambda: timers(rig, COPY_TIMER_TOKEN))
-            held.release.set()
-            await over(rig)
+            await close_client(rig, client)
+            await until(lambda: timer_count(rig, COPY_TIMER_TOKEN))
+            reply.release.set()
+            await all_closed(rig)
             assert len(one.seen) + len(two.seen) == 1
 
     run(test())
 
 
-SILENT = 1.0  # s between a request and its client's end
+HALF_CLOSE_DELAY_S = 1.0  # from a request to its client's half-close
 
 
-def test_a_client_that_has_just_left_has_not_left_with_its_request() -> None:
-    """The kernel dates an end by the last data; a look that found none tells that it came later."""
+def test_a_late_half_close_is_not_dated_to_the_request() -> None:
+    """The kernel dates a FIN by the last data; an earlier query that found no FIN gives a later bound."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
@@ -333,10 +337,10 @@
             client.writer.write(request())
             await until(lambda: server.seen)
             (connection,) = rig.front._connections
-            await asyncio.sleep(SILENT)
+            await asyncio.sleep(HALF_CLOSE_DELAY_S)
             assert connection.disconnected_for() == 0
             client.writer.write_eof()
             await until(connection.disconnected_for)
-            assert connection.disconnected_for() < SILENT / 2 * 1e9
+            assert connection.disconnected_for() < HALF_CLOSE_DELAY_S / 2 * 1e9
 
     run(test())
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -9,7 +9,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Message,
     Rig,
     Script,
@@ -18,7 +18,7 @@
     configuration,
     request,
     run,
-    says,
+    sends,
     silent,
     status,
     until,
@@ -37,36 +37,36 @@
 @pytest.mark.parametrize(
     ("script", "result", "expected"),
     [
-        (says(answer()), Result.OK, 200),
-        (says(CHUNKED + b"2\r\nfr\r\n3\r\name\r\n0\r\n\r\n"), Result.OK, 200),
-        (says(b"HTTP/1.1 200 OK\r\n\r\nframe", close=True), Result.ERROR, 502),  # as one that was cut
-        (says(b"HTTP/1.1 103 Early Hints\r\n\r\n" + answer()), Result.OK, 200),
-        (says(answer(500)), Result.ERROR, 502),
-        (says(answer(404)), Result.REJECTED, 404),
-        (says(answer(400)), Result.REJECTED, 400),
-        (says(answer(408)), Result.ERROR, 502),
-        (says(answer(429)), Result.ERROR, 502),
-        (says(answer(503)), Result.ERROR, 502),
-        (says(answer(504)), Result.ERROR, 502),
-        (says(answer(503, X_Not_Run="0")), Result.ERROR, 502),
-        (says(answer(503, **TURNED_AWAY)), Result.FULL, 503),
-        (says(answer(504, **TURNED_AWAY)), Result.FULL, 503),
-        (says(answer(500, **TURNED_AWAY)), Result.ERROR, 502),
-        (says(b"", close=True), Result.RESET, 502),
-        (says(b"", abort=True), Result.RESET, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Le", close=True), Result.RESET, 502),
-        (says(answer()[:-1], close=True), Result.RESET, 502),
-        (says(answer()[:-1], abort=True), Result.RESET, 502),
-        (says(CHUNKED + b"5\r\nframe\r\n", close=True), Result.RESET, 502),
-        (says(b"SSH-2.0-server\r\n"), Result.ERROR, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), Result.ERROR, 502),
-        (says(answer(Content_length="-1")), Result.ERROR, 502),
-        (says(answer(Content_length="3")), Result.ERROR, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Result.ERROR, 502),  # at its head
-        (says(CHUNKED + b"5\r\nframe\r\nzz\r\nframe\r\n0\r\n\r\n"), Result.ERROR, 502),
-        (says(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000), Result.ERROR, 502),
-        (says(b"HTTP/1.1 100 Continue\r\n\r\n" * 99 + answer()), Result.ERROR, 502),
-        (says(answer() + b"\x00noise"), Result.OK, 200),
+        (sends(answer()), Result.OK, 200),
+        (sends(CHUNKED + b"2\r\nfr\r\n3\r\name\r\n0\r\n\r\n"), Result.OK, 200),
+        (sends(b"HTTP/1.1 200 OK\r\n\r\nframe", close=True), Result.ERROR, 502),  # as one that was cut
+        (sends(b"HTTP/1.1 103 Early Hints\r\n\r\n" + answer()), Result.OK, 200),
+        (sends(answer(500)), Result.ERROR, 502),
+        (sends(answer(404)), Result.REJECTED, 404),
+        (sends(answer(400)), Result.REJECTED, 400),
+        (sends(answer(408)), Result.ERROR, 502),
+        (sends(answer(429)), Result.ERROR, 502),
+        (sends(answer(503)), Result.ERROR, 502),
+        (sends(answer(504)), Result.ERROR, 502),
+        (sends(answer(503, X_Not_Run="0")), Result.ERROR, 502),
+        (sends(answer(503, **TURNED_AWAY)), Result.FULL, 503),
+        (sends(answer(504, **TURNED_AWAY)), Result.FULL, 503),
+        (sends(answer(500, **TURNED_AWAY)), Result.ERROR, 502),
+        (sends(b"", close=True), Result.RESET, 502),
+        (sends(b"", abort=True), Result.RESET, 502),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Le", close=True), Result.RESET, 502),
+        (sends(answer()[:-1], close=True), Result.RESET, 502),
+        (sends(answer()[:-1], abort=True), Result.RESET, 502),
+        (sends(CHUNKED + b"5\r\nframe\r\n", close=True), Result.RESET, 502),
+        (sends(b"SSH-2.0-server\r\n"), Result.ERROR, 502),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), Result.ERROR, 502),
+        (sends(answer(Content_length="-1")), Result.ERROR, 502),
+        (sends(answer(Content_length="3")), Result.ERROR, 502),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Result.ERROR, 502),  # at its head
+        (sends(CHUNKED + b"5\r\nframe\r\nzz\r\nframe\r\n0\r\n\r\n"), Result.ERROR, 502),
+        (sends(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000), Result.ERROR, 502),
+        (sends(b"HTTP/1.1 100 Continue\r\n\r\n" * 99 + answer()), Result.ERROR, 502),
+        (sends(answer() + b"\x00noise"), Result.OK, 200),
     ],
 )  # fmt: skip
 def test_each_outcome(script: Script, result: Result, expected: int) -> None:
@@ -184,7 +184,7 @@
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = decide
+            rig.spy.override = decide
             for client in [await rig.client() for _ in limits]:
                 assert status(await client.ask(request("order"))) == 502
             assert {one.result for one in rig.spy.outcomes()} == {Result.TIMEOUT}
@@ -196,7 +196,7 @@
 def test_a_request_that_the_module_keeps_is_failed_at_its_deadline() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = lambda event: [] if isinstance(event, api.Request) else None
+            rig.spy.override = lambda event: [] if isinstance(event, api.Request) else None
             client = await rig.client()
             assert status(await client.ask(request(X_Deadline="150m"))) == 504
             assert [event for event in rig.spy.events if isinstance(event, api.ClientGone)]
@@ -227,7 +227,7 @@
 def test_a_failed_attempt_is_followed_by_one_at_the_other_server() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(b"", abort=True)) as bad,
+            Server("s-1", sends(b"", abort=True)) as bad,
             Server("s-2") as good,
             Rig(configuration(bad, good)) as rig,
         ):
@@ -244,8 +244,8 @@
 def test_a_request_that_a_server_rejects_is_not_sent_to_the_others_nor_blamed_on_it() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(answer(400))) as one,
-            Server("s-2", says(answer(400))) as other,
+            Server("s-1", sends(answer(400))) as one,
+            Server("s-2", sends(answer(400))) as other,
             Rig(configuration(one, other)) as rig,
         ):
             for _ in range(5):
@@ -264,7 +264,7 @@
 ])  # fmt: skip
 def test_a_load_report_that_is_none_is_left_out(load: str) -> None:
     async def test() -> None:
-        async with Server("s-1", says(answer(X_Load=load))) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", sends(answer(X_Load=load))) as server, Rig(configuration(server)) as rig:
             assert status(await (await rig.client()).ask(request())) == 200
             assert [outcome.report for outcome in rig.spy.outcomes()] == [()]
 
@@ -274,7 +274,7 @@
 def test_a_second_answer_to_one_request_ends_the_connection_and_reaches_nobody() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(answer() + answer(body=b"other"))) as server,
+            Server("s-1", sends(answer() + answer(body=b"other"))) as server,
             Rig(configuration(server)) as rig,
         ):
             client = await rig.client()
@@ -307,7 +307,7 @@
             loop = asyncio.get_running_loop()
             client = await rig.client()
             client.writer.write(request("order", body=b"x" * 65536))
-            accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), PATIENCE)
+            accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), TIMEOUT_S)
             (held,) = rig.node._open_requests.values()
             await until(lambda: held.attempts_out[0]._connection)
             # Some turns later, the loop has told that it is not whole with the kernel.
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Client,
     Discovery,
     Message,
@@ -72,7 +72,7 @@
     process = await start(path, **options)
     try:
         assert process.stderr is not None
-        while b"serving on" not in (line := await asyncio.wait_for(process.stderr.readline(), PATIENCE)):
+        while b"serving on" not in (line := await asyncio.wait_for(process.stderr.readline(), TIMEOUT_S)):
             assert line, "the node ended"
         host, port = line.split()[-1].decode().rsplit(":", 1)
         yield Program(process, (host, int(port)))
@@ -111,7 +111,7 @@
             release.set()
             got = await holds.read()
             assert (got.body, got.headers["connection"]) == (b"held", "close")
-            assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+            assert await asyncio.wait_for(node.process.wait(), TIMEOUT_S) == 0
 
     run(test())
 
@@ -161,7 +161,7 @@
                 for text, word in (("{", b"BALANCER_CONFIG"), (unusable, b"discovery")):
                     path.write_text(text)
                     node.process.send_signal(signal.SIGHUP)
-                    assert word in await asyncio.wait_for(stderr.readline(), PATIENCE)
+                    assert word in await asyncio.wait_for(stderr.readline(), TIMEOUT_S)
                 path.write_text(json.dumps(document | {"discovery": new.address}))
                 node.process.send_signal(signal.SIGHUP)
                 await until(lambda: new.targets)
@@ -280,7 +280,7 @@
 
     async def test() -> None:
         process = await start(path)
-        _, stderr = await asyncio.wait_for(process.communicate(), PATIENCE)
+        _, stderr = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
         assert process.returncode == 2
         (line,) = stderr.decode().splitlines()
         assert named in line
@@ -296,7 +296,7 @@
 
     async def test() -> None:
         process = await start(path)
-        _, stderr = await asyncio.wait_for(process.communicate(), PATIENCE)
+        _, stderr = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
         assert (process.returncode, stderr.count(b"\n"), b"BALANCER_CONFIG" in stderr) == (2, 1, True)
 
     run(test())
--- a/tests/test_processes_together.py
+++ b/tests/test_processes_together.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from rig import PATIENCE, Client, Message, Server, configuration, read_message, request, run, status, until
+from rig import TIMEOUT_S, Client, Message, Server, configuration, read_message, request, run, status, until
 from test_process import Program, program
 
 NODES = 4
@@ -204,7 +204,7 @@
                 registry.go_down()  # and whoever calls is refused for a while
                 await asyncio.sleep(0.5)
                 await registry.come_up()
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_S):
                     for node in fleet:
                         while not await is_up(node):
                             await asyncio.sleep(0.05)
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -236,7 +236,7 @@
                     return [api.Send(event.request, known, 0)]
                 return None
 
-            rig.spy.instead = again
+            rig.spy.override = again
             client = await rig.client()
             assert status(await client.ask(request(body=b"once", X_Deadline="400m"))) == 504  # forbidden
             assert len(server.seen) == 1
--- a/tests/tier/test_judgements_processes.py
+++ b/tests/tier/test_judgements_processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from fleet import ROOT, Fleet
-from rig import Server, answer, run_for, says, serves
+from rig import Server, answer, run_for, sends, serves
 from traffic import Traffic
 
 from driftstair.rehearsal.tier import owners
@@ -80,7 +80,7 @@
 
 def test_a_failing_server_is_held_back_by_all_that_run_and_back_once_it_is_sound(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic, servers: dict[str, Server]) -> None:
-        servers[BAD].script = says(answer(500))
+        servers[BAD].script = sends(answer(500))
         await fleet.until(holding(fleet, 0, 1, 2, 3, 4))
         found = await asyncio.to_thread(state, fleet)
         assert [one["server"] for one in found["held_back"]] == [BAD]
@@ -105,7 +105,7 @@
 
 def test_one_node_tries_a_server_for_all_and_another_does_once_that_one_is_gone(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic, servers: dict[str, Server]) -> None:
-        servers[BAD].script = says(answer(500))
+        servers[BAD].script = sends(answer(500))
         await fleet.until(holding(fleet, 0, 1, 2, 3, 4))
         await fleet.until(lambda: probers(fleet))
         (first,) = probers(fleet)
@@ -127,7 +127,7 @@
 
 def test_two_that_say_that_every_server_fails_are_not_believed(tmp_path: Path) -> None:
     async def act(fleet: Fleet, traffic: Traffic, servers: dict[str, Server]) -> None:
-        servers[BAD].script = says(answer(500))
+        servers[BAD].script = sends(answer(500))
         await fleet.until(holding(fleet, 0, 2, 3, 5, 6))
         # What a node tells of itself goes round as other facts do.
         while (await asyncio.to_thread(state, fleet))["state"]["0"]["finding_all_bad"] != [1, 4]:
@@ -142,7 +142,7 @@
         pairs = [pair for pair in fleet.all_pairs() if (pair[0] in one) != (pair[1] in one)]
         heal = fleet.cut(*pairs, blame=tuple(range(7)))
         await fleet.held(other, "dead", by=one)
-        servers[BAD].script = says(answer(500))
+        servers[BAD].script = sends(answer(500))
         await fleet.until(holding(fleet, *range(7)))
         heal()
         await fleet.joined()
