--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The client side: framing, bad input, forwarding, slow readers, and faults of the module."""
+"""Client connections: framing, invalid input, forwarding, slow readers, and failures of the module."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from lichenspring import interface as api
 
 
-def test_a_request_goes_on_as_protocol_says() -> None:
+def test_a_request_is_forwarded_by_the_protocol() -> None:
     async def test() -> None:
         async with (
             Server(
@@ -58,7 +58,7 @@
     run(test())
 
 
-def test_get_has_no_body_and_an_absent_deadline_is_the_classs() -> None:
+def test_get_has_no_body_and_the_default_deadline_is_that_of_the_class() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -77,8 +77,8 @@
     return "\r\n".join(head).encode() + body
 
 
-HIDDEN = b"0\r\n\r\n" + request("order")
-BAD_INPUT = {
+SMUGGLED_REQUEST = b"0\r\n\r\n" + request("order")
+INVALID_REQUESTS = {
     "class": (request("nosuch"), 400),
     "no id": (request(X_Request_Id=""), 400),
     "odd id": (request(X_Request_Id="a b"), 400),
@@ -104,8 +104,8 @@
     "signed length": (raw("Content-Length: +5", body=b"hello"), 400),
     "list of lengths": (raw("Content-Length: 5, 5", body=b"hello"), 400),
     "two lengths": (raw("Content-Length: 5", "Content-Length: 6", body=b"hello!"), 400),
-    "length and coding": (raw("Content-Length: 6", "Transfer-Encoding: chunked", body=HIDDEN), 400),
-    "coding and length": (raw("Transfer-Encoding: chunked", "Content-Length: 6", body=HIDDEN), 400),
+    "length and coding": (raw("Content-Length: 6", "Transfer-Encoding: chunked", body=SMUGGLED_REQUEST), 400),
+    "coding and length": (raw("Transfer-Encoding: chunked", "Content-Length: 6", body=SMUGGLED_REQUEST), 400),
     "another coding": (raw("Transfer-Encoding: gzip, chunked", body=b"0\r\n\r\n"), 501),
     "chunk size": (raw("Transfer-Encoding: chunked", body=b"zz\r\n"), 400),
     "no HTTP": (b"hello\r\n\r\n", 400),
@@ -113,10 +113,10 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD_INPUT)
-def test_bad_input_reaches_nobody_and_ends_its_connection(name: str) -> None:
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
+def test_invalid_requests_are_not_forwarded_and_end_their_connection(name: str) -> None:
     async def test() -> None:
-        data, expected = BAD_INPUT[name]
+        data, expected = INVALID_REQUESTS[name]
         document = configuration()
         document["settings"]["Grades"].append(grade("pay", "by_key"))
         async with Server("s-1") as server:
@@ -132,7 +132,7 @@
     run(test())
 
 
-def test_a_deadline_that_is_over_fails_and_one_of_years_is_the_classs() -> None:
+def test_an_expired_deadline_fails_and_a_long_one_is_limited_by_the_class() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -144,7 +144,7 @@
     run(test())
 
 
-def test_an_id_that_is_open_is_not_served_twice_and_is_free_again_after_that() -> None:
+def test_the_id_of_an_open_request_is_refused_until_that_is_answered() -> None:
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -166,7 +166,7 @@
     run(test())
 
 
-def test_a_client_that_ends_its_sending_gets_its_answers_and_one_that_stops_half_way_a_close() -> None:
+def test_a_half_closed_client_gets_its_answers_and_a_truncated_request_a_close() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -184,8 +184,8 @@
     run(test())
 
 
-def test_no_more_is_read_than_is_served() -> None:
-    """Guards against one client that sends thousands of requests ahead: they stay in its own queue."""
+def test_no_more_requests_are_read_than_are_served() -> None:
+    """Thousands of requests that one client pipelines must stay in its own socket queue."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nX-Cl", request(body=b"xy")[:-1]])
-def test_a_new_connection_has_its_time_from_connecting_and_a_used_one_may_rest(
+def test_a_new_connection_is_timed_from_its_start_and_a_used_one_may_be_idle(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert (
@@ -220,7 +220,7 @@
             client = await rig.client()
             client.writer.write(sent[:1])
             await asyncio.sleep(0.1)
-            client.writer.write(sent[1:])  # that some of it comes slowly gives no new time
+            client.writer.write(sent[1:])  # a slow part does not restart the time limit
             if sent:
                 assert status(await client.read()) == 408
             assert await client.ended() == b""
@@ -244,7 +244,7 @@
     run(test())
 
 
-def test_those_that_never_asked_make_room_first_then_idle_ones_and_rejected_ones_at_once() -> None:
+def test_silent_connections_are_closed_first_then_idle_ones_and_rejected_ones_at_once() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             rig.front.table.limits = ConnectionLimits(3)
@@ -252,7 +252,7 @@
             assert status(await used.ask(request())) == 200
             rejected = await rig.client()
             assert status(await rejected.ask(b"rubbish\r\n\r\n")) == 400
-            assert await rejected.reader.read() == b""  # it lingers: the client has not closed
+            assert await rejected.reader.read() == b""  # the node waits for the client to close
             silents = [await rig.client() for _ in range(6)]
             silents[0].writer.write(b"GET /api HT")
             await asyncio.gather(*(one.ended() for one in silents[:4]))
@@ -264,8 +264,8 @@
     run(test())
 
 
-def test_clients_that_ask_once_and_stay_do_not_hold_the_places_of_the_others() -> None:
-    """With a bound on all clients' connections they left a tenth of it for requests, on an idle tier."""
+def test_clients_that_stay_after_one_request_do_not_block_the_others() -> None:
+    """Under a limit on all connections, idle ones left a tenth of it for requests, on an idle tier."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -279,9 +279,9 @@
     run(test())
 
 
-def test_a_crowd_that_says_nothing_passes_through_the_table_fast() -> None:
-    """Hundreds that connect at once wait in the queue ahead of the usual clients, while the table took
-    in a tenth of itself at each sweep."""
+def test_many_silent_connections_are_cleared_from_the_table_fast() -> None:
+    """Hundreds of silent clients that connect at once are queued before regular ones. They delayed these for
+    long when each sweep admitted only a tenth of the table."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -293,7 +293,7 @@
             begun = asyncio.get_running_loop().time()
             late = await rig.client()
             assert status(await late.ask(request())) == 200
-            # Half of the table and more at a time, each with 0.1 s to bring something; a tenth took 30 s.
+            # At least half of the table at a time, with 0.1 s each to send something; a tenth took 30 s.
             assert asyncio.get_running_loop().time() - begun < 12
             assert rig.front._open_connections <= 20 + frontend.ACCEPTS_PER_TURN
             for client in crowd:
@@ -302,7 +302,7 @@
     run(test())
 
 
-def test_what_a_rejected_client_goes_on_sending_is_read_for_a_bounded_while() -> None:
+def test_data_of_a_rejected_client_are_read_up_to_a_limit() -> None:
     async def test() -> None:
         async with Rig(configuration()) as rig:
             client = await rig.client()
@@ -334,8 +334,8 @@
     run(test())
 
 
-def test_many_pipelined_answers_do_not_pile_up_calls() -> None:
-    """Guards against an answer that serves the next request from within: that would recurse."""
+def test_many_pipelined_answers_do_not_recurse() -> None:
+    """Serving the next request from within an answer would recurse."""
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
@@ -347,10 +347,10 @@
     run(test())
 
 
-def test_bytes_that_come_one_by_one_make_the_same_request() -> None:
+def test_a_request_may_arrive_byte_by_byte() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", lambda message, writer: _slowly(writer, answer(body=b"whole"))) as server,
+            Server("s-1", lambda message, writer: write_bytewise(writer, answer(body=b"whole"))) as server,
             Rig(configuration(server)) as rig,
         ):
             client = await rig.client()
@@ -363,7 +363,7 @@
     run(test())
 
 
-async def _slowly(writer: asyncio.StreamWriter, data: bytes) -> None:
+async def write_bytewise(writer: asyncio.StreamWriter, data: bytes) -> None:
     for byte in data:
         writer.write(bytes([byte]))
         await writer.drain()
@@ -428,15 +428,15 @@
     run(test())
 
 
-def test_a_fault_of_the_module_fails_its_own_request_only(caplog: pytest.LogCaptureFixture) -> None:
-    def broken(event: api.Event) -> list[api.Action] | None:
+def test_a_failure_of_the_module_fails_only_its_own_request(caplog: pytest.LogCaptureFixture) -> None:
+    def failing_handler(event: api.Event) -> list[api.Action] | None:
         if isinstance(event, api.Request) and event.class_index == 1:
             raise ZeroDivisionError("in the module")
         return None
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
-            rig.spy.override = broken
+            rig.spy.override = failing_handler
             other, client = await rig.client(), await rig.client()
             other.writer.write(request())
             await until(lambda: server.seen)
@@ -444,17 +444,17 @@
             assert status(await client.ask(request("order"))) == 502
             assert "in the module" in caplog.text and "Traceback" in caplog.text
             assert status(await client.ask(request())) == 200
-            assert len(rig.node._open_requests) == 1  # the other one is out still
+            assert len(rig.node._open_requests) == 1  # the other request is still in flight
 
     run(test())
 
 
-def test_a_timer_that_the_module_failed_on_comes_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a breaker that never updates again: its tick sets the next one itself."""
+def test_a_timer_on_which_the_module_failed_fires_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A breaker's timer sets its own successor, so one failure would stop its updates for good."""
     monkeypatch.setattr("driftstair.net.node.TIMER_RETRY_DELAY_NS", 1_000_000)
     failed: list[int] = []
 
-    def broken(event: api.Event) -> list[api.Action] | None:
+    def failing_handler(event: api.Event) -> list[api.Action] | None:
         if isinstance(event, api.Timer) and not failed:
             failed.append(event.token)
             raise KeyError(event.token)
@@ -462,7 +462,7 @@
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
-            rig.spy.override = broken
+            rig.spy.override = failing_handler
             await until(lambda: failed)
             await until(lambda: rig.spy.events.count(api.Timer(failed[0])) > 1)
 
@@ -470,8 +470,8 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE])
-def test_an_accept_that_fails_for_a_moment_closes_nobody(error: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Room is made at the cost of another client only where the want lasts."""
+def test_a_brief_accept_failure_closes_no_connection(error: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Another client's connection is closed only if the shortage lasts."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -495,9 +495,9 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["its time is over", "the node ends"])
-def test_a_newcomer_whose_request_is_not_read_yet_is_not_closed(how: str) -> None:
-    """What it has sent is with the kernel: closed now, the request would be reset with the connection."""
+@pytest.mark.parametrize("reason", ["timeout", "shutdown"])
+def test_a_new_connection_with_an_unread_request_is_not_closed(reason: str) -> None:
+    """Its request is unread in the kernel, and a close now would reset it with the connection."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -505,10 +505,10 @@
             await until(lambda: rig.front._connections)
             (connection,) = rig.front._connections
             assert connection._transport is not None
-            connection._transport.pause_reading()  # as where the process did not run
+            connection._transport.pause_reading()  # as if the process were stalled
             client.writer.write(request())
             await until(lambda: connection.has_unread())
-            if how == "the node ends":
+            if reason == "shutdown":
                 connection.close_if_unused()
             else:
                 connection.time_out()
@@ -518,10 +518,10 @@
     run(test())
 
 
-def test_an_answer_that_is_not_taken_yet_holds_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The node has answered; that a part of it is still to be written opens the request no more."""
+def test_an_unread_answer_keeps_no_request_open(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request counts as answered even while part of its answer is still to be written."""
 
-    class Slow:
+    class BlockedTransport:
         def __init__(self, transport: asyncio.Transport) -> None:
             self._transport = transport
 
@@ -536,17 +536,17 @@
             client = await rig.client()
             await until(lambda: rig.front._connections)
             (connection,) = rig.front._connections
-            connection._transport = Slow(connection._transport)  # type: ignore[assignment,arg-type]
+            connection._transport = BlockedTransport(connection._transport)  # type: ignore[assignment,arg-type]
             assert status(await client.ask(request())) == 503
             assert connection._request_number == 0
 
     run(test())
 
 
-def test_a_node_that_is_held_up_again_and_again_still_lets_go_of_clients_that_say_nothing(
+def test_a_node_with_repeated_stalls_still_closes_silent_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One sweep after a hold waits for what came meanwhile; not each of them, for as long as holds follow."""
+    """Only the first sweep after a stall is postponed to read what arrived meanwhile."""
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -1,4 +1,4 @@
-"""The guard of requests: each broken invariant is found, nothing passes it by, it forbids what it must."""
+"""The request guard detects each violated invariant, can't be bypassed, and forbids what it must."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-SERVER, OTHER = b"one", b"other"
+SERVER, OTHER_SERVER = b"one", b"other"
 DEADLINE = 10 * SECOND
 NET = Path(__file__).parent.parent / "driftstair" / "net"
 
 
-class Guarded:
-    """A guard with one request that it knows, and what it found."""
+class GuardedCase:
+    """A guard with one registered request, and the violations that it reported."""
 
     def __init__(self, kind: api.RequestClass = SAFE) -> None:
-        self.found: list[Invariant] = []
+        self.violations: list[Invariant] = []
         self.disconnected_for = 0
-        self.guard = RequestGuard(lambda invariant, number, detail: self.found.append(invariant))
+        self.guard = RequestGuard(lambda invariant, number, detail: self.violations.append(invariant))
         self.guard.set_ready_servers([SERVER])
         self.guard.start(1, GuardedRequest(kind, True, DEADLINE, lambda: self.disconnected_for))
 
@@ -47,111 +47,113 @@
         self.guard.record_write(1, index, server, now, told)
 
 
-def unknown(one: Guarded) -> None:
+def write_without_request(one: GuardedCase) -> None:
     one.guard.record_write(2, 0, SERVER, SECOND, SECOND)
 
 
-def after_answer(one: Guarded) -> None:
+def write_after_answer(one: GuardedCase) -> None:
     one.guard.record_answer(1, 503)
     one.write()
 
 
-def after_client_left(one: Guarded) -> None:
+def write_after_client_left(one: GuardedCase) -> None:
     one.disconnected_for = 101 * MS
     one.write()
 
 
-def after_deadline(one: Guarded) -> None:
+def write_after_deadline(one: GuardedCase) -> None:
     one.write(now=DEADLINE + 151 * MS, told=0)
 
 
-def beyond_clients(one: Guarded) -> None:
+def write_with_deadline_beyond_clients(one: GuardedCase) -> None:
     one.write(now=DEADLINE - SECOND, told=SECOND + 151 * MS)
 
 
-def to_leaving_server(one: Guarded) -> None:
-    one.write(server=OTHER)
+def write_to_leaving_server(one: GuardedCase) -> None:
+    one.write(server=OTHER_SERVER)
 
 
-def unsafe_repeat(one: Guarded) -> None:
+def repeat_unsafe(one: GuardedCase) -> None:
     one.write(0)
     one.guard.record_attempt_end(1, 0, Result.RESET)
     one.write(1)
 
 
-def after_window(one: Guarded) -> None:
+def repeat_after_window(one: GuardedCase) -> None:
     one.write(0, now=SECOND)
     one.guard.record_attempt_end(1, 0, Result.TIMEOUT)
     one.write(1, now=SECOND + KEYED.window + 1)
 
 
-def second_answer(one: Guarded) -> None:
+def answer_twice(one: GuardedCase) -> None:
     one.guard.record_answer(1, 200)
     one.guard.record_answer(1, 200)
 
 
-def refusal(one: Guarded) -> None:
+def refuse_after_effect(one: GuardedCase) -> None:
     one.write(0)
     one.guard.record_attempt_end(1, 0, Result.TIMEOUT)
     one.guard.record_answer(1, 503)
 
 
-def close_open(one: Guarded) -> None:
+def close_with_open_request(one: GuardedCase) -> None:
     one.guard.record_close(1, 0, "idle")
 
 
-def close_read(one: Guarded) -> None:
+def close_with_waiting_request(one: GuardedCase) -> None:
     one.guard.record_close(0, 1, "idle")
 
 
-def close_unread(one: Guarded) -> None:
+def close_with_unread_data(one: GuardedCase) -> None:
     one.guard.record_close(0, 0, "too_slow", has_unread=True)
 
 
-def start_after_end(one: Guarded) -> None:
+def start_after_end(one: GuardedCase) -> None:
     one.guard.state = ProcessState.ENDED
     one.guard.start(2, GuardedRequest(SAFE, False, DEADLINE, int))
 
 
-BROKEN: list[tuple[Callable[[Guarded], None], api.RequestClass, Invariant]] = [
-    (unknown, SAFE, Invariant.NO_ATTEMPT_WITHOUT_REQUEST),
-    (after_answer, SAFE, Invariant.NO_ATTEMPT_AFTER_ANSWER),
-    (after_client_left, SAFE, Invariant.NO_ATTEMPT_AFTER_CLIENT_LEFT),
-    (after_deadline, SAFE, Invariant.NO_ATTEMPT_AFTER_DEADLINE),
-    (beyond_clients, SAFE, Invariant.NO_DEADLINE_BEYOND_CLIENTS),
-    (to_leaving_server, SAFE, Invariant.NO_ATTEMPT_TO_LEAVING_SERVER),
-    (unsafe_repeat, UNSAFE, Invariant.NO_REPEAT_OF_UNSAFE),
-    (after_window, KEYED, Invariant.NO_REPEAT_AFTER_WINDOW),
-    (second_answer, SAFE, Invariant.NO_SECOND_ANSWER),
-    (refusal, UNSAFE, Invariant.NO_REFUSAL_AFTER_EFFECT),
-    (refusal, KEYED, Invariant.NO_REFUSAL_AFTER_EFFECT),  # a cell drops its repeats, not every server
-    (close_open, SAFE, Invariant.NO_CLOSE_UNANSWERED),
-    (close_read, SAFE, Invariant.NO_CLOSE_UNANSWERED),
-    (close_unread, SAFE, Invariant.NO_CLOSE_OVER_UNREAD),
+VIOLATIONS: list[tuple[Callable[[GuardedCase], None], api.RequestClass, Invariant]] = [
+    (write_without_request, SAFE, Invariant.NO_ATTEMPT_WITHOUT_REQUEST),
+    (write_after_answer, SAFE, Invariant.NO_ATTEMPT_AFTER_ANSWER),
+    (write_after_client_left, SAFE, Invariant.NO_ATTEMPT_AFTER_CLIENT_LEFT),
+    (write_after_deadline, SAFE, Invariant.NO_ATTEMPT_AFTER_DEADLINE),
+    (write_with_deadline_beyond_clients, SAFE, Invariant.NO_DEADLINE_BEYOND_CLIENTS),
+    (write_to_leaving_server, SAFE, Invariant.NO_ATTEMPT_TO_LEAVING_SERVER),
+    (repeat_unsafe, UNSAFE, Invariant.NO_REPEAT_OF_UNSAFE),
+    (repeat_after_window, KEYED, Invariant.NO_REPEAT_AFTER_WINDOW),
+    (answer_twice, SAFE, Invariant.NO_SECOND_ANSWER),
+    (refuse_after_effect, UNSAFE, Invariant.NO_REFUSAL_AFTER_EFFECT),
+    (refuse_after_effect, KEYED, Invariant.NO_REFUSAL_AFTER_EFFECT),  # only one cell deduplicates repeats
+    (close_with_open_request, SAFE, Invariant.NO_CLOSE_UNANSWERED),
+    (close_with_waiting_request, SAFE, Invariant.NO_CLOSE_UNANSWERED),
+    (close_with_unread_data, SAFE, Invariant.NO_CLOSE_OVER_UNREAD),
     (start_after_end, SAFE, Invariant.NO_START_AFTER_END),
 ]
 
 
-@pytest.mark.parametrize(("what", "kind", "invariant"), BROKEN, ids=lambda one: getattr(one, "__name__", ""))
-def test_each_broken_invariant_is_counted_and_raises_in_tests(
-    what: Callable[[Guarded], None], kind: api.RequestClass, invariant: Invariant
+@pytest.mark.parametrize(
+    ("steps", "kind", "invariant"), VIOLATIONS, ids=lambda one: getattr(one, "__name__", "")
+)
+def test_each_violated_invariant_is_counted_and_raises_in_tests(
+    steps: Callable[[GuardedCase], None], kind: api.RequestClass, invariant: Invariant
 ) -> None:
-    counted = Guarded(kind)
-    what(counted)
-    assert counted.found == [invariant]
-    strict = Guarded(kind)
+    counted = GuardedCase(kind)
+    steps(counted)
+    assert counted.violations == [invariant]
+    strict = GuardedCase(kind)
     strict.guard.strict = True
     with pytest.raises(InvariantError, match=invariant.value):
-        what(strict)
+        steps(strict)
 
 
-def test_all_invariants_are_covered_above() -> None:
-    assert {invariant for _, _, invariant in BROKEN} == set(Invariant)
+def test_all_invariants_are_covered() -> None:
+    assert {invariant for _, _, invariant in VIOLATIONS} == set(Invariant)
 
 
-def test_what_the_rules_allow_breaks_nothing() -> None:
+def test_allowed_steps_violate_nothing() -> None:
     for kind, result in ((SAFE, Result.RESET), (UNSAFE, Result.FULL), (KEYED, Result.TIMEOUT)):
-        one = Guarded(kind)
+        one = GuardedCase(kind)
         one.disconnected_for = 99 * MS
         one.write(0)
         one.guard.record_attempt_end(1, 0, result)
@@ -160,24 +162,24 @@
         one.guard.record_answer(1, 502)
         one.guard.record_close(0, 0, "idle")
         one.guard.forget(1)
-        assert not one.found
-    every_server = Guarded(replace(KEYED, group=api.Group.ALL))
-    refusal(every_server)
-    assert not every_server.found
+        assert not one.violations
+    every_server = GuardedCase(replace(KEYED, group=api.Group.ALL))
+    refuse_after_effect(every_server)
+    assert not every_server.violations
 
 
-def test_what_must_not_begin_is_forbidden_with_its_reason() -> None:
-    one = Guarded(UNSAFE)
+def test_forbidden_attempts_are_refused_with_their_reason() -> None:
+    one = GuardedCase(UNSAFE)
     forbids = one.guard.forbids
     assert forbids(1, 0, SERVER, SECOND) is None
     assert forbids(2, 0, SERVER, SECOND) is NotBegun.UNKNOWN_REQUEST
-    assert forbids(1, 0, OTHER, SECOND) is NotBegun.SERVER_LEAVING
+    assert forbids(1, 0, OTHER_SERVER, SECOND) is NotBegun.SERVER_LEAVING
     assert forbids(1, 0, SERVER, DEADLINE) is NotBegun.NO_TIME_LEFT
     one.write(0)
     assert forbids(1, 1, SERVER, SECOND) is NotBegun.MAY_HAVE_RUN
     one.guard.record_attempt_end(1, 0, Result.FULL)
     assert forbids(1, 1, SERVER, SECOND) is None
-    keyed = Guarded(KEYED)
+    keyed = GuardedCase(KEYED)
     keyed.write(0, now=SECOND)
     assert keyed.guard.forbids(1, 1, SERVER, SECOND + KEYED.window) is NotBegun.WINDOW_OVER
     one.guard.state = ProcessState.ENDED
@@ -186,10 +188,10 @@
     assert forbids(1, 1, SERVER, SECOND) is NotBegun.ANSWERED
 
 
-# Nothing passes it by: planted bypasses on real sockets; where bytes go out and connections end.
+# Bypasses of the guard: defects planted in a node on real sockets, and checks of the source for its callers.
 
 
-def test_a_planted_decision_that_forgets_the_client_is_found(
+def test_a_planted_attempt_after_the_client_left_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held = asyncio.Event()
@@ -221,8 +223,8 @@
     run(test())
 
 
-def test_a_planted_repeat_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module, or whoever stands in its place, sends an unsafe request again after a 500."""
+def test_a_planted_unsafe_repeat_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The decision module sends an unsafe request again after a 500."""
 
     async def fails(_: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(500))
@@ -251,7 +253,7 @@
     run(test())
 
 
-def test_a_planted_close_over_a_request_is_found() -> None:
+def test_a_planted_close_with_an_open_request_is_detected() -> None:
     async def holds(_: Message, writer: asyncio.StreamWriter) -> None:
         return
 
@@ -270,12 +272,12 @@
     run(test())
 
 
-ALLOWED = {
+ALLOWED_CALLERS = {
     ("server_connection.py", "write"): {"Connection.send", "Connection._pump"},
     ("server_attempt.py", "send"): {"Attempt._write"},
     ("client_connection.py", "write"): {
         "ClientConnection._advance",  # 100 Continue
-        "ClientConnection._serve",  # likewise
+        "ClientConnection._serve",  # 100 Continue
         "ClientConnection.answer",
         "ClientConnection._forward_answer",
     },
@@ -296,12 +298,12 @@
     ("node.py", "answer"): {"Node._reply"},
     ("node.py", "Attempt"): {"Node._send"},
 }
-"""Where bytes go to a server or a client, connections to clients end, and requests are answered: in each of
-these the guard is asked or told."""
+"""The only functions that write to a server or client, close client connections, or answer requests. Each of
+them consults or notifies the guard."""
 
 
 def calls(source: str) -> dict[str, set[str]]:
-    """Names of what is called, and in which functions (Class.function)."""
+    """The names of all called functions, each with its callers (Class.function)."""
     found: dict[str, set[str]] = {}
 
     def walk(node: ast.AST, where: str) -> None:
@@ -319,23 +321,23 @@
     return found
 
 
-@pytest.mark.parametrize(("file", "name"), ALLOWED)
-def test_bytes_answers_and_ends_have_no_way_round_the_guard(file: str, name: str) -> None:
-    assert calls((NET / file).read_text())[name] == ALLOWED[file, name]
+@pytest.mark.parametrize(("file", "name"), ALLOWED_CALLERS)
+def test_writes_answers_and_closes_can_not_bypass_the_guard(file: str, name: str) -> None:
+    assert calls((NET / file).read_text())[name] == ALLOWED_CALLERS[file, name]
 
 
-def test_a_planted_way_round_is_seen() -> None:
+def test_a_planted_bypass_is_detected() -> None:
     source = (NET / "server_connection.py").read_text()
     planted = source.replace(
         "    def is_quiet(self)",
         "    def sneak(self) -> None:\n        self._transport.write(b'')\n\n    def is_quiet(self)",
     )
     assert planted != source
-    assert calls(planted)["write"] - ALLOWED["server_connection.py", "write"] == {"Connection.sneak"}
+    assert calls(planted)["write"] - ALLOWED_CALLERS["server_connection.py", "write"] == {"Connection.sneak"}
 
 
-def test_each_of_those_places_tells_the_guard() -> None:
-    """By name: `wrote` behind each first write, `answered` in the one answer, `closed` behind each end."""
+def test_each_allowed_caller_notifies_the_guard() -> None:
+    """`wrote` follows each first write, `record_answer` the one answer, and `record_close` each close."""
     upstream, node = (NET / "server_connection.py").read_text(), (NET / "node.py").read_text()
     attempt = (NET / "server_attempt.py").read_text()
     connection = (NET / "client_connection.py").read_text()
@@ -346,8 +348,8 @@
     assert calls(connection)["record_close"] == {"ClientConnection._note_close"}
 
 
-def test_the_client_is_asked_for_again_in_the_moment_of_the_write() -> None:
-    one = Guarded()
+def test_the_client_is_checked_again_right_before_the_write() -> None:
+    one = GuardedCase()
     gone = False
     refused: list[NotBegun] = []
     permit = AttemptPermit(
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Long answers and bodies on their way through the node, in every framing, whole, slow, cut and given up."""
+"""Streaming of long answers and request bodies through the node: framing, slow peers, truncation, aborts."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from driftstair.net.frontend import SWEEP_INTERVAL_S
 from lichenspring.interface import Result
 
-LONG = b"".join(b"%08d" % number for number in range(384_000))  # 3 MB, and no two pieces alike
-HEAD = b"HTTP/1.1 200 OK\r\n"
+LONG = b"".join(b"%08d" % number for number in range(384_000))  # 3 MB, in which each piece is unique
+STATUS_OK = b"HTTP/1.1 200 OK\r\n"
 
 
 def chunked(body: bytes, size: int = 70_001) -> bytes:
@@ -24,7 +24,7 @@
 
 
 async def read_any(client: Client) -> tuple[int, bytes, dict[bytes, bytes]]:
-    """An answer in whatever framing; raises IncompleteReadError if it is cut."""
+    """Reads an answer in any framing; raises IncompleteReadError if it is truncated."""
     reader = client.reader
     lines = (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n")
     fields = {name.lower(): value for name, _, value in (line.partition(b": ") for line in lines[1:])}
@@ -41,13 +41,13 @@
 @pytest.mark.parametrize(("data", "closes"), [
     (answer(body=LONG), False),
     (answer(body=LONG[: body_stream.INLINE_BODY_BYTES_MAX + 1]), False),
-    (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG), False),
-    (HEAD + b"TRANSFER-ENCODING: Chunked\r\n\r\n" + chunked(LONG[:100_000], 1000), False),
-    (HEAD + b"Connection: close\r\n\r\n" + LONG, True),
-    (HEAD + b"Connection: close\r\n\r\nshort", True),
+    (STATUS_OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG), False),
+    (STATUS_OK + b"TRANSFER-ENCODING: Chunked\r\n\r\n" + chunked(LONG[:100_000], 1000), False),
+    (STATUS_OK + b"Connection: close\r\n\r\n" + LONG, True),
+    (STATUS_OK + b"Connection: close\r\n\r\nshort", True),
     (b"HTTP/1.0 200 OK\r\n\r\n" + LONG, True),
 ], ids=["length", "just over", "chunks", "odd chunks", "until close", "short", "1.0"])  # fmt: skip
-def test_a_long_answer_comes_whole_in_every_framing(
+def test_a_long_answer_is_forwarded_in_every_framing(
     data: bytes, closes: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(reuse_delay, "REUSE_DELAY_MIN_NS", 0)
@@ -60,7 +60,7 @@
     async def test() -> None:
         async with Server("s-1", script) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            for _ in range(2):  # the connections, too, are as good as before
+            for _ in range(2):  # the connections can be reused
                 client.writer.write(request())
                 got, body, _ = await read_any(client)
                 assert got == 200
@@ -72,12 +72,12 @@
     run(test())
 
 
-def test_a_slow_reader_stops_the_server_and_not_the_node() -> None:
+def test_a_slow_reader_pauses_only_its_server() -> None:
     sent = 0
 
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
         nonlocal sent
-        writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % (40 << 20))
+        writer.write(STATUS_OK + b"Content-Length: %d\r\n\r\n" % (40 << 20))
         for _ in range(40 << 4):
             writer.write(b"x" * (1 << 16))
             await writer.drain()
@@ -94,7 +94,7 @@
                 256 << 10
             )
             assert sent < 40 << 20
-            assert len(await client.reader.readexactly(40 << 20)) == 40 << 20  # all of it, once it reads
+            assert len(await client.reader.readexactly(40 << 20)) == 40 << 20  # complete once it reads
             assert sent == 40 << 20
 
     run(test())
@@ -103,9 +103,9 @@
 @pytest.mark.parametrize("framing", [
     b"Content-Length: 9000000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n80000\r\n",
 ])  # fmt: skip
-def test_a_client_can_tell_that_a_long_answer_was_cut(framing: bytes) -> None:
+def test_a_client_detects_a_truncated_long_answer(framing: bytes) -> None:
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + framing + b"x" * 200_000)
+        writer.write(STATUS_OK + framing + b"x" * 200_000)
         await writer.drain()
         writer.close()
 
@@ -115,16 +115,16 @@
             client.writer.write(request())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await read_any(client)
-            assert len(server.seen) == 1  # what has begun to go out can't be taken back
+            assert len(server.seen) == 1  # no retry once part of the answer has been sent
 
     run(test())
 
 
-def test_an_answer_without_end_is_cut(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_endless_answer_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_connection, "BODY_BYTES_MAX", 1 << 20)
 
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
+        writer.write(STATUS_OK + b"Transfer-Encoding: chunked\r\n\r\n")
         while not writer.is_closing():
             writer.write(b"10000\r\n" + b"x" * 0x10000 + b"\r\n")
             await writer.drain()
@@ -140,11 +140,11 @@
     run(test())
 
 
-def test_a_client_that_leaves_ends_its_long_answer() -> None:
-    """One that ends its sending may still read, so it is known to be gone once more is written to it."""
+def test_a_client_that_leaves_aborts_its_long_answer() -> None:
+    """A half-closed client may still read, so its close is noticed only with the next write."""
 
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + b"Content-Length: 40000000\r\n\r\n")
+        writer.write(STATUS_OK + b"Content-Length: 40000000\r\n\r\n")
         while not writer.is_closing():
             writer.write(b"x" * 1000)
             await writer.drain()
@@ -172,15 +172,15 @@
     return head + b"Transfer-Encoding: chunked\r\n\r\n", chunked(body)
 
 
-class Taker:
-    """A server that notes what it is sent, byte by byte."""
+class RecordingServer:
+    """A server that records the raw bytes that it receives."""
 
     def __init__(self) -> None:
         self.got = bytearray()
-        self.whole = asyncio.Event()
+        self.complete = asyncio.Event()
         self.ended = asyncio.Event()
 
-    async def __aenter__(self) -> Taker:
+    async def __aenter__(self) -> RecordingServer:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.server = Server("s-1")
         self.server.address = "{}:{}".format(*self._server.sockets[0].getsockname())
@@ -194,7 +194,7 @@
             while data := await reader.read(1 << 16):
                 self.got += data
                 if self.got.endswith((b"0\r\n\r\n", LONG[-1000:])):
-                    self.whole.set()
+                    self.complete.set()
                     writer.write(answer())
         except OSError:
             pass
@@ -204,17 +204,17 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 @pytest.mark.parametrize("length", [65_537, 900_000, len(LONG)])
-def test_a_long_body_arrives_whole(length: int, framing: str) -> None:
-    """The shorter ones are held until they are whole, the longest goes on as it comes."""
+def test_a_long_body_is_forwarded_completely(length: int, framing: str) -> None:
+    """The shorter bodies are buffered until complete; the longest is streamed."""
 
     async def count(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(body=b"%d" % len(message.body)))
 
     async def test() -> None:
         head, body = upload(length, framing)
-        async with Taker() as taker, Server("s-2", count) as server:
+        async with RecordingServer() as recorder, Server("s-2", count) as server:
             streamed = length == len(LONG)
-            async with Rig(configuration(taker.server if streamed else server)) as rig:
+            async with Rig(configuration(recorder.server if streamed else server)) as rig:
                 client = await rig.client()
                 client.writer.write(head + body[:100])
                 for at in range(100, len(body), 50_000):
@@ -223,13 +223,13 @@
                 got = await client.read()
                 assert status(got) == 200
                 if streamed:
-                    _, _, came = bytes(taker.got).partition(b"\r\n\r\n")
+                    _, _, came = bytes(recorder.got).partition(b"\r\n\r\n")
                     if framing == "chunked":
                         came = dechunked(came)
                     assert came == LONG
                 else:
                     assert got.body == b"%d" % length
-                # It is read on after that, and nothing of the budget is kept.
+                # The connection can be reused, and the budget is released.
                 client.writer.write(request(target="/up", method="GET"))
                 assert status(await client.read()) == 200
                 assert rig.front.budget.bytes_left == BodyBudget(rig.config.memory_bytes_max).bytes_left
@@ -248,45 +248,45 @@
         data = data[size + 2 :]
 
 
-def test_half_a_long_body_runs_nowhere() -> None:
+def test_an_incomplete_long_body_is_not_executed() -> None:
     async def test() -> None:
         head, body = upload(len(LONG))
-        async with Taker() as taker, Rig(configuration(taker.server)) as rig:
+        async with RecordingServer() as recorder, Rig(configuration(recorder.server)) as rig:
             client = await rig.client()
             client.writer.write(head + body[:2_000_000])
-            await until(lambda: len(taker.got) > 1_000_000)
+            await until(lambda: len(recorder.got) > 1_000_000)
             client.writer.close()
-            await asyncio.wait_for(taker.ended.wait(), 10)
-            assert not taker.whole.is_set()
+            await asyncio.wait_for(recorder.ended.wait(), 10)
+            assert not recorder.complete.is_set()
             await until(lambda: not rig.node._open_requests)
 
     run(test())
 
 
-def test_a_body_that_stops_is_told_so_and_its_attempt_ended() -> None:
+def test_a_stalled_body_is_answered_with_408_and_its_attempt_ended() -> None:
     async def test() -> None:
         head, body = upload(len(LONG))
-        async with Taker() as taker, Rig(configuration(taker.server)) as rig:
+        async with RecordingServer() as recorder, Rig(configuration(recorder.server)) as rig:
             client = await rig.client()
             client.writer.write(head + body[:1_500_000])
-            await until(lambda: len(taker.got) > 1_000_000)
+            await until(lambda: len(recorder.got) > 1_000_000)
             (pace,) = rig.front.uploads.values()
-            pace.since -= 60.0  # a minute for 1.5 MB
+            pace.since -= 60.0  # as if 1.5 MB had taken a minute
             assert status(await client.read()) == 408
-            await asyncio.wait_for(taker.ended.wait(), 10)
+            await asyncio.wait_for(recorder.ended.wait(), 10)
 
     run(test())
 
 
-@pytest.mark.parametrize(("whole", "expected", "result"), [
+@pytest.mark.parametrize(("complete", "expected", "result"), [
     (False, 503, Result.CONNECT_FAILED), (True, 502, Result.RESET),
 ])  # fmt: skip
-def test_what_was_passed_on_is_not_sent_again(whole: bool, expected: int, result: Result) -> None:
-    """Broken before the last byte it can't have begun, which is a refusal; after that it may have run."""
+def test_a_partly_forwarded_body_is_not_retried(complete: bool, expected: int, result: Result) -> None:
+    """Cut before the last byte, the request can't have run, so it is refused; after that it may have run."""
 
     async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        await reader.readexactly(len(LONG) if whole else 100_000)
+        await reader.readexactly(len(LONG) if complete else 100_000)
         writer.transport.abort()
 
     async def test() -> None:
@@ -296,7 +296,7 @@
         broken.address = other.address = "{}:{}".format(*listening.sockets[0].getsockname())
         async with Rig(configuration(broken, other)) as rig:
             client = await rig.client()
-            client.writer.write(head + (body if whole else body[:1_500_000]))
+            client.writer.write(head + (body if complete else body[:1_500_000]))
             got = await client.read()
             assert status(got) == expected
             assert ("retry-after" in got.headers) is (expected == 503)
@@ -306,8 +306,8 @@
     run(test())
 
 
-def test_a_long_body_that_nobody_takes_ends_its_connection() -> None:
-    """Answered before it was whole: what is left of it must not be read as the next request."""
+def test_an_unread_long_body_ends_its_connection() -> None:
+    """If a body is answered before it is complete, its rest must not be parsed as the next request."""
 
     async def test() -> None:
         head, body = upload(len(LONG))
@@ -321,7 +321,7 @@
     run(test())
 
 
-def test_targets_with_a_host_are_served_as_those_without() -> None:
+def test_targets_in_absolute_form_are_served() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -331,7 +331,7 @@
     run(test())
 
 
-def test_the_pace_of_a_body() -> None:
+def test_the_rate_limit_of_a_body() -> None:
     for rate, slow in ((64_000, False), (BYTES_PER_S_MIN / 2, True), (0, True)):
         pace, seen = BodyProgress(100.0), False
         for tenth in range(100):
@@ -339,21 +339,21 @@
             seen |= pace.is_too_slow(100.0 + tenth / 10)
         assert seen is slow
     pace = BodyProgress(100.0)
-    pace.pause(100.5)  # the node does not read: no fault of the client's
+    pace.pause(100.5)  # the node has paused reading, which must not count against the client
     assert not pace.is_too_slow(150.0)
     pace.resume(150.0)
     assert not pace.is_too_slow(150.0 + GRACE_S - 0.6) and pace.is_too_slow(150.0 + GRACE_S)
 
 
-def test_a_fast_beginning_buys_no_silence() -> None:
-    """Guards against a client that brings much at once and stops: it is owed its error within 3 s."""
+def test_a_fast_start_does_not_extend_the_silence_limit() -> None:
+    """A client that sends much at once and then stops must get its error within 3 s."""
     pace = BodyProgress(100.0)
     pace.receive(100.0, 10_000_000)
     assert not pace.is_too_slow(100.0 + SILENCE_S_MAX - 0.1)
     assert pace.is_too_slow(100.0 + SILENCE_S_MAX + 0.01)
     pace.receive(102.0, 1)
     assert not pace.is_too_slow(102.0 + SILENCE_S_MAX - 0.1)
-    pace.pause(102.5)  # the node does not read: what it does not take is no silence
+    pace.pause(102.5)  # the node has paused reading, which is no silence of the client
     pace.resume(150.0)
     assert not pace.is_too_slow(150.0 + SILENCE_S_MAX - 0.1)
     assert pace.is_too_slow(150.0 + SILENCE_S_MAX + 0.01)
@@ -361,8 +361,8 @@
 
 
 @pytest.mark.parametrize("sent", [100_000, 399_999])
-def test_a_client_that_stops_in_a_long_body_is_told(sent: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """However much it has brought before. By its rate alone it would have seconds more."""
+def test_a_client_that_stops_in_a_long_body_gets_408(sent: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """However much it has sent before. The rate limit alone would leave it seconds more."""
     monkeypatch.setattr(body_progress, "SILENCE_S_MAX", 0.05)
     monkeypatch.setattr(body_progress, "BYTES_PER_S_MIN", 1)
 
@@ -377,14 +377,14 @@
     run(test())
 
 
-def test_a_stream_tells_both_sides() -> None:
+def test_a_stream_notifies_both_sides() -> None:
     told: list[str] = []
     stream = Stream()
     stream.on_readable, stream.on_writable = lambda: told.append("more"), lambda: told.append("room")
     stream.put(b"x" * STREAM_BUFFER_BYTES_MAX)
     assert stream.is_full() and not stream.consumed
     assert stream.take() == b"x" * STREAM_BUFFER_BYTES_MAX and stream.consumed and not stream.is_full()
-    assert told == ["more"]  # what was taken is not on its way yet: more must not overtake it
+    assert told == ["more"]  # the data taken are not written yet, so more data would overtake them
     stream.mark_forwarded()
     stream.put(b"y")
     stream.end()
