--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from driftstair.net.flow import SILENCE_MOST
+from driftstair.net.body_stream import STREAM_STALL_S_MAX
 from driftstair.net.reuse_delay import ReuseDelay
 from driftstair.net.system import SOCKET_SYSTEM, System
 from lichenspring.interface import Result, ServerId
@@ -32,7 +32,7 @@
 
     def take(self) -> Connection | None:
         now = self.pools.now()
-        idle_before = now - self.pools.reuse_delay.needed(now)
+        idle_before = now - self.pools.reuse_delay.current_ns(now)
         # Ordered by idle_since, so the connections whose reuse delay has passed come first.
         reusable_count = bisect_right(self.idle, idle_before, key=lambda one: one.idle_since)
         for index in range(reusable_count - 1, -1, -1):
@@ -98,7 +98,7 @@
         before = self.now() - self.idle_limit
         for pool in self._pools.values():
             pool.drop_idle(before)
-        stalled_since = self.now() - int(SILENCE_MOST * 1e9)
+        stalled_since = self.now() - int(STREAM_STALL_S_MAX * 1e9)
         for connection in [one for one in self.flows if one.is_stalled(stalled_since)]:
             connection.give_up()
         self.start()
--- a/driftstair/net/server_attempt.py
+++ b/driftstair/net/server_attempt.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, cast
 
+from driftstair.net.body_stream import STREAM_STALL_S_MAX, Stream
 from driftstair.net.dialing import LOCAL_ERRORS, dial
-from driftstair.net.flow import SILENCE_MOST, Stream
 from driftstair.net.request_guard import AttemptPermit
 from driftstair.net.server_connection import Answer, Connection
 from lichenspring.interface import Result
@@ -163,7 +163,7 @@
             self._timer = asyncio.get_running_loop().call_later(LATE_READ_GRACE_S, self._on_timer, at, True)
             return
         is_uploading = self.last_progress and not self.written_at
-        if is_uploading and now - self.last_progress < SILENCE_MOST * 1e9:
+        if is_uploading and now - self.last_progress < STREAM_STALL_S_MAX * 1e9:
             self._set_timer(now + UPLOAD_CHECK_INTERVAL_NS)  # its time-out counts from its last byte
             return
         may_be_fully_sent = self._connection is not None and self._connection.may_be_fully_sent
@@ -171,7 +171,7 @@
 
     def wrote(self) -> None:
         """The first bytes of the request have been passed to the kernel."""
-        self._permit.wrote(self.pool.pools.now(), self._transmitted_deadline)
+        self._permit.record_write(self.pool.pools.now(), self._transmitted_deadline)
 
     def on_upload_complete(self) -> None:
         """The last byte of a streamed body has been written: the time-out counts from now."""
--- a/driftstair/net/server_connection.py
+++ b/driftstair/net/server_connection.py
@@ -8,7 +8,14 @@
 
 import httptools
 
-from driftstair.net.flow import INLINE_MOST, LAST_CHUNK, LONGEST, Stream, chunk, nothing
+from driftstair.net.body_stream import (
+    BODY_BYTES_MAX,
+    INLINE_BODY_BYTES_MAX,
+    LAST_CHUNK,
+    Stream,
+    encode_chunk,
+    no_op,
+)
 from lichenspring.interface import Result
 
 if TYPE_CHECKING:
@@ -31,7 +38,7 @@
 
     status: int
     headers: list[tuple[bytes, bytes]]  # end-to-end headers, as received
-    body: bytes | Stream  # a body over INLINE_MOST is streamed after the answer is delivered
+    body: bytes | Stream  # a body over INLINE_BODY_BYTES_MAX is streamed after the answer is delivered
     load: bytes  # the load report; empty if there is none
 
 
@@ -90,7 +97,7 @@
             self._on_last_byte_buffered(attempt)
         else:
             self._upload = upload
-            upload.on_more = self._forward_upload
+            upload.on_readable = self._forward_upload
             self._write_blocked = bool(transport.get_write_buffer_size())
             self._forward_upload()
 
@@ -126,19 +133,19 @@
             return
         data = upload.take()
         if upload.length is None:
-            data = chunk(data) + (LAST_CHUNK if upload.is_done() else b"")
+            data = encode_chunk(data) + (LAST_CHUNK if upload.is_done() else b"")
         if data:
             attempt.last_progress = self._pool.pools.now()
             transport.write(data)
             self._write_blocked = bool(transport.get_write_buffer_size())
-            upload.halt(self._write_blocked)
+            upload.set_blocked(self._write_blocked)
         if upload.is_done():
             self._upload = None
             self._on_last_byte_buffered(attempt)
             if not self._write_blocked and not transport.is_closing():
                 self._on_all_written()
         else:
-            upload.passed_on()
+            upload.mark_forwarded()
 
     def _on_all_written(self) -> None:
         self.written = self.may_be_fully_sent = self._attempt is not None
@@ -148,7 +155,7 @@
     def resume_writing(self) -> None:
         self._write_blocked = False
         if self._upload is not None:
-            self._upload.halt(False)
+            self._upload.set_blocked(False)
             self._forward_upload()
         else:
             self._on_all_written()
@@ -177,7 +184,7 @@
             return
         self._attempt = None
         if self._upload is not None:
-            self._upload.on_more = nothing
+            self._upload.on_readable = no_op
             self._upload = None
         if self._answer_stream is not None:
             return  # the answer is still being streamed
@@ -228,7 +235,7 @@
         self._reusable = False
         if stream is not None and self._delivered:
             self._end_answer_stream()
-            stream.break_off()
+            stream.fail()
         elif attempt is not None:
             self._end_answer_stream()
             attempt.end(result if self.may_be_fully_sent else Result.CONNECT_FAILED)
@@ -250,9 +257,9 @@
         if not self._delivered and attempt is not None:
             self._delivered = True
             self._pool.pools.flows[self] = None
-            stream.on_room = self._on_stream_room
+            stream.on_writable = self._on_stream_room
             attempt.end(Result.OK, Answer(self._status, self._headers, stream, self._load))
-        if stream.broken:
+        if stream.failed:
             self.close()  # the reader is gone
         elif self._is_complete:
             self._end_answer_stream()
@@ -270,7 +277,7 @@
         if stream is None or transport is None:
             return
         self.last_progress = self._pool.pools.now()
-        if stream.broken:
+        if stream.failed:
             self._end_answer_stream()
             self.close()
         elif self._is_reading_paused and not transport.is_closing():
@@ -281,7 +288,7 @@
         stream, self._answer_stream = self._answer_stream, None
         self._pool.pools.flows.pop(self, None)
         if stream is not None:
-            stream.on_room = nothing
+            stream.on_writable = no_op
         if self._is_reading_paused and self._transport is not None and not self._transport.is_closing():
             self._is_reading_paused = False
             self._transport.resume_reading()
@@ -315,7 +322,7 @@
             self._not_run = value.strip() == b"1"
         elif lower == b"content-length":
             # Rejected by its header: otherwise the body would be read up to the limit first.
-            if int(value) > LONGEST:
+            if int(value) > BODY_BYTES_MAX:
                 raise ValueError("answer body too long")
             self._framed, self._length = True, int(value)
         elif lower == b"transfer-encoding":
@@ -339,18 +346,18 @@
             raise ValueError("answer with neither a length nor Connection: close")
         self._in_head = False
         self._size = 0
-        if self._status == 200 and self._length > INLINE_MOST:
+        if self._status == 200 and self._length > INLINE_BODY_BYTES_MAX:
             self._begin_answer_stream(self._length)
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
-        if self._size > (LONGEST if self._status == 200 else INLINE_MOST):
+        if self._size > (BODY_BYTES_MAX if self._status == 200 else INLINE_BODY_BYTES_MAX):
             raise ValueError("answer body too long")
         if self._answer_stream is not None:
             self._answer_stream.put(data)
             return
         self._body.append(data)
-        if self._size > INLINE_MOST:
+        if self._size > INLINE_BODY_BYTES_MAX:
             self._begin_answer_stream(None)
 
     def on_message_complete(self) -> None:
--- a/driftstair/net/server_directory.py
+++ b/driftstair/net/server_directory.py
@@ -133,7 +133,7 @@
                 leaving.pop(server.id, None)
             else:
                 leaving[server.id] = None
-        self._guard.servers_ready(
+        self._guard.set_ready_servers(
             server_id for server_id in self._pools.servers() if server_id not in leaving
         )
         # The event comes first: attempts that end as their server is retired may be made elsewhere at once.
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from driftstair.net.frontend import BACKLOG, Frontend
+from driftstair.net.frontend import LISTEN_BACKLOG, Frontend
 from driftstair.net.node import Node
 from driftstair.net.system import SocketListener, System, bind_listening_socket
 from driftstair.operations.calls import TIER_ORDERS, Call, Order
@@ -69,7 +69,9 @@
         """The clients' listening socket, handed over or new. Raises OSError."""
         # Shared, since both processes listen for a while if the old one can't hand its socket over.
         handed_over = None if self._predecessor is None else self._predecessor.listening_socket
-        listening_socket = handed_over or bind_listening_socket(self.config.listen, BACKLOG, shared=True)
+        listening_socket = handed_over or bind_listening_socket(
+            self.config.listen, LISTEN_BACKLOG, shared=True
+        )
         listening_socket.setblocking(False)
         self._listening_socket = listening_socket
         return SocketListener(listening_socket)
--- a/tests/acceptance/test_stalled_process.py
+++ b/tests/acceptance/test_stalled_process.py
@@ -14,7 +14,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Client,
     Message,
     Server,
@@ -270,7 +270,7 @@
             async with stopped(node):
                 script.release.set()
                 await asyncio.sleep(STALL_S)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_S):
                 assert status(await client.read()) in (200, 502, 503)
             for message in (one.seen + two.seen)[1:]:
                 assert sent_deadline_s(message) <= 2.0 - STALL_S + DEADLINE_SLACK_S
--- a/tests/acceptance/test_told_deadline.py
+++ b/tests/acceptance/test_told_deadline.py
@@ -7,7 +7,7 @@
 from time import monotonic_ns
 
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     LateDials,
     Message,
     Rig,
@@ -32,8 +32,8 @@
 
 def remaining_us(rig: Rig, at: int) -> float:
     """Remaining time (microseconds) of the node's only open request at a time (monotonic ns)."""
-    (held,) = rig.node._open.values()
-    return (held.call.deadline - at) / 1000
+    (held,) = rig.node._open_requests.values()
+    return (held.parsed.deadline - at) / 1000
 
 
 async def until_time(at: int) -> None:
@@ -47,7 +47,7 @@
             client = await rig.client()
             asked = monotonic_ns()
             client.writer.write(request(X_Deadline=f"{DEADLINE_MS}m"))
-            await asyncio.wait_for(dials.begun.wait(), PATIENCE)
+            await asyncio.wait_for(dials.begun.wait(), TIMEOUT_S)
             await until_time(asked + DIAL_MS * MS)
             remaining_max = remaining_us(rig, monotonic_ns())
             dials.up.set()
@@ -82,7 +82,7 @@
                 rig.node._pools.system = dials = LateDials(1)
                 client = await rig.client()
                 client.writer.write(request(X_Deadline=f"{DEADLINE_MS}m"))
-                await asyncio.wait_for(dials.begun.wait(), PATIENCE)
+                await asyncio.wait_for(dials.begun.wait(), TIMEOUT_S)
                 begun = monotonic_ns()
                 await until_time(begun + DIAL_MS * MS)
                 remaining_max.append(remaining_us(rig, monotonic_ns()))
--- a/tests/acceptance/test_turned_away.py
+++ b/tests/acceptance/test_turned_away.py
@@ -10,7 +10,7 @@
 
 import pytest
 from fleet_of_modules import NEVER, SERVES, Reply, Servers, SoleNode
-from rig import PATIENCE, Client, Message, Rig, Server, configuration, grade, request, run, status
+from rig import TIMEOUT_S, Client, Message, Rig, Server, configuration, grade, request, run, status
 from world import BASE, FALL_MULTIPLE, FALL_WINDOW_NS, MS, SECOND, START, full_list, server, settings
 
 from driftstair.net.node import Node
@@ -92,7 +92,7 @@
                 shut_caps(rig.node)
                 clients = [await rig.client() for _ in range(8)]
                 begun = loop.time()
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_S):
                     await asyncio.gather(*(ask_on(client, begun + RUN_S) for client in clients))
                 for since, until in pairwise([begun, *tried, begun + RUN_S]):
                     refusals = sum(since < at < until for at in refused)
--- a/tests/observability/test_event_log.py
+++ b/tests/observability/test_event_log.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 import pytest
-from rig import Discovery, Rig, Server, answer, configuration, request, run, says, status, until
+from rig import Discovery, Rig, Server, answer, configuration, request, run, sends, status, until
 from test_process import ROOT, program
 
-from driftstair.net.loop_monitor import TICK_S, LoopMonitor
+from driftstair.net.loop_monitor import TICK_INTERVAL_S, LoopMonitor
 from driftstair.observability.reasons import AnswerReason
 
 
@@ -34,8 +34,8 @@
     async def test() -> None:
         async with (
             Discovery() as discovery,
-            Server("s-1", says(answer(500))) as one,
-            Server("s-2", says(answer(500))) as two,
+            Server("s-1", sends(answer(500))) as one,
+            Server("s-2", sends(answer(500))) as two,
         ):
             document = configuration(one, two, discovery=discovery.address)
             document["settings"]["Contract"]["AskWithin"] = 10**8
@@ -100,13 +100,13 @@
         stalls: list[int] = []
         monitor = LoopMonitor(lambda: clock[0], stalls.append)
         monitor.start()
-        clock[0] = int(TICK_S * 1e9) + 10_000_000
-        assert monitor.earliest() == clock[0]  # normal jitter
+        clock[0] = int(TICK_INTERVAL_S * 1e9) + 10_000_000
+        assert monitor.earliest_event_time() == clock[0]  # normal jitter
         clock[0] = 700_000_000
-        assert monitor.earliest() == 0
+        assert monitor.earliest_event_time() == 0
         await until(lambda: stalls)
-        assert stalls == [700_000_000 - int(TICK_S * 1e9)]
-        assert monitor.earliest() == 700_000_000
+        assert stalls == [700_000_000 - int(TICK_INTERVAL_S * 1e9)]
+        assert monitor.earliest_event_time() == 700_000_000
         await asyncio.sleep(0)
 
     run(test())
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -18,7 +18,7 @@
     configuration,
     request,
     run,
-    says,
+    sends,
     serves,
     silent,
     status,
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("reply", [answer(Connection="close"), answer().replace(b"HTTP/1.1", b"HTTP/1.0")])
 def test_connection_ended_by_server_is_not_pooled(reply: bytes) -> None:
     async def test() -> None:
-        async with Server("s-1", says(reply)) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", sends(reply)) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             for count in (1, 2):
                 assert status(await client.ask(request())) == 200
@@ -144,7 +144,7 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: len(server.seen) == 3)
-            rig.node._do(api.CloseIdleConnections(digest("s-1")))
+            rig.node._execute(api.CloseIdleConnections(digest("s-1")))
             await until(lambda: server.open == 1)
 
     run(test())
@@ -221,7 +221,7 @@
     connections in memory until a garbage collection."""
 
     async def test() -> None:
-        once = says(answer(Connection="close"))
+        once = sends(answer(Connection="close"))
         async with Server("s-1", once) as server, Rig(configuration(server)) as rig:
             gc.collect()
             gc.disable()
@@ -280,17 +280,17 @@
 def test_reuse_delay_grows_with_unsolicited_bytes_and_decays() -> None:
     reuse = reuse_delay.ReuseDelay()
     second = 1_000_000_000
-    assert reuse.needed(0) == reuse_delay.REUSE_DELAY_MIN_NS
+    assert reuse.current_ns(0) == reuse_delay.REUSE_DELAY_MIN_NS
     reuse.on_unsolicited_bytes(second, 100_000_000)
-    assert reuse.needed(second) == 400_000_000
+    assert reuse.current_ns(second) == 400_000_000
     reuse.on_unsolicited_bytes(2 * second, 1_000_000)  # a shorter lateness does not reduce the delay
-    assert reuse.needed(2 * second) == 400_000_000
+    assert reuse.current_ns(2 * second) == 400_000_000
     reuse.on_unsolicited_bytes(3 * second, 3600 * second)
-    assert reuse.needed(3 * second) == reuse_delay.REST_MOST
-    faded = [reuse.needed(3 * second + fades * reuse_delay.REST_FADES) for fades in (1, 2, 1000)]
+    assert reuse.current_ns(3 * second) == reuse_delay.REUSE_DELAY_MAX_NS
+    faded = [reuse.current_ns(3 * second + fades * reuse_delay.DECAY_HALF_LIFE_NS) for fades in (1, 2, 1000)]
     assert faded == [
-        reuse_delay.REST_MOST // 2,
-        reuse_delay.REST_MOST // 4,
+        reuse_delay.REUSE_DELAY_MAX_NS // 2,
+        reuse_delay.REUSE_DELAY_MAX_NS // 4,
         reuse_delay.REUSE_DELAY_MIN_NS,
     ]
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,10 +13,10 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Client,
-    Holds,
     LateDials,
+    LoopBlocker,
     Message,
     Rig,
     Server,
@@ -55,7 +55,7 @@
                 rig.node._pools.system = dials = LateDials(1)
                 client = await rig.client()
                 client.writer.write(request("pay", method="POST", Idempotency_Key="5c0f", X_Key="k"))
-                await asyncio.wait_for(dials.begun.wait(), PATIENCE)
+                await asyncio.wait_for(dials.begun.wait(), TIMEOUT_S)
                 over = monotonic_ns() + 260 * MS
                 await until(lambda: monotonic_ns() > over)
                 dials.up.set()
@@ -125,19 +125,19 @@
                 accepted, _ = await loop.run_in_executor(None, listener.accept)
                 stack.enter_context(accepted)
                 await loop.run_in_executor(None, accepted.recv, 1 << 12)
-                (held,) = rig.node._open.values()
+                (held,) = rig.node._open_requests.values()
 
                 def answers_past_deadline() -> None:
                     accepted.sendall(answer())
-                    sleep(max(0, held.call.deadline + 5 * MS - monotonic_ns()) / 1e9)
+                    sleep(max(0, held.parsed.deadline + 5 * MS - monotonic_ns()) / 1e9)
 
                 near, far = socket.socketpair()
                 stack.enter_context(far)
-                await loop.create_connection(lambda: Holds(answers_past_deadline), sock=near)
+                await loop.create_connection(lambda: LoopBlocker(answers_past_deadline), sock=near)
                 far.send(b"now")
                 first = status(await client.read())
                 assert first in (200, 502, 503, 504)
-                await until(lambda: not rig.node._open)
+                await until(lambda: not rig.node._open_requests)
                 if first != 200:
                     assert not any(pool.idle for pool in rig.node._pools._pools.values())
                 client.writer.write(request(target="/nowhere"))
@@ -156,10 +156,10 @@
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
             with socket.create_connection(rig.address) as late:
-                late.settimeout(PATIENCE)
+                late.settimeout(TIMEOUT_S)
                 data = request("order", body=b"late")
                 late.sendall(data[:-1])
-                await until(lambda: rig.front.bodies)
+                await until(lambda: rig.front.uploads)
                 fail_all = rig.node.fail_all
 
                 def fail_all_then_send() -> None:
@@ -183,10 +183,10 @@
             waiting = [socket.create_connection(rig.address) for _ in range(5)]
             for one in waiting:
                 one.sendall(request("order", body=b"queued"))
-            stopping = asyncio.create_task(rig.front.stop(0.0, PATIENCE))
+            stopping = asyncio.create_task(rig.front.stop(0.0, TIMEOUT_S))
             for one in waiting:
                 with one:
-                    one.settimeout(PATIENCE)
+                    one.settimeout(TIMEOUT_S)
                     got = await asyncio.get_running_loop().run_in_executor(None, one.recv, 1 << 12)
                     assert got.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in got
             await stopping
@@ -211,18 +211,18 @@
             node.process.send_signal(signal.SIGTERM)
             stderr = node.process.stderr
             assert stderr is not None
-            while b"stopping" not in await asyncio.wait_for(stderr.readline(), PATIENCE):
+            while b"stopping" not in await asyncio.wait_for(stderr.readline(), TIMEOUT_S):
                 pass
             (tmp_path / "config.json").write_text("{")
             node.process.send_signal(signal.SIGHUP)
-            while b"not used" not in await asyncio.wait_for(stderr.readline(), PATIENCE):
+            while b"not used" not in await asyncio.wait_for(stderr.readline(), TIMEOUT_S):
                 pass
             node.process.send_signal(signal.SIGTERM)
             assert await other.ended() == b""  # idle: closed without an answer
             release.set()
             got = await holds.read()
             assert (got.body, got.headers["connection"]) == (b"held", "close")
-            assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+            assert await asyncio.wait_for(node.process.wait(), TIMEOUT_S) == 0
 
     run(test())
 
@@ -239,7 +239,7 @@
             client.writer.write(request("order", body=b"second"))
             assert await client.ended() == b""
             (connection,) = rig.front._connections
-            await until(lambda: connection._dropped)
+            await until(lambda: connection._discarded_bytes)
             client.writer.close()
             await until(lambda: not rig.front._connections)
             assert [one.body for one in server.seen] == [b"first"]
@@ -303,7 +303,7 @@
 
                     near, far = socket.socketpair()
                     stack.enter_context(far)
-                    await loop.create_connection(lambda: Holds(stalls), sock=near)
+                    await loop.create_connection(lambda: LoopBlocker(stalls), sock=near)
                     far.send(b"now")
                     await answers()
                     assert len(drained.seen) == seen and rig.node.servers.ready == {digest("s-2")}
@@ -324,7 +324,7 @@
             client = await rig.client()
             if why == "its id is taken":
                 (taken,) = [request()]
-                rig.node._identities.add(taken.split(b"X-Request-Id: ")[1].split(b"\r\n")[0])
+                rig.node._open_request_ids.add(taken.split(b"X-Request-Id: ")[1].split(b"\r\n")[0])
                 client.writer.write(taken + request(X_Key="second"))
             else:
                 client.writer.write(request(X_Key="first") + request(X_Key="second"))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 from time import sleep, time
 
 import pytest
-from rig import Discovery, FailingDials, Holds, Rig, Server, configuration, request, run, until
+from rig import Discovery, FailingDials, LoopBlocker, Rig, Server, configuration, request, run, until
 
 from driftstair.hosts import parse_address
 from driftstair.net import discovery, server_directory
@@ -344,7 +344,7 @@
                     sleep(0.4)
 
                 near, far = socket.socketpair()
-                await loop.create_connection(lambda: Holds(stalls), sock=near)
+                await loop.create_connection(lambda: LoopBlocker(stalls), sock=near)
                 far.send(b"now")
                 await until(lambda: len(rig.spy.lists(ListKind.DELTA)) == 2)
                 assert rig.node.servers.discovery._watch is watch
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -10,7 +10,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Message,
     Rig,
     Script,
@@ -19,7 +19,7 @@
     configuration,
     request,
     run,
-    says,
+    sends,
     silent,
     status,
     until,
@@ -38,36 +38,36 @@
 @pytest.mark.parametrize(
     ("script", "result", "expected"),
     [
-        (says(answer()), Result.OK, 200),
-        (says(CHUNKED + b"2\r\nfr\r\n3\r\name\r\n0\r\n\r\n"), Result.OK, 200),
-        (says(b"HTTP/1.1 200 OK\r\n\r\nframe", close=True), Result.ERROR, 502),  # could be truncated
-        (says(b"HTTP/1.1 103 Early Hints\r\n\r\n" + answer()), Result.OK, 200),
-        (says(answer(500)), Result.ERROR, 502),
-        (says(answer(404)), Result.REJECTED, 404),
-        (says(answer(400)), Result.REJECTED, 400),
-        (says(answer(408)), Result.ERROR, 502),
-        (says(answer(429)), Result.ERROR, 502),
-        (says(answer(503)), Result.ERROR, 502),
-        (says(answer(504)), Result.ERROR, 502),
-        (says(answer(503, X_Not_Run="0")), Result.ERROR, 502),
-        (says(answer(503, **NOT_RUN_HEADER)), Result.FULL, 503),
-        (says(answer(504, **NOT_RUN_HEADER)), Result.FULL, 503),
-        (says(answer(500, **NOT_RUN_HEADER)), Result.ERROR, 502),
-        (says(b"", close=True), Result.RESET, 502),
-        (says(b"", abort=True), Result.RESET, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Le", close=True), Result.RESET, 502),
-        (says(answer()[:-1], close=True), Result.RESET, 502),
-        (says(answer()[:-1], abort=True), Result.RESET, 502),
-        (says(CHUNKED + b"5\r\nframe\r\n", close=True), Result.RESET, 502),
-        (says(b"SSH-2.0-server\r\n"), Result.ERROR, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), Result.ERROR, 502),
-        (says(answer(Content_length="-1")), Result.ERROR, 502),
-        (says(answer(Content_length="3")), Result.ERROR, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Result.ERROR, 502),  # at its head
-        (says(CHUNKED + b"5\r\nframe\r\nzz\r\nframe\r\n0\r\n\r\n"), Result.ERROR, 502),
-        (says(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000), Result.ERROR, 502),
-        (says(b"HTTP/1.1 100 Continue\r\n\r\n" * 99 + answer()), Result.ERROR, 502),
-        (says(answer() + b"\x00noise"), Result.OK, 200),
+        (sends(answer()), Result.OK, 200),
+        (sends(CHUNKED + b"2\r\nfr\r\n3\r\name\r\n0\r\n\r\n"), Result.OK, 200),
+        (sends(b"HTTP/1.1 200 OK\r\n\r\nframe", close=True), Result.ERROR, 502),  # could be truncated
+        (sends(b"HTTP/1.1 103 Early Hints\r\n\r\n" + answer()), Result.OK, 200),
+        (sends(answer(500)), Result.ERROR, 502),
+        (sends(answer(404)), Result.REJECTED, 404),
+        (sends(answer(400)), Result.REJECTED, 400),
+        (sends(answer(408)), Result.ERROR, 502),
+        (sends(answer(429)), Result.ERROR, 502),
+        (sends(answer(503)), Result.ERROR, 502),
+        (sends(answer(504)), Result.ERROR, 502),
+        (sends(answer(503, X_Not_Run="0")), Result.ERROR, 502),
+        (sends(answer(503, **NOT_RUN_HEADER)), Result.FULL, 503),
+        (sends(answer(504, **NOT_RUN_HEADER)), Result.FULL, 503),
+        (sends(answer(500, **NOT_RUN_HEADER)), Result.ERROR, 502),
+        (sends(b"", close=True), Result.RESET, 502),
+        (sends(b"", abort=True), Result.RESET, 502),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Le", close=True), Result.RESET, 502),
+        (sends(answer()[:-1], close=True), Result.RESET, 502),
+        (sends(answer()[:-1], abort=True), Result.RESET, 502),
+        (sends(CHUNKED + b"5\r\nframe\r\n", close=True), Result.RESET, 502),
+        (sends(b"SSH-2.0-server\r\n"), Result.ERROR, 502),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), Result.ERROR, 502),
+        (sends(answer(Content_length="-1")), Result.ERROR, 502),
+        (sends(answer(Content_length="3")), Result.ERROR, 502),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"), Result.ERROR, 502),  # at its head
+        (sends(CHUNKED + b"5\r\nframe\r\nzz\r\nframe\r\n0\r\n\r\n"), Result.ERROR, 502),
+        (sends(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000), Result.ERROR, 502),
+        (sends(b"HTTP/1.1 100 Continue\r\n\r\n" * 99 + answer()), Result.ERROR, 502),
+        (sends(answer() + b"\x00noise"), Result.OK, 200),
     ],
 )  # fmt: skip
 def test_result_and_status_of_each_kind_of_answer(script: Script, result: Result, expected: int) -> None:
@@ -81,7 +81,7 @@
             assert (outcome.result, outcome.closed, outcome.attempt) == (result, closed, 0)
             if result is Result.OK:
                 assert got.body == b"frame"
-            assert not rig.node._open
+            assert not rig.node._open_requests
 
     run(test())
 
@@ -141,7 +141,7 @@
             async with Rig(configuration(server)) as rig:
                 client = await rig.client()
                 client.writer.write(request("order"))
-                await until(lambda: rig.node._open)
+                await until(lambda: rig.node._open_requests)
                 server.state = "Terminating"
                 rig.node.servers.on_list(
                     parse_list({"version": 8, "full": False, "servers": [server.entry()]})
@@ -168,7 +168,7 @@
             await until(lambda: server.open == 0)  # its connection is closed, never pooled
             # The client's connection stays usable, and the next answer is that of the next request.
             assert status(await client.ask(request(target="/nowhere"))) == 404
-            assert not rig.node._open
+            assert not rig.node._open_requests
 
     run(test())
 
@@ -185,7 +185,7 @@
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = decide
+            rig.spy.override = decide
             for client in [await rig.client() for _ in limits]:
                 assert status(await client.ask(request("order"))) == 502
             assert {one.result for one in rig.spy.outcomes()} == {Result.TIMEOUT}
@@ -197,11 +197,11 @@
 def test_request_ignored_by_the_module_fails_at_its_deadline() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = lambda event: [] if isinstance(event, api.Request) else None
+            rig.spy.override = lambda event: [] if isinstance(event, api.Request) else None
             client = await rig.client()
             assert status(await client.ask(request(X_Deadline="150m"))) == 504
             assert [event for event in rig.spy.events if isinstance(event, api.ClientGone)]
-            assert not rig.node._open
+            assert not rig.node._open_requests
 
     run(test())
 
@@ -221,7 +221,7 @@
             assert len(gone) == 1
             (outcome,) = rig.spy.outcomes()
             assert (outcome.result, outcome.closed) == (Result.CANCELLED, True)
-            assert not rig.node._open
+            assert not rig.node._open_requests
 
     run(test())
 
@@ -229,7 +229,7 @@
 def test_failed_attempt_is_followed_by_one_at_the_other_server() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(b"", abort=True)) as bad,
+            Server("s-1", sends(b"", abort=True)) as bad,
             Server("s-2") as good,
             Rig(configuration(bad, good)) as rig,
         ):
@@ -246,8 +246,8 @@
 def test_rejected_request_is_not_retried_nor_counted_as_server_failure() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(answer(400))) as one,
-            Server("s-2", says(answer(400))) as other,
+            Server("s-1", sends(answer(400))) as one,
+            Server("s-2", sends(answer(400))) as other,
             Rig(configuration(one, other)) as rig,
         ):
             for _ in range(5):
@@ -266,7 +266,7 @@
 ])  # fmt: skip
 def test_invalid_load_report_is_ignored(load: str) -> None:
     async def test() -> None:
-        async with Server("s-1", says(answer(X_Load=load))) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", sends(answer(X_Load=load))) as server, Rig(configuration(server)) as rig:
             assert status(await (await rig.client()).ask(request())) == 200
             assert [outcome.report for outcome in rig.spy.outcomes()] == [()]
 
@@ -276,7 +276,7 @@
 def test_second_answer_to_a_request_ends_the_connection_undelivered() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(answer() + answer(body=b"other"))) as server,
+            Server("s-1", sends(answer() + answer(body=b"other"))) as server,
             Rig(configuration(server)) as rig,
         ):
             client = await rig.client()
@@ -309,11 +309,11 @@
             loop = asyncio.get_running_loop()
             client = await rig.client()
             client.writer.write(request("order", body=b"x" * 65536))
-            accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), PATIENCE)
-            (held,) = rig.node._open.values()
-            await until(lambda: held.out[0]._connection)
+            accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), TIMEOUT_S)
+            (held,) = rig.node._open_requests.values()
+            await until(lambda: held.attempts_out[0]._connection)
             # A few turns later, the loop has reported that the kernel does not have all of it.
-            await until(lambda: not held.out[0]._connection.may_be_fully_sent)  # type: ignore[union-attr]
+            await until(lambda: not held.attempts_out[0]._connection.may_be_fully_sent)  # type: ignore[union-attr]
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             accepted.close()
             assert status(await client.read()) == 503
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,7 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TIMEOUT_S,
     Client,
     Discovery,
     Message,
@@ -72,7 +72,7 @@
     process = await start(path, **options)
     try:
         assert process.stderr is not None
-        while b"serving on" not in (line := await asyncio.wait_for(process.stderr.readline(), PATIENCE)):
+        while b"serving on" not in (line := await asyncio.wait_for(process.stderr.readline(), TIMEOUT_S)):
             assert line, "the node ended"
         host, port = line.split()[-1].decode().rsplit(":", 1)
         yield Program(process, (host, int(port)))
@@ -111,7 +111,7 @@
             release.set()
             got = await holds.read()
             assert (got.body, got.headers["connection"]) == (b"held", "close")
-            assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+            assert await asyncio.wait_for(node.process.wait(), TIMEOUT_S) == 0
 
     run(test())
 
@@ -166,7 +166,7 @@
                 for text, word in (("{", b"BALANCER_CONFIG"), (unusable, b"discovery")):
                     path.write_text(text)
                     node.process.send_signal(signal.SIGHUP)
-                    assert word in await asyncio.wait_for(stderr.readline(), PATIENCE)
+                    assert word in await asyncio.wait_for(stderr.readline(), TIMEOUT_S)
                 path.write_text(json.dumps(document | {"discovery": new.address}))
                 node.process.send_signal(signal.SIGHUP)
                 await until(lambda: new.targets)
@@ -285,7 +285,7 @@
 
     async def test() -> None:
         process = await start(path)
-        _, stderr = await asyncio.wait_for(process.communicate(), PATIENCE)
+        _, stderr = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
         assert process.returncode == 2
         (line,) = stderr.decode().splitlines()
         assert named in line
@@ -301,7 +301,7 @@
 
     async def test() -> None:
         process = await start(path)
-        _, stderr = await asyncio.wait_for(process.communicate(), PATIENCE)
+        _, stderr = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
         assert (process.returncode, stderr.count(b"\n"), b"BALANCER_CONFIG" in stderr) == (2, 1, True)
 
     run(test())
