--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -249,7 +249,7 @@
 ) -> None:
     # One accept a turn: after a stall two silent clients have outlived their grace at once, and a turn that
     # accepted three for them would rightly close the idle one as well.
-    monkeypatch.setattr(frontend, "ACCEPTS", 1)
+    monkeypatch.setattr(frontend, "ACCEPTS_PER_TURN", 1)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
