--- a/driftstair/net/body_stream.py
+++ b/driftstair/net/body_stream.py
@@ -4,12 +4,10 @@
 
 from collections.abc import Callable
 
-INLINE_BODY_BYTES_MAX = (
-    64 << 10
-)  # larger answers are streamed; of larger requests, bytes are counted in a budget
+INLINE_BODY_BYTES_MAX = 64 << 10  # larger answers are streamed and timed by their first bytes
 BODY_BYTES_MAX = 48 << 20
 STREAM_BUFFER_BYTES_MAX = 64 << 10  # buffered in a stream before its producer is paused
-HELD_BODY_BYTES_MAX = 1 << 20  # of a request's body that is held until it is complete, if the budget allows
+BUFFERED_BODY_BYTES_MAX = 1 << 20  # of a request body that is buffered until complete, budget permitting
 BODY_BUDGET_SHARE = 0.25  # of the memory that the process itself does not need
 BODY_BUDGET_BYTES_MIN = 1 << 20
 PROCESS_MEMORY_BYTES = 32 << 20  # reserved for the process itself
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from driftstair.net.frontend import Frontend
 
-LINGER_BYTES_MAX = 1 << 20  # read after the last answer; a close with unread data would reset the connection
+LINGER_BYTES_MAX = 1 << 20  # read after the last answer, as a reset on unread data may lose the answer
 ANSWER_WRITE_S_MAX = 10.0  # for an answer to a request without a deadline
 PEER_STATE_TTL_NS = 1_000_000  # caches the kernel's state, which is queried several times per request
 DISCONNECT_GRACE_S = 0.08  # from a client's close or half-close until no new attempt may start for it
 
 UNANSWERABLE_CLOSES = (CloseReason.SLOW_READER, CloseReason.ANSWER_BROKEN, CloseReason.TOO_MUCH_AFTER_END)
-"""Closes after which there is nothing more that the client could be told."""
+"""Closes after which the client could get no further answer anyway."""
 INACTIVITY_CLOSES = (CloseReason.IDLE, CloseReason.TOO_SLOW)
 """Closes for inactivity, of clients that may send a request at any moment."""
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/driftstair/net/frontend.py
+++ b/driftstair/net/frontend.py
@@ -111,7 +111,7 @@
                 if problem.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                     self._accept_failures += 1
                     if self._accept_failures >= ACCEPT_FAILURES_MAX:
-                        # Otherwise waiting clients would wait until another client leaves.
+                        # Otherwise the clients in the queue would wait until another one leaves.
                         self._evict_one(forced=True)
                     self._pause()
                     self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
@@ -254,7 +254,7 @@
         return self.node.can_serve() and self.drain is None and (self._handed_over or not self.stopping)
 
     def refuses(self) -> bool:
-        """Whether new requests are refused: the process is about to end, or the drain has come to that."""
+        """Whether new requests are refused: the process is about to end, or the drain is at that stage."""
         return self._ended or (self.drain is not None and self.drain.refuses(self._loop.time()))
 
     def counters(self) -> dict[str, int]:
@@ -301,7 +301,7 @@
 
     async def stop(self, serve_on: float, within: float, since: int = 0) -> None:
         """Serves new clients for `serve_on` s, as they keep arriving; then finishes open requests and ends
-        `within` s. Both count from `since` (monotonic ns; 0: now), when the process was told to stop."""
+        after `within` s at most. Both count from `since` (monotonic ns; 0: now), when it was told to stop."""
         self.stopping = self.table.is_stopping = True
         self.node.guard.state = ProcessState.STOPPING
         passed = (self.now() - since) / 1e9 if since else 0.0
--- a/driftstair/net/in_flight.py
+++ b/driftstair/net/in_flight.py
@@ -51,7 +51,7 @@
     parsed: ParsedRequest
     watchdog: asyncio.TimerHandle | None = None
     answered: bool = False
-    attempts_sent: int = 0  # so far
+    attempts_sent: int = 0
     may_have_run: bool = False  # by the attempts that have ended
     last_result: Result = Result.NOT_SENT  # of the attempt that ended most recently
     attempts_out: dict[int, Attempt] = field(default_factory=dict)
--- a/driftstair/net/request.py
+++ b/driftstair/net/request.py
@@ -10,7 +10,7 @@
 
 from driftstair.net.body_stream import (
     BODY_BYTES_MAX,
-    HELD_BODY_BYTES_MAX,
+    BUFFERED_BODY_BYTES_MAX,
     INLINE_BODY_BYTES_MAX,
     BodyBudget,
     Stream,
@@ -274,7 +274,7 @@
         incoming.keep_alive = self._parser.should_keep_alive()
         incoming.version = self._parser.get_http_version().encode()
         self._in_body = True
-        if int(incoming.fields.get(b"content-length", b"0")) > HELD_BODY_BYTES_MAX:
+        if int(incoming.fields.get(b"content-length", b"0")) > BUFFERED_BODY_BYTES_MAX:
             self._start_stream(incoming)
 
     def on_body(self, data: bytes) -> None:
@@ -288,7 +288,7 @@
             return
         incoming.body += data
         if incoming.body_bytes > INLINE_BODY_BYTES_MAX:
-            if incoming.body_bytes <= HELD_BODY_BYTES_MAX and self._budget.try_reserve(len(data)):
+            if incoming.body_bytes <= BUFFERED_BODY_BYTES_MAX and self._budget.try_reserve(len(data)):
                 incoming.reserved_bytes += len(data)
             else:
                 self._start_stream(incoming)
