--- a/tests/tier/test_budgets_processes.py
+++ b/tests/tier/test_budgets_processes.py
@@ -180,7 +180,7 @@
         after = spent(fleet, 0)
         await fleet.wait_until(lambda: spent(fleet, 0) > after + 20)
 
-    played(tmp_path, 5, act, code=STOPS_ITSELF.format(trigger=str(trigger)))
+    played(tmp_path, 5, act, program=STOPS_ITSELF.format(trigger=str(trigger)))
 
 
 DEFECT = """
@@ -217,4 +217,4 @@
         await fleet.wait_until(lambda: any("two holders" in one.rule for one in check(events(fleet))))
         fleet.resume(0)
 
-    played(tmp_path, 5, act, bound=False, code=DEFECT.format(module=module, what=what))
+    played(tmp_path, 5, act, bound=False, program=DEFECT.format(module=module, what=what))
