--- a/driftstair/tier/membership/core.py
+++ b/driftstair/tier/membership/core.py
@@ -279,7 +279,7 @@
                     member.presumed_dead = True
                     member.since_ns = now_ns
                     presumed = member.claim._replace(state=State.DEAD, reporter=self.own_number)
-                    self._actions.append(StateChanged(presumed, "this node is isolated", announced=False))
+                    self._actions.append(StateChanged(presumed, "nobody answers", announced=False))
 
     def _isolation_grace_ns(self) -> int:
         """How long an isolated node waits before it presumes the others dead."""
@@ -307,7 +307,7 @@
         assert member.claim is not None
         member.presumed_dead = False
         member.since_ns = now_ns
-        self._report_change(member.claim, "this node is no longer isolated")
+        self._report_change(member.claim, "others are there again")
 
     # Timers.
 
@@ -420,7 +420,7 @@
         self._merge(
             now_ns,
             claim._replace(state=State.SUSPECT, reporter=self.own_number),
-            "no answer to a probe",
+            "it did not answer",
             disseminate=True,
         )
 
@@ -460,7 +460,7 @@
         if not member.replay_window.accept(message.counter):
             self.counts["replayed"] += 1
             return
-        self._merge(now_ns, message.sender_claim, "announced by itself", disseminate=True)
+        self._merge(now_ns, message.sender_claim, "it says so", disseminate=True)
         if self.superseded:
             return
         member.heard_at_ns = now_ns
@@ -498,7 +498,7 @@
         if claim.number == self.own_number:
             self._refute(now_ns, claim)
         elif claim.number in self.members:
-            self._merge(now_ns, claim, f"{sender} reported it", disseminate=True)
+            self._merge(now_ns, claim, f"{sender} says so", disseminate=True)
 
     # Claims.
 
@@ -522,7 +522,7 @@
             self.counts["refuted"] += 1
             self.health.record_failure()
             self.own_claim = self.own_claim._replace(incarnation=claim.incarnation + 1)
-            self._report_change(self.own_claim, f"{claim.reporter} reported it {claim.state.name.lower()}")
+            self._report_change(self.own_claim, f"{claim.reporter} held it {claim.state.name.lower()}")
         else:
             return
         self._updates.add(self.own_claim)
@@ -532,7 +532,7 @@
         state = State.LEFT if self._leaving else State.ALIVE
         self.own_claim = self.own_claim._replace(life=life, incarnation=0, state=state)
         self._next_counter = 0
-        self._report_change(self.own_claim, "its number was claimed by another process")
+        self._report_change(self.own_claim, "its number was claimed by another life")
 
     def _merge(self, now_ns: int, claim: Claim, reason: str, disseminate: bool) -> None:
         """Merges a claim on another member."""
@@ -610,7 +610,7 @@
         if member.heard_at_ns > suspicion.since_ns and suspicion.extend(member.heard_at_ns):
             return  # datagrams still arrive from it, so only its answers are lost
         dead = member.claim._replace(state=State.DEAD, reporter=self.own_number)
-        self._merge(now_ns, dead, "suspicion timed out", disseminate=True)
+        self._merge(now_ns, dead, "its time was over", disseminate=True)
 
     def _report_change(self, claim: Claim, reason: str) -> None:
         self._actions.append(StateChanged(claim, reason))
