--- a/driftstair/operations/operator_server.py
+++ b/driftstair/operations/operator_server.py
@@ -97,7 +97,7 @@
             status, content = await self._obey(call)
         except Exception:
             log.exception("an operator's call failed: %r", call)
-            status, content = 500, {"error": "internal error; see the node's log"}
+            status, content = 500, {"error": "the node's own fault, see its log"}
         caller.answer(status, content)
 
 
@@ -123,7 +123,7 @@
     def eof_received(self) -> bool:
         """A caller may close its sending side after a complete call; an incomplete call is an error."""
         if not self._answered and self._parser is not None and self in self._server._callers:
-            self.answer(400, {"error": "incomplete call"})
+            self.answer(400, {"error": "half a call"})
         return True
 
     def data_received(self, data: bytes) -> None:
@@ -133,10 +133,10 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.answer(400, {"error": "not an HTTP/1.1 request"})
+            self.answer(400, {"error": "no HTTP/1.1 call"})
         else:
             if self._size > CALL_BYTES_MAX:
-                self.answer(413, {"error": f"a call has {CALL_BYTES_MAX} bytes at most"})
+                self.answer(413, {"error": f"a call takes {CALL_BYTES_MAX} bytes at most"})
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -154,7 +154,7 @@
 
     def _time_out(self) -> None:
         if not self._answered:
-            self.answer(408, {"error": f"the call was not complete after {CALL_S_MAX:g} s"})
+            self.answer(408, {"error": f"the call was not whole after {CALL_S_MAX:g} s"})
         self.abort_later()
 
     def answer(self, status: int, content: object) -> None:
@@ -175,7 +175,7 @@
 
     def displace(self) -> None:
         """Makes room for another caller."""
-        self.answer(408, {"error": "displaced by another caller; send the complete call at once"})
+        self.answer(408, {"error": "others call; say the whole call at once"})
         if self._transport is not None:
             self._transport.close()
 
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -145,7 +145,7 @@
             return 200, self.tier.report(self.roster.hosts)
         if call.order is Order.CONFIGURATION:
             if self.configuration is None:
-                return 404, {"error": "this node has no configuration server"}
+                return 404, {"error": "this node watches no configuration"}
             return 200, self.configuration()
         if call.order in TIER_ORDERS:
             from driftstair.tier.operator_commands import obey
