--- a/driftstair/configuration/route_facts.py
+++ b/driftstair/configuration/route_facts.py
@@ -27,7 +27,7 @@
     def of(route: Route, given: ValidationContext) -> RouteFacts:
         """Raises ValueError for a path that is none."""
         rate, retry = route.admit.rate, route.retry
-        attempts = retry.attempts if retry.attempts is not None else given.attempts_max
+        attempts = retry.attempts if retry.attempts is not None else given.max_attempts
         budgets = (one.fleet for _, one in budget_references(route))
         return RouteFacts(
             Pattern.of(route.match), _promised(route, given),
--- a/driftstair/limits/attempt_rules.py
+++ b/driftstair/limits/attempt_rules.py
@@ -1,26 +1,34 @@
-"""Rules of one route's attempts: their number, time and effects, and second copies. Pure."""
+"""Validation rules for the attempts of one route: number, time, effects and second copies. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
 from driftstair.limits.compiled_route import MAY_HAVE_RUN, compile_rules
-from driftstair.limits.findings import LOST, MS, TWICE, Finding, ValidationContext, classes_of, shown_number
+from driftstair.limits.findings import (
+    NO_DUPLICATE_EFFECT,
+    NO_LOST_REQUEST,
+    NS_PER_MS,
+    Finding,
+    ValidationContext,
+    classes_of,
+    format_number,
+)
 from driftstair.service.schema import Route
 from driftstair.service.units import shown_duration
 from lichenspring.interface import Repeat
 
-TRANSIT = 5 * MS  # that the node keeps back for its answer to be there in time
+TRANSIT_NS = 5 * NS_PER_MS  # reserved for the answer to reach the client before its deadline
 
 
-def attempts(route: Route, given: ValidationContext) -> Iterator[Finding]:
-    """More attempts than there may be, or than there is time and budget for."""
-    retry, times = route.retry, route.timeout
-    number = retry.attempts
-    if number is not None and number > given.attempts_max:
+def attempt_findings(route: Route, context: ValidationContext) -> Iterator[Finding]:
+    """Finds more attempts than the platform, the time limits or the retry budget allow."""
+    retry, timeouts = route.retry, route.timeout
+    count = retry.attempts
+    if count is not None and count > context.max_attempts:
         yield Finding(
-            ("retry", "attempts"), f"{number} are more than the platform allows, {given.attempts_max}",
-            instead=str(given.attempts_max),
+            ("retry", "attempts"), f"{count} are more than the platform allows, {context.max_attempts}",
+            instead=str(context.max_attempts),
         )  # fmt: skip
         return
     if retry.backoff_most is not None and retry.backoff_most < retry.backoff:
@@ -30,7 +38,7 @@
             instead=f'"{shown_duration(retry.backoff)}"',
         )
     budget = retry.budget
-    if budget is not None and (number is None or number > 1):
+    if budget is not None and (count is None or count > 1):
         if not budget.share and not budget.floor and budget.burst < 1:
             yield Finding(
                 ("retry", "budget"), "earns nothing and holds nothing: no retry is ever made",
@@ -39,75 +47,78 @@
         elif budget.burst < 1:
             yield Finding(
                 ("retry", "budget", "burst"),
-                f"{shown_number(budget.burst)} never holds the one token that a retry takes", instead="1.0",
+                f"{format_number(budget.burst)} never holds the one token that a retry takes", instead="1.0",
             )  # fmt: skip
-    if number is None or number < 2:
+    if count is None or count < 2:
         return
-    waits = back_offs(route, number)
-    for name, limit in limits_of(route, given):
-        if sum(waits) >= limit:
+    backoffs = max_backoffs(route, count)
+    for name, limit in time_limits(route, context):
+        if sum(backoffs) >= limit:
             yield Finding(
                 ("retry", "backoff"),
-                f"{number} attempts back off for {shown_duration(sum(waits))}, past the {name}, "
-                f"{shown_duration(limit)}", LOST,
-                f'"{shown_duration(max(1, limit // (4 * (2 ** (number - 1) - 1))))}"',
+                f"{count} attempts back off for {shown_duration(sum(backoffs))}, past the {name}, "
+                f"{shown_duration(limit)}", NO_LOST_REQUEST,
+                f'"{shown_duration(max(1, limit // (4 * (2 ** (count - 1) - 1))))}"',
             )  # fmt: skip
             return
-        if times.attempt is None:
+        if timeouts.attempt is None:
             continue
-        worst = number * times.attempt + sum(waits)
+        worst = count * timeouts.attempt + sum(backoffs)
         if worst > limit:
-            each = (limit - sum(waits)) // number
+            each_ns = (limit - sum(backoffs)) // count
             yield Finding(
                 ("retry", "attempts"),
-                f"{number} attempts of {shown_duration(times.attempt)} and their back-offs take "
-                f"{shown_duration(worst)} at worst, past the {name}, {shown_duration(limit)}", LOST,
-                f'attempts = {max(1, _fitting(route, limit))}, or attempt = "{shown_duration(each)}"',
+                f"{count} attempts of {shown_duration(timeouts.attempt)} and their back-offs take "
+                f"{shown_duration(worst)} at worst, past the {name}, {shown_duration(limit)}",
+                NO_LOST_REQUEST,
+                f'attempts = {max(1, _attempts_that_fit(route, limit))}, or '
+                f'attempt = "{shown_duration(each_ns)}"',
             )  # fmt: skip
             return
 
 
-def limits_of(route: Route, given: ValidationContext) -> list[tuple[str, int]]:
-    """What attempts have to fit into, the nearest first."""
+def time_limits(route: Route, context: ValidationContext) -> list[tuple[str, int]]:
+    """The time limits that all attempts together have to meet, shortest first."""
     found = [("total", route.timeout.total)] if route.timeout.total else []
-    for name, kind, wait in classes_of(route, given):
+    for name, kind, client_wait in classes_of(route, context):
         if not kind.late_worth:
             found.append((f"wanted time of {name}", kind.aim))
-        found.append((f"wait of {name}'s clients", wait - TRANSIT))
-    return sorted(found, key=lambda one: one[1])
+        found.append((f"wait of {name}'s clients", client_wait - TRANSIT_NS))
+    return sorted(found, key=lambda entry: entry[1])
 
 
-def effects(route: Route, given: ValidationContext) -> Iterator[Finding]:
-    """Attempts and copies by which an effect could happen twice."""
+def effect_findings(route: Route, context: ValidationContext) -> Iterator[Finding]:
+    """Finds retries and copies that could apply an effect twice."""
     retry = route.retry
-    number = retry.attempts if retry.attempts is not None else given.attempts_max
-    maybe = [name for name in retry.on or () if name in MAY_HAVE_RUN]
-    for name, kind, _ in classes_of(route, given):
-        if kind.repeat is Repeat.UNSAFE and maybe and number > 1:
+    count = retry.attempts if retry.attempts is not None else context.max_attempts
+    may_have_run = [name for name in retry.on or () if name in MAY_HAVE_RUN]
+    for name, kind, _ in classes_of(route, context):
+        if kind.repeat is Repeat.UNSAFE and may_have_run and count > 1:
             yield Finding(
                 ("retry", "on"),
-                f"{name} is unsafe to repeat, and after {', '.join(maybe)} it may have run", TWICE,
+                f"{name} is unsafe to repeat, and after {', '.join(may_have_run)} it may have run",
+                NO_DUPLICATE_EFFECT,
                 'on = ["full", "connect"]',
             )  # fmt: skip
-        if kind.repeat is Repeat.KEYED and maybe and number > 1:
-            total = route.timeout.total or given.platform.waits[name] if given.platform else 0
+        if kind.repeat is Repeat.KEYED and may_have_run and count > 1:
+            total = route.timeout.total or context.platform.client_waits[name] if context.platform else 0
             total = min(total, kind.aim) if not kind.late_worth else total
             if total > kind.window:
                 yield Finding(
                     ("retry", "on"),
                     f"repeats of {name} are dropped for {shown_duration(kind.window)}, and an attempt "
-                    f"may come after up to {shown_duration(total)}", TWICE,
+                    f"may come after up to {shown_duration(total)}", NO_DUPLICATE_EFFECT,
                     f'timeout.total = "{shown_duration(kind.window)}"',
                 )  # fmt: skip
         if route.copy_ is not None and kind.repeat is not Repeat.SAFE:
             yield Finding(
                 ("copy",), f"{name} is not safe to repeat: a second copy may have its effect",
-                TWICE, "no copy, or a route without this class",
+                NO_DUPLICATE_EFFECT, "no copy, or a route without this class",
             )  # fmt: skip
 
 
-def copies(route: Route, given: ValidationContext) -> Iterator[Finding]:
-    """Second copies that can never be sent."""
+def copy_findings(route: Route, context: ValidationContext) -> Iterator[Finding]:
+    """Finds second copies that can never be sent."""
     copy = route.copy_
     if copy is None:
         return
@@ -117,21 +128,21 @@
             "wants one of after (a time) and at (a percentile)",
             instead="at = 0.95",
         )
-    number = route.retry.attempts if route.retry.attempts is not None else given.attempts_max
-    if number < 2:
+    count = route.retry.attempts if route.retry.attempts is not None else context.max_attempts
+    if count < 2:
         yield Finding(
-            ("copy",), f"can never be sent: attempts = {number}, copies included",
+            ("copy",), f"can never be sent: attempts = {count}, copies included",
             instead="attempts = 2",
         )  # fmt: skip
     if copy.budget.burst < 1:
         yield Finding(
             ("copy", "budget", "burst"),
-            f"{shown_number(copy.budget.burst)} never holds the one token that a copy takes", instead="1.0",
+            f"{format_number(copy.budget.burst)} never holds the one token that a copy takes", instead="1.0",
         )  # fmt: skip
-    limits = [*limits_of(route, given)]
+    limits = [*time_limits(route, context)]
     if route.timeout.attempt:
         limits.append(("first attempt's time", route.timeout.attempt))
-    for name, limit in sorted(limits, key=lambda one: one[1])[:1]:
+    for name, limit in sorted(limits, key=lambda entry: entry[1])[:1]:
         if copy.after and copy.after >= limit:
             yield Finding(
                 ("copy", "after"),
@@ -140,16 +151,16 @@
             )  # fmt: skip
 
 
-def _fitting(route: Route, limit: int) -> int:
-    """How many attempts fit at worst."""
+def _attempts_that_fit(route: Route, limit: int) -> int:
+    """The number of attempts that fit into `limit` when each takes its full time-out."""
     attempt = route.timeout.attempt or limit
-    number = 1
-    while (number + 1) * attempt + sum(back_offs(route, number + 1)) <= limit:
-        number += 1
-    return number
+    count = 1
+    while (count + 1) * attempt + sum(max_backoffs(route, count + 1)) <= limit:
+        count += 1
+    return count
 
 
-def back_offs(route: Route, attempts: int) -> list[int]:
-    """The longest that each wait between attempts can be, ns."""
-    handed = compile_rules(route, 0, attempts).module_limits
-    return [min(handed.backoff << place, handed.max_backoff) for place in range(attempts - 1)]
+def max_backoffs(route: Route, attempts: int) -> list[int]:
+    """The longest possible back-off before each retry, in ns."""
+    limits = compile_rules(route, 0, attempts).module_limits
+    return [min(limits.backoff << index, limits.max_backoff) for index in range(attempts - 1)]
--- a/driftstair/limits/budgets.py
+++ b/driftstair/limits/budgets.py
@@ -1,14 +1,14 @@
-"""Token buckets. Times are ns on a clock that may stand still, but from which nothing is earned backwards."""
+"""Token buckets. Times are in ns; a clock that stands still or jumps back earns no tokens."""
 
 from __future__ import annotations
 
 from typing import Any, Protocol
 
-SECOND = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 
 
 class TokenBudget(Protocol):
-    """What a route spends on: a bucket of its own, or a budget of the fleet."""
+    """A budget that a route spends: its own token bucket or a share of a fleet-wide budget."""
 
     def earn(self, now: int, tokens: float) -> None: ...
 
@@ -18,25 +18,27 @@
 
     def ns_until(self, now: int, tokens: float = 1.0) -> int: ...
 
-    def carry_over(self, other: Any, now: int) -> None: ...
+    def carry_over(self, previous: Any, now: int) -> None: ...
 
 
 class TokenBucket:
-    """Holds `burst` at most, is full at first, and earns `per_s` each second and whatever `earn` adds."""
+    """Holds at most `burst` tokens, starts full, and gains `per_s` a second plus what `earn` adds."""
 
-    __slots__ = ("_at", "burst", "per_s", "tokens")
+    __slots__ = ("_refilled_at", "burst", "per_s", "tokens")
 
     def __init__(self, per_s: float, burst: float, now: int) -> None:
         self.per_s = per_s
         self.burst = burst
         self.tokens = burst
-        self._at = now
+        self._refilled_at = now
 
     def refill(self, now: int) -> None:
-        # A clock that jumped back earns nothing; one that jumped ahead no more than a full bucket.
-        if now > self._at:
-            self.tokens = min(self.burst, self.tokens + self.per_s * (now - self._at) / SECOND)
-        self._at = now
+        # A clock that jumps back adds no tokens; one that jumps ahead fills the bucket at most.
+        if now > self._refilled_at:
+            self.tokens = min(
+                self.burst, self.tokens + self.per_s * (now - self._refilled_at) / NS_PER_SECOND
+            )
+        self._refilled_at = now
 
     def earn(self, now: int, tokens: float) -> None:
         self.refill(now)
@@ -53,13 +55,13 @@
         return True
 
     def ns_until(self, now: int, tokens: float = 1.0) -> int:
-        """ns until so many are there; 0 if they are, or if time alone never brings them."""
+        """Time until `tokens` are available; 0 if they are, or if refilling never provides them."""
         self.refill(now)
         missing = tokens - self.tokens
-        return int(missing / self.per_s * SECOND) + 1 if missing > 0 and self.per_s > 0 else 0
+        return int(missing / self.per_s * NS_PER_SECOND) + 1 if missing > 0 and self.per_s > 0 else 0
 
-    def carry_over(self, other: TokenBucket, now: int) -> None:
-        """What another one, of an earlier file, had left: a reload is no new burst."""
-        other.refill(now)
-        self.tokens = min(self.burst, other.tokens)
-        self._at = now
+    def carry_over(self, previous: TokenBucket, now: int) -> None:
+        """Takes over the tokens left in the previous bucket, so that a reload grants no new burst."""
+        previous.refill(now)
+        self.tokens = min(self.burst, previous.tokens)
+        self._refilled_at = now
--- a/driftstair/limits/compiled_route.py
+++ b/driftstair/limits/compiled_route.py
@@ -1,4 +1,4 @@
-"""A route of the service file as figures: what the module is handed, and what is counted beside it."""
+"""A compiled route: the limits passed to the decision module, and the counters and budgets kept with it."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 from dataclasses import dataclass
 
 from driftstair.limits.budgets import TokenBucket, TokenBudget
-from driftstair.limits.latency import Latencies
+from driftstair.limits.latency import LatencyHistogram
 from driftstair.service import schema
 from lichenspring import interface as api
 from lichenspring.interface import Result
 
-RESULTS = {
+RETRYABLE_RESULTS = {
     "error": Result.ERROR, "full": Result.FULL, "timeout": Result.TIMEOUT, "connect": Result.CONNECT_FAILED,
     "reset": Result.RESET,
 }  # fmt: skip
-ALWAYS = frozenset((Result.NOT_SENT,))  # never left the node: no limit is about it
-EVERY = ALWAYS | frozenset(RESULTS.values())
+ALWAYS_RETRIED = frozenset((Result.NOT_SENT,))  # the request never left the node: no limit applies
+ALL_RETRIED = ALWAYS_RETRIED | frozenset(RETRYABLE_RESULTS.values())
 MAY_HAVE_RUN = ("error", "timeout", "reset")
-ADMITTED = {"normal": 1.0, "low": 0.7, "lowest": 0.4}  # of the class's cap
-BACK_OFF_MOST = 10  # times the first, where the file says nothing
+PRIORITY_CAP_FRACTIONS = {"normal": 1.0, "low": 0.7, "lowest": 0.4}  # of the class's concurrency cap
+DEFAULT_MAX_BACKOFF_FACTOR = 10  # multiple of the first back-off
 
 
 @dataclass(frozen=True, slots=True)
 class RouteRules:
-    """The figures of one route, fixed for as long as a request has them. Durations in ns; 0: none."""
+    """The limits of one route; a request keeps those that it was admitted with. Durations in ns; 0: none."""
 
     name: str
     module_limits: api.Limits
     total: int
-    body: int  # bytes; 0: as the node's own limit
+    body: int  # bytes; 0: the node's own limit
     in_flight: int
     rate: schema.Rate | None
     retry_budget: schema.Budget | None
@@ -41,29 +41,34 @@
         return self.copy_budget is not None
 
 
-def compile_rules(route: schema.Route, index: int, attempts_most: int) -> RouteRules:
-    retry, times, copy = route.retry, route.timeout, route.copy_
-    again = EVERY if retry.on is None else ALWAYS | {RESULTS[name] for name in retry.on}
-    most = retry.backoff_most if retry.backoff_most is not None else BACK_OFF_MOST * retry.backoff
-    attempts = retry.attempts if retry.attempts is not None else attempts_most
-    handed = api.Limits(
-        max_attempts=min(attempts, attempts_most), time_out=times.attempt or 0,
-        first_byte=times.first_byte or 0, retry_on=again, backoff=retry.backoff, max_backoff=most,
-        jitter=retry.jitter, cap_fraction=ADMITTED[route.admit.priority], route=index,
+def compile_rules(route: schema.Route, index: int, max_attempts: int) -> RouteRules:
+    retry, timeouts, copy = route.retry, route.timeout, route.copy_
+    retry_on = (
+        ALL_RETRIED if retry.on is None else ALWAYS_RETRIED | {RETRYABLE_RESULTS[name] for name in retry.on}
+    )
+    max_backoff = (
+        retry.backoff_most if retry.backoff_most is not None else DEFAULT_MAX_BACKOFF_FACTOR * retry.backoff
+    )
+    attempts = retry.attempts if retry.attempts is not None else max_attempts
+    module_limits = api.Limits(
+        max_attempts=min(attempts, max_attempts), time_out=timeouts.attempt or 0,
+        first_byte=timeouts.first_byte or 0, retry_on=retry_on, backoff=retry.backoff,
+        max_backoff=max_backoff, jitter=retry.jitter,
+        cap_fraction=PRIORITY_CAP_FRACTIONS[route.admit.priority], route=index,
     )  # fmt: skip
     return RouteRules(
-        route.name, handed, times.total or 0, route.admit.body or 0, route.admit.in_flight or 0,
+        route.name, module_limits, timeouts.total or 0, route.admit.body or 0, route.admit.in_flight or 0,
         route.admit.rate, retry.budget, (copy.after or 0) if copy else 0,
         (copy.at or 0.0) if copy else 0.0, copy.budget if copy else None,
     )  # fmt: skip
 
 
-def no_fleet(name: str) -> TokenBudget:
-    """Of a node that shares no budget with others."""
+def no_fleet_budget(name: str) -> TokenBudget:
+    """The fleet budgets of a node that shares none: every look-up fails."""
     raise KeyError(name)
 
 
-def _tokens(
+def _token_budget(
     budget: schema.Budget | None, now: int, fleet: Callable[[str], TokenBudget]
 ) -> TokenBudget | None:
     if budget is None:
@@ -71,39 +76,46 @@
     return fleet(budget.fleet) if budget.fleet else TokenBucket(budget.floor, budget.burst, now)
 
 
-class State:
-    """What is counted of one route; it outlives a reload under the route's name. `fleet`: a budget of the
-    fleet, by its name."""
+class RouteState:
+    """Counters and budgets of one route, kept across reloads under the route's name. `fleet` returns a fleet
+    budget by its name."""
 
     __slots__ = ("copies", "in_flight", "latencies", "rate", "rates", "retries", "rules")
 
-    def __init__(self, rules: RouteRules, now: int, fleet: Callable[[str], TokenBudget] = no_fleet) -> None:
+    def __init__(
+        self, rules: RouteRules, now: int, fleet: Callable[[str], TokenBudget] = no_fleet_budget
+    ) -> None:
         self.rules = rules
         self.in_flight = 0
-        self.latencies = Latencies()
+        self.latencies = LatencyHistogram()
         self.rates: dict[int, TokenBucket] = {}
-        self.retries = _tokens(rules.retry_budget, now, fleet)
-        self.copies = _tokens(rules.copy_budget, now, fleet)
+        self.retries = _token_budget(rules.retry_budget, now, fleet)
+        self.copies = _token_budget(rules.copy_budget, now, fleet)
         self.rate = fleet(rules.rate.fleet) if rules.rate is not None and rules.rate.fleet else None
 
-    def change(self, rules: RouteRules, now: int, fleet: Callable[[str], TokenBudget] = no_fleet) -> None:
-        """Other figures for the same route, for whoever counts here already too."""
-        changed = State(rules, now, fleet)
-        changed.take_over(self, now)
-        self.rules, self.rate, self.rates = rules, changed.rate, changed.rates
-        self.retries, self.copies = changed.retries, changed.copies
-
-    def take_over(self, old: State, now: int) -> None:
-        """A reload is no new burst, and forgets neither who is in flight nor how long answers take."""
-        self.in_flight = old.in_flight
-        self.latencies = old.latencies
-        for mine, its in ((self.retries, old.retries), (self.copies, old.copies)):
-            if isinstance(its, TokenBucket) and mine is not None:
-                mine.carry_over(its, now)
+    def replace_rules(
+        self, rules: RouteRules, now: int, fleet: Callable[[str], TokenBudget] = no_fleet_budget
+    ) -> None:
+        """Replaces the limits of the route, for the requests already counted here too."""
+        replacement = RouteState(rules, now, fleet)
+        replacement.carry_over_from(self, now)
+        self.rules, self.rate, self.rates = rules, replacement.rate, replacement.rates
+        self.retries, self.copies = replacement.retries, replacement.copies
+
+    def carry_over_from(self, previous_state: RouteState, now: int) -> None:
+        """Keeps requests in flight, latencies and spent tokens, so that a reload grants no new burst."""
+        self.in_flight = previous_state.in_flight
+        self.latencies = previous_state.latencies
+        for budget, previous in (
+            (self.retries, previous_state.retries),
+            (self.copies, previous_state.copies),
+        ):
+            if isinstance(previous, TokenBucket) and budget is not None:
+                budget.carry_over(previous, now)
         rate = self.rules.rate
         if rate is None or rate.per_s is None:
             return
-        if old.rules.rate is not None and rate.by == old.rules.rate.by:
-            for who, bucket in old.rates.items():
-                self.rates[who] = TokenBucket(rate.per_s, rate.burst, now)
-                self.rates[who].carry_over(bucket, now)
+        if previous_state.rules.rate is not None and rate.by == previous_state.rules.rate.by:
+            for tenant, bucket in previous_state.rates.items():
+                self.rates[tenant] = TokenBucket(rate.per_s, rate.burst, now)
+                self.rates[tenant].carry_over(bucket, now)
--- a/driftstair/limits/findings.py
+++ b/driftstair/limits/findings.py
@@ -1,4 +1,4 @@
-"""What rules find in one route, before it is known where the route stands: in a file, or in a change set."""
+"""Findings of the rules for one route, independent of whether the route is in a file or a change set."""
 
 from __future__ import annotations
 
@@ -8,63 +8,65 @@
 from driftstair.service.schema import Fleet, FleetBudget, Route
 from lichenspring import interface as api
 
-MS = 1_000_000  # ns
-LOST = "no request is lost"
-TWICE = "no effect happens twice"
-COLD = "no cold box is pushed over"
-FALL_MULTIPLE, FALL_TIME = 3.0, 1_500 * MS  # where the platform does not tell
-ATTEMPTS_MAX = 16  # of one request, where the platform does not tell; as the schema's bound
+NS_PER_MS = 1_000_000  # ns
+NO_LOST_REQUEST = "no request is lost"
+NO_DUPLICATE_EFFECT = "no effect happens twice"
+NO_COLD_OVERLOAD = "no cold box is pushed over"
+DEFAULT_FALL_MULTIPLE, DEFAULT_FALL_TIME_NS = 3.0, 1_500 * NS_PER_MS  # if the platform sets none
+DEFAULT_MAX_ATTEMPTS = 16  # per request, if there is no platform; equals the bound in the schema
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """What the platform tells, as far as limits have to fit it. Durations in ns."""
+    """The platform settings that limits are validated against. Durations in ns."""
 
     classes: dict[str, api.RequestClass]
-    waits: dict[str, int]  # that clients of a class wait at most
+    client_waits: dict[str, int]  # the longest that clients of each class wait for an answer
     tenants: tuple[str, ...]
     settings: api.Settings
-    clients_most: int  # connections of clients that the node may hold
-    open_most: int
-    multiple: float = FALL_MULTIPLE
-    fall_time: int = FALL_TIME
+    max_client_connections: int  # that the node may hold open
+    max_open_requests: int
+    fall_multiple: float = DEFAULT_FALL_MULTIPLE
+    fall_time: int = DEFAULT_FALL_TIME_NS
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is wrong in a route, or (a warning) that will hardly do what was meant."""
+    """An error in a route, or a warning about a value that is unlikely to have the intended effect."""
 
-    path: tuple[str, ...]  # keys below the route's table
+    path: tuple[str, ...]  # keys relative to the route's table
     why: str
-    rule: str = ""  # that it would break
-    instead: str = ""  # a value that would do
+    rule: str = ""  # that the route could break
+    instead: str = ""  # a value that would be accepted
     warning: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ValidationContext:
-    """What a route is judged by beside itself."""
+    """Everything besides the route itself that its validation depends on."""
 
     platform: Platform | None
     fleet: Fleet
-    budgets: Mapping[str, FleetBudget] = field(default_factory=dict)  # of the fleet, by name
+    budgets: Mapping[str, FleetBudget] = field(default_factory=dict)  # shared by the fleet, by name
 
     @property
-    def attempts_max(self) -> int:
-        return self.platform.settings.max_attempts if self.platform else ATTEMPTS_MAX
+    def max_attempts(self) -> int:
+        return self.platform.settings.max_attempts if self.platform else DEFAULT_MAX_ATTEMPTS
 
 
-def classes_of(route: Route, given: ValidationContext) -> list[tuple[str, api.RequestClass, int]]:
-    """Classes that the route may serve, with their clients' wait in ns; none without a platform."""
-    platform = given.platform
+def classes_of(route: Route, context: ValidationContext) -> list[tuple[str, api.RequestClass, int]]:
+    """The classes that the route can match, each with its clients' wait in ns; empty without a platform."""
+    platform = context.platform
     if platform is None:
         return []
     named = route.match.classes or tuple(platform.classes)
     return [
-        (name, platform.classes[name], platform.waits[name]) for name in named if name in platform.classes
+        (name, platform.classes[name], platform.client_waits[name])
+        for name in named
+        if name in platform.classes
     ]
 
 
-def shown_number(value: float) -> str:
-    """Without a trailing zero."""
+def format_number(value: float) -> str:
+    """Formats a number without trailing zeros."""
     return f"{value:g}"
--- a/driftstair/limits/latency.py
+++ b/driftstair/limits/latency.py
@@ -1,41 +1,41 @@
-"""A percentile of late: counts in buckets that grow by a twelfth, older ones fading (as HdrHistogram, with
-forgetting). Constant memory, O(1) to add; asked for rarely."""
+"""Percentiles of recent latencies: a histogram with buckets that grow by 8 % (as HdrHistogram) and counts
+that decay. Constant memory and O(1) insertion; reading a percentile is slower, and rare."""
 
 from __future__ import annotations
 
 from math import log
 
-GROWTH = log(1.08)
-LEAST = 100_000  # ns: the first bucket ends here
-BUCKETS = 200  # up to 8 minutes
-FADE_AT = 2048  # samples: then all counts are halved
-SURE = 50  # samples, fewer tell no percentile
+LOG_BUCKET_GROWTH = log(1.08)
+FIRST_BUCKET_NS = 100_000  # upper bound of the first bucket
+BUCKET_COUNT = 200  # cover latencies up to 8 minutes
+HALVING_SAMPLES = 2048  # samples after which all counts are halved
+MIN_SAMPLES = 50  # for a percentile
 
 
-class Latencies:
+class LatencyHistogram:
     __slots__ = ("_counts", "_total")
 
     def __init__(self) -> None:
-        self._counts: list[float] = []  # made with the first: most routes of many never ask for them
+        self._counts: list[float] = []  # allocated on the first sample: most routes never need it
         self._total = 0.0
 
     def add(self, ns: int) -> None:
         if not self._counts:
-            self._counts = [0.0] * BUCKETS
-        index = int(log(ns / LEAST) / GROWTH) + 1 if ns > LEAST else 0
-        self._counts[min(index, BUCKETS - 1)] += 1.0
+            self._counts = [0.0] * BUCKET_COUNT
+        index = int(log(ns / FIRST_BUCKET_NS) / LOG_BUCKET_GROWTH) + 1 if ns > FIRST_BUCKET_NS else 0
+        self._counts[min(index, BUCKET_COUNT - 1)] += 1.0
         self._total += 1.0
-        if self._total >= FADE_AT:
+        if self._total >= HALVING_SAMPLES:
             self._counts = [count / 2 for count in self._counts]
             self._total /= 2
 
-    def percentile(self, part: float) -> int:
-        """In ns, at most a twelfth too long; 0 while too few are known."""
-        if self._total < SURE:
+    def percentile(self, fraction: float) -> int:
+        """In ns, at most 8 % too high; 0 while there are fewer than MIN_SAMPLES."""
+        if self._total < MIN_SAMPLES:
             return 0
-        below = part * self._total
+        remaining = fraction * self._total
         for index, count in enumerate(self._counts):
-            below -= count
-            if below <= 0:
-                return int(LEAST * 1.08**index)
-        return int(LEAST * 1.08**BUCKETS)
+            remaining -= count
+            if remaining <= 0:
+                return int(FIRST_BUCKET_NS * 1.08**index)
+        return int(FIRST_BUCKET_NS * 1.08**BUCKET_COUNT)
--- a/driftstair/limits/request_table.py
+++ b/driftstair/limits/request_table.py
@@ -1,4 +1,4 @@
-"""All routes of one service file, compiled for one node."""
+"""The compiled routes of one service file, for one node."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any, Protocol
 
 from driftstair.limits.budgets import TokenBudget
-from driftstair.limits.compiled_route import RouteRules, compile_rules, no_fleet
-from driftstair.limits.limiting_module import NONE_ADDED, LimitingModule
+from driftstair.limits.compiled_route import RouteRules, compile_rules, no_fleet_budget
+from driftstair.limits.limiting_module import NO_ADDED_ROUTES, LimitingModule
 from driftstair.limits.routes import Pattern, RouteQuery, Routes
 from driftstair.service.schema import Service
 from lichenspring import interface as api
@@ -18,15 +18,15 @@
 
 
 class RequestTable(Protocol):
-    """What a node asks of routes."""
+    """The routes as a node uses them."""
 
     module_type: type[LimitingModule]
-    source: str  # of the file, for the log
-    rules: list[RouteRules]  # of the file, by number
+    source: str  # file and hash, for the log
+    rules: list[RouteRules]  # of the file, by route number
 
     def route_query(self, method: bytes, path: bytes, fields: Mapping[bytes, bytes]) -> RouteQuery: ...
 
-    def find(self, asked: RouteQuery) -> RouteRules | None: ...
+    def find(self, query: RouteQuery) -> RouteRules | None: ...
 
     def serves(self, path: bytes) -> bool: ...
 
@@ -35,20 +35,20 @@
     ) -> LimitingModule: ...
 
 
-def _as_it_is(module: api.DecisionModule) -> api.DecisionModule:
+def _unwrapped(module: api.DecisionModule) -> api.DecisionModule:
     return module
 
 
 class FileRequestTable:
-    """`find` tells a request's rules; `limiting_module` puts them round a decision module."""
+    """`find` returns the rules of a request; `limiting_module` wraps a decision module that obeys them."""
 
     module_type = LimitingModule
 
     def __init__(self, service: Service, settings: api.Settings, source: str = "") -> None:
         self.source = source  # file and hash, for the log
-        self.fleet_budget: Callable[[str], TokenBudget] = no_fleet
-        self.wrap_module: Callable[[api.DecisionModule], api.DecisionModule] = _as_it_is
-        self._tally_every = service.tally.every if service.tally is not None else 0  # ns
+        self.fleet_budget: Callable[[str], TokenBudget] = no_fleet_budget
+        self.wrap_module: Callable[[api.DecisionModule], api.DecisionModule] = _unwrapped
+        self._tally_every_ns = service.tally.every if service.tally is not None else 0
         self.routes = Routes(Pattern.of(route.match) for route in service.route)
         self.rules = [
             compile_rules(route, index, settings.max_attempts) for index, route in enumerate(service.route)
@@ -56,15 +56,15 @@
 
     @staticmethod
     def route_query(method: bytes, path: bytes, fields: Mapping[bytes, bytes]) -> RouteQuery:
-        """A request off the wire, in the terms of routes."""
+        """The properties of a received request that routes are matched by."""
         return RouteQuery(
             fields[b"x-class"].decode("latin-1"), fields.get(b"x-tenant", b"").decode("latin-1"),
             method.decode("latin-1"), path.decode("latin-1"), fields,
             fields.get(b"x-key", b"").decode("latin-1"),
         )  # fmt: skip
 
-    def find(self, asked: RouteQuery) -> RouteRules | None:
-        index = self.routes.find(asked)
+    def find(self, query: RouteQuery) -> RouteRules | None:
+        index = self.routes.find(query)
         return None if index is None else self.rules[index]
 
     def serves(self, path: bytes) -> bool:
@@ -72,16 +72,16 @@
 
     def limiting_module(
         self, module: api.DecisionModule, settings: api.Settings, clock: Callable[[], int],
-        added: Mapping[int, RouteRules] = NONE_ADDED,
+        added: Mapping[int, RouteRules] = NO_ADDED_ROUTES,
     ) -> LimitingModule:  # fmt: skip
-        """`clock`: Unix time in ns, which lines of the log from several nodes are put together by; `added`:
-        routes beside the file's."""
+        """`clock`: Unix time in ns, by which log lines of several nodes are merged; `added`: routes that are
+        not from the file."""
         module = self.wrap_module(module)
-        if self._tally_every:
+        if self._tally_every_ns:
             from driftstair.tally.tally import Tally
 
-            def say(line: dict[str, Any]) -> None:
+            def log_tally(line: dict[str, Any]) -> None:
                 log.info("tally %s", json.dumps({"at_ms": clock() // 1_000_000, **line}))
 
-            module = Tally(module, settings, self._tally_every, say)
+            module = Tally(module, settings, self._tally_every_ns, log_tally)
         return LimitingModule(module, settings, self.rules, self.fleet_budget, added)
--- a/driftstair/limits/validation.py
+++ b/driftstair/limits/validation.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Iterator
 from itertools import product
 
-from driftstair.limits.findings import Finding, Platform, ValidationContext, shown_number
+from driftstair.limits.findings import Finding, Platform, ValidationContext, format_number
 from driftstair.limits.overlap import MeetingTemplates, can_meet, cells, is_wider
 from driftstair.limits.route_rules import route_findings
 from driftstair.limits.routes import Pattern
@@ -164,6 +164,6 @@
                     self.at(index, "admit", "rate", "per_s"),
                     f"with the routes before it {total:g} requests a second are promised over {nodes} "
                     f"nodes; the fleet carries {fleet:g}",
-                    instead=shown_number(round(max(0.0, rate.per_s - over), 2)),
+                    instead=format_number(round(max(0.0, rate.per_s - over), 2)),
                 )  # fmt: skip
                 return
--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -9,7 +9,7 @@
 
 from driftstair.files import FileError
 from driftstair.hosts import ListError, parse_address
-from driftstair.limits.fleet_budgets import spent_by
+from driftstair.limits.fleet_budgets import fleet_budget_uses
 from driftstair.limits.request_table import FileRequestTable
 from driftstair.limits.validation import Platform, find_problems
 from driftstair.service.load import LoadedService, Problem, ServiceError, parse, read
@@ -32,9 +32,9 @@
     names = [name.decode() for name in config.classes]
     return Platform(
         classes=dict(zip(names, config.settings.classes, strict=True)),
-        waits=dict(zip(names, config.deadlines, strict=True)),
+        client_waits=dict(zip(names, config.deadlines, strict=True)),
         tenants=tuple(name.decode() for name in config.tenants),
-        settings=config.settings, clients_most=clients_most, open_most=config.open_cap,
+        settings=config.settings, max_client_connections=clients_most, max_open_requests=config.open_cap,
     )  # fmt: skip
 
 
@@ -128,7 +128,7 @@
     def _follow(self, loaded: LoadedService, config: Config) -> None:
         """A process that runs takes the fleet's budgets of another file; raises ServiceError."""
         shares = self._in_tier is not None and self._in_tier.sharing is not None
-        for path, name in spent_by(loaded):
+        for path, name in fleet_budget_uses(loaded):
             if not shares:
                 why = f"{name}: this process began without a budget of the fleet; it has to be started anew"
                 raise ServiceError([loaded.problem(path, why)])
--- a/tests/limits/platform_of_tests.py
+++ b/tests/limits/platform_of_tests.py
@@ -23,4 +23,4 @@
     max_retry_after=2 * S, retry_after=True, worth_by_work=False, report_fields=(), idle_close=30 * S,
 )  # fmt: skip
 
-PLATFORM = Platform(CLASSES, WAITS, TENANTS, SETTINGS, clients_most=541, open_most=20_000)
+PLATFORM = Platform(CLASSES, WAITS, TENANTS, SETTINGS, max_client_connections=541, max_open_requests=20_000)
--- a/tests/limits/test_accepted_files.py
+++ b/tests/limits/test_accepted_files.py
@@ -77,7 +77,9 @@
         for index in range(requests):
             kind = self.random.choice(KINDS)
             at = self.now + index * self.random.choice((MS, 8 * MS, 40 * MS))
-            self.later(at, api.Request(index, PLATFORM.waits[kind], KINDS.index(kind), 0, index + 1, False))
+            self.later(
+                at, api.Request(index, PLATFORM.client_waits[kind], KINDS.index(kind), 0, index + 1, False)
+            )
         end = self.now + 20 * S
         while self.events:
             self.events.sort()
@@ -182,7 +184,7 @@
     # Rule 1: one final answer each, in its time (a timer of the module's may wait for the next tick).
     assert set(play.final) == set(play.asked)
     for number, at in play.final.items():
-        wait = PLATFORM.waits[play.kinds[number]]
+        wait = PLATFORM.client_waits[play.kinds[number]]
         rules = play.rules.get(number)
         total = min(wait, rules.total or wait) if rules is not None else wait
         assert at - play.asked[number] <= total + MS
@@ -196,5 +198,5 @@
         if rules.retry_budget is not None:
             assert play.more[rules.name] - play.free[rules.name] <= allowed + 1e-6
     # Nothing is kept of what is over.
-    assert play.limited._entries == {}
+    assert play.limited._admitted == {}
     assert all(state.in_flight == 0 for state in play.limited._states)
--- a/tests/limits/test_budgets.py
+++ b/tests/limits/test_budgets.py
@@ -7,19 +7,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftstair.limits.budgets import SECOND, TokenBucket
-from driftstair.limits.latency import FADE_AT, Latencies
+from driftstair.limits.budgets import NS_PER_SECOND, TokenBucket
+from driftstair.limits.latency import HALVING_SAMPLES, LatencyHistogram
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 def test_a_bucket_is_full_at_first_and_earns_with_time() -> None:
     bucket = TokenBucket(2.0, 3.0, 0)
     assert [bucket.take(0) for _ in range(4)] == [True, True, True, False]
-    assert bucket.ns_until(0) == SECOND // 2 + 1
-    assert not bucket.take(SECOND // 2 - MS)
-    assert bucket.take(SECOND // 2 + MS)
-    assert [bucket.take(100 * SECOND) for _ in range(4)] == [True, True, True, False]
+    assert bucket.ns_until(0) == NS_PER_SECOND // 2 + 1
+    assert not bucket.take(NS_PER_SECOND // 2 - NS_PER_MS)
+    assert bucket.take(NS_PER_SECOND // 2 + NS_PER_MS)
+    assert [bucket.take(100 * NS_PER_SECOND) for _ in range(4)] == [True, True, True, False]
 
 
 def test_what_is_earned_by_others_never_passes_the_burst() -> None:
@@ -34,18 +34,18 @@
 
 
 def test_a_clock_that_jumps_back_earns_nothing_and_goes_on_from_there() -> None:
-    bucket = TokenBucket(1.0, 5.0, 100 * SECOND)
-    bucket.take(100 * SECOND, 5.0)
-    assert not bucket.take(10 * SECOND)
-    assert bucket.take(11 * SECOND + MS)
-    bucket.take(11 * SECOND + MS, bucket.tokens)
+    bucket = TokenBucket(1.0, 5.0, 100 * NS_PER_SECOND)
+    bucket.take(100 * NS_PER_SECOND, 5.0)
+    assert not bucket.take(10 * NS_PER_SECOND)
+    assert bucket.take(11 * NS_PER_SECOND + NS_PER_MS)
+    bucket.take(11 * NS_PER_SECOND + NS_PER_MS, bucket.tokens)
     assert bucket.has(10**18, 5.0) and not bucket.has(10**18, 5.1)  # ahead: full, no more
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.floats(0, 50), st.floats(1, 20),
-    st.lists(st.tuples(st.integers(-SECOND, SECOND), st.booleans()), max_size=200),
+    st.lists(st.tuples(st.integers(-NS_PER_SECOND, NS_PER_SECOND), st.booleans()), max_size=200),
 )  # fmt: skip
 def test_no_more_is_taken_than_was_there_and_earned(
     per_s: float, burst: float, steps: list[tuple[int, bool]]
@@ -57,7 +57,7 @@
         forward += max(0, step)
         taken += take and bucket.take(now)
         assert 0.0 <= bucket.tokens <= burst
-    assert taken <= burst + per_s * forward / SECOND + 1e-6
+    assert taken <= burst + per_s * forward / NS_PER_SECOND + 1e-6
 
 
 def test_a_reload_is_no_new_burst() -> None:
@@ -72,24 +72,24 @@
 
 def test_a_percentile_is_close_and_needs_some_samples() -> None:
     random = Random(1)
-    latencies = Latencies()
+    latencies = LatencyHistogram()
     values = sorted(int(random.lognormvariate(18, 0.5)) for _ in range(1500))
     for value in values[:49]:
         latencies.add(value)
     assert latencies.percentile(0.9) == 0
     for value in values[49:]:
         latencies.add(value)
-    for part in (0.5, 0.9, 0.99):
-        exact = values[int(part * len(values))]
-        assert 0.95 * exact <= latencies.percentile(part) <= 1.1 * exact
+    for fraction in (0.5, 0.9, 0.99):
+        exact = values[int(fraction * len(values))]
+        assert 0.95 * exact <= latencies.percentile(fraction) <= 1.1 * exact
 
 
 def test_old_latencies_fade() -> None:
-    latencies = Latencies()
-    for _ in range(FADE_AT):
-        latencies.add(10 * MS)
-    for _ in range(4 * FADE_AT):
-        latencies.add(500 * MS)
-    assert latencies.percentile(0.5) > 400 * MS
+    latencies = LatencyHistogram()
+    for _ in range(HALVING_SAMPLES):
+        latencies.add(10 * NS_PER_MS)
+    for _ in range(4 * HALVING_SAMPLES):
+        latencies.add(500 * NS_PER_MS)
+    assert latencies.percentile(0.5) > 400 * NS_PER_MS
     latencies.add(10**15)  # beyond the last bucket
     latencies.add(0)
--- a/tests/limits/test_limited.py
+++ b/tests/limits/test_limited.py
@@ -200,7 +200,7 @@
     world.end(1, Result.ERROR)
     world.tell(api.ClientGone(1))
     world.wait(S)
-    assert len(world.sent[1]) == 1 and world.limited._entries == {}
+    assert len(world.sent[1]) == 1 and world.limited._admitted == {}
     assert world.limited.state(0).in_flight == 0
 
 
@@ -252,7 +252,7 @@
     world.ask(1)
     world.end(1, Result.OK)
     world.wait(S)
-    assert len(world.sent[1]) == 1 and world.limited._entries == {}
+    assert len(world.sent[1]) == 1 and world.limited._admitted == {}
 
 
 def test_first_answer_and_copy_may_come_in_one_turn() -> None:
@@ -261,7 +261,7 @@
     world.wait(101 * MS)
     world.end(1, Result.OK)
     world.end(1, Result.OK, 1, closed=True)
-    assert world.final == {} and world.limited._entries == {}
+    assert world.final == {} and world.limited._admitted == {}
     assert world.limited.state(0).in_flight == 0
 
 
@@ -365,7 +365,7 @@
     for number in (1, 2):
         for attempt in range(number - 1, len(world.sent[number])):
             world.end(number, Result.OK, attempt, closed=True)
-    assert world.limited._entries == {}
+    assert world.limited._admitted == {}
 
 
 def test_an_added_route_is_counted_from_its_first_request_and_a_change_is_no_new_burst() -> None:
@@ -404,11 +404,11 @@
     world.limited.remove_route(route)
     del world.added[route]
     world.end(1, Result.OK)
-    assert world.limited._entries == {} and world.limited._added_states == {}
+    assert world.limited._admitted == {} and world.limited._added_states == {}
 
 
 def test_tenants_that_clients_make_up_fill_no_memory(monkeypatch: Any) -> None:
-    monkeypatch.setattr("driftstair.limits.limiting_module.TENANTS_MOST", 10)
+    monkeypatch.setattr("driftstair.limits.limiting_module.MAX_TENANT_BUCKETS", 10)
     world = World('admit = { rate = { per_s = 1.0, by = "tenant" } }')
     for number in range(1, 100):
         world.ask(number, tenant=number)
--- a/tests/node_configuration/harness.py
+++ b/tests/node_configuration/harness.py
@@ -40,7 +40,11 @@
 
 def with_class(name: str) -> Platform:
     """The platform once it knows another class."""
-    return replace(PLATFORM, classes={**PLATFORM.classes, name: PAGE}, waits={**PLATFORM.waits, name: SECOND})
+    return replace(
+        PLATFORM,
+        classes={**PLATFORM.classes, name: PAGE},
+        client_waits={**PLATFORM.client_waits, name: SECOND},
+    )
 
 
 def route(kind: str = "page", in_flight: int = 5, path: str = "/a") -> dict[str, object]:
--- a/tests/node_configuration/test_tenant_limits.py
+++ b/tests/node_configuration/test_tenant_limits.py
@@ -7,7 +7,7 @@
 import pytest
 from rig import Message, Rig, Server, answer, configuration, request, run, status, until
 
-from driftstair.limits.budgets import SECOND
+from driftstair.limits.budgets import NS_PER_SECOND
 from driftstair.node_configuration import tenant_limits
 from driftstair.node_configuration.tenant_limits import TenantLimit, TenantLimits, TenantUse
 
@@ -29,8 +29,8 @@
     first.tenant.leave()
     assert tenants.admit(0, third, "acme") is None
     assert tenants.admit(0, Asks(), "zeta") is None
-    assert tenants.admit(0, Asks(), "zeta") == SECOND // 2 + 1
-    assert tenants.admit(SECOND, Asks(), "zeta") is None
+    assert tenants.admit(0, Asks(), "zeta") == NS_PER_SECOND // 2 + 1
+    assert tenants.admit(NS_PER_SECOND, Asks(), "zeta") is None
 
 
 def test_a_change_is_no_new_burst_and_forgets_nobody_in_flight() -> None:
@@ -40,7 +40,7 @@
     assert [tenants.admit(0, one, "acme") for one in held] == [None, None]
     limits["acme"] = TenantLimit(per_s=1.0, burst=9.0, in_flight=9)
     assert tenants.admit(0, Asks(), "acme") is None  # the last token
-    assert tenants.admit(0, Asks(), "acme") == SECOND + 1
+    assert tenants.admit(0, Asks(), "acme") == NS_PER_SECOND + 1
     limits["acme"] = TenantLimit(in_flight=3)
     assert tenants.admit(0, Asks(), "acme") == 0
     del limits["acme"]
