--- a/driftstair/limits/overlap.py
+++ b/driftstair/limits/overlap.py
@@ -1,4 +1,4 @@
-"""Which requests two routes can both match, and which routes come before others. Pure."""
+"""Overlap of routes: whether two can match the same request, and whether one covers another. No I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +10,13 @@
 from lichenspring.interface import Repeat
 
 Header = tuple[bytes, bytes]
-"""A name and its value; b"*" for any."""
+"""A name and a value; b"*" for any value."""
 Cell = tuple[str, str, str]
-"""Class, tenant and method; "" stands for any that is not named."""
+"""Class, tenant and method; "" stands for all that are not named."""
 
 
 def cells(pattern: Pattern, platform: Platform | None) -> Iterator[Cell]:
-    """All that a route may match, as far as classes, tenants and methods tell requests apart; those of a
-    tenant that is not named first."""
+    """All combinations of class, tenant and method that a route can match, those of unnamed tenants first."""
     classes = sorted(pattern.classes) or sorted(platform.classes if platform else ("",))
     tenants = sorted(pattern.tenants) or ("", *(platform.tenants if platform else ()))
     methods = sorted(pattern.methods) or ("GET", "POST")
@@ -30,54 +29,59 @@
             yield kind, tenant, method
 
 
-def is_wider(one: Pattern, other: Pattern) -> bool:
-    """Whether `one` asks nothing of path, headers and key that `other` does not ask too."""
-    its = dict(other.headers)
-    headers = all(name in its and value in (b"*", its[name]) for name, value in one.headers)
+def is_at_least_as_wide(one: Pattern, other: Pattern) -> bool:
+    """Whether `one` matches every path, header and key that `other` matches."""
+    other_headers = dict(other.headers)
+    headers = all(
+        name in other_headers and value in (b"*", other_headers[name]) for name, value in one.headers
+    )
     return one.path.covers(other.path) and headers and other.key.startswith(one.key)
 
 
-def can_meet(one: Pattern, other: Pattern) -> bool:
-    """Whether some request matches both, as far as path, headers and key go; classes and the rest do."""
+def can_overlap(one: Pattern, other: Pattern) -> bool:
+    """Whether some request matches both in path, headers and key; the other fields are not compared."""
     keys = one.key.startswith(other.key) or other.key.startswith(one.key)
     return one.path.overlaps(other.path) and headers_compatible(one.headers, other.headers) and keys
 
 
 def headers_compatible(one: Sequence[Header], other: Sequence[Header]) -> bool:
-    """Whether some request has the headers of both."""
-    its = dict(other)
-    return all(name not in its or b"*" in (value, its[name]) or value == its[name] for name, value in one)
+    """Whether some request can have the headers of both."""
+    other_headers = dict(other)
+    return all(
+        name not in other_headers or b"*" in (value, other_headers[name]) or value == other_headers[name]
+        for name, value in one
+    )
 
 
-class MeetingTemplates:
-    """Path templates of one number of parts: which of them some path matches together with another one.
+class OverlappingTemplates:
+    """Finds overlapping path templates among templates with the same number of parts.
 
-    Two meet if they agree in the parts that are fixed in both. So each is kept once for each set of fixed
-    places that there is, by its parts at the places that both have fixed: no look at all pairs.
+    Two templates overlap if they agree in the parts that are fixed in both. Each one is stored once for every
+    known set of fixed positions, under its parts at the positions fixed in both, so no pairs are compared.
     """
 
     def __init__(self, paths: Iterable[PathPattern]) -> None:
-        """All that will be added."""
-        self._places = {_fixed_places(path) for path in paths}
-        self._kept: dict[tuple[frozenset[int], frozenset[int], tuple[str, ...]], list[int]] = {}
+        """`paths`: all templates that will be added."""
+        self._position_sets = {_fixed_positions(path) for path in paths}
+        self._indices: dict[tuple[frozenset[int], frozenset[int], tuple[str, ...]], list[int]] = {}
 
     def add(self, index: int, path: PathPattern) -> Iterator[int]:
-        """Those added before that meet this one."""
-        own = _fixed_places(path)
-        common = {its: own & its for its in self._places}
-        before = [
-            one
-            for its, both in common.items()
-            for one in self._kept.get((its, both, _parts_at(path, both)), ())
+        """Adds a template and yields the indices of those added before that overlap it."""
+        own_positions = _fixed_positions(path)
+        common = {positions: own_positions & positions for positions in self._position_sets}
+        overlapping = [
+            index_before
+            for positions, both in common.items()
+            for index_before in self._indices.get((positions, both, _parts_at(path, both)), ())
         ]
         for both in set(common.values()):
-            self._kept.setdefault((own, both, _parts_at(path, both)), []).append(index)
-        return iter(before)
+            self._indices.setdefault((own_positions, both, _parts_at(path, both)), []).append(index)
+        return iter(overlapping)
 
 
-def _fixed_places(path: PathPattern) -> frozenset[int]:
-    return frozenset(place for place, part in enumerate(path.parts) if part)
+def _fixed_positions(path: PathPattern) -> frozenset[int]:
+    return frozenset(position for position, part in enumerate(path.parts) if part)
 
 
-def _parts_at(path: PathPattern, places: frozenset[int]) -> tuple[str, ...]:
-    return tuple(path.parts[place] for place in sorted(places))
+def _parts_at(path: PathPattern, positions: frozenset[int]) -> tuple[str, ...]:
+    return tuple(path.parts[position] for position in sorted(positions))
--- a/driftstair/limits/routes.py
+++ b/driftstair/limits/routes.py
@@ -1,8 +1,9 @@
-"""Which route a request takes: the most specific one that matches, found without a look at all of them.
+"""Route matching: an index that finds the most specific matching route without scanning all routes.
 
-The order, first difference decides: an exact path before a template (more fixed parts first) before a prefix
-(the longer first) before none; more headers; a longer key prefix; a class; a tenant; a method. Two routes
-that are equal in all of these and can match the same request are a tie, which `validation` refuses.
+The order of specificity, where the first difference decides: an exact path before a template (more fixed
+parts first) before a prefix (the longer first) before none; more headers; a longer key prefix; a class; a
+tenant; a method. Two routes that are equal in all of these and can match the same request are a tie, which
+`validation` rejects.
 """
 
 from __future__ import annotations
@@ -18,13 +19,13 @@
 
 
 class RouteQuery(NamedTuple):
-    """What a request is, as far as routes go by it."""
+    """The properties of a request that routes match."""
 
-    kind: str  # its class
+    kind: str  # class of the request
     tenant: str
     method: str
     path: str
-    fields: Mapping[bytes, bytes]  # headers, names in lower case
+    fields: Mapping[bytes, bytes]  # headers, with lower-case names
     key: str
 
 
@@ -34,11 +35,11 @@
 
     shape: int
     text: str
-    parts: tuple[str, ...] = ()  # of a template; "" for one that may be anything
+    parts: tuple[str, ...] = ()  # of a template; "" matches any part
 
     @staticmethod
     def parse(text: str | None) -> PathPattern:
-        """Raises ValueError."""
+        """Raises ValueError if the path is invalid."""
         if text is None:
             return PathPattern(0, "")
         if not text.startswith("/"):
@@ -65,14 +66,15 @@
         if self.shape == 1:
             return path.startswith(self.text)
         if self.shape == 2:
-            given = path.split("/")[1:]
-            return len(given) == len(self.parts) and all(
-                not wanted or wanted == part for wanted, part in zip(self.parts, given, strict=True)
+            path_parts = path.split("/")[1:]
+            return len(path_parts) == len(self.parts) and all(
+                not expected or expected == part
+                for expected, part in zip(self.parts, path_parts, strict=True)
             )
         return True
 
     def covers(self, other: PathPattern) -> bool:
-        """Whether all that `other` matches this one does too."""
+        """Whether this pattern matches every path that `other` matches."""
         if self.shape == 0 or self == other:
             return True
         if self.shape == 1:
@@ -86,12 +88,15 @@
             return (
                 other.shape == 2
                 and len(self.parts) == len(other.parts)
-                and all(not mine or mine == its for mine, its in zip(self.parts, other.parts, strict=True))
+                and all(
+                    not own_part or own_part == other_part
+                    for own_part, other_part in zip(self.parts, other.parts, strict=True)
+                )
             )
         return False
 
     def overlaps(self, other: PathPattern) -> bool:
-        """Whether some path matches both."""
+        """Whether some path matches both patterns."""
         if 0 in (self.shape, other.shape):
             return True
         if self.shape == 3:
@@ -100,7 +105,8 @@
             return self.matches(other.text)
         if self.shape == other.shape == 2:
             return len(self.parts) == len(other.parts) and all(
-                not mine or not its or mine == its for mine, its in zip(self.parts, other.parts, strict=True)
+                not own_part or not other_part or own_part == other_part
+                for own_part, other_part in zip(self.parts, other.parts, strict=True)
             )
         if self.shape == other.shape == 1:
             return self.text.startswith(other.text) or other.text.startswith(self.text)
@@ -111,18 +117,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """A route's match, ready to be compared."""
+    """The compiled match of a route."""
 
     path: PathPattern
     headers: tuple[tuple[bytes, bytes], ...]  # sorted by name; b"*" for any value
     key: str
-    classes: frozenset[str]  # empty: any
+    classes: frozenset[str]  # empty: any class
     tenants: frozenset[str]
     methods: frozenset[str]
 
     @staticmethod
     def of(match: Match) -> Pattern:
-        """Raises ValueError."""
+        """Raises ValueError if the path is invalid."""
         headers = tuple(
             sorted((name.lower().encode(), value.encode()) for name, value in match.header.items())
         )
@@ -136,42 +142,42 @@
         return (*self.path.rank(), *self.rank_at_path())
 
     def rank_at_path(self) -> Rank:
-        """The rank among routes of one path."""
+        """The rank among routes with the same path."""
         return (
             len(self.headers), len(self.key), bool(self.classes), bool(self.tenants), bool(self.methods),
         )  # fmt: skip
 
     def look_up_keys(self) -> Iterator[LookUpKey]:
-        """All that the route is found by."""
+        """The keys of the route in the index."""
         values = tuple(value for _, value in self.headers)
         for kind in self.classes or (ANY,):
             for tenant in self.tenants or (ANY,):
                 for method in self.methods or (ANY,):
                     yield (kind, tenant, method, values, self.key)
 
-    def matches(self, asked: RouteQuery) -> bool:
-        """By a look at this one alone; what the index finds must agree."""
+    def matches(self, query: RouteQuery) -> bool:
+        """Whether this route matches, without the index; the index has to agree."""
         return (
-            self.path.matches(asked.path)
-            and all(_holds(asked.fields.get(name), value) for name, value in self.headers)
-            and asked.key.startswith(self.key)
-            and (not self.classes or asked.kind in self.classes)
-            and (not self.tenants or asked.tenant in self.tenants)
-            and (not self.methods or asked.method in self.methods)
+            self.path.matches(query.path)
+            and all(_header_matches(query.fields.get(name), value) for name, value in self.headers)
+            and query.key.startswith(self.key)
+            and (not self.classes or query.kind in self.classes)
+            and (not self.tenants or query.tenant in self.tenants)
+            and (not self.methods or query.method in self.methods)
         )
 
 
-def _holds(given: bytes | None, wanted: bytes) -> bool:
-    return given is not None and wanted in (b"*", given)
+def _header_matches(value: bytes | None, expected: bytes) -> bool:
+    return value is not None and expected in (b"*", value)
 
 
 LookUpKey = tuple[str, str, str, tuple[bytes, ...], str]
-"""What a route at one path is found by: class, tenant, method, values of headers (b"*" for any) and key. ANY
-stands for what it does not name. A bare tuple, as each request builds some."""
+"""Index key of a route at one path: class, tenant, method, header values (b"*" for any) and key, with ANY for
+fields that the route does not name. A plain tuple, because each request builds several."""
 
 
 class Shape(NamedTuple):
-    """What all routes of one bucket ask for in the same way: then one look-up finds the one that matches."""
+    """The fields that all routes of a bucket name, so that one look-up finds the matching route."""
 
     rank: Rank  # at one path: header names, length of the key, whether class, tenant and method are named
     header_names: tuple[bytes, ...]
@@ -182,34 +188,35 @@
         names = tuple(name for name, _ in pattern.headers)
         return Shape(pattern.rank_at_path(), names, tuple(value == b"*" for _, value in pattern.headers))
 
-    def look_up_key(self, asked: RouteQuery) -> LookUpKey | None:
-        """What a route of this shape that matches the request is found by; None if none can match."""
+    def look_up_key(self, query: RouteQuery) -> LookUpKey | None:
+        """The index key of a route of this shape that matches the request; None if none can match."""
         _, key_length, names_class, names_tenant, names_method = self.rank
-        if key_length > len(asked.key):
+        if key_length > len(query.key):
             return None
         values: tuple[bytes, ...] = ()
         if self.header_names:
-            given = [asked.fields.get(name) for name in self.header_names]
-            if None in given:
+            present_values = [query.fields.get(name) for name in self.header_names]
+            if None in present_values:
                 return None
             values = tuple(
-                b"*" if free else value or b"" for free, value in zip(self.any_value, given, strict=True)
+                b"*" if is_any else value or b""
+                for is_any, value in zip(self.any_value, present_values, strict=True)
             )
         return (
-            asked.kind if names_class else ANY, asked.tenant if names_tenant else ANY,
-            asked.method if names_method else ANY, values, asked.key[:key_length],
+            query.kind if names_class else ANY, query.tenant if names_tenant else ANY,
+            query.method if names_method else ANY, values, query.key[:key_length],
         )  # fmt: skip
 
 
 class Found(NamedTuple):
-    """A route that a request matches at one path."""
+    """The route that a request matches at one path."""
 
     rank: Rank  # at that path
     route: int
 
 
 class Routes:
-    """An index over patterns. `find` looks once at each shape that occurs at a path, not at each route."""
+    """An index over patterns. `find` does one look-up for each shape at a path, not one for each route."""
 
     def __init__(self, patterns: Iterable[Pattern]) -> None:
         self.patterns = list(patterns)
@@ -217,10 +224,10 @@
         self._prefixes: dict[str, _Node] = {}
         self._templates = _Template()
         self._any = _Node()
-        self._lengths: list[int] = []
+        self._prefix_lengths: list[int] = []
         for index, pattern in enumerate(self.patterns):
             self._node(pattern.path).add(index, pattern)
-        self._lengths = sorted({len(text) for text in self._prefixes}, reverse=True)
+        self._prefix_lengths = sorted({len(text) for text in self._prefixes}, reverse=True)
 
     def _node(self, path: PathPattern) -> _Node:
         if path.shape == 3:
@@ -232,30 +239,30 @@
         return self._any
 
     def serves(self, path: str) -> bool:
-        """Whether a route names this path (one that any path would match names none)."""
+        """Whether a route with a path pattern matches this path."""
         return next(self._nodes(path)) != [self._any]
 
     def _nodes(self, path: str) -> Iterator[list[_Node]]:
-        """By path, the most specific first; several where templates have as many fixed parts."""
+        """Nodes whose path matches, most specific first; templates with equally many fixed parts together."""
         if (node := self._exact.get(path)) is not None:
             yield [node]
         if self._templates.used:
-            fixed: dict[int, list[_Node]] = {}
-            for number, node in self._templates.find(path.split("/")[1:]):
-                fixed.setdefault(number, []).append(node)
-            for number in sorted(fixed, reverse=True):
-                yield fixed[number]
-        for length in self._lengths:
+            by_fixed_count: dict[int, list[_Node]] = {}
+            for fixed_count, node in self._templates.find(path.split("/")[1:]):
+                by_fixed_count.setdefault(fixed_count, []).append(node)
+            for fixed_count in sorted(by_fixed_count, reverse=True):
+                yield by_fixed_count[fixed_count]
+        for length in self._prefix_lengths:
             if length <= len(path) and (node := self._prefixes.get(path[:length])) is not None:
                 yield [node]
         yield [self._any]
 
-    def find(self, asked: RouteQuery) -> int | None:
-        """The index of the route that the request takes."""
-        for nodes in self._nodes(asked.path):
+    def find(self, query: RouteQuery) -> int | None:
+        """The index of the most specific route that matches the request."""
+        for nodes in self._nodes(query.path):
             best: Found | None = None
             for node in nodes:
-                found = node.find(asked)
+                found = node.find(query)
                 if found is not None and (best is None or found.rank > best.rank):
                     best = found
             if best is not None:
@@ -270,7 +277,7 @@
 
     def __init__(self) -> None:
         self._buckets: dict[Shape, dict[LookUpKey, int]] = {}
-        self._shapes: list[Shape] = []  # the most specific first
+        self._shapes: list[Shape] = []  # most specific first
 
     def add(self, index: int, pattern: Pattern) -> None:
         shape = Shape.of(pattern)
@@ -278,24 +285,24 @@
         if bucket is None:
             bucket = self._buckets[shape] = {}
             self._shapes.append(shape)
-            self._shapes.sort(key=lambda one: one.rank, reverse=True)
-        for wanted in pattern.look_up_keys():
-            bucket.setdefault(wanted, index)
+            self._shapes.sort(key=lambda shape: shape.rank, reverse=True)
+        for look_up_key in pattern.look_up_keys():
+            bucket.setdefault(look_up_key, index)
 
-    def find(self, asked: RouteQuery) -> Found | None:
-        """The most specific route here that matches."""
+    def find(self, query: RouteQuery) -> Found | None:
+        """The most specific matching route at this path."""
         for shape in self._shapes:
-            wanted = shape.look_up_key(asked)
-            if wanted is None:
+            look_up_key = shape.look_up_key(query)
+            if look_up_key is None:
                 continue
-            index = self._buckets[shape].get(wanted)
+            index = self._buckets[shape].get(look_up_key)
             if index is not None:
                 return Found(shape.rank, index)
         return None
 
 
 class _Template:
-    """A tree of path parts; "" stands for one that may be anything."""
+    """A tree of path parts; "" matches any part."""
 
     __slots__ = ("_children", "_node", "used")
 
@@ -313,7 +320,7 @@
         return self._children.setdefault(parts[0], _Template()).node(parts[1:])
 
     def find(self, parts: list[str], fixed: int = 0) -> Iterator[tuple[int, _Node]]:
-        """With the number of fixed parts of each."""
+        """Yields matching nodes with their number of fixed parts."""
         if not parts:
             if self._node is not None:
                 yield fixed, self._node
