--- a/driftstair/service/schema.py
+++ b/driftstair/service/schema.py
@@ -1,4 +1,6 @@
-"""The tables of the service file, as types. What is left out of a table is as without the file."""
+"""The tables of the service file, as pydantic models. A setting that is left out behaves as if there were no
+service file.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +10,11 @@
 
 from driftstair.service.units import (
     Duration,
-    NotNegative,
+    NonNegative,
     Positive,
+    PositiveDuration,
     Share,
     Size,
-    SomeTime,
     Version,
     WholeNumber,
 )
@@ -21,12 +23,12 @@
 Outcome = Literal["error", "full", "timeout", "connect", "reset"]
 
 
-def _several(value: Any) -> Any:
-    """One name stands for a list of one."""
+def _as_tuple(value: Any) -> Any:
+    """Accepts a single name in place of a list of one."""
     return (value,) if isinstance(value, str) else value
 
 
-Names = Annotated[tuple[str, ...], BeforeValidator(_several), Field(min_length=1)]
+Names = Annotated[tuple[str, ...], BeforeValidator(_as_tuple), Field(min_length=1)]
 
 
 class Table(BaseModel):
@@ -38,16 +40,16 @@
 
     classes: Names | None = Field(default=None, alias="class")
     tenant: Names | None = None
-    method: Annotated[tuple[Literal["GET", "POST"], ...] | None, BeforeValidator(_several)] = None
-    path: str | None = None  # exact, a prefix that ends in *, or a template with {parts}
-    header: dict[str, str] = {}  # names to values; "*" for any value
-    key: str | None = None  # a prefix of X-Key
+    method: Annotated[tuple[Literal["GET", "POST"], ...] | None, BeforeValidator(_as_tuple)] = None
+    path: str | None = None  # exact, a prefix ending in *, or a template with {parameters}
+    header: dict[str, str] = {}  # name to value; "*" matches any value
+    key: str | None = None  # prefix of the X-Key header
 
 
 class Timeouts(Table):
-    total: SomeTime | None = None  # from the request's last byte to the final answer
-    attempt: SomeTime | None = None
-    first_byte: SomeTime | None = None  # of an attempt, until its answer begins
+    total: PositiveDuration | None = None  # from the last byte of the request to the final response
+    attempt: PositiveDuration | None = None
+    first_byte: PositiveDuration | None = None  # of an attempt, until its response begins
 
 
 class Budget(Table):
@@ -55,16 +57,16 @@
     those of a budget of the fleet."""
 
     share: Share = 0.1
-    floor: NotNegative = 0.0
-    burst: NotNegative = 10.0
-    fleet: Name | None = None  # in [tier.budgets]; then none of the others
+    floor: NonNegative = 0.0
+    burst: NonNegative = 10.0
+    fleet: Name | None = None  # a name in [tier.budgets]; excludes the other settings
 
 
 class Retry(Table):
-    attempts: Annotated[WholeNumber, Field(ge=1, le=16)] | None = None  # copies included
+    attempts: Annotated[WholeNumber, Field(ge=1, le=16)] | None = None  # including second copies
     on: tuple[Outcome, ...] | None = None
     backoff: Duration = 0
-    backoff_most: SomeTime | None = None  # left out: ten times the first
+    backoff_most: PositiveDuration | None = None  # default: ten times `backoff`
     jitter: Share = 0.5
     budget: Budget | None = None
 
@@ -72,8 +74,8 @@
 class SecondCopy(Table):
     """One of `after` and `at`."""
 
-    after: SomeTime | None = None
-    at: Annotated[Share, Field(ge=0.5, lt=1.0)] | None = None  # of the route's own latencies
+    after: PositiveDuration | None = None
+    at: Annotated[Share, Field(ge=0.5, lt=1.0)] | None = None  # quantile of the route's own latencies
     budget: Budget = Budget(share=0.05, burst=5.0)
 
 
@@ -82,8 +84,8 @@
 
     per_s: Positive | None = None
     burst: Annotated[float, Field(strict=True, ge=1, allow_inf_nan=False)] = 10.0
-    by: Literal["route", "tenant"] = "route"  # one bucket for the route, or one for each tenant on it
-    fleet: Name | None = None  # in [tier.budgets]; then none of the others
+    by: Literal["route", "tenant"] = "route"  # one bucket for the route, or one per tenant
+    fleet: Name | None = None  # a name in [tier.budgets]; excludes the other settings
 
 
 class Admit(Table):
@@ -105,34 +107,34 @@
 class Fleet(Table):
     """What the operators know of the fleet, for the proof at load."""
 
-    box_per_s: Positive | None = None  # requests a second that a warm box carries
-    per_s: Positive | None = None  # and the whole fleet
-    client_tries: Annotated[WholeNumber, Field(ge=1, le=16)] = 3  # of one request, by its client
+    box_per_s: Positive | None = None  # requests per second that a warm box can serve
+    per_s: Positive | None = None  # requests per second that the whole fleet can serve
+    client_tries: Annotated[WholeNumber, Field(ge=1, le=16)] = 3  # attempts per request by a client
     amplification_most: Annotated[float, Field(strict=True, ge=1, allow_inf_nan=False)] = 6.0
 
 
 class Tally(Table):
     """Counts of requests and losses as lines of the log."""
 
-    every: SomeTime
+    every: PositiveDuration
 
 
 class Events(Table):
     """An event log: lines of JSON, and counts now and then."""
 
     level: Literal["state", "requests"] = "state"
-    file: Annotated[str, Field(min_length=1)] | None = None  # left out: standard error
-    metrics_every: SomeTime = 10_000_000_000
+    file: Annotated[str, Field(min_length=1)] | None = None  # default: standard error
+    metrics_every: PositiveDuration = 10_000_000_000
 
 
 class Ledger(Table):
     """What tenants used, for billing: kept in a folder that outlives the process."""
 
     folder: Annotated[str, Field(min_length=1)]
-    zone: str = "UTC"  # of billing periods
-    commit: SomeTime = 200_000_000  # between two writes: what a killed process may lose
-    clock_off: Duration = 50_000_000  # that the node's clock may be off
-    survives: Literal["process", "machine"] = "process"  # what a commit that was written does
+    zone: str = "UTC"  # time zone of the billing periods
+    commit: PositiveDuration = 200_000_000  # interval between writes: what a killed process can lose
+    clock_off: Duration = 50_000_000  # largest error of the node's clock
+    survives: Literal["process", "machine"] = "process"  # the failure that a written commit survives
 
 
 class FleetBudget(Table):
@@ -145,26 +147,32 @@
 class Collect(Table):
     """One node brings in the ledgers of nodes that are gone."""
 
-    folder: Annotated[str, Field(min_length=1)]  # of all nodes' ledgers, that all reach
-    to: Annotated[str, Field(min_length=1)]  # the billing side: host and port
+    folder: Annotated[str, Field(min_length=1)]  # shared by all nodes, holds their ledgers
+    to: Annotated[str, Field(min_length=1)]  # host and port of the billing service
 
 
 class Permits(Table):
     """Nodes ask before they are out for a restart, a drain or an upgrade; one node gives, for all."""
 
-    at_once: Annotated[int, Field(strict=True, ge=1, le=1000)] = 1  # nodes, all of one zone
-    # Of a permit: then its node counts as in service again, whether it is or not.
+    at_once: Annotated[int, Field(strict=True, ge=1, le=1000)] = 1  # nodes, all in one zone
+    # Lifetime of a permit: once it expires, the node counts as in service, whether it is or not.
     term: Annotated[Duration, Field(ge=1_000_000_000, le=86_400_000_000_000)] = 300_000_000_000
 
 
 class Tier(Table):
     """What the nodes tell each other, where the platform lets them."""
 
-    key: Annotated[str, Field(min_length=1)]  # a file that all nodes have alike, closed to others
-    period: Annotated[Duration, Field(ge=50_000_000, le=60_000_000_000)] = 1_000_000_000  # of probes
-    folder: Annotated[str, Field(min_length=1)] | None = None  # outlives the process: the last list
-    history: Annotated[str, Field(min_length=1)] | None = None  # a folder: what each process came to hold
-    judge: Annotated[bool, Field(strict=True)] = False  # servers by what all nodes have seen of them
+    key: Annotated[
+        str, Field(min_length=1)
+    ]  # file with the key shared by all nodes, not accessible to others
+    period: Annotated[Duration, Field(ge=50_000_000, le=60_000_000_000)] = 1_000_000_000  # between probes
+    folder: Annotated[str, Field(min_length=1)] | None = (
+        None  # must outlive the process: keeps the last server list
+    )
+    history: Annotated[str, Field(min_length=1)] | None = (
+        None  # folder for the history of what each process accepted
+    )
+    judge: Annotated[bool, Field(strict=True)] = False  # judge servers by the observations of all nodes
     collect: Collect | None = None
     permits: Permits | None = None
     budgets: Annotated[dict[Name, FleetBudget], Field(min_length=1, max_length=32)] | None = None
@@ -174,7 +182,9 @@
     """Configuration by the change, watched at control servers."""
 
     servers: Annotated[tuple[Annotated[str, Field(min_length=1)], ...], Field(min_length=1, max_length=7)]
-    folder: Annotated[str, Field(min_length=1)] | None = None  # outlives the process: the last applied state
+    folder: Annotated[str, Field(min_length=1)] | None = (
+        None  # must outlive the process: keeps the last applied state
+    )
 
 
 class Service(Table):
--- a/driftstair/service/toml_lines.py
+++ b/driftstair/service/toml_lines.py
@@ -1,4 +1,4 @@
-"""On which line of a TOML file a key stands: the parsers of the standard library do not tell."""
+"""Finds the line of each key in a TOML file, which `tomllib` does not report."""
 
 from __future__ import annotations
 
@@ -6,54 +6,55 @@
 
 KeyPath = tuple[str | int, ...]
 
-HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(?:#.*)?$")
-KEY = re.compile(
+TABLE_HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(?:#.*)?$")
+KEY_ASSIGNMENT = re.compile(
     r"""\s*((?:[A-Za-z0-9_-]+|"[^"]*"|'[^']*')(?:\s*\.\s*(?:[A-Za-z0-9_-]+|"[^"]*"|'[^']*'))*)\s*="""
 )
-PART = re.compile(r"""[A-Za-z0-9_-]+|"([^"]*)"|'([^']*)'""")
-QUOTES = ('"""', "'''")
+KEY_PART = re.compile(r"""[A-Za-z0-9_-]+|"([^"]*)"|'([^']*)'""")
+MULTILINE_QUOTES = ('"""', "'''")
 
 
-def _parts(text: str) -> list[str]:
-    return [found[0].strip("\"'") for found in PART.finditer(text)]
+def _split_key(text: str) -> list[str]:
+    return [part[0].strip("\"'") for part in KEY_PART.finditer(text)]
 
 
 def key_lines(text: str) -> dict[KeyPath, int]:
-    """Each table's and key's line, from 1. Arrays of tables count as in the parsed document."""
-    found: dict[KeyPath, int] = {}
-    counts: dict[KeyPath, int] = {}
+    """The line of each table and key, from 1. Arrays of tables are indexed as in the parsed document."""
+    lines: dict[KeyPath, int] = {}
+    array_indices: dict[KeyPath, int] = {}
     table: KeyPath = ()
-    inside = ""  # a string over several lines
+    open_quote = ""  # the closing quotes of an unfinished multi-line string
     for number, line in enumerate(text.splitlines(), 1):
-        if inside:
-            if inside in line:
-                inside = ""
+        if open_quote:
+            if open_quote in line:
+                open_quote = ""
             continue
-        header = HEADER.fullmatch(line)
+        header = TABLE_HEADER.fullmatch(line)
         if header:
-            names = _parts(header[2])
+            names = _split_key(header[2])
             table = ()
             for index, name in enumerate(names):
                 last = index == len(names) - 1
                 table = (*table, name)
                 if last and header[1] == "[[":
-                    counts[table] = counts.get(table, -1) + 1
-                if table in counts:
-                    table = (*table, counts[table])
-            found.setdefault(table, number)
+                    array_indices[table] = array_indices.get(table, -1) + 1
+                if table in array_indices:
+                    table = (*table, array_indices[table])
+            lines.setdefault(table, number)
             continue
-        key = KEY.match(line)
+        key = KEY_ASSIGNMENT.match(line)
         if key:
-            found.setdefault((*table, *_parts(key[1])), number)
+            lines.setdefault((*table, *_split_key(key[1])), number)
             value = line[key.end() :]
-            inside = next((quote for quote in QUOTES if value.count(quote) == 1), "")
-    return found
+            open_quote = next((quote for quote in MULTILINE_QUOTES if value.count(quote) == 1), "")
+    return lines
 
 
-def line_of(where: dict[KeyPath, int], path: KeyPath) -> int:
-    """The line of a key, or of what holds it: a key of an inline table stands on its table's line."""
+def line_of(lines: dict[KeyPath, int], path: KeyPath) -> int:
+    """The line of a key, or of the nearest enclosing table: an inline table's keys share its line."""
     for length in range(len(path), 0, -1):
-        for found in (path[:length], (*path[:length], 0)):  # an array of tables begins with its first
-            if found in where:
-                return where[found]
+        # An array of tables starts at its first element.
+        for candidate in (path[:length], (*path[:length], 0)):
+            if candidate in lines:
+                return lines[candidate]
     return 1
--- a/driftstair/service/units.py
+++ b/driftstair/service/units.py
@@ -1,4 +1,4 @@
-"""Durations and sizes as they stand in the service file: a number and its unit, in one piece of text."""
+"""Durations and sizes in the service file: strings of a number directly followed by its unit."""
 
 from __future__ import annotations
 
@@ -7,70 +7,70 @@
 
 from pydantic import BeforeValidator, Field, PlainSerializer, WithJsonSchema
 
-NS = {"us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3_600_000_000_000}
-BYTES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
-DURATION = r"(\d{1,9}(?:\.\d{1,6})?)(us|ms|s|m|h)"
-SIZE = r"(\d{1,9})(B|KiB|MiB)"
+NS_PER_UNIT = {"us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3_600_000_000_000}
+BYTES_PER_UNIT = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
+DURATION_PATTERN = r"(\d{1,9}(?:\.\d{1,6})?)(us|ms|s|m|h)"
+SIZE_PATTERN = r"(\d{1,9})(B|KiB|MiB)"
 
 
-def duration_ns(value: Any) -> int:
-    """Whole ns; raises ValueError with what would do."""
+def parse_duration_ns(value: Any) -> int:
+    """Nanoseconds; raises ValueError with an example of an accepted value."""
     if isinstance(value, bool) or not isinstance(value, int | float | str):
         raise ValueError('wants a duration such as "500ms"')
     if not isinstance(value, str):
         raise ValueError(f'has no unit: write "{value:g}ms" or "{value:g}s"')
-    found = re.fullmatch(DURATION, value)
-    if found:
-        return int(float(found[1]) * NS[found[2]])
-    bare = value.strip().replace(" ", "")
-    if re.fullmatch(DURATION, bare):
-        raise ValueError(f'write it in one piece: "{bare}"')
+    match = re.fullmatch(DURATION_PATTERN, value)
+    if match:
+        return int(float(match[1]) * NS_PER_UNIT[match[2]])
+    compact = value.strip().replace(" ", "")
+    if re.fullmatch(DURATION_PATTERN, compact):
+        raise ValueError(f'write it in one piece: "{compact}"')
     raise ValueError('wants a number and a unit (us, ms, s, m, h), such as "500ms"')
 
 
-def size_bytes(value: Any) -> int:
-    """Bytes; raises ValueError with what would do."""
+def parse_size_bytes(value: Any) -> int:
+    """Bytes; raises ValueError with an example of an accepted value."""
     if isinstance(value, int) and not isinstance(value, bool):
         raise ValueError(f'has no unit: write "{value}B" or "{value}KiB"')
-    found = re.fullmatch(SIZE, value) if isinstance(value, str) else None
-    if not found:
+    match = re.fullmatch(SIZE_PATTERN, value) if isinstance(value, str) else None
+    if not match:
         raise ValueError('wants a whole number and a unit (B, KiB, MiB), such as "16KiB"')
-    return int(found[1]) * BYTES[found[2]]
+    return int(match[1]) * BYTES_PER_UNIT[match[2]]
 
 
 def shown_duration(ns: int) -> str:
-    """As it would stand in the file."""
+    """Formats a duration as it is written in the service file."""
     for unit in ("h", "m", "s"):
-        if ns and ns % NS[unit] == 0:
-            return f"{ns // NS[unit]}{unit}"
-    if ns >= NS["s"] and ns % NS["ms"] == 0:
-        return f"{ns / NS['s']:g}s"
-    return f"{ns / NS['ms']:g}ms"
+        if ns and ns % NS_PER_UNIT[unit] == 0:
+            return f"{ns // NS_PER_UNIT[unit]}{unit}"
+    if ns >= NS_PER_UNIT["s"] and ns % NS_PER_UNIT["ms"] == 0:
+        return f"{ns / NS_PER_UNIT['s']:g}s"
+    return f"{ns / NS_PER_UNIT['ms']:g}ms"
 
 
 Duration = Annotated[
-    int, BeforeValidator(duration_ns), PlainSerializer(shown_duration),
-    WithJsonSchema({"type": "string", "pattern": f"^{DURATION}$"}),
+    int, BeforeValidator(parse_duration_ns), PlainSerializer(shown_duration),
+    WithJsonSchema({"type": "string", "pattern": f"^{DURATION_PATTERN}$"}),
 ]  # fmt: skip
-"""ns."""
-SomeTime = Annotated[Duration, Field(gt=0)]
+"""In nanoseconds."""
+PositiveDuration = Annotated[Duration, Field(gt=0)]
 Size = Annotated[
-    int, BeforeValidator(size_bytes), PlainSerializer(lambda value: f"{value}B"),
-    WithJsonSchema({"type": "string", "pattern": f"^{SIZE}$"}),
+    int, BeforeValidator(parse_size_bytes), PlainSerializer(lambda value: f"{value}B"),
+    WithJsonSchema({"type": "string", "pattern": f"^{SIZE_PATTERN}$"}),
 ]  # fmt: skip
-"""Bytes."""
+"""In bytes."""
 Number = Annotated[float, Field(strict=True, allow_inf_nan=False)]
 Share = Annotated[Number, Field(ge=0, le=1)]
-NotNegative = Annotated[Number, Field(ge=0)]
+NonNegative = Annotated[Number, Field(ge=0)]
 Positive = Annotated[Number, Field(gt=0)]
 WholeNumber = Annotated[int, Field(strict=True)]
 
 
-def _whole(value: Any) -> Any:
-    """1.0 and true are equal to 1, and are no version."""
+def _require_integer(value: Any) -> Any:
+    """Rejects 1.0 and true, which compare equal to 1 but are not valid versions."""
     if type(value) is not int:
         raise ValueError("wants the whole number 1")
     return value
 
 
-Version = Annotated[Literal[1], BeforeValidator(_whole)]
+Version = Annotated[Literal[1], BeforeValidator(_require_integer)]
