--- a/driftstair/service/__init__.py
+++ b/driftstair/service/__init__.py
@@ -1,5 +1,6 @@
-"""The service file: all that the platform does not tell. `schema` has its tables, `load` reads and checks it.
+"""The service file: the settings that the platform's configuration does not hold. `schema` defines its
+tables, `load` reads and validates it.
 
-Later subsystems add their tables to `schema.Service`; this is the one place that knows the file. Nothing
+Each subsystem adds its table to `schema.Service`; only this package knows the format of the file. Nothing
 here is imported unless a service file is used.
 """
--- a/driftstair/service/load.py
+++ b/driftstair/service/load.py
@@ -1,4 +1,6 @@
-"""Reads a service file: every problem in it at once, each with file, line, key and what would do."""
+"""Reads and validates a service file. All problems are reported at once, each with its file, line and key
+and, where there is one, a value that would be accepted.
+"""
 
 from __future__ import annotations
 
@@ -20,29 +22,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong, or (a warning) that will hardly do what was meant."""
+    """An error in the file, or a warning about a setting that is unlikely to have the intended effect."""
 
     file: str
     line: int
     key: str
     why: str
-    rule: str = ""  # that it would break
-    instead: str = ""  # a value that would do
+    rule: str = ""  # the rule that is violated
+    instead: str = ""  # a value that would be accepted
     warning: bool = False
 
     def __str__(self) -> str:
         rule = f" (would break: {self.rule})" if self.rule else ""
         instead = f"; {self.instead} would do" if self.instead else ""
-        kind = "warning: " if self.warning else ""
-        return f"{self.file}:{self.line}: {self.key}: {kind}{self.why}{rule}{instead}"
+        severity = "warning: " if self.warning else ""
+        return f"{self.file}:{self.line}: {self.key}: {severity}{self.why}{rule}{instead}"
 
 
 class ServiceError(Exception):
-    """A file that is not used. `problems` has all that is wrong; `unreadable` if it is no such file at
-    all."""
+    """The file is rejected. `problems` lists every error; `unreadable` is set if the file could not be read
+    or is not TOML."""
 
     def __init__(self, problems: list[Problem], unreadable: bool = False) -> None:
-        super().__init__("; ".join(str(one) for one in problems))
+        super().__init__("; ".join(str(problem) for problem in problems))
         self.problems = problems
         self.unreadable = unreadable
 
@@ -69,11 +71,11 @@
 
 
 def read(file: str) -> LoadedService:
-    """Raises ServiceError. What types can't say is for `driftstair.limits.validation`."""
+    """Raises ServiceError. Rules that types cannot express are checked in `driftstair.limits.validation`."""
     try:
         text = read_text(file)
-    except FileError as problem:
-        raise ServiceError([Problem(file, 0, "the file", str(problem))], unreadable=True) from None
+    except FileError as error:
+        raise ServiceError([Problem(file, 0, "the file", str(error))], unreadable=True) from None
     return parse(text, file)
 
 
@@ -83,55 +85,58 @@
 
 
 def parse_as(text: str, file: str, schema: type[Schema]) -> tuple[Schema, dict[toml_lines.KeyPath, int]]:
-    """A TOML text by any schema, and the lines on which its keys stand. Raises ServiceError."""
+    """Validates a TOML text against a schema; also returns the line of each key. Raises ServiceError."""
     try:
-        tree = parse_text(text, tomllib.loads)
-    except FileError as problem:
-        raise ServiceError([Problem(file, 0, "the file", str(problem))], unreadable=True) from None
-    except tomllib.TOMLDecodeError as problem:
-        found = [int(word.rstrip(",")) for word in str(problem).split() if word.rstrip(",").isdigit()]
+        document = parse_text(text, tomllib.loads)
+    except FileError as error:
+        raise ServiceError([Problem(file, 0, "the file", str(error))], unreadable=True) from None
+    except tomllib.TOMLDecodeError as error:
+        numbers = [int(word.rstrip(",")) for word in str(error).split() if word.rstrip(",").isdigit()]
         raise ServiceError(
-            [Problem(file, found[0] if found else 0, "the file", f"no TOML text: {problem}")], unreadable=True
+            [Problem(file, numbers[0] if numbers else 0, "the file", f"no TOML text: {error}")],
+            unreadable=True,
         ) from None
     lines = toml_lines.key_lines(text)
     try:
-        return schema.model_validate(tree), lines
-    except ValidationError as problem:
-        raise ServiceError([_explained(file, lines, one, schema) for one in problem.errors()]) from None
+        return schema.model_validate(document), lines
+    except ValidationError as error:
+        raise ServiceError(
+            [_to_problem(file, lines, details, schema) for details in error.errors()]
+        ) from None
 
 
-def _explained(
-    file: str, lines: dict[toml_lines.KeyPath, int], problem: ErrorDetails, schema: type[BaseModel]
+def _to_problem(
+    file: str, lines: dict[toml_lines.KeyPath, int], details: ErrorDetails, schema: type[BaseModel]
 ) -> Problem:
-    path = tuple(step for step in problem["loc"] if not (isinstance(step, str) and "[" in step))
-    why = problem["msg"].removeprefix("Value error, ")
-    given = problem["input"]
+    path = tuple(step for step in details["loc"] if not (isinstance(step, str) and "[" in step))
+    why = details["msg"].removeprefix("Value error, ")
+    value = details["input"]
     instead = ""
-    if problem["type"] == "extra_forbidden":
-        known = _keys_at(schema, path[:-1])
-        near = get_close_matches(str(path[-1]), known, 1)
-        why = "no such key" if near else f"no such key; known here: {', '.join(sorted(known))}"
-        instead = near[0] if near else ""
-    elif problem["type"] == "missing":
+    if details["type"] == "extra_forbidden":
+        known_keys = _allowed_keys(schema, path[:-1])
+        close_matches = get_close_matches(str(path[-1]), known_keys, 1)
+        why = "no such key" if close_matches else f"no such key; known here: {', '.join(sorted(known_keys))}"
+        instead = close_matches[0] if close_matches else ""
+    elif details["type"] == "missing":
         why = "is missing"
     else:
         why = f"{why[:1].lower()}{why[1:]}"
-        if not problem["type"].startswith("value_error"):
-            why += f", not {given!r:.60}"
+        if not details["type"].startswith("value_error"):
+            why += f", not {value!r:.60}"
     return Problem(file, toml_lines.line_of(lines, path), format_path(path), why, instead=instead)
 
 
-def _keys_at(schema: type[BaseModel], path: toml_lines.KeyPath) -> list[str]:
-    """The keys of the table at a path."""
+def _allowed_keys(schema: type[BaseModel], path: toml_lines.KeyPath) -> list[str]:
+    """The keys that the schema allows in the table at a path."""
     model: Any = schema
     for step in path:
         if isinstance(step, int):
             continue
-        field = next((one for name, one in model.model_fields.items() if step in (name, one.alias)), None)
-        found = _model_in(field.annotation) if field is not None else None
-        if found is None:
+        field = next((info for name, info in model.model_fields.items() if step in (name, info.alias)), None)
+        nested = _model_in(field.annotation) if field is not None else None
+        if nested is None:
             return []
-        model = found
+        model = nested
     return [field.alias or name for name, field in model.model_fields.items()]
 
 
