--- a/driftstair/rehearsal/tier/inside.py
+++ b/driftstair/rehearsal/tier/inside.py
@@ -48,7 +48,7 @@
     def load(self) -> LoadedService:
         return super().load() if self._base is None else self._base.load()
 
-    def _tier(self, loaded: LoadedService, config: Config, system: System) -> Tier:
+    def _create_tier(self, loaded: LoadedService, config: Config, system: System) -> Tier:
         history = Recorded(self._recorded(config.name))
         tier = Tier(
             config, peer_config.read(config), self._period, KEY, history, None, system, budget_specs(loaded),
--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -1,4 +1,4 @@
-"""The service file in use: read, proved against the platform's configuration, and compiled for the node."""
+"""The service file in use: read, validated against the platform's configuration and compiled for the node."""
 
 from __future__ import annotations
 
@@ -28,68 +28,68 @@
 log = logging.getLogger(__name__)
 
 
-def platform_of(config: Config, clients_most: int) -> Platform:
+def platform_of(config: Config, max_client_connections: int) -> Platform:
     names = [name.decode() for name in config.classes]
     return Platform(
         classes=dict(zip(names, config.settings.classes, strict=True)),
         waits=dict(zip(names, config.deadlines, strict=True)),
         tenants=tuple(name.decode() for name in config.tenants),
-        settings=config.settings, clients_most=clients_most, open_most=config.open_cap,
+        settings=config.settings, clients_most=max_client_connections, open_most=config.open_cap,
     )  # fmt: skip
 
 
-def checked(
-    loaded: LoadedService, config: Config, clients_most: int
+def build_request_table(
+    loaded: LoadedService, config: Config, max_client_connections: int
 ) -> tuple[FileRequestTable, list[Problem]]:
-    """The routes, and warnings; raises ServiceError with every error."""
-    found = find_problems(loaded, platform_of(config, clients_most))
-    errors = [one for one in found if not one.warning]
+    """The request table and the warnings; raises ServiceError with all errors."""
+    problems = find_problems(loaded, platform_of(config, max_client_connections))
+    errors = [problem for problem in problems if not problem.warning]
     if errors:
         raise ServiceError(errors)
-    return FileRequestTable(loaded.service, config.settings, f"{loaded.file} ({loaded.hash})"), found
+    return FileRequestTable(loaded.service, config.settings, f"{loaded.file} ({loaded.hash})"), problems
 
 
 def budget_specs(loaded: LoadedService) -> tuple[Spec, ...]:
-    """The fleet's budgets that a file names."""
+    """The fleet budgets that a file defines."""
     tier = loaded.service.tier
     if tier is None or not tier.budgets:
         return ()
     from driftstair.tier.shared.budget import Spec
 
-    return tuple(Spec(name, one.per_s, one.burst) for name, one in tier.budgets.items())
+    return tuple(Spec(name, budget.per_s, budget.burst) for name, budget in tier.budgets.items())
 
 
 def _collect(loaded: LoadedService) -> tuple[Path, tuple[str, int]] | None:
-    """Where ledgers are collected from, and to. Raises ServiceError."""
-    wanted = None if loaded.service.tier is None else loaded.service.tier.collect
-    if wanted is None:
+    """The folder that ledgers are collected from and the address they are sent to. Raises ServiceError."""
+    collect = None if loaded.service.tier is None else loaded.service.tier.collect
+    if collect is None:
         return None
-    folder = Path(wanted.folder)
+    folder = Path(collect.folder)
     if not folder.is_dir():
         why = f"{folder} is no folder; the one that all nodes keep their ledgers in would do"
         raise ServiceError([loaded.problem(("tier", "collect", "folder"), why)])
     try:
-        return folder, parse_address(wanted.to)
+        return folder, parse_address(collect.to)
     except ListError:
-        why = f"{wanted.to[:60]!r} is no address"
+        why = f"{collect.to[:60]!r} is no address"
         raise ServiceError(
             [loaded.problem(("tier", "collect", "to"), why, instead='"10.0.0.9:7000"')]
         ) from None
 
 
 def _permits(loaded: LoadedService) -> Rules | None:
-    wanted = None if loaded.service.tier is None else loaded.service.tier.permits
-    if wanted is None:
+    permits = None if loaded.service.tier is None else loaded.service.tier.permits
+    if permits is None:
         return None
     from driftstair.tier.ownership.permits import Rules
 
-    return Rules(wanted.at_once, wanted.term)
+    return Rules(permits.at_once, permits.term)
 
 
-def _control_servers(loaded: LoadedService, wanted: Control) -> list[tuple[str, int]]:
-    """Raises ServiceError."""
+def _control_servers(loaded: LoadedService, control: Control) -> list[tuple[str, int]]:
+    """The addresses of the control servers. Raises ServiceError."""
     addresses = []
-    for index, text in enumerate(wanted.servers):
+    for index, text in enumerate(control.servers):
         try:
             addresses.append(parse_address(text))
         except ListError:
@@ -100,181 +100,189 @@
 
 
 class ServiceFile:
-    """A file, or a text in its place."""
+    """A service file, or a text used in its place."""
 
     def __init__(self, file: str, text: str | None = None) -> None:
         self.file = file
         self._text = text
-        self._in_tier: Tier | None = None  # once the process has begun
-        self._budgets: tuple[Spec, ...] = ()  # of the fleet, as the file in use names them
-        self._configured: tuple[Spec, ...] = ()  # and as the configuration does
-        self._begun = False
-        self._service: Service | None = None  # in use
+        self._running_tier: Tier | None = None  # set once the process has started
+        self._file_budgets: tuple[Spec, ...] = ()  # fleet budgets defined by the file in use
+        self._configured_budgets: tuple[Spec, ...] = ()  # fleet budgets defined by the configuration
+        self._tier_created = False
+        self._service_in_use: Service | None = None
 
     def load(self) -> LoadedService:
         return read(self.file) if self._text is None else parse(self._text, self.file)
 
-    def table(self, config: Config, clients_most: int) -> FileRequestTable:
-        """As the file is now; raises ServiceError."""
+    def table(self, config: Config, max_client_connections: int) -> FileRequestTable:
+        """Reads the file anew and builds its request table; raises ServiceError."""
         loaded = self.load()
-        table, warnings = checked(loaded, config, clients_most)
-        if self._begun:
-            self._follow(loaded, config)
-        self._service = loaded.service
-        for one in warnings:
-            log.warning("%s", one)
+        table, warnings = build_request_table(loaded, config, max_client_connections)
+        if self._tier_created:
+            self._apply_reload(loaded, config)
+        self._service_in_use = loaded.service
+        for warning in warnings:
+            log.warning("%s", warning)
         return table
 
-    def _follow(self, loaded: LoadedService, config: Config) -> None:
-        """A process that runs takes the fleet's budgets of another file; raises ServiceError."""
-        shares = self._in_tier is not None and self._in_tier.sharing is not None
+    def _apply_reload(self, loaded: LoadedService, config: Config) -> None:
+        """Applies the fleet budgets of a reloaded file to the running process; raises ServiceError."""
+        sharing = self._running_tier is not None and self._running_tier.sharing is not None
         for path, name in spent_by(loaded):
-            if not shares:
-                why = f"{name}: this process began without a budget of the fleet; it has to be started anew"
+            if not sharing:
+                why = f"{name}: this process was started without fleet budgets; restart it to use one"
                 raise ServiceError([loaded.problem(path, why)])
-        if shares and self._in_tier is not None and budget_specs(loaded):
-            self._enough(loaded, self._in_tier.nodes())
-            self._budgets = budget_specs(loaded)
-            self._respec()
-
-    def _respec(self) -> None:
-        """The file's budgets go first."""
-        if self._in_tier is not None and self._in_tier.sharing is not None:
-            names = {spec.name for spec in self._budgets}
-            more = (spec for spec in self._configured if spec.name not in names)
-            self._in_tier.update_specs((*self._budgets, *more))
+        if sharing and self._running_tier is not None and budget_specs(loaded):
+            self._check_budget_bursts(loaded, self._running_tier.nodes())
+            self._file_budgets = budget_specs(loaded)
+            self._update_budget_specs()
+
+    def _update_budget_specs(self) -> None:
+        """Passes the budgets to the tier; the file's take precedence over the configuration's by name."""
+        if self._running_tier is not None and self._running_tier.sharing is not None:
+            names = {spec.name for spec in self._file_budgets}
+            others = (spec for spec in self._configured_budgets if spec.name not in names)
+            self._running_tier.update_specs((*self._file_budgets, *others))
 
     def configure_budgets(self, budgets: dict[str, FleetBudget]) -> None:
-        """The configuration names these, beside the file's."""
+        """Sets the fleet budgets that the configuration defines in addition to the file's."""
         from driftstair.tier.shared.budget import Spec
 
-        self._configured = tuple(Spec(name, one.per_s, one.burst) for name, one in budgets.items())
-        self._respec()
+        self._configured_budgets = tuple(
+            Spec(name, budget.per_s, budget.burst) for name, budget in budgets.items()
+        )
+        self._update_budget_specs()
 
-    def _enough(self, loaded: LoadedService, count: int) -> None:
-        """Raises ServiceError for a budget of which a node alone never gets one token together."""
+    def _check_budget_bursts(self, loaded: LoadedService, node_count: int) -> None:
+        """Raises ServiceError for a budget whose share of one node never adds up to a whole token."""
         for spec in budget_specs(loaded):
-            saved = spec.per_s / count * spec.burst / 1e9
-            if saved < 1:
-                least = ceil(count / spec.per_s * 10) / 10
-                why = f"one of {count} nodes alone saves up {saved:.2g} tokens at most, and never has one"
+            max_tokens = spec.per_s / node_count * spec.burst / 1e9
+            if max_tokens < 1:
+                min_burst_s = ceil(node_count / spec.per_s * 10) / 10
+                why = (
+                    f"one of {node_count} nodes alone saves up {max_tokens:.2g} tokens at most, "
+                    "and never has one"
+                )
                 path = ("tier", "budgets", spec.name, "burst")
-                raise ServiceError([loaded.problem(path, why, instead=f'"{least:g}s"')])
+                raise ServiceError([loaded.problem(path, why, instead=f'"{min_burst_s:g}s"')])
 
     def event_log(self, config: Config, system: System) -> tuple[EventLog, float] | None:
-        """The event log that the file asks for, and the s between two reports of counts. Raises ServiceError
-        for a file that can't be written."""
+        """The event log that the file enables, and the interval between metrics reports in seconds. Raises
+        ServiceError if the log file cannot be written."""
         loaded = self.load()
-        wanted = loaded.service.events
-        if wanted is None:
+        events = loaded.service.events
+        if events is None:
             return None
         from driftstair.observability.event_log import EventLevel, EventLog, file_handler
 
         try:
-            handler = None if wanted.file is None else file_handler(Path(wanted.file))
-        except OSError as problem:
-            why = f"{wanted.file} can't be written: {problem.strerror}; another path would do"
+            handler = None if events.file is None else file_handler(Path(events.file))
+        except OSError as error:
+            why = f"{events.file} can't be written: {error.strerror}; another path would do"
             raise ServiceError([loaded.problem(("events", "file"), why)]) from None
-        level = EventLevel(wanted.level)
-        log_of_events = EventLog(config.name, level, system.monotonic_ns, system.time_ns, handler)
-        return log_of_events, wanted.metrics_every / 1e9
+        level = EventLevel(events.level)
+        event_log = EventLog(config.name, level, system.monotonic_ns, system.time_ns, handler)
+        return event_log, events.metrics_every / 1e9
 
     def open_ledger(self, config: Config, system: System) -> tuple[Keeper, float] | None:
-        """The ledger that the file asks for, opened, and the s between two commits. Raises ServiceError for
-        one that can't be kept."""
+        """The ledger that the file enables, opened, and the interval between commits in seconds. Raises
+        ServiceError if it cannot be opened."""
         loaded = self.load()
-        wanted = loaded.service.ledger
-        if wanted is None:
+        ledger = loaded.service.ledger
+        if ledger is None:
             return None
         from driftstair.ledger.keeper import Keeper
         from driftstair.ledger.periods import Calendar, PeriodError
         from driftstair.ledger.segments import Store, StoreError
 
         try:
-            calendar = Calendar(wanted.zone)
-        except PeriodError as problem:
-            raise ServiceError([loaded.problem(("ledger", "zone"), str(problem))]) from None
+            calendar = Calendar(ledger.zone)
+        except PeriodError as error:
+            raise ServiceError([loaded.problem(("ledger", "zone"), str(error))]) from None
         try:
-            folder = Path(wanted.folder)
+            folder = Path(ledger.folder)
             if not folder.is_dir():
-                raise StoreError(f"{wanted.folder} is no folder; one that outlives the process would do")
+                raise StoreError(f"{ledger.folder} is no folder; one that outlives the process would do")
             keeper = Keeper(
-                config.name, Store(folder, config.name), calendar, wanted.clock_off // 1_000_000,
-                wanted.survives == "machine", system.time_ns, system.run_blocking, system.monotonic_ns,
+                config.name, Store(folder, config.name), calendar, ledger.clock_off // 1_000_000,
+                ledger.survives == "machine", system.time_ns, system.run_blocking, system.monotonic_ns,
             )  # fmt: skip
             keeper.open()
-        except (StoreError, OSError) as problem:
-            raise ServiceError([loaded.problem(("ledger", "folder"), str(problem))]) from None
-        return keeper, wanted.commit / 1e9
+        except (StoreError, OSError) as error:
+            raise ServiceError([loaded.problem(("ledger", "folder"), str(error))]) from None
+        return keeper, ledger.commit / 1e9
 
     def tier(self, config: Config, system: System) -> Tier | None:
-        """This node's part in the tier that the file asks for, not yet started. Raises ServiceError."""
+        """This node's tier member as set up by the file, not yet started. Raises ServiceError."""
         loaded = self.load()
-        self._begun = True
-        self._budgets = budget_specs(loaded)
-        self._in_tier = self._tier(loaded, config, system)
-        return self._in_tier
-
-    def configuration(self, config: Config, clients_most: int, system: System) -> NodeConfiguration | None:
-        """This node's part in the configuration that the file has it watch, not yet started. Raises
+        self._tier_created = True
+        self._file_budgets = budget_specs(loaded)
+        self._running_tier = self._create_tier(loaded, config, system)
+        return self._running_tier
+
+    def configuration(
+        self, config: Config, max_client_connections: int, system: System
+    ) -> NodeConfiguration | None:
+        """This node's watcher of the control servers that the file names, not yet started. Raises
         ServiceError."""
         loaded = self.load()
-        wanted = loaded.service.control
-        if wanted is None:
+        control = loaded.service.control
+        if control is None:
             return None
         if not config.name:
             why = "this node has no name to report by; BALANCER_NAME would do"
             raise ServiceError([loaded.problem(("control",), why)])
         try:
             from driftstair.node_configuration.service import NodeConfiguration, Wanted
-        except ModuleNotFoundError as problem:
-            why = f"wants {problem.name}: pip install 'driftstair[control]'"
+        except ModuleNotFoundError as error:
+            why = f"wants {error.name}: pip install 'driftstair[control]'"
             raise ServiceError([loaded.problem(("control",), why)]) from None
-        folder = None if wanted.folder is None else Path(wanted.folder)
+        folder = None if control.folder is None else Path(control.folder)
         if folder is not None and not folder.is_dir():
             why = f"{folder} is no folder; one that outlives the process would do"
             raise ServiceError([loaded.problem(("control", "folder"), why)])
-        platform = platform_of(config, clients_most)
+        platform = platform_of(config, max_client_connections)
         return NodeConfiguration(
-            config, Wanted(_control_servers(loaded, wanted), folder), platform, loaded.service, system,
+            config, Wanted(_control_servers(loaded, control), folder), platform, loaded.service, system,
             self.configure_budgets,
         )  # fmt: skip
 
-    def platform_and_service(self, config: Config, clients_most: int) -> tuple[Platform, Service]:
-        """What the configuration is judged by after a SIGHUP: the file that is in use, good or not."""
-        assert self._service is not None
-        return platform_of(config, clients_most), self._service
+    def platform_and_service(self, config: Config, max_client_connections: int) -> tuple[Platform, Service]:
+        """What the configuration is validated against after a SIGHUP: the file in use, even if the new
+        one was rejected."""
+        assert self._service_in_use is not None
+        return platform_of(config, max_client_connections), self._service_in_use
 
-    def _tier(self, loaded: LoadedService, config: Config, system: System) -> Tier | None:
-        wanted = loaded.service.tier
-        if wanted is None:
+    def _create_tier(self, loaded: LoadedService, config: Config, system: System) -> Tier | None:
+        tier = loaded.service.tier
+        if tier is None:
             return None
         try:
             from driftstair.tier import peer_config
             from driftstair.tier.history import History, HistoryError
             from driftstair.tier.key import read_key
             from driftstair.tier.service import Tier
-        except ModuleNotFoundError as problem:
-            why = f"wants {problem.name}: pip install 'driftstair[tier]'"
+        except ModuleNotFoundError as error:
+            why = f"wants {error.name}: pip install 'driftstair[tier]'"
             raise ServiceError([loaded.problem(("tier",), why)]) from None
         try:
             peers = peer_config.read(config)
-        except peer_config.PeerConfigError as problem:
-            raise ServiceError([loaded.problem(("tier",), str(problem), instead="no such table")]) from None
-        self._enough(loaded, len(peers.peers))
+        except peer_config.PeerConfigError as error:
+            raise ServiceError([loaded.problem(("tier",), str(error), instead="no such table")]) from None
+        self._check_budget_bursts(loaded, len(peers.peers))
         try:
-            key = read_key(wanted.key)
-        except FileError as problem:
-            raise ServiceError([loaded.problem(("tier", "key"), f"{wanted.key} {problem}")]) from None
-        folder = None if wanted.folder is None else Path(wanted.folder)
+            key = read_key(tier.key)
+        except FileError as error:
+            raise ServiceError([loaded.problem(("tier", "key"), f"{tier.key} {error}")]) from None
+        folder = None if tier.folder is None else Path(tier.folder)
         if folder is not None and not folder.is_dir():
             why = f"{folder} is no folder; one that outlives the process would do"
             raise ServiceError([loaded.problem(("tier", "folder"), why)])
         try:
-            history = None if wanted.history is None else History(wanted.history, config.name)
-        except HistoryError as problem:
-            raise ServiceError([loaded.problem(("tier", "history"), str(problem))]) from None
+            history = None if tier.history is None else History(tier.history, config.name)
+        except HistoryError as error:
+            raise ServiceError([loaded.problem(("tier", "history"), str(error))]) from None
         return Tier(
-            config, peers, wanted.period, key, history, folder, system, budget_specs(loaded), wanted.judge,
+            config, peers, tier.period, key, history, folder, system, budget_specs(loaded), tier.judge,
             _collect(loaded), _permits(loaded), loaded.service.control is not None,
         )  # fmt: skip
