--- a/driftstair/tally/__init__.py
+++ b/driftstair/tally/__init__.py
@@ -1,2 +1,2 @@
-"""What a node's requests came to, second by second, as lines of its log: `benchmarks/losses.py` adds up the
-lines of all nodes. Loaded only where the service file has `[tally]`."""
+"""Periodic counts of a node's requests and their results, as lines of its log: `benchmarks/losses.py` adds up
+the lines of all nodes. Loaded only if the service file has `[tally]`."""
--- a/driftstair/tally/tally.py
+++ b/driftstair/tally/tally.py
@@ -1,17 +1,17 @@
-"""Round the decision module: the same events in and actions out, counted on the way. Pure: no I/O, the clock
-comes in with each event.
+"""Wraps the decision module: passes events and actions through unchanged and counts them. Performs no I/O;
+the time is passed in with each event.
 
-A request is lost where it was not answered within its aim. It is booked once, when that is sure, to one
-cause:
+A request is lost if it was not answered within its aim. It is counted once, as soon as that is certain,
+under one cause:
 
-    no-server   refused on arrival while the list that the node holds names nobody who is ready
-    refused     refused on arrival while it does: the breaker, or no server that may be used now
+    no-server   refused on arrival while no server in the node's list is ready
+    refused     refused on arrival although one is: by the breaker, or no server may be used now
     late        answered, after the aim
-    gone        its client left, or its time was up, before it had an answer
+    gone        its client left, or its time ran out, before it was answered
     full, timeout, connect_failed, reset, error, not_sent, cancelled: how the last attempt ended
     cold        the same, at a server that was cold when the attempt was sent to it
 
-Only what the module sees is counted. Connections and handshakes are not: its events do not tell of them.
+Only what the module sees is counted. Its events do not cover connections and handshakes.
 """
 
 from __future__ import annotations
@@ -24,115 +24,119 @@
 from lichenspring import interface as api
 from lichenspring.interface import ListKind, Result, ServerState
 
-Say = Callable[[dict[str, Any]], None]
+WriteLine = Callable[[dict[str, Any]], None]
 
 
 @dataclass(slots=True)
-class _Entry:
+class _OpenRequest:
     class_index: int
-    arrived: int  # ns
+    arrived_ns: int
     attempts: list[api.ServerId] = field(default_factory=list)
-    cold: bool = False  # the newest attempt's server, when it was sent
-    last: Result | None = None  # how the newest attempt that ended did
+    cold: bool = False  # whether the server of the latest attempt was cold when it was sent
+    last_result: Result | None = None  # of the latest attempt that ended
 
 
 @dataclass(slots=True)
-class _Span:
-    """What one line tells."""
+class _Interval:
+    """The counts for one line of the log."""
 
-    began: int  # ns
-    asked: Counter[int] = field(default_factory=Counter)  # by class
+    began_ns: int
+    requests: Counter[int] = field(default_factory=Counter)  # by class, like `in_time`
     in_time: Counter[int] = field(default_factory=Counter)
     lost: defaultdict[str, Counter[int]] = field(default_factory=lambda: defaultdict(Counter))
     sent: Counter[api.ServerId] = field(default_factory=Counter)
-    bad: defaultdict[api.ServerId, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    calls: int = 0  # for the list
-    calls_failed: int = 0
+    failures: defaultdict[api.ServerId, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
+    list_calls: int = 0
+    list_calls_failed: int = 0
 
 
 class Tally:
-    def __init__(self, module: api.DecisionModule, settings: api.Settings, every: int, say: Say) -> None:
-        """`every`: ns between two lines."""
+    def __init__(
+        self, module: api.DecisionModule, settings: api.Settings, interval_ns: int, write_line: WriteLine
+    ) -> None:
+        """`interval_ns`: the interval between lines."""
         self._module = module
         self._settings = settings
-        self._every = every
-        self._say = say
-        self._open: dict[int, _Entry] = {}
+        self._interval_ns = interval_ns
+        self._write_line = write_line
+        self._open_requests: dict[int, _OpenRequest] = {}
         self._servers: dict[api.ServerId, api.Server] = {}
-        self._span = _Span(0)
+        self._interval = _Interval(0)
 
     def start(self, now: int) -> list[api.Action]:
-        self._span = _Span(now)
+        self._interval = _Interval(now)
         return self._module.start(now)
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        # The module's own timer comes twice a second: no line is late by more than that.
-        if now - self._span.began >= self._every:
-            self._say(self._line(now))
-            self._span = _Span(now)
+        # The module's own timer fires twice a second, so a line is late by at most half a second.
+        if now - self._interval.began_ns >= self._interval_ns:
+            self._write_line(self._build_line(now))
+            self._interval = _Interval(now)
         if isinstance(event, api.Request):
-            self._open[event.id] = _Entry(event.class_index, now)
-            self._span.asked[event.class_index] += 1
+            self._open_requests[event.id] = _OpenRequest(event.class_index, now)
+            self._interval.requests[event.class_index] += 1
         elif isinstance(event, api.Outcome):
-            self._settle(now, event)
+            self._record_outcome(now, event)
         elif isinstance(event, api.ClientGone):
-            self._lose(event.request, "gone")
+            self._record_loss(event.request, "gone")
         elif isinstance(event, api.ServerList):
-            self._follow(event)
+            self._update_servers(event)
         actions = self._module.handle(now, event)
         for action in actions:
-            self._note(now, action)
+            self._record_action(now, action)
         return actions
 
-    def _settle(self, now: int, outcome: api.Outcome) -> None:
+    def _record_outcome(self, now: int, outcome: api.Outcome) -> None:
         if outcome.result is not Result.OK:
-            self._span.bad[outcome.server][outcome.result.value] += 1
-        entry = self._open.get(outcome.request)
+            self._interval.failures[outcome.server][outcome.result.value] += 1
+        entry = self._open_requests.get(outcome.request)
         if entry is None:
             return
-        entry.last = outcome.result
+        entry.last_result = outcome.result
         if not outcome.closed:
             return
         if outcome.result is not Result.OK:
-            self._lose(outcome.request, self._cause(entry))
-        elif now - entry.arrived > self._settings.classes[entry.class_index].aim:
-            self._lose(outcome.request, "late")
+            self._record_loss(outcome.request, self._loss_cause(entry))
+        elif now - entry.arrived_ns > self._settings.classes[entry.class_index].aim:
+            self._record_loss(outcome.request, "late")
         else:
-            self._span.in_time[entry.class_index] += 1
-            del self._open[outcome.request]
+            self._interval.in_time[entry.class_index] += 1
+            del self._open_requests[outcome.request]
 
-    def _note(self, now: int, action: api.Action) -> None:
+    def _record_action(self, now: int, action: api.Action) -> None:
         if isinstance(action, api.Send):
-            self._span.sent[action.server] += 1
-            entry = self._open.get(action.request)
+            self._interval.sent[action.server] += 1
+            entry = self._open_requests.get(action.request)
             if entry is not None:
                 entry.attempts.append(action.server)
                 entry.cold = self._is_cold(now, action.server)
         elif isinstance(action, api.Refuse | api.Fail):
-            entry = self._open.get(action.request)
+            entry = self._open_requests.get(action.request)
             if entry is not None:
-                self._lose(action.request, self._cause(entry))
+                self._record_loss(action.request, self._loss_cause(entry))
         elif isinstance(action, api.Watch):
-            self._span.calls += 1
+            self._interval.list_calls += 1
 
-    def _cause(self, entry: _Entry) -> str:
+    def _loss_cause(self, entry: _OpenRequest) -> str:
         if not entry.attempts:
-            ready = any(one.state is ServerState.READY for one in self._servers.values())
+            ready = any(server.state is ServerState.READY for server in self._servers.values())
             return "refused" if ready else "no-server"
-        return "cold" if entry.cold else entry.last.value if entry.last is not None else "refused"
+        return (
+            "cold" if entry.cold else entry.last_result.value if entry.last_result is not None else "refused"
+        )
 
-    def _lose(self, request: int, cause: str) -> None:
-        entry = self._open.pop(request, None)
+    def _record_loss(self, request: int, cause: str) -> None:
+        entry = self._open_requests.pop(request, None)
         if entry is not None:
-            self._span.lost[cause][entry.class_index] += 1
+            self._interval.lost[cause][entry.class_index] += 1
 
     def _is_cold(self, now: int, server: api.ServerId) -> bool:
-        known = self._servers.get(server)
-        return known is not None and known.started > 0 and now - known.started < self._settings.cold_time
+        info = self._servers.get(server)
+        return info is not None and info.started > 0 and now - info.started < self._settings.cold_time
 
-    def _follow(self, update: api.ServerList) -> None:
+    def _update_servers(self, update: api.ServerList) -> None:
         if update.kind is ListKind.FAILED:
-            self._span.calls_failed += 1
+            self._interval.list_calls_failed += 1
             return
         if update.kind is not ListKind.DELTA:
             self._servers.clear()
@@ -142,23 +146,23 @@
             else:
                 self._servers[server.id] = server
 
-    def _line(self, now: int) -> dict[str, Any]:
-        """Counts by class in the order of the settings, servers by their hashed id."""
-        span, classes = self._span, range(len(self._settings.classes))
+    def _build_line(self, now: int) -> dict[str, Any]:
+        """Lists counts by class in the order of the settings, and servers by their hashed id."""
+        interval, classes = self._interval, range(len(self._settings.classes))
 
         def by_class(counts: Counter[int]) -> list[int]:
             return [counts[index] for index in classes]
 
         return {
-            "span_ms": (now - span.began) // 1_000_000,
-            "worth": [kind.worth for kind in self._settings.classes],
-            "asked": by_class(span.asked),
-            "in_time": by_class(span.in_time),
-            "lost": {cause: by_class(counts) for cause, counts in sorted(span.lost.items())},
-            "open": len(self._open),
-            "ready": sum(one.state is ServerState.READY for one in self._servers.values()),
-            "sent": {server.hex(): count for server, count in sorted(span.sent.items())},
-            "bad": {server.hex(): dict(counts) for server, counts in sorted(span.bad.items())},
-            "list_calls": span.calls,
-            "list_failed": span.calls_failed,
+            "span_ms": (now - interval.began_ns) // 1_000_000,
+            "worth": [request_class.worth for request_class in self._settings.classes],
+            "asked": by_class(interval.requests),
+            "in_time": by_class(interval.in_time),
+            "lost": {cause: by_class(counts) for cause, counts in sorted(interval.lost.items())},
+            "open": len(self._open_requests),
+            "ready": sum(server.state is ServerState.READY for server in self._servers.values()),
+            "sent": {server.hex(): count for server, count in sorted(interval.sent.items())},
+            "bad": {server.hex(): dict(counts) for server, counts in sorted(interval.failures.items())},
+            "list_calls": interval.list_calls,
+            "list_failed": interval.list_calls_failed,
         }  # fmt: skip
