--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -34,8 +34,10 @@
         classes=dict(zip(names, config.settings.classes, strict=True)),
         client_waits=dict(zip(names, config.deadlines, strict=True)),
         tenants=tuple(name.decode() for name in config.tenants),
-        settings=config.settings, max_client_connections=max_client_connections, max_open_requests=config.open_cap,
-    )  # fmt: skip
+        settings=config.settings,
+        max_client_connections=max_client_connections,
+        max_open_requests=config.open_cap,
+    )
 
 
 def build_request_table(
