--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -84,7 +84,7 @@
         self.sockets = 0  # open or being dialed
         self.reuse_delay = ReuseDelay()
         self.has_unread_updates: Callable[[], bool] = bool  # whether updates of the server list wait unread
-        self.flows: dict[Connection, None] = {}  # whose answers are being streamed
+        self.flows: dict[Connection, None] = {}  # connections with a streamed answer
         self.dial_timeout = dial_timeout
         self.idle_limit = int(idle_close * IDLE_LIMIT_SHARE)
         self._sockets_max = sockets_max
--- a/tests/acceptance/test_told_under_reload.py
+++ b/tests/acceptance/test_told_under_reload.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-@pytest.mark.parametrize("when", ["while it is served", "before the new place answers"])
+@pytest.mark.parametrize("when", ["while it is served", "before the new address answers"])
 def test_drain_from_old_address_is_applied_until_the_new_one_answers(when: str, mode: str) -> None:
     """Guards against closing the old watch with the line unread: the new address may take seconds to answer,
     and meanwhile requests went to the draining server."""
@@ -60,7 +60,7 @@
 
                 reload_files(rig.node, rig.config, reread, None, None)
                 await until(lambda: new.targets)
-                if when == "before the new place answers":
+                if when == "before the new address answers":
                     send_change_now(old, 9, drained)
                     await until(lambda: len(rig.node.servers.ready) == 1)
                 seen = len(drained.seen)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -29,7 +29,7 @@
             Server("s-2") as two,
             Rig(configuration(one, discovery=source.address)) as rig,
         ):
-            assert [len(told.servers) for told in rig.spy.lists(ListKind.CACHED)] == [1]
+            assert [len(event.servers) for event in rig.spy.lists(ListKind.CACHED)] == [1]
             rig.watch()
             await until(lambda: source.targets)
             assert source.targets == ["GET /discovery/hosts?watch=1&from=7 HTTP/1.1"]
@@ -303,19 +303,19 @@
 
 def test_each_path_to_a_list_is_shorter_than_the_time_to_know_it() -> None:
     """The longest calls and pauses of a node with pushed lists, which sets the pauses itself."""
-    told, beat = 6.0, 2.0  # s; discovery sends a line on an open watch after each beat
+    known_after_s, heartbeat_s = 6.0, 2.0  # discovery sends a line on an open watch at each heartbeat
     assert (
-        told > discovery.SILENCE_TIMEOUT_S + discovery.DIAL_TIMEOUT_S
+        known_after_s > discovery.SILENCE_TIMEOUT_S + discovery.DIAL_TIMEOUT_S
     )  # a silent watch, and the call after it
     for call in (0.0, discovery.DIAL_TIMEOUT_S, discovery.AGENT_ANSWER_TIMEOUT_S):
         assert (
-            told
+            known_after_s
             > call
             + server_directory.WATCH_PAUSE_MAX_S
             + discovery.DIAL_TIMEOUT_S
             + discovery.AGENT_ANSWER_TIMEOUT_S
         )
-    assert beat + LATE_READ_GRACE_S < discovery.SILENCE_TIMEOUT_S
+    assert heartbeat_s + LATE_READ_GRACE_S < discovery.SILENCE_TIMEOUT_S
     # A node is taken to know at once what its agent knows. An unanswered call as the agent comes back and the
     # pause after it are shorter than the second that the platform usually gives a node to stop sending.
     assert discovery.AGENT_ANSWER_TIMEOUT_S + server_directory.WATCH_PAUSE_MAX_S < 1.0
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -28,7 +28,7 @@
 
 from driftstair.limits.limiting_module import COPY_TIMER_TOKEN
 from driftstair.net import client_connection
-from driftstair.net.system import LONG_AGO, SOCKET_SYSTEM
+from driftstair.net.system import LONG_AGO_NS, SOCKET_SYSTEM
 from lichenspring import interface as api
 from lichenspring.balance import DEFERRED_TOKEN
 from lichenspring.interface import Result
@@ -273,7 +273,7 @@
         peer.close()
         await until(lambda: close_age_ns() is not None)
         age_ns = close_age_ns()
-        assert age_ns is not None and 0 <= age_ns < TIMEOUT_S * 1e9 < LONG_AGO
+        assert age_ns is not None and 0 <= age_ns < TIMEOUT_S * 1e9 < LONG_AGO_NS
         transport.abort()
         listener.close()
 
