--- a/driftstair/hosts.py
+++ b/driftstair/hosts.py
@@ -41,25 +41,25 @@
 def parse_address(text: object) -> tuple[str, int]:
     """Splits an address into host and port; the host is an IP address, since there is no DNS."""
     if not isinstance(text, str):
-        raise ListError(f"not an address: {text!r}")
+        raise ListError(f"no address: {text!r}")
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host)
         port_number = int(port)
     except ValueError:
-        raise ListError(f"not an address: {text!r}") from None
+        raise ListError(f"no address: {text!r}") from None
     if not 0 <= port_number < 1 << 16:
-        raise ListError(f"invalid port: {text!r}")
+        raise ListError(f"no port: {text!r}")
     return host, port_number
 
 
 def parse_list(document: object) -> HostList:
     """Parses a full list or a change of it from its JSON form; raises ListError."""
     if not isinstance(document, dict):
-        raise ListError("not a JSON object")
+        raise ListError("it is no object")
     version, servers = document.get("version"), document.get("servers")
     if not isinstance(version, int) or isinstance(version, bool) or not isinstance(servers, list):
-        raise ListError("version or servers is missing or invalid")
+        raise ListError("version or servers is missing")
     return HostList(version, document.get("full") is True, tuple(_parse_host(entry) for entry in servers))
 
 
@@ -70,7 +70,7 @@
         gone = state is ServerState.GONE
         address = ("", 0) if gone else parse_address(entry["addr"])
         if not isinstance(entry["id"], str):
-            raise ValueError("id is not a string")
+            raise ValueError("id is no text")
         weight = float(entry.get("weight", 1.0))
         return Host(
             entry["id"], address, str(entry.get("zone", "")), str(entry.get("kind", "")),
@@ -80,4 +80,4 @@
             max(0, int(entry.get("started_ms", 0))),
         )  # fmt: skip
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as problem:
-        raise ListError(f"invalid entry: {problem!r}") from None
+        raise ListError(f"bad entry: {problem!r}") from None
--- a/driftstair/net/discovery.py
+++ b/driftstair/net/discovery.py
@@ -124,11 +124,11 @@
             # Changes apply to the current list; an older one would undo later updates.
             for update in updates:
                 if not update.full and update.version < watch.version:
-                    raise ListError(f"received version {update.version} after version {watch.version}")
+                    raise ListError(f"version {update.version} comes after {watch.version}")
         except (ValueError, RecursionError, ListError) as error:
             if watch is self._watch:
                 self.version = 0  # the skipped change is unknown: the next watch starts from a full list
-            self.failed(watch, f"invalid line: {error}")
+            self.failed(watch, f"bad line: {error}")
             return False
         for update in updates:
             self._apply(watch, update)
--- a/driftstair/net/frontend.py
+++ b/driftstair/net/frontend.py
@@ -130,7 +130,7 @@
         try:
             await listener.adopt(lambda: ClientConnection(self), accepted)
         except Exception as problem:
-            log.warning("could not set up a client connection: %r", problem)
+            log.warning("a client was lost as it came: %r", problem)
             accepted.close()
             self._on_closed()
 
--- a/driftstair/net/json_stream.py
+++ b/driftstair/net/json_stream.py
@@ -25,7 +25,7 @@
         """The document that ends with this line, if any. Raises ValueError if none can result."""
         if not line.strip():
             if self._lines:
-                raise ValueError("truncated JSON document")
+                raise ValueError("a text that was cut off")
             return []
         if not self._lines:
             try:
@@ -36,7 +36,7 @@
         self._depth += sum(map(unquoted.count, (b"{", b"["))) - sum(map(unquoted.count, (b"}", b"]")))
         self._size += len(line)
         if b'"' in unquoted or not 0 <= self._depth <= NESTING_DEPTH_MAX or self._size > DOCUMENT_BYTES_MAX:
-            raise ValueError("not a JSON document")
+            raise ValueError("no text")
         self._lines.append(line)
         if self._depth:
             return []
--- a/driftstair/net/kept_connection.py
+++ b/driftstair/net/kept_connection.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-UNSOLICITED_ANSWER = "unsolicited answer"
+UNSOLICITED_ANSWER = "an answer that nobody asked for"
 
 
 class Answer(NamedTuple):
@@ -61,7 +61,7 @@
             self._end(UNSOLICITED_ANSWER)
             return
         if self._answer_bytes > self._answer_bytes_max:
-            self._end(f"answer of more than {self._answer_bytes_max:,} bytes")
+            self._end(f"an answer of more than {self._answer_bytes_max:,} bytes")
             return
         try:
             self._parser.feed_data(data)
--- a/driftstair/net/load_report.py
+++ b/driftstair/net/load_report.py
@@ -40,4 +40,4 @@
     def _warn(self, text: bytes) -> None:
         if not self._has_warned:
             self._has_warned = True
-            log.warning("invalid load report: got %r, expected the fields %r", text, self._fields)
+            log.warning("load reports can't be used: %r, wanted %r", text, self._fields)
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -93,7 +93,7 @@
             seed=self._config.seed, peer_settings=self._config.peer_settings,
         )  # fmt: skip
         if kept != self._config:
-            log.warning("only the discovery address of the new configuration takes effect before a restart")
+            log.warning("of the new configuration only discovery is used before a restart")
         log.info("discovery is at %s:%d", *config.discovery)
         self._config = replace(self._config, discovery=config.discovery)
         self.servers.move(config.discovery)
@@ -151,7 +151,7 @@
         try:
             return self._balancer.handle(self._now(), event)
         except Exception:
-            log.exception("decision module failed on %r", event)
+            log.exception("the module failed on %r", event)
         if isinstance(event, api.Timer):
             # A periodic timer of the module sets its own successor, so one failure would stop it for good.
             self._set_timer(self._now() + TIMER_RETRY_DELAY_NS, event.token)
@@ -474,4 +474,4 @@
         try:
             restore_state(self._core, self._now(), learned)
         except (KeyError, TypeError, ValueError, AttributeError) as problem:
-            log.warning("ignoring the state handed over by the old process: %r", problem)
+            log.warning("what the old process had learned is not used: %r", problem)
--- a/driftstair/net/request_guard.py
+++ b/driftstair/net/request_guard.py
@@ -137,7 +137,7 @@
         """A request has been accepted."""
         if self.state is ProcessState.ENDED:
             self._report_violation(
-                Invariant.NO_START_AFTER_END, number, "the process has already answered all open requests"
+                Invariant.NO_START_AFTER_END, number, "the process has answered all that it held"
             )
         self._requests[number] = request
 
@@ -203,7 +203,7 @@
 
     def _check_deadline(self, request: GuardedRequest, number: int, now: int, announced_ns: int) -> None:
         left = request.deadline - now
-        detail = f"{left / MS:.0f} ms left, server was told {announced_ns / MS:.0f} ms"
+        detail = f"{left / MS:.0f} ms left, {announced_ns / MS:.0f} ms told"
         if left <= -DEADLINE_SLACK_NS:
             self._report_violation(Invariant.NO_ATTEMPT_AFTER_DEADLINE, number, detail)
         elif announced_ns > left + DEADLINE_SLACK_NS:
@@ -213,7 +213,7 @@
         unsafe = request.request_class.repeat is Repeat.UNSAFE and request.may_have_run()
         self._require(not unsafe, Invariant.NO_REPEAT_OF_UNSAFE, number, "an earlier attempt may have run")
         ends = request.repeat_window_end()
-        over = f"{(now - ends) / MS:.0f} ms after the repeat window"
+        over = f"{(now - ends) / MS:.0f} ms after the window"
         self._require(not 0 < ends < now, Invariant.NO_REPEAT_AFTER_WINDOW, number, over)
 
     def record_answer(self, number: int, status: int) -> None:
--- a/driftstair/net/server_connection.py
+++ b/driftstair/net/server_connection.py
@@ -305,7 +305,7 @@
     def on_message_begin(self) -> None:
         if self._is_complete:  # a second answer to one request: nothing that follows can be trusted
             self._reusable = False
-            raise ValueError("unsolicited answer")
+            raise ValueError("an answer that nobody asked for")
         interim_answers = self._interim_answers
         self._reset_answer()
         self._interim_answers = interim_answers
@@ -323,7 +323,7 @@
         elif lower == b"content-length":
             # Rejected by its header: otherwise the body would be read up to the limit first.
             if int(value) > BODY_BYTES_MAX:
-                raise ValueError("answer body too long")
+                raise ValueError("an answer that is too long")
             self._framed, self._length = True, int(value)
         elif lower == b"transfer-encoding":
             self._framed = True
@@ -336,14 +336,14 @@
         if self._status < 200:
             self._interim_answers += 1
             if self._interim_answers > INTERIM_ANSWERS_MAX:
-                raise ValueError("too many interim answers")
+                raise ValueError("interim answers without end")
         elif self._framed or self._status in (204, 304):
             self._ends_at_close = False
         elif self._parser.get_http_version() == "1.0":
             self._ends_at_close = True
         elif not self._ends_at_close:
             # Delimited only by the end of the connection, it could not be told from a truncated answer.
-            raise ValueError("answer with neither a length nor Connection: close")
+            raise ValueError("an answer with neither length nor end")
         self._in_head = False
         self._size = 0
         if self._status == 200 and self._length > INLINE_BODY_BYTES_MAX:
@@ -352,7 +352,7 @@
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
         if self._size > (BODY_BYTES_MAX if self._status == 200 else INLINE_BODY_BYTES_MAX):
-            raise ValueError("answer body too long")
+            raise ValueError("an answer that is too long")
         if self._answer_stream is not None:
             self._answer_stream.put(data)
             return
--- a/driftstair/net/watch.py
+++ b/driftstair/net/watch.py
@@ -77,7 +77,7 @@
             async with asyncio.timeout(self.dial_timeout_s()):
                 await dial(self._system, lambda: watch, self._address)
         except (OSError, TimeoutError) as error:
-            self.failed(watch, f"could not connect: {error!r}")
+            self.failed(watch, f"no connection: {error!r}")
 
     def is_current(self, watch: WatchConnection) -> bool:
         return watch is self._watch
@@ -113,7 +113,7 @@
             self.failed(watch, reason)
 
     def _reopen(self, watch: WatchConnection, reason: str) -> None:
-        self._log.warning("reopening watch: %s", reason)
+        self._log.warning("watch is opened anew: %s", reason)
         self.on_reopened(watch, reason)
         self._end_watch()
         self.watch()
@@ -248,7 +248,7 @@
         if self._partial_line and self._owner.on_unended_line_received(self, self._partial_line):
             self._partial_line = bytearray()
         if len(self._partial_line) > self._line_bytes_max:
-            self._fail("line exceeds the size limit")
+            self._fail("a line without end")
 
     def on_message_complete(self) -> None:
         self._fail("answer ended")
--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -132,7 +132,7 @@
         sharing = self._running_tier is not None and self._running_tier.sharing is not None
         for path, name in fleet_budget_uses(loaded):
             if not sharing:
-                why = f"{name}: this process was started without fleet budgets; restart it to use one"
+                why = f"{name}: this process began without a budget of the fleet; it has to be started anew"
                 raise ServiceError([loaded.problem(path, why)])
         if sharing and self._running_tier is not None and budget_specs(loaded):
             self._check_budget_bursts(loaded, self._running_tier.nodes())
