--- a/driftstair/tier/key.py
+++ b/driftstair/tier/key.py
@@ -21,7 +21,7 @@
     try:
         status = os.fstat(descriptor)
         if not stat.S_ISREG(status.st_mode):
-            raise FileError("can't be read: it is not a regular file")
+            raise FileError("can't be read: it is not a regular file; the path of one is required")
         if status.st_mode & GROUP_OR_OTHERS:
             raise FileError(f"is accessible to others (mode {status.st_mode & 0o777:o}); set mode 600")
         key = os.read(descriptor, MAX_KEY_BYTES + 64).strip()
