--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -161,6 +161,6 @@
 
     judge = OutlierDetector(Facts(0, 1, Random(1)), 0, 0, lambda: True, lambda: {0: 0})
     module = ObservedModule(node._core, lambda: judge)
-    servers = tuple(node.servers._server(host) for host in update.hosts)
+    servers = tuple(node.servers._to_server(host) for host in update.hosts)
     module.handle(time.monotonic_ns(), api.ServerList(api.ListKind.FULL, servers))
     return module
