--- a/tests/rehearsal/test_hunt.py
+++ b/tests/rehearsal/test_hunt.py
@@ -36,7 +36,7 @@
     monkeypatch.setattr(ServerDirectory, "_on_watch_failed", watch_failed)
     monkeypatch.setattr(Node, "_answer", swallows)
     # The watchdog would answer at the deadline.
-    monkeypatch.setattr(Node, "_overdue", lambda *_: None)
+    monkeypatch.setattr(Node, "_on_overdue", lambda *_: None)
 
 
 def test_it_finds_a_planted_bug_and_makes_it_small(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
