--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -209,7 +209,7 @@
         events, story = self.fleet.events(), self.fleet.story()
         found = owners.check(events, story) + owners.linear(events)
         found += permits.check(events, self.at_once, {})
-        found += checks.old_lives(story)
+        found += checks.old_generations(story)
         self.owned = sum(one["event"] == "own" for one in events)
         self.refused = sum(one["event"] == "refused" for one in events)
         self.crashes = [
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -36,8 +36,8 @@
 SLOW = 1.2  # s: a slow member reads each datagram so late
 KINDS: dict[str, MakeOf] = {
     "swim": swim,
-    "heartbeats": lambda count, seed: lambda host, life: Heartbeats(host, count),
-    "accrual": lambda count, seed: lambda host, life: Accrual(host, count),
+    "heartbeats": lambda count, seed: lambda host, generation: Heartbeats(host, count),
+    "accrual": lambda count, seed: lambda host, generation: Accrual(host, count),
 }
 
 Play = tuple[str, int, float, float, int, int]  # kind, nodes, loss, part that is slow, seed, s watched
@@ -138,10 +138,10 @@
         kind, to, order, seq, about, count = head.unpack_from(packed)
         found = []
         for index in range(count + 1):
-            number, life, incarnation, state, by, *traits = flat.unpack_from(
+            number, generation, incarnation, state, by, *traits = flat.unpack_from(
                 packed, head.size + flat.size * index
             )
-            found.append(Claim(number, life, incarnation, State(state), by, Traits(*traits)))
+            found.append(Claim(number, generation, incarnation, State(state), by, Traits(*traits)))
         return Message(Kind(kind), found[0], to, order, seq, about, tuple(found[1:]))
 
     assert unpack() == message
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -73,7 +73,7 @@
 
 def evening(seed: int) -> tuple[int, int, float]:
     """Leases had; times that two had the task or a token did not rise; and of the time in which a majority of
-    the council ran and heard itself, some of them silent after a start, the part in which nobody had it."""
+    the voters ran and heard each other, some silent after a start, the part in which nobody had it."""
     random = Random(seed)
     count = random.choice((3, 5, 7, 9))
     link = Link(loss=random.choice((0.0, 0.1, 0.3)), duplicate=0.1, high=random.choice((20, 300)) * 1_000_000)
@@ -103,9 +103,9 @@
             world.run(random.uniform(0.05, 0.6))
             owners = fleet.owners()
             wrong += len(owners) > 1
-            council = [one for one in range(min(count, 7)) if one not in apart and world.runs(one)
+            voters = [one for one in range(min(count, 7)) if one not in apart and world.runs(one)
                        and not world.hosts[one].stopped]  # fmt: skip
-            if len(council) > min(count, 7) // 2:
+            if len(voters) > min(count, 7) // 2:
                 looked, idle = looked + 1, idle + (not owners)
     tokens = [one.token for one in fleet.had]
     wrong += tokens != sorted(set(tokens))
--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -44,11 +44,11 @@
 
 def measure_controller(size: int, folder: Path) -> dict[str, float]:
     """A controller in office: its first polls, a request for a permit once all have answered, its memory."""
+    from driftstair.tier.ownership.disruption_controller import DisruptionController
     from driftstair.tier.ownership.permits import Ask, PollReply, Rules
-    from driftstair.tier.ownership.steward import Steward
 
     living = {number: (1, number % 8) for number in range(size)}
-    controller = Steward(Rules(AT_ONCE, PERMIT_TERM), 0, size, lambda: living)
+    controller = DisruptionController(Rules(AT_ONCE, PERMIT_TERM), 0, size, lambda: living)
     controller.lead(1, 7)
     polls, first = measured(lambda: controller.tick(2))
 
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -28,7 +28,7 @@
 from driftstair.tier.membership.members import Claim, State, Traits
 from driftstair.tier.ownership.permits import Rules
 from driftstair.tier.peer_config import PeerConfig
-from driftstair.tier.service import life_at
+from driftstair.tier.service import generation_at
 from driftstair.tier.shared.budget import Spec
 
 KEY = b"the key of a cluster of hollow nodes"
@@ -52,10 +52,10 @@
 
 
 def write_member_list(path: Path, plan: Plan, own: int) -> None:
-    """As an earlier process of the node would have left it: all others are alive in their present life."""
-    life, supports = life_at(plan.wall_ns), wire.SUPPORTS_MEMBERSHIP | wire.SUPPORTS_SHARED
+    """As an earlier process of the node would have left it: all others alive in their present generation."""
+    generation, supports = generation_at(plan.wall_ns), wire.SUPPORTS_MEMBERSHIP | wire.SUPPORTS_SHARED
     claims = tuple(
-        Claim(number, life, 0, State.ALIVE, number, Traits(zone_of(number), wire.VERSION, supports))
+        Claim(number, generation, 0, State.ALIVE, number, Traits(zone_of(number), wire.VERSION, supports))
         for number in range(plan.count) if number != own
     )  # fmt: skip
     member_list.write(path, claims)
--- a/benchmarks/scale/hollow/record.py
+++ b/benchmarks/scale/hollow/record.py
@@ -61,7 +61,7 @@
         self._noted = noted
         self._dilation = dilation
 
-    def write(self, t_ns: int, node: int, life: int, event: str, **fields: Any) -> None:
+    def write(self, t_ns: int, node: int, generation: int, event: str, **fields: Any) -> None:
         records = self._records
         if event == "stood-still":
             records.stood_still += 1
--- a/benchmarks/soak/daemons.py
+++ b/benchmarks/soak/daemons.py
@@ -1,4 +1,4 @@
-"""The daemons of a run: one process a node and life, its signals, its log, and its event log."""
+"""The daemons of a run: one process a node and generation, its signals, its log, and its event log."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self._planted = planted
         self._environment = environment
         self._port = ports.tcp()
-        self._life = 0
+        self._generation = 0
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
         self._ending = False
@@ -66,12 +66,12 @@
 
     async def start(self) -> None:
         """Until it serves. Raises TimeoutError, or RuntimeError if it ends before."""
-        self._life += 1
+        self._generation += 1
         self._ending = True  # until there is a process that a signal can reach
         self._write_config()
         self.record.started.append(monotonic())
-        service = self._folder / f"n{self.number}-{self._life}.toml"
-        events = self._folder / f"n{self.number}-{self._life}.events"
+        service = self._folder / f"n{self.number}-{self._generation}.toml"
+        events = self._folder / f"n{self.number}-{self._generation}.events"
         service.write_text(f'version = 1\n[events]\nlevel = "requests"\nfile = "{events}"\n')
         module = [PLANTED, self._planted] if self._planted else ["driftstair"]
         self._process = await asyncio.create_subprocess_exec(
@@ -187,17 +187,17 @@
         """What the event logs of its processes tell: attempts that were held up between the last look at
         whether they may begin and their write, and violations of the guard's invariants but for those."""
         for path in sorted(self._folder.glob(f"n{self.number}-*.events")):
-            life = LifeEvents()
+            process_events = ProcessEvents()
             for line in path.read_text().splitlines():
                 with suppress(ValueError):  # a killed process leaves half a line
-                    life.note(json.loads(line))
-            self.record.held_attempts |= life.held
-            self.record.taken |= life.taken()
-            self.record.violations += life.violations()
+                    process_events.note(json.loads(line))
+            self.record.held_attempts |= process_events.held
+            self.record.taken |= process_events.taken()
+            self.record.violations += process_events.violations()
 
 
 @dataclass(slots=True)
-class LifeEvents:
+class ProcessEvents:
     """Of one process."""
 
     held: set[tuple[str, int]] = field(default_factory=set)
--- a/driftstair/model/clients.py
+++ b/driftstair/model/clients.py
@@ -30,7 +30,7 @@
     ) -> None:
         self._nodes = nodes
         self._sums = list(accumulate(weights))
-        self._gone: dict[str, int] = {}  # held to be gone, by the life that was noticed
+        self._gone: dict[str, int] = {}  # held to be gone, by the generation that was noticed
         self._notice = notice
         self._clock = clock
         self._random = random
@@ -44,14 +44,14 @@
         return None
 
     def node_dies(self, node: Node) -> None:
-        self._clock.after(self._notice, self._drop, node, node.life)
+        self._clock.after(self._notice, self._drop, node, node.generation)
 
     def node_starts(self, node: Node) -> None:
         self._gone.pop(node.name, None)
 
-    def _drop(self, node: Node, life: int) -> None:
-        if node.life == life:
-            self._gone[node.name] = life
+    def _drop(self, node: Node, generation: int) -> None:
+        if node.generation == generation:
+            self._gone[node.name] = generation
 
 
 class Ask:
--- a/driftstair/model/membership.py
+++ b/driftstair/model/membership.py
@@ -28,8 +28,8 @@
         self._way = way
         self._busy_until = 0
         self._down = False
-        self._lives = 0
-        self._watching: dict[Node, int] = {}  # by the life of the node
+        self._generations = 0
+        self._watching: dict[Node, int] = {}  # by the generation of the node
 
     def change(self, entry: api.Server, notice: float) -> None:
         """Told `notice` seconds from now, and what it lags behind besides."""
@@ -40,14 +40,14 @@
             self.entries.pop(entry.id, None)
         else:
             self.entries[entry.id] = entry
-        for node, life in list(self._watching.items()):
-            if node.life == life and node.running:
-                self._clock.after(self._way(), self._deliver, node, life, ListKind.DELTA, (entry,))
+        for node, generation in list(self._watching.items()):
+            if node.generation == generation and node.running:
+                self._clock.after(self._way(), self._deliver, node, generation, ListKind.DELTA, (entry,))
             else:
                 del self._watching[node]
 
-    def _deliver(self, node: Node, life: int, kind: ListKind, servers: tuple[api.Server, ...]) -> None:
-        if node.running and node.life == life:
+    def _deliver(self, node: Node, generation: int, kind: ListKind, servers: tuple[api.Server, ...]) -> None:
+        if node.running and node.generation == generation:
             node.listed(kind, servers)
 
     def watch(self, node: Node) -> None:
@@ -58,24 +58,24 @@
         if self._down or ready - now > self._timeout:
             self.failed += 1
             wait = self._way() if self._down else self._timeout
-            self._clock.after(2 * wait, self._deliver, node, node.life, ListKind.FAILED, ())
+            self._clock.after(2 * wait, self._deliver, node, node.generation, ListKind.FAILED, ())
             return
         self._busy_until = ready
-        self._clock.at(ready, self._begin, node, node.life, self._lives)
+        self._clock.at(ready, self._begin, node, node.generation, self._generations)
 
-    def _begin(self, node: Node, life: int, own_life: int) -> None:
-        if self._down or own_life != self._lives:
-            self._deliver(node, life, ListKind.FAILED, ())
-        elif node.running and node.life == life:
-            self._watching[node] = life
-            self._deliver(node, life, ListKind.FULL, tuple(self.entries.values()))
+    def _begin(self, node: Node, generation: int, own_generation: int) -> None:
+        if self._down or own_generation != self._generations:
+            self._deliver(node, generation, ListKind.FAILED, ())
+        elif node.running and node.generation == generation:
+            self._watching[node] = generation
+            self._deliver(node, generation, ListKind.FULL, tuple(self.entries.values()))
 
     def go_down(self, silent: bool = False) -> None:
         self._down = True
-        self._lives += 1
+        self._generations += 1
         watching, self._watching = self._watching, {}
-        for node, life in watching.items():
-            self._clock.after(self._way(), self._deliver, node, life, ListKind.FAILED, ())
+        for node, generation in watching.items():
+            self._clock.after(self._way(), self._deliver, node, generation, ListKind.FAILED, ())
 
     def come_up(self) -> None:
         self._down = False
--- a/driftstair/model/node.py
+++ b/driftstair/model/node.py
@@ -55,14 +55,16 @@
 
 
 class Attempt:
-    __slots__ = ("connected", "done", "index", "life", "node", "request", "sent_at", "server", "written")
+    __slots__ = (
+        "connected", "done", "generation", "index", "node", "request", "sent_at", "server", "written",
+    )  # fmt: skip
 
     def __init__(self, node: Node, request: Request, index: int, server: Server) -> None:
         self.node = node
         self.request = request
         self.index = index
         self.server = server
-        self.life = server.life
+        self.generation = server.generation
         self.sent_at = node.clock.now
         self.done: bool = False
         self.connected = self.written = False
@@ -81,13 +83,13 @@
         self.world = world
         self.clock = world.clock
         self.running = False
-        self.life = 0
+        self.generation = 0
         self.known: dict[api.ServerId, api.Server] = {}  # outlives a restart, and may be old
         self.sockets = self.taken = self.refused = self.attempts = 0
         self.open: dict[int, Request] = {}
         self.module: api.DecisionModule
         self._idle: dict[api.ServerId, list[int]] = {}  # since when each idle connection is, by server
-        self._lives: dict[api.ServerId, int] = {}  # of the server's process, that they lead to
+        self._generations: dict[api.ServerId, int] = {}  # of the server's process, that they lead to
         self._events: deque[api.Event] = deque()
         self._telling = False
         self._numbers = 0
@@ -96,20 +98,20 @@
 
     def start(self, module: api.DecisionModule) -> None:
         self.running = True
-        self.life += 1
+        self.generation += 1
         self.module = module
         self.open = {}
-        self._idle, self._lives = {}, {}
+        self._idle, self._generations = {}, {}
         self.sockets = 0
         self._events.clear()
         self._act_on(module.start(self.clock.now))
         self.listed(ListKind.CACHED, tuple(self.known.values()))
-        self.clock.after(1_000_000_000, self._sweep, self.life)
+        self.clock.after(1_000_000_000, self._sweep, self.generation)
 
     def stop(self) -> None:
         """Killed: what it held is cut, and its connections are gone."""
         self.running = False
-        self.life += 1
+        self.generation += 1
         for request in list(self.open.values()):
             for attempt in request.out.values():
                 self._leave(attempt)
@@ -144,15 +146,15 @@
             elif isinstance(action, api.Fail):
                 self._answer(action.request, 502, 0)
             elif isinstance(action, api.SetTimer):
-                self.clock.at(action.at, self._wake, self.life, action.token)
+                self.clock.at(action.at, self._wake, self.generation, action.token)
             elif isinstance(action, api.CloseIdleConnections):
                 for _ in self._idle.pop(action.server, ()):
                     self._hang_up(action.server)
             else:
                 self.world.watch(self)
 
-    def _wake(self, life: int, token: int) -> None:
-        if life == self.life:
+    def _wake(self, generation: int, token: int) -> None:
+        if generation == self.generation:
             self.tell(api.Timer(token))
 
     def listed(self, kind: ListKind, servers: tuple[api.Server, ...]) -> None:
@@ -177,11 +179,11 @@
             answered(504, 0)
             return
         self.open[request.number] = request
-        self.clock.at(request.deadline, self._overdue, self.life, request)
+        self.clock.at(request.deadline, self._overdue, self.generation, request)
         self.tell(api.Request(request.number, left, ask.kind.index, ask.tenant, ask.key, again))
 
-    def _overdue(self, life: int, request: Request) -> None:
-        if life == self.life and not request.closed:
+    def _overdue(self, generation: int, request: Request) -> None:
+        if generation == self.generation and not request.closed:
             self._finish(request, 504, 0)
             self.tell(api.ClientGone(request.number))
             for attempt in list(request.out.values()):
@@ -237,7 +239,7 @@
             self.ended(attempt, Result.CONNECT_FAILED, ())
             return
         attempt.connected = attempt.written = True
-        attempt.life = server.life
+        attempt.generation = server.generation
         self.sockets += 1
         self.world.handshakes += 1
         server.accept()
@@ -255,9 +257,9 @@
         now = self.clock.now
         del request.out[attempt.index]
         if result in (Result.OK, Result.ERROR, Result.FULL) and attempt.connected:
-            if attempt.life == server.life:
-                if self._lives.get(server.id) != server.life:
-                    self._lives[server.id] = server.life
+            if attempt.generation == server.generation:
+                if self._generations.get(server.id) != server.generation:
+                    self._generations[server.id] = server.generation
                     self._idle[server.id] = []
                 self._idle.setdefault(server.id, []).append(now)
             else:
@@ -286,25 +288,25 @@
         attempt.done = True
         if attempt.connected:
             self.sockets -= 1
-            attempt.server.hang_up(attempt.life)
+            attempt.server.hang_up(attempt.generation)
         attempt.server.forsake(attempt)
 
     def _hang_up(self, identity: api.ServerId) -> None:
         self.sockets -= 1
         server = self.world.server(identity)
         if server is not None:
-            server.hang_up(self._lives.get(identity, -1))
+            server.hang_up(self._generations.get(identity, -1))
 
     def server_died(self, server: Server) -> None:
         self.sockets -= len(self._idle.pop(server.id, ()))
 
-    def _sweep(self, life: int) -> None:
+    def _sweep(self, generation: int) -> None:
         """Connections that have rested too long are closed."""
-        if life != self.life:
+        if generation != self.generation:
             return
         before = self.clock.now - int(IDLE_PART * self.world.settings.idle_close)
         for identity, idle in self._idle.items():
             while idle and idle[0] <= before:
                 del idle[0]
                 self._hang_up(identity)
-        self.clock.after(1_000_000_000, self._sweep, life)
+        self.clock.after(1_000_000_000, self._sweep, generation)
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -42,13 +42,13 @@
         self.codec = Codec(KEY)
         self.bytes = self.datagrams = 0  # sent
         self.living: dict[int, Peer] = {}
-        self._lives = dict.fromkeys(range(len(names)), 0)
+        self._generations = dict.fromkeys(range(len(names)), 0)
 
     def start(self, name: str, module: DecisionModule) -> DecisionModule:
         """A new process of that node, with what it is told by the others round its module."""
         number = self.names.index(name)
-        self._lives[number] += 1
-        peer = Peer(self, number, 100 + self._lives[number])
+        self._generations[number] += 1
+        peer = Peer(self, number, 100 + self._generations[number])
         self.living[number] = peer
         peer.start()
         return module if peer.sharing is None else peer.sharing.wrap_module(module)
@@ -75,17 +75,17 @@
 class Peer:
     """One process."""
 
-    def __init__(self, peers: Peers, number: int, life: int) -> None:
+    def __init__(self, peers: Peers, number: int, generation: int) -> None:
         self.running = True
-        self._peers, self._number, self._life = peers, number, life
+        self._peers, self._number, self._generation = peers, number, generation
         self._clock = peers.world.clock
         self._due = NEVER  # what the clock has been asked for
         self.zone = 0
         shares = peers.of.judge
-        random = random_for(peers.world.seed, "peer", str(number), str(life))
+        random = random_for(peers.world.seed, "peer", str(number), str(generation))
         supports = wire.SUPPORTS_MEMBERSHIP | (wire.SUPPORTS_SHARED if shares else 0)
         self.core = Membership(
-            number, len(peers.names), life, Traits(self.zone, wire.VERSION, supports),
+            number, len(peers.names), generation, Traits(self.zone, wire.VERSION, supports),
             int(peers.of.period_ms * 1e6), Random(random.random()), wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
         self.sharing: Sharing | None = None
@@ -97,7 +97,7 @@
 
     def start(self) -> None:
         if self.sharing is not None:
-            self.sharing.open(self._number, self._life, len(self._peers.names))
+            self.sharing.open(self._number, self._generation, len(self._peers.names))
         self._tell(api.Start())
 
     def came(self, source: int, data: bytes) -> None:
@@ -118,7 +118,7 @@
                     self._number, action.message.recipient, self._peers.codec.encode(action.message)
                 )
             elif isinstance(action, api.PayloadReceived) and self.sharing is not None:
-                self.sharing.heard(action.sender, action.life, action.payload)
+                self.sharing.heard(action.sender, action.generation, action.payload)
             elif isinstance(action, api.Superseded) and self.sharing is not None:
                 self.sharing.close()
         self._set_timer()
--- a/driftstair/model/server.py
+++ b/driftstair/model/server.py
@@ -24,7 +24,7 @@
 
 
 class Server:
-    """What a process at one name is. A restart is the same server with a new life."""
+    """What a process at one name is. A restart is the same server with a new generation."""
 
     def __init__(
         self, name: str, number: int, kind: BoxKind, kind_index: int, figures: Figures, clock: Clock,
@@ -40,7 +40,7 @@
         self.started = -1  # ns; below 0: long before the run
         self.running = self.draining = self.fallen = False
         self.vanished = False
-        self.life = 0
+        self.generation = 0
         self.open = 0  # connections
         self.place = self  # what a fault cuts off
         self.handled = self.turned_away = 0
@@ -56,7 +56,7 @@
     def start(self, cold: bool) -> None:
         now = self._clock.now
         self.running, self.draining, self.fallen = True, False, False
-        self.life += 1
+        self.generation += 1
         self.started = now if cold else -1
         self.open = 0
         self.engine = Engine(self.figures, now / 1e9, cold, self._random)
@@ -73,7 +73,7 @@
         if not self.running:
             return
         self.running = False
-        self.life += 1
+        self.generation += 1
         held, self._held = self._held, {}
         for attempt in held:
             attempt.lost(Result.RESET)
@@ -100,8 +100,8 @@
         self.engine.burden(self._clock.now / 1e9, self.kind.handshake)
         self._rearm()
 
-    def hang_up(self, life: int) -> None:
-        if life == self.life and self.running:
+    def hang_up(self, generation: int) -> None:
+        if generation == self.generation and self.running:
             self.open -= 1
             self.engine.connections = self.open
 
@@ -109,7 +109,7 @@
 
     def arrive(self, attempt: Attempt) -> None:
         """The last byte of a request has come."""
-        if not self.running or attempt.life != self.life:
+        if not self.running or attempt.generation != self.generation:
             attempt.lost(Result.RESET)
             return
         if attempt.done or self.vanished:
@@ -150,10 +150,10 @@
         due = self.engine.due()
         if due < self._armed:  # an earlier look does no harm
             self._armed = due
-            self._clock.at(max(self._clock.now + 1, int(due * 1e9) + 1), self._look, self.life, due)
+            self._clock.at(max(self._clock.now + 1, int(due * 1e9) + 1), self._look, self.generation, due)
 
-    def _look(self, life: int, due: float) -> None:
-        if life == self.life and due == self._armed:
+    def _look(self, generation: int, due: float) -> None:
+        if generation == self.generation and due == self._armed:
             self._armed = inf
             self.catch_up()
 
--- a/driftstair/model/tier/budgets.py
+++ b/driftstair/model/tier/budgets.py
@@ -22,13 +22,15 @@
 class Lending:
     """The shipped core. `alive`: the numbers that are held alive by all."""
 
-    def __init__(self, host: Host, life: int, spec: Spec, count: int, seed: int, alive: set[int]) -> None:
-        self.host, self.life, self.count, self.name = host, life, count, spec.name
-        random = Random(f"{seed}/{host.number}/{life}")
+    def __init__(
+        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+    ) -> None:
+        self.host, self.generation, self.count, self.name = host, generation, count, spec.name
+        random = Random(f"{seed}/{host.number}/{generation}")
         self.core = SharedState((spec,), random, lambda: [one for one in alive if one != host.number])
 
     def start(self) -> None:
-        self.core.open(self.host.now(), self.host.number, 100 + self.life, self.count)
+        self.core.open(self.host.now(), self.host.number, 100 + self.generation, self.count)
 
     def wake(self) -> None:
         self._do(self.core.wake(self.host.now()))
@@ -47,7 +49,7 @@
         return True
 
     def held(self) -> int:
-        return self.core.budgets[self.name].rights.held(self.host.now())
+        return self.core.budgets[self.name].escrow.held(self.host.now())
 
     def dead(self) -> set[int]:
         return set()
@@ -55,14 +57,16 @@
     def _do(self, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, SendItems):
-                datagram = (self.host.number, 100 + self.life, action.items)
+                datagram = (self.host.number, 100 + self.generation, action.items)
                 self.host.send(action.to, datagram, HEAD + len(action.items))
 
 
 class Fixed:
     """Each node has its part, and no other."""
 
-    def __init__(self, host: Host, life: int, spec: Spec, count: int, seed: int, alive: set[int]) -> None:
+    def __init__(
+        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+    ) -> None:
         self.host = host
         self._per_s = spec.per_s / count
         self._most = self._per_s * spec.burst / 1e9
@@ -98,10 +102,12 @@
 
     KEPT = 3 * SECOND
 
-    def __init__(self, host: Host, life: int, spec: Spec, count: int, seed: int, alive: set[int]) -> None:
-        super().__init__(host, life, spec, count, seed, alive)
+    def __init__(
+        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+    ) -> None:
+        super().__init__(host, generation, spec, count, seed, alive)
         self._spec = spec
-        self._random = Random(f"{seed}/{host.number}/{life}")
+        self._random = Random(f"{seed}/{host.number}/{generation}")
         self._alive = alive
         self._wanted = 0.0
         self._noted = 0
@@ -161,8 +167,8 @@
     def __post_init__(self) -> None:
         self.alive = set(range(self.count))
 
-        def make(host: Host, life: int) -> Any:
-            return WAYS[self.way](host, life, self.spec, self.count, self.seed, self.alive)
+        def make(host: Host, generation: int) -> Any:
+            return WAYS[self.way](host, generation, self.spec, self.count, self.seed, self.alive)
 
         self.world = World(self.count, self.seed, make, self.link)
         for number in range(self.count):
--- a/driftstair/model/tier/heartbeats.py
+++ b/driftstair/model/tier/heartbeats.py
@@ -7,7 +7,8 @@
 from driftstair.tier.membership.members import State
 from driftstair.tier.wire import MAC_BYTES
 
-SIZE = 1 + MAC_BYTES + 4 + 5  # bytes: a version, a seal, a number and a life, as a tier's datagrams have them
+# bytes: a version, a seal, a number and a generation, as a tier's datagrams have them
+SIZE = 1 + MAC_BYTES + 4 + 5
 
 
 class Heartbeats:
--- a/driftstair/model/tier/measure.py
+++ b/driftstair/model/tier/measure.py
@@ -22,11 +22,11 @@
 
 
 MakeOf = Callable[[int, int], Callable[[Host, int], Detector]]
-"""For so many nodes and a seed: how a life of a node is made."""
+"""For so many nodes and a seed: how a generation of a node is made."""
 
 
 def swim(count: int, seed: int, period: float = 1.0) -> Callable[[Host, int], Detector]:
-    return lambda host, life: Swim(host, life, count, period, seed)
+    return lambda host, generation: Swim(host, generation, count, period, seed)
 
 
 @dataclass(slots=True)
--- a/driftstair/model/tier/ownership.py
+++ b/driftstair/model/tier/ownership.py
@@ -11,13 +11,13 @@
 
 
 class Owner:
-    """One life of a node."""
+    """One generation of a node."""
 
-    def __init__(self, host: Host, life: int, fleet: Fleet) -> None:
-        self.host, self.life, self.fleet = host, fleet.life(), fleet
-        random = Random(f"{fleet.seed}/{host.number}/{life}")
+    def __init__(self, host: Host, generation: int, fleet: Fleet) -> None:
+        self.host, self.generation, self.fleet = host, fleet.generation(), fleet
+        random = Random(f"{fleet.seed}/{host.number}/{generation}")
         self.core = Leases(
-            fleet.tasks, host.number, self.life, fleet.count, host.now(), random,
+            fleet.tasks, host.number, self.generation, fleet.count, host.now(), random,
             lambda: sorted(fleet.alive | {host.number}),
         )  # fmt: skip
 
@@ -41,7 +41,7 @@
 
     def _do(self, letters: list[tuple[int, Any]], changes: list[LeaseChange]) -> None:
         for to, message in letters:
-            self.host.send(to, (self.host.number, self.life, message), 60)
+            self.host.send(to, (self.host.number, self.generation, message), 60)
         for one in changes:
             self.fleet.changed(self.host, one)
 
@@ -67,18 +67,20 @@
     world: World = field(init=False)
     alive: set[int] = field(init=False)
     had: list[Had] = field(init=False, default_factory=list)
-    _life: int = field(init=False, default=100)
+    _generation: int = field(init=False, default=100)
 
     def __post_init__(self) -> None:
         self.alive = set(range(self.count))
-        self.world = World(self.count, self.seed, lambda host, life: Owner(host, life, self), self.link)
+        self.world = World(
+            self.count, self.seed, lambda host, generation: Owner(host, generation, self), self.link
+        )
         for number in range(self.count):
             self.world.start(number)
 
-    def life(self) -> int:
-        """Of a process that starts now: lives are by the clock."""
-        self._life += 1
-        return self._life
+    def generation(self) -> int:
+        """Of a process that starts now: generations are by the clock."""
+        self._generation += 1
+        return self._generation
 
     def changed(self, host: Host, one: LeaseChange) -> None:
         if one.was:
--- a/driftstair/model/tier/swim.py
+++ b/driftstair/model/tier/swim.py
@@ -15,13 +15,13 @@
 
 
 class Swim:
-    """One life. `period` in s; lives of one number follow each other by `first_life + life`."""
+    """One generation. `period` in s; generations of one number follow each other: 100 + `generation`."""
 
-    def __init__(self, host: Host, life: int, count: int, period: float, seed: int) -> None:
-        random = Random(f"{seed}/{host.number}/{life}")
+    def __init__(self, host: Host, generation: int, count: int, period: float, seed: int) -> None:
+        random = Random(f"{seed}/{host.number}/{generation}")
         self.host = host
         self.core = Membership(
-            host.number, count, 100 + life, Traits(host.number % 3, 1, wire.SUPPORTS_MEMBERSHIP),
+            host.number, count, 100 + generation, Traits(host.number % 3, 1, wire.SUPPORTS_MEMBERSHIP),
             int(period * SECOND), random, wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
 
--- a/driftstair/model/tier/world.py
+++ b/driftstair/model/tier/world.py
@@ -27,7 +27,7 @@
 
 
 class Detector(Protocol):
-    """One life of a node. What it does comes back through the calls that it was made with."""
+    """One generation of a node. What it does comes back through the calls that it was made with."""
 
     def start(self) -> None: ...
 
@@ -43,7 +43,7 @@
 
 
 Make = Callable[["Host", int], Detector]
-"""A detector on a host, for its life of that number (from 0)."""
+"""A detector on a host, for its generation of that number (from 0)."""
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
     world: World
     number: int
     detector: Detector | None = None
-    life: int = -1
+    generation: int = -1
     stopped: bool = False
     slow: float = 0.0  # s that a datagram waits before it is read
     inbox: list[Any] = field(default_factory=list)
@@ -93,11 +93,11 @@
 
     def start(self, number: int) -> None:
         host = self.hosts[number]
-        host.life += 1
+        host.generation += 1
         host.stopped = False
         host.inbox.clear()
         host.due = NEVER
-        host.detector = self._make(host, host.life)
+        host.detector = self._make(host, host.generation)
         host.detector.start()
         self._wake_later(host)
 
@@ -113,9 +113,9 @@
         host.stopped = False
         waiting, host.inbox = host.inbox, []
         for datagram in waiting:
-            self._read(host, host.life, datagram)
+            self._read(host, host.generation, datagram)
         host.due = self.now
-        self._woken(host, host.life, self.now)
+        self._woken(host, host.generation, self.now)
 
     def runs(self, number: int) -> bool:
         return self.hosts[number].detector is not None
@@ -141,10 +141,10 @@
         detector = host.detector
         if detector is not None and (wanted := max(self.now, detector.wake_at())) < host.due:
             host.due = wanted
-            self.at(wanted, self._woken, host, host.life, wanted)
+            self.at(wanted, self._woken, host, host.generation, wanted)
 
-    def _woken(self, host: Host, life: int, due: int) -> None:
-        if host.life != life or host.due != due:
+    def _woken(self, host: Host, generation: int, due: int) -> None:
+        if host.generation != generation or host.due != due:
             return  # it has been woken earlier, or is another process
         host.due = NEVER
         detector = host.detector
@@ -170,10 +170,10 @@
         if host.stopped:
             host.inbox.append(datagram)
         else:
-            self._read(host, host.life, datagram)
+            self._read(host, host.generation, datagram)
 
-    def _read(self, host: Host, life: int, datagram: Any) -> None:
+    def _read(self, host: Host, generation: int, datagram: Any) -> None:
         detector = host.detector
-        if detector is not None and host.life == life:
+        if detector is not None and host.generation == generation:
             detector.take(datagram)
             self._wake_later(host)
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -131,7 +131,7 @@
         self.account = Account()
         self.outcome = Outcome(self.account)
         self._way_random = random_for(self.seed, "network")
-        self._policy_lives: dict[str, int] = {}
+        self._policy_generations: dict[str, int] = {}
         self._build()
 
     def _build(self) -> None:
@@ -272,7 +272,7 @@
         out.tries, out.refused, out.handshakes = self.clients.tries, self.clients.refusals, self.handshakes
         boxes = list(self._by_id.values())
         out.attempts = sum(node.attempts for node in self.nodes.values())
-        out.jams = sum(box.engine.jams for box in boxes if box.life)
+        out.jams = sum(box.engine.jams for box in boxes if box.generation)
         out.fallen = [box.name for box in boxes if box.fallen]
         out.list_calls, out.list_failed = self.box_list.calls, self.box_list.failed
         out.bad_tries = sum(box.tries_while_bad for box in boxes)
@@ -300,9 +300,9 @@
         self.box_list.change(self._entry(box, state), self.silent_notice if silent else self.list_notice)
 
     def _module(self, name: str) -> api.DecisionModule:
-        life = self._policy_lives[name] = self._policy_lives.get(name, 0) + 1
+        generation = self._policy_generations[name] = self._policy_generations.get(name, 0) + 1
         settings = replace(self.settings, number=self.node_names.index(name))
-        module = self.policy(settings, seed_for(self.seed, "node", name, life))
+        module = self.policy(settings, seed_for(self.seed, "node", name, generation))
         return module if self.peers is None else self.peers.start(name, module)
 
     def kill(self, name: str) -> None:
--- a/driftstair/rehearsal/fakes/front.py
+++ b/driftstair/rehearsal/fakes/front.py
@@ -33,7 +33,8 @@
         self._notice = notice  # s
         self._random = random
         self._there: dict[str, bool] = dict.fromkeys(nodes, False)
-        self._lives: dict[str, int] = dict.fromkeys(nodes, 0)  # a word on an earlier life counts no more
+        # A word on an earlier generation counts no more.
+        self._generations: dict[str, int] = dict.fromkeys(nodes, 0)
         self._turn = 0
         self._tasks: dict[asyncio.Task[None], None] = {}
 
@@ -51,28 +52,28 @@
     def node_starts(self, node: str, address: tuple[str, int], ready: Callable[[], None]) -> None:
         """Ask until it says that it is up; `ready` is called then."""
         self.addresses[node] = address
-        self._lives[node] += 1
-        task = self._place.loop.create_task(self._ask(node, self._lives[node], ready))
+        self._generations[node] += 1
+        task = self._place.loop.create_task(self._ask(node, self._generations[node], ready))
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
     def node_dies(self, node: str) -> None:
-        self._lives[node] += 1
-        self._place.loop.call_later(self._notice, self._drop, node, self._lives[node])
+        self._generations[node] += 1
+        self._place.loop.call_later(self._notice, self._drop, node, self._generations[node])
 
     def node_ends(self, node: str) -> None:
         """It was told to end, and so was this layer."""
-        self._lives[node] += 1
-        self._place.loop.call_later(self._random.uniform(*ENDING), self._drop, node, self._lives[node])
+        self._generations[node] += 1
+        self._place.loop.call_later(self._random.uniform(*ENDING), self._drop, node, self._generations[node])
 
-    def _drop(self, node: str, life: int) -> None:
-        if self._lives[node] == life:
+    def _drop(self, node: str, generation: int) -> None:
+        if self._generations[node] == generation:
             self._there[node] = False
 
-    async def _ask(self, node: str, life: int, ready: Callable[[], None]) -> None:
-        while self._lives[node] == life:
+    async def _ask(self, node: str, generation: int, ready: Callable[[], None]) -> None:
+        while self._generations[node] == generation:
             if await self._is_up(node):
-                if self._lives[node] == life:
+                if self._generations[node] == generation:
                     self._there[node] = True
                     ready()
                 return
--- a/driftstair/rehearsal/runner.py
+++ b/driftstair/rehearsal/runner.py
@@ -89,7 +89,7 @@
         self._box_count = scenario.boxes.count
         self._ending: dict[str, bool] = {}
         self._ready: dict[str, int] = {}  # since when each node serves, ns
-        self._lives = dict.fromkeys(self.node_names, 0)
+        self._generations = dict.fromkeys(self.node_names, 0)
         self.vanished: set[str] = set()
         self.cuts: dict[str, tuple[int, int]] = {}  # machines that were cut off in silence, from and to
         self._build()
@@ -290,7 +290,7 @@
     def document(self, name: str) -> dict[str, object]:
         return platform.document(
             self.scenario, name, self.nodes[name].address(), self.box_list.addresses[name],
-            seed_for(self.seed, "node", name, self._lives[name]), self.box_list.known(name),
+            seed_for(self.seed, "node", name, self._generations[name]), self.box_list.known(name),
             None if self.tier is None else self.environment.peers(name),
         )  # fmt: skip
 
@@ -298,7 +298,7 @@
         if self.over:
             return
         node = self.nodes[name]
-        self._lives[name] += 1
+        self._generations[name] += 1
         document = self.document(name)
         self._ending[name] = False
         if not first:
--- a/driftstair/rehearsal/sockets.py
+++ b/driftstair/rehearsal/sockets.py
@@ -214,7 +214,7 @@
         self._held = ports.tcp()
         self._port = self._held.number
         self._process: asyncio.subprocess.Process | None = None
-        self._life = 0
+        self._generation = 0
         self._trace: list[str] | None = None
 
     def address(self) -> tuple[str, int]:
@@ -232,15 +232,15 @@
     def start(self, document: dict[str, Any]) -> None:
         self._write(document)
         self.running = True
-        self._life += 1
+        self._generation += 1
         self._program = "driftstair"
         if self.name in self._environment.liars:
             self._program = LIAR
         elif self._environment.clock(self.name) != (1.0, 0):
             self._program = CLOCKED
-        self._environment.do(self._run(self._life))
+        self._environment.do(self._run(self._generation))
 
-    async def _run(self, life: int) -> None:
+    async def _run(self, generation: int) -> None:
         environment = {
             **{key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")},
             "BALANCER_CONFIG": str(self._path()), "BALANCER_NAME": self.name,
@@ -254,7 +254,7 @@
             sys.executable, "-m", self._program, *options, env=environment, stderr=asyncio.subprocess.PIPE,
             stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL, cwd=self._environment.root,
         )  # fmt: skip
-        if life != self._life or not self.running:
+        if generation != self._generation or not self.running:
             process.kill()
         self._process = process
         assert process.stderr is not None
@@ -262,7 +262,7 @@
             self._log(line.decode("utf-8", "replace").rstrip("\n"))
         status = await process.wait()
         self._trace_over()
-        if life == self._life and self.running:
+        if generation == self._generation and self.running:
             self.running = False
             self._ended(self.name, f"status {status}" if status else "")
 
--- a/driftstair/rehearsal/tier/budgets.py
+++ b/driftstair/rehearsal/tier/budgets.py
@@ -1,6 +1,6 @@
 """What must hold of the fleet's budgets, by the histories of all nodes: spent, and held.
 
-Times of one machine's monotonic clock, which the nodes share here; so a right that ended while its holder
+Times of one machine's monotonic clock, which the nodes share here; so a loan that ended while its holder
 stood still is over, whatever that holder has come to write of it.
 """
 
@@ -140,7 +140,7 @@
 def _spans(
     events: list[Event], name: str, begins: tuple[str, str], ends: str
 ) -> dict[tuple[int, int, int], list[tuple[int, int, int]]]:
-    """By home, its life and loan: when that loan was out, and its shares. As its keeper wrote it down."""
+    """By home, its generation and loan: when that loan was out, and its shares. As its keeper wrote it."""
     first, longer = begins
     out: dict[tuple[int, int, int], list[tuple[int, int, int]]] = {}
     for one in sorted((one for one in events if one["event"] == "right"), key=lambda one: one["t_ns"]):
--- a/driftstair/rehearsal/tier/checks.py
+++ b/driftstair/rehearsal/tier/checks.py
@@ -67,7 +67,7 @@
 def check(story: Story, bounds: Bounds) -> list[Finding]:
     return [
         *wrongly_dead(story, bounds), *missed_deaths(story, bounds), *disagreement(story, bounds),
-        *old_lives(story),
+        *old_generations(story),
     ]  # fmt: skip
 
 
@@ -145,8 +145,8 @@
     return out
 
 
-def old_lives(story: Story) -> list[Finding]:
-    """What a process holds of a member only rises: an old life, or what was refuted, never comes back."""
+def old_generations(story: Story) -> list[Finding]:
+    """What a process holds of a member only rises: an old generation or a refuted claim never comes back."""
     out = []
     for process in story.processes:
         highest: dict[int, Rank] = {}
--- a/driftstair/rehearsal/tier/histories.py
+++ b/driftstair/rehearsal/tier/histories.py
@@ -23,7 +23,7 @@
     at: int
     member: int
     state: str
-    rank: Rank  # life, incarnation, state
+    rank: Rank  # generation, incarnation, state
     told: bool
     why: str
 
@@ -68,7 +68,7 @@
         return {one.member: one for one in self.held}
 
 
-class Lives:
+class Generations:
     """The processes of one node, from its events as they come. What precedes a first start is left out."""
 
     def __init__(self) -> None:
@@ -96,10 +96,10 @@
 
 def processes(events: list[Event]) -> list[Process]:
     """Of one node's history."""
-    lives = Lives()
+    generations = Generations()
     for event in events:
-        lives.take(event)
-    return lives.processes
+        generations.take(event)
+    return generations.processes
 
 
 class Following:
@@ -108,23 +108,23 @@
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._read: dict[Path, int] = {}  # bytes of whole lines
-        self._lives: dict[Path, Lives] = {}
+        self._generations: dict[Path, Generations] = {}
 
     def processes(self) -> list[Process]:
         for path in self._folder.glob("*.jsonl"):
             before = self._read.get(path, 0)
             if path.stat().st_size > before:
                 self._read_on(path, before)
-        return [one for path in sorted(self._lives) for one in self._lives[path].processes]
+        return [one for path in sorted(self._generations) for one in self._generations[path].processes]
 
     def _read_on(self, path: Path, before: int) -> None:
         with path.open("rb") as file:
             file.seek(before)
             new = file.read()
         whole = new[: new.rfind(b"\n") + 1]
-        lives = self._lives.setdefault(path, Lives())
+        generations = self._generations.setdefault(path, Generations())
         for line in whole.decode().splitlines():
-            lives.take(history.read_line(line))
+            generations.take(history.read_line(line))
         self._read[path] = before + len(whole)
 
 
--- a/driftstair/rehearsal/tier/inside.py
+++ b/driftstair/rehearsal/tier/inside.py
@@ -22,8 +22,8 @@
     def __init__(self, out: list[dict[str, Any]]) -> None:
         self._out = out
 
-    def write(self, t_ns: int, node: int, life: int, event: str, **fields: Any) -> None:
-        self._out.append({"t_ns": t_ns, "node": node, "life": life, "event": event, **fields})
+    def write(self, t_ns: int, node: int, generation: int, event: str, **fields: Any) -> None:
+        self._out.append({"t_ns": t_ns, "node": node, "life": generation, "event": event, **fields})
 
     def close(self) -> None:
         """Nothing is open."""
--- a/driftstair/tier/command.py
+++ b/driftstair/tier/command.py
@@ -244,9 +244,11 @@
     elif found["state"] == "wanted":
         about += f": {found['why'] or 'nobody has answered'}, {found['before']} before it"
     console.print(about, highlight=False)
-    steward = "nobody that this node knows of" if found["steward"] is None else f"node {found['steward']}"
+    disruption_controller = (
+        "nobody that this node knows of" if found["steward"] is None else f"node {found['steward']}"
+    )
     rules = f"{found['at_once']} at once, for {found['term_s']:g} s at most"
-    console.print(f"steward: {steward}; {rules}", highlight=False)
+    console.print(f"steward: {disruption_controller}; {rules}", highlight=False)
     for one in found["out"]:
         zone = "of a zone that nobody knows" if one["zone"] is None else f"zone {one['zone']}"
         why = f"for a {one['for']}" if one["for"] else "not alive, or it has not answered"
--- a/driftstair/tier/history.py
+++ b/driftstair/tier/history.py
@@ -80,10 +80,10 @@
         except OSError as problem:
             raise HistoryError(f"{path}: {problem.strerror}") from None
 
-    def write(self, t_ns: int, node: int, life: int, event: str, **fields: Any) -> None:
+    def write(self, t_ns: int, node: int, generation: int, event: str, **fields: Any) -> None:
         if self._file < 0:
             return
-        line = json.dumps({"t_ns": t_ns, "node": node, "life": life, "event": event, **fields})
+        line = json.dumps({"t_ns": t_ns, "node": node, "life": generation, "event": event, **fields})
         try:
             os.write(self._file, line.encode() + b"\n")
         except OSError as problem:
--- a/driftstair/tier/member_list.py
+++ b/driftstair/tier/member_list.py
@@ -58,10 +58,10 @@
 
 
 def _parse_claim(row: list[int]) -> Claim:
-    number, life, incarnation, state, reporter, *traits = row
+    number, generation, incarnation, state, reporter, *traits = row
     if not all(type(value) is int for value in row) or len(traits) != len(Traits._fields):
         raise ValueError(f"{row!r}")
-    claim = Claim(number, life, incarnation, State(state), reporter, Traits(*traits))
+    claim = Claim(number, generation, incarnation, State(state), reporter, Traits(*traits))
     if not is_encodable(claim):
         raise ValueError(f"{row!r}")
     return claim
--- a/driftstair/tier/membership/core.py
+++ b/driftstair/tier/membership/core.py
@@ -44,21 +44,21 @@
 ISOLATION_PERIODS = 6  # without any answer to a probe, after which this node is isolated
 MAX_RECLAIMS = 8  # times that this node takes its number back from a later process
 RECLAIM_MEMORY_PERIODS = 60  # without such a conflict, after which the count restarts
-MAX_LIFE = (1 << 32) - 1  # range of the datagram field
+MAX_GENERATION = (1 << 32) - 1  # range of the datagram field
 MAX_INCARNATION = (1 << 16) - 1
 LEAVE_FANOUT = 8  # nodes that a leave is sent to immediately
 
 
 class Membership:
-    """`life`: as in Claim; `max_claims_bytes`: space for claims in one message; `claim_size`: the encoded
-    length of a claim in bytes."""
+    """`generation`: as in Claim; `max_claims_bytes`: space for claims in one message; `claim_size`: the
+    encoded length of a claim in bytes."""
 
     def __init__(
-        self, own_number: int, count: int, life: int, traits: Traits, period_ns: int, random: Random,
+        self, own_number: int, count: int, generation: int, traits: Traits, period_ns: int, random: Random,
         max_claims_bytes: int, claim_size: Callable[[Claim], int],
     ) -> None:  # fmt: skip
         self.own_number = own_number
-        self.own_claim = Claim(own_number, life, 0, State.ALIVE, own_number, traits)
+        self.own_claim = Claim(own_number, generation, 0, State.ALIVE, own_number, traits)
         self.members: dict[int, Member] = {}
         self.health = Health()
         self.wake_at = NEVER
@@ -125,7 +125,7 @@
             claim = member.claim or Claim(member.number, 0, 0, State.ALIVE, member.number)
             suspicion = member.suspicion
             views.append(MemberView(
-                member.number, member.state, claim.life, claim.incarnation, *claim.traits,
+                member.number, member.state, claim.generation, claim.incarnation, *claim.traits,
                 now_ns - member.since_ns, now_ns - member.heard_at_ns if member.heard_at_ns >= 0 else -1,
                 member.round_trip_ns,
                 tuple(sorted(suspicion.reporters)) if suspicion else (),
@@ -176,8 +176,8 @@
         self._report_change(self.own_claim, "starts")
         for claim in saved_claims:
             if claim.number == self.own_number:
-                if claim.life >= self.own_claim.life:
-                    self._begin_new_life(claim.life + 1)
+                if claim.generation >= self.own_claim.generation:
+                    self._begin_new_generation(claim.generation + 1)
             elif claim.number in self.members:
                 self._merge(now_ns, claim, "kept", disseminate=False)
         self._updates.add(self.own_claim)
@@ -205,7 +205,7 @@
             old_number, self.own_number = self.own_number, own_number
             self._probes.discard(old_number)
             self.own_claim = self.own_claim._replace(number=own_number, reporter=own_number)
-            self._begin_new_life(self.own_claim.life + 1)
+            self._begin_new_generation(self.own_claim.generation + 1)
         self._resize(count)
         self._updates.add(self.own_claim)
         self._next_gossip_ns = now_ns
@@ -449,14 +449,17 @@
             self.counts["misdirected"] += 1
             return
         current = member.claim
-        if current is not None and message.sender_claim.life < current.life:
+        if current is not None and message.sender_claim.generation < current.generation:
             # A newer process has taken the sender's number: the ACK tells it so, and its claims are ignored.
             self.counts["old_life"] += 1
             if message.kind is Kind.PING:
                 self._send(Kind.ACK, number, message.seq)
             return
-        if message.sender_claim.life > member.replay_window_life:
-            member.replay_window, member.replay_window_life = ReplayWindow(), message.sender_claim.life
+        if message.sender_claim.generation > member.replay_window_generation:
+            member.replay_window, member.replay_window_generation = (
+                ReplayWindow(),
+                message.sender_claim.generation,
+            )
         if not member.replay_window.accept(message.counter):
             self.counts["replayed"] += 1
             return
@@ -484,7 +487,9 @@
             case Kind.PING_REQ:
                 self._relay_probe(now_ns, message)
             case Kind.SHARED:
-                self._actions.append(api.PayloadReceived(number, message.sender_claim.life, message.payload))
+                self._actions.append(
+                    api.PayloadReceived(number, message.sender_claim.generation, message.payload)
+                )
             case Kind.NEWS:
                 pass
 
@@ -504,20 +509,22 @@
 
     def _refute(self, now_ns: int, claim: Claim) -> None:
         """Handles a claim on this node itself: a wrong one is refuted."""
-        if claim.life < self.own_claim.life:
+        if claim.generation < self.own_claim.generation:
             return
-        is_ahead = claim.life > self.own_claim.life or claim.incarnation > self.own_claim.incarnation
+        is_ahead = (
+            claim.generation > self.own_claim.generation or claim.incarnation > self.own_claim.incarnation
+        )
         if is_ahead or claim.incarnation >= MAX_INCARNATION:
             # The claim is on an earlier process of this node whose clock was ahead, or on a rival process. An
             # earlier one can't respond, so repeated claims come from a rival. The later process wins.
             self._reclaims += 1
             self._last_reclaim_ns = now_ns
-            if self._reclaims > MAX_RECLAIMS or claim.life >= MAX_LIFE:
+            if self._reclaims > MAX_RECLAIMS or claim.generation >= MAX_GENERATION:
                 self.superseded = True
                 self.wake_at = NEVER
-                self._actions.append(api.Superseded(claim.life))
+                self._actions.append(api.Superseded(claim.generation))
                 return
-            self._begin_new_life(claim.life + 1)
+            self._begin_new_generation(claim.generation + 1)
         elif claim.rank() > self.own_claim.rank():
             self.counts["refuted"] += 1
             self.health.record_failure()
@@ -528,9 +535,9 @@
         self._updates.add(self.own_claim)
         self._next_gossip_ns = min(self._next_gossip_ns, now_ns)
 
-    def _begin_new_life(self, life: int) -> None:
+    def _begin_new_generation(self, generation: int) -> None:
         state = State.LEFT if self._leaving else State.ALIVE
-        self.own_claim = self.own_claim._replace(life=life, incarnation=0, state=state)
+        self.own_claim = self.own_claim._replace(generation=generation, incarnation=0, state=state)
         self._next_counter = 0
         self._report_change(self.own_claim, "its number was claimed by another life")
 
@@ -542,11 +549,11 @@
             if claim.rank() == current.rank() and claim.state is State.SUSPECT:
                 self._confirm_suspicion(now_ns, member, claim)
             return
-        new_life = current is None or claim.life > current.life
+        new_generation = current is None or claim.generation > current.generation
         was_live = member.is_live()
         previous_state = member.state
         member.claim = claim
-        if new_life:
+        if new_generation:
             member.heard_at_ns = -1
             member.round_trip_ns = 0
             self._probes.discard(claim.number)
@@ -560,7 +567,7 @@
         if member.is_live() is not was_live:
             self._live_count += 1 if member.is_live() else -1
             self._live_others_cache = None
-        if previous_state is not member.state or new_life:
+        if previous_state is not member.state or new_generation:
             member.since_ns = now_ns
         self._report_change(claim, reason)
         if disseminate:
--- a/driftstair/tier/membership/events.py
+++ b/driftstair/tier/membership/events.py
@@ -107,7 +107,7 @@
 class Superseded:
     """Another process keeps claiming this node's number, so this one stops taking part in the tier."""
 
-    life: int
+    generation: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -123,7 +123,7 @@
     process of that node."""
 
     sender: int
-    life: int
+    generation: int
     payload: bytes
 
 
@@ -136,7 +136,7 @@
 
     number: int
     state: State | None  # None: nothing has been received about it
-    life: int
+    generation: int
     incarnation: int
     zone: int
     version: int
--- a/driftstair/tier/membership/members.py
+++ b/driftstair/tier/membership/members.py
@@ -36,14 +36,14 @@
     """One member's state as reported by some node."""
 
     number: int  # index in the platform's list of peers
-    life: int  # of its process: its start time in sixteenths of a second since 2024, or more
+    generation: int  # of its process: its start time in sixteenths of a second since 2024, or more
     incarnation: int  # raised only by the member itself, to refute a claim
     state: State
     reporter: int  # who suspects it or declared it dead; otherwise the member itself
     traits: Traits = Traits()
 
     def rank(self) -> tuple[int, int, int]:
-        return self.life, self.incarnation, self.state
+        return self.generation, self.incarnation, self.state
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
     suspicion: Suspicion | None = None
     presumed_dead: bool = False  # only because this node is isolated; not disseminated
     replay_window: ReplayWindow = field(default_factory=ReplayWindow)
-    replay_window_life: int = -1  # the process that the replay window belongs to
+    replay_window_generation: int = -1  # the process that the replay window belongs to
 
     @property
     def state(self) -> State | None:
--- a/driftstair/tier/ownership/__init__.py
+++ b/driftstair/tier/ownership/__init__.py
@@ -1,5 +1,5 @@
 """One owner at a time for work on behalf of the fleet, each part a core without clock, socket or chance.
 
-`acceptor` is a member of the council that decides, `proposer` whoever wants a lease; `leases` is both, for
+`acceptor` is one of the voters that decide, `proposer` whoever wants a lease; `leases` is both, for
 all tasks of one process; `messages` is what they say.
 """
--- a/driftstair/tier/ownership/steward.py
+++ b/driftstair/tier/ownership/disruption_controller.py
@@ -1,10 +1,10 @@
-"""The steward: whoever has the lease on permits, and gives them.
+"""The disruption controller: whoever has the lease on permits, and gives them.
 
-At most `at_once` nodes are out at a time, and all of one zone. What a steward before it has given it does not
-know; so until a node has answered its poll, that node counts as out, for as long as a permit can last. The
-state is thus with those whom it is about: nothing has to be kept when the owner changes, and a node that says
-nothing holds the others back, never the other way round. Counted out are also nodes that are not alive, for a
-permit's term from when they were last: who is dead need not be waited for any longer.
+At most `at_once` nodes are out at a time, and all of one zone. What a disruption controller before it has
+given it does not know; so until a node has answered its poll, that node counts as out, for as long as a
+permit can last. The state is thus with those whom it is about: nothing has to be kept when the owner changes,
+and a node that says nothing holds the others back, never the other way round. Counted out are also nodes that
+are not alive, for a permit's term from when they were last: who is dead need not be waited for any longer.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 POLL_AGAIN = 500_000_000  # ns between two polls of one that has not
 FORGOTTEN = 3 * ASK_EVERY  # ns after its last ask, when a wish is none any more
 LiveNodes = dict[int, tuple[int, int]]
-"""By number: the life and the zone of nodes that are held alive, the steward's own among them."""
+"""By number: the generation and the zone of nodes that are held alive, this one's own among them."""
 
 
 @dataclass(slots=True)
 class Given:
-    life: int
+    generation: int
     seq: int
     kind: int
-    until: int  # ns, by the steward's clock
-    at: int = 0  # by the holder's clock; 0: a steward before this one has given it
+    until: int  # ns, by the disruption controller's clock
+    at: int = 0  # by the holder's clock; 0: an earlier disruption controller has given it
 
 
 @dataclass(slots=True)
 class Wish:
-    life: int
+    generation: int
     seq: int
     kind: int
     at: int  # by the asker's clock
@@ -53,7 +53,7 @@
     heard: int
 
 
-class Steward:
+class DisruptionController:
     """`count` nodes; `living` as membership has it, which may be wrong: it decides whom to ask, and whom to
     count out besides those that the polls tell of."""
 
@@ -64,8 +64,9 @@
         self._living = living
         self._token = 0
         self._since = 0  # of its office
-        self._answered: dict[int, int] = {}  # by number: the life that has answered the poll
-        self._cleared: dict[int, int] = {}  # the life that has said that it holds nothing of an older steward
+        self._answered: dict[int, int] = {}  # by number: the generation that has answered the poll
+        # The generation that has said that it holds nothing of an older disruption controller.
+        self._cleared: dict[int, int] = {}
         self._polled: dict[int, int] = {}  # when
         self._seen: dict[int, int] = {}  # when a node was last held alive
         self._zones: dict[int, int] = {}  # of all that it ever held alive
@@ -89,8 +90,8 @@
             return []
         living = self._look(now)
         letters: OutgoingMessages = []
-        for number, (life, _) in living.items():
-            wait = POLL_EVERY if self._answered.get(number) == life else POLL_AGAIN
+        for number, (generation, _) in living.items():
+            wait = POLL_EVERY if self._answered.get(number) == generation else POLL_AGAIN
             if now - self._polled.get(number, -wait) >= wait:
                 self._polled[number] = now
                 letters.append((number, Poll(self._token)))
@@ -100,17 +101,17 @@
 
     def _look(self, now: int) -> LiveNodes:
         living = self._living()
-        for number, (life, zone) in living.items():
+        for number, (generation, zone) in living.items():
             self._seen[number], self._zones[number] = now, zone
-            # Guards against a wish of the life before, which nobody waits for.
-            if number in self._wishes and self._wishes[number].life != life:
+            # Guards against a wish of the generation before, which nobody waits for.
+            if number in self._wishes and self._wishes[number].generation != generation:
                 del self._wishes[number]
         for number in [one for one, given in self.given.items() if now >= given.until]:
             del self.given[number]
         return living
 
     def heard(
-        self, now: int, sender: int, life: int, message: PollReply | Ask | ReturnPermit
+        self, now: int, sender: int, generation: int, message: PollReply | Ask | ReturnPermit
     ) -> OutgoingMessages:
         if not self._token:
             return []
@@ -119,59 +120,62 @@
             case PollReply(token, seq, kind, left):
                 if token != self._token:
                     return []
-                self._told(now, sender, life, seq, kind, left)
+                self._told(now, sender, generation, seq, kind, left)
                 return self._give(now, living)
             case Ask():
-                return self._asked(now, living, sender, life, message)
+                return self._asked(now, living, sender, generation, message)
             case ReturnPermit(seq):
                 wish, given = self._wishes.get(sender), self.given.get(sender)
-                if wish is not None and (wish.life, wish.seq) == (life, seq):
+                if wish is not None and (wish.generation, wish.seq) == (generation, seq):
                     del self._wishes[sender]
-                if given is not None and (given.life, given.seq) == (life, seq):
+                if given is not None and (given.generation, given.seq) == (generation, seq):
                     del self.given[sender]
-                    self._cleared[sender] = life
-                return [(sender, ReturnConfirmed(life, seq)), *self._give(now, living)]
+                    self._cleared[sender] = generation
+                return [(sender, ReturnConfirmed(generation, seq)), *self._give(now, living)]
         return []
 
-    def _told(self, now: int, sender: int, life: int, seq: int, kind: int, left: int) -> None:
-        """What a node holds, by its own word. A later life has nothing of the one before it."""
-        if life < self._answered.get(sender, 0):
+    def _told(self, now: int, sender: int, generation: int, seq: int, kind: int, left: int) -> None:
+        """What a node holds, by its own word. A later generation has nothing of the one before it."""
+        if generation < self._answered.get(sender, 0):
             return
         known = self.given.get(sender)
-        if known is not None and known.life < life:
+        if known is not None and known.generation < generation:
             del self.given[sender]
             known = None
-        self._answered[sender] = life
+        self._answered[sender] = generation
         if not seq:
-            # It takes none of an older steward since it heard the poll, so there is none from here on.
-            self._cleared[sender] = life
+            # It takes none of an older disruption controller since it heard the poll, so there is none from
+            # here on.
+            self._cleared[sender] = generation
             if known is not None and not known.at:
                 del self.given[sender]
-        elif known is None and self._cleared.get(sender) != life:
+        elif known is None and self._cleared.get(sender) != generation:
             lasts = min(self.rules.waited(), outlasting(left, self.rules.drift))
-            self.given[sender] = Given(life, seq, kind, now + lasts)
+            self.given[sender] = Given(generation, seq, kind, now + lasts)
 
-    def _asked(self, now: int, living: LiveNodes, sender: int, life: int, asked: Ask) -> OutgoingMessages:
-        if life < self._answered.get(sender, 0) or sender not in living:
+    def _asked(
+        self, now: int, living: LiveNodes, sender: int, generation: int, asked: Ask
+    ) -> OutgoingMessages:
+        if generation < self._answered.get(sender, 0) or sender not in living:
             return []
         given = self.given.get(sender)
-        if given is not None and given.life == life:
+        if given is not None and given.generation == generation:
             if asked.seq == given.seq and given.at:
                 # Its permit was lost on the way: the same again, no longer than it was.
-                return [(sender, Permit(self._token, life, asked.seq, given.at, self.rules.term))]
+                return [(sender, Permit(self._token, generation, asked.seq, given.at, self.rules.term))]
             if asked.seq <= given.seq:
                 return []
             del self.given[sender]  # it holds one at most: what it had is given back
         wish = self._wishes.get(sender)
-        if wish is not None and wish.life == life and asked.seq < wish.seq:
+        if wish is not None and wish.generation == generation and asked.seq < wish.seq:
             return []
-        if wish is None or (wish.life, wish.seq) != (life, asked.seq):
-            wish = self._wishes[sender] = Wish(life, asked.seq, asked.kind, asked.at, now, now)
+        if wish is None or (wish.generation, wish.seq) != (generation, asked.seq):
+            wish = self._wishes[sender] = Wish(generation, asked.seq, asked.kind, asked.at, now, now)
         wish.at, wish.heard = asked.at, now
         letters = self._give(now, living)
         if sender in self._wishes:
             why, before = self._refusal(now, living, sender)
-            letters.append((sender, Wait(self._token, life, asked.seq, int(why), before)))
+            letters.append((sender, Wait(self._token, generation, asked.seq, int(why), before)))
         return letters
 
     # Who is out.
@@ -188,8 +192,8 @@
                 number in living or now - self._seen.get(number, self._since) >= self.rules.waited()
             ):
                 continue
-            life = living[number][0] if number in living else -1
-            if self._answered.get(number) != life:
+            generation = living[number][0] if number in living else -1
+            if self._answered.get(number) != generation:
                 out.setdefault(number, self._zones.get(number, -1))
         return out
 
@@ -236,6 +240,8 @@
             zone = self._zones[number]
             if not out or zone != self._turn:
                 self._turn, self._turn_since = zone, now
-            self.given[number] = Given(wish.life, wish.seq, wish.kind, now + self.rules.waited(), wish.at)
-            letters.append((number, Permit(self._token, wish.life, wish.seq, wish.at, self.rules.term)))
+            self.given[number] = Given(
+                wish.generation, wish.seq, wish.kind, now + self.rules.waited(), wish.at
+            )
+            letters.append((number, Permit(self._token, wish.generation, wish.seq, wish.at, self.rules.term)))
         return letters
--- a/driftstair/tier/ownership/leases.py
+++ b/driftstair/tier/ownership/leases.py
@@ -1,4 +1,4 @@
-"""All tasks of one process: its part in the council, and the leases that it wants or holds. Times are ns.
+"""All tasks of one process: its part as a voter, and the leases that it wants or holds. Times are ns.
 
 Who should have a task is told by rendezvous hashing over the living: the first in rank asks at once, a few
 others wait longer by rank, so that rivals are rare and a crash moves only what its node held. Whoever has a
@@ -27,7 +27,7 @@
 )
 from driftstair.tier.ownership.proposer import Proposer
 
-MAX_COUNCIL_SIZE = 7
+MAX_VOTERS = 7
 TERMS = Terms()
 STAGGER = 700_000_000  # ns that each further rank waits before it asks
 RANKS_MOST = 4
@@ -58,9 +58,9 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
-def council_members(count: int) -> tuple[int, ...]:
+def voter_numbers(count: int) -> tuple[int, ...]:
     """The first numbers: the same whatever number beyond them joins or goes."""
-    return tuple(range(min(count, MAX_COUNCIL_SIZE)))
+    return tuple(range(min(count, MAX_VOTERS)))
 
 
 def rank_nodes(key: int, numbers: Iterable[int]) -> list[int]:
@@ -75,22 +75,22 @@
     where it has none."""
 
     def __init__(
-        self, tasks: Iterable[str], own: int, life: int, count: int, now: int, random: Random,
+        self, tasks: Iterable[str], own: int, generation: int, count: int, now: int, random: Random,
         living: Callable[[], list[int]], terms: Terms = TERMS, kept: int | None = None,
     ) -> None:  # fmt: skip
-        self.council = council_members(count)
-        self.acceptor = Acceptor(terms, life, now, kept) if own in self.council else None
+        self.voters = voter_numbers(count)
+        self.acceptor = Acceptor(terms, generation, now, kept) if own in self.voters else None
         self._held: dict[tuple[int, int], tuple[int, Prepare | Propose]] = {}  # until a token is on the disk
         self._keeping = False
         self._keep_at = now
         self.wake_at = now
-        self._own, self._life = own, life
+        self._own, self._generation = own, generation
         self._terms = terms
         self._living = living
         self._leaving = False
         self._alive: list[int] = []  # those that ranks were told by
         self._random = random
-        # No council that was started with this node says anything any sooner.
+        # No voters that were started with this node say anything any sooner.
         self._speaks_at = now + terms.waited()
         self.tasks: dict[str, Task] = {}
         self._keys: dict[int, Task] = {}
@@ -102,7 +102,7 @@
         """There is this work from now on, as all nodes find for themselves."""
         if name not in self.tasks:
             key = task_key(name)
-            proposer = Proposer(key, self._own, self._life, self.council, self._terms, self._random)
+            proposer = Proposer(key, self._own, self._generation, self.voters, self._terms, self._random)
             proposer.floor(self._used)
             self.tasks[name] = self._keys[key] = Task(name, key, proposer, max(now, self._speaks_at))
             self._alive = []
@@ -154,7 +154,7 @@
         return -1 if lease is None else lease.owner
 
     def _lease(self, now: int, task: Task) -> Running | None:
-        """As it runs here, where this node is of the council."""
+        """As it runs here, where this node is a voter."""
         return None if self.acceptor is None else self.acceptor.lease(now, task.key)
 
     def _set_wake(self, now: int) -> None:
@@ -181,30 +181,30 @@
         while waiting:
             to, message = waiting.pop(0)
             if to == self._own:
-                waiting += self._take(now, self._own, self._life, message)
+                waiting += self._take(now, self._own, self._generation, message)
             else:
                 out.append((to, message))
         return out
 
     def heard(
-        self, now: int, sender: int, life: int, message: Message
+        self, now: int, sender: int, generation: int, message: Message
     ) -> tuple[OutgoingMessages, list[LeaseChange]]:
-        letters = self._deliver(now, self._take(now, sender, life, message))
+        letters = self._deliver(now, self._take(now, sender, generation, message))
         if isinstance(message, Release) and message.heir == self._own:
             asked, changes = self.tick(now)
             return letters + asked, changes
         self._set_wake(now)
         return letters, self._changes(now)
 
-    def _take(self, now: int, sender: int, life: int, message: Message) -> OutgoingMessages:
+    def _take(self, now: int, sender: int, generation: int, message: Message) -> OutgoingMessages:
         if isinstance(message, Release) and message.heir == self._own and message.task in self._keys:
             heir = self._keys[message.task]
             heir.since = now - RANKS_MOST * STAGGER
             heir.proposer.free(now)
         if isinstance(message, Prepare | Propose | Release):
-            return self._decide(now, sender, life, message)
+            return self._decide(now, sender, generation, message)
         task = self._keys.get(message.task)
-        if task is None or sender not in self.council:
+        if task is None or sender not in self.voters:
             return []
         match message:
             case Promise():
@@ -216,20 +216,20 @@
         return []
 
     def _decide(
-        self, now: int, sender: int, life: int, message: Prepare | Propose | Release
+        self, now: int, sender: int, generation: int, message: Prepare | Propose | Release
     ) -> OutgoingMessages:
         if self.acceptor is None:
             return []
         answer: Promise | Accepted | Refused | None = None
         match message:
             case Prepare():
-                answer = self.acceptor.prepare(now, sender, life, message)
+                answer = self.acceptor.prepare(now, sender, generation, message)
             case Propose():
-                answer = self.acceptor.propose(now, sender, life, message)
+                answer = self.acceptor.propose(now, sender, generation, message)
             case Release():
-                self.acceptor.release(now, sender, life, message)
+                self.acceptor.release(now, sender, generation, message)
         if answer is None and not isinstance(message, Release) and self.pending_token():
-            self._held[sender, message.task] = life, message
+            self._held[sender, message.task] = generation, message
         return [] if answer is None else [(sender, answer)]
 
     # What is on the disk before it is promised.
@@ -257,8 +257,8 @@
         self.acceptor.kept = max(self.acceptor.kept, token)
         held, self._held = self._held, {}
         letters: OutgoingMessages = []
-        for (sender, _), (life, message) in held.items():
-            letters += self._deliver(now, self._decide(now, sender, life, message))
+        for (sender, _), (generation, message) in held.items():
+            letters += self._deliver(now, self._decide(now, sender, generation, message))
         self._set_wake(now)
         return letters, self._changes(now)
 
@@ -269,7 +269,7 @@
         self._held.clear()
 
     def report(self, now: int) -> dict[str, Any]:
-        """Per task: the owner as this node knows (none where it is not of the council and has it not itself),
+        """Per task: the owner as this node knows (none where it is no voter and has it not itself),
         the token, and s that are left of the lease."""
         out: dict[str, Any] = {}
         for task in self.tasks.values():
@@ -283,7 +283,7 @@
         return out
 
     def silent(self, now: int) -> bool:
-        """Whether it is of the council, and says nothing yet."""
+        """Whether it is a voter, and says nothing yet."""
         return self.acceptor is not None and self.acceptor.silent(now)
 
     def floor(self, task: str, token: int) -> None:
@@ -297,7 +297,7 @@
 
     def _released(self, now: int, task: Task, heir: int) -> OutgoingMessages:
         letters = task.proposer.release(now, heir)
-        if letters and heir >= 0 and heir not in self.council:
+        if letters and heir >= 0 and heir not in self.voters:
             letters = [*letters, (heir, letters[0][1])]
         return self._deliver(now, letters)
 
--- a/driftstair/tier/ownership/messages.py
+++ b/driftstair/tier/ownership/messages.py
@@ -1,4 +1,4 @@
-"""What a council and those who want a lease tell each other. Times are ns; tokens whole numbers."""
+"""What the voters and those who want a lease tell each other. Times are ns; tokens whole numbers."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 MAX_TOKEN = (1 << 64) - 1
 
 
-def first_token(life: int, number: int) -> int:
-    """Of a process: lives rise, so what a later one asks for is above all that an earlier one has had, on the
-    word of the clock. Where that was set back, whoever bears the effect tells the floor."""
-    return life * ATTEMPTS * NUMBERS + number
+def first_token(generation: int, number: int) -> int:
+    """Of a process: generations rise, so what a later one asks for is above all that an earlier one has had,
+    on the word of the clock. Where that was set back, whoever bears the effect tells the floor."""
+    return generation * ATTEMPTS * NUMBERS + number
 
 
 def next_token_above(token: int, known: int) -> int:
@@ -41,7 +41,7 @@
     margin: int = 300_000_000
 
     def waited(self) -> int:
-        """ns that a member of the council counts: its clock may be fast and the owner's slow."""
+        """ns that a voter counts: its clock may be fast and the owner's slow."""
         return outlasting(self.lease, self.drift)
 
 
@@ -58,8 +58,8 @@
 
 
 class Propose(NamedTuple):
-    """A lease for the sender's life, that begins now. `seq` tells apart the times that one token is proposed:
-    an answer to an earlier one says nothing of a later lease."""
+    """A lease for the sender's generation, that begins now. `seq` tells apart the times that one token is
+    proposed: an answer to an earlier one says nothing of a later lease."""
 
     task: int
     token: int
--- a/driftstair/tier/ownership/permits.py
+++ b/driftstair/tier/ownership/permits.py
@@ -1,8 +1,10 @@
-"""Permits to be out: what a steward and those who ask it tell each other, and the side that asks.
+"""Permits to be out: what a disruption controller and those who ask it tell each other, and the side
+that asks.
 
 A permit counts from when its holder *asked* for it, so a grant that comes late is worth less, and one that
-comes after its term nothing; the steward counts from its answer, and longer by the drift. So a holder's
-permit is over before the steward's record of it, and no clock is compared with another. Times are ns.
+comes after its term nothing; the disruption controller counts from its answer, and longer by the drift. So a
+holder's permit is over before the controller's record of it, and no clock is compared with another. Times are
+ns.
 """
 
 from __future__ import annotations
@@ -12,7 +14,8 @@
 
 from driftstair.tier.ownership.messages import outlasting
 
-ASK_EVERY = 1_000_000_000  # ns between two asks: an answer may be lost, and the steward another by then
+# ns between two asks: an answer may be lost, and the disruption controller another by then
+ASK_EVERY = 1_000_000_000
 NEVER = 1 << 62
 
 
@@ -30,7 +33,7 @@
     TURN = 1  # others are before it
     OUT = 2  # as many are out as may be
     ZONE = 3  # who is out is of another zone, or of one that nobody knows
-    POLLING = 4  # the steward does not know yet what the one before it has given
+    POLLING = 4  # the disruption controller does not know yet what the one before it has given
 
 
 class Rules(NamedTuple):
@@ -42,12 +45,13 @@
     drift: float = 0.01
 
     def waited(self) -> int:
-        """ns that a steward counts: its clock may be fast and the holder's slow."""
+        """ns that a disruption controller counts: its clock may be fast and the holder's slow."""
         return outlasting(self.term, self.drift)
 
 
 class Poll(NamedTuple):
-    """The steward has the lease with this token: no permit of an older one is taken from now on."""
+    """The disruption controller has the lease with this token: no permit of an older one is taken from now
+    on."""
 
     token: int
 
@@ -70,11 +74,11 @@
 
 
 class Permit(NamedTuple):
-    """`life`: of the process that is meant, as a later one counts its wishes anew; `term`: of the steward's
-    file, where the holder's has another."""
+    """`generation`: of the process that is meant, as a later one counts its wishes anew; `term`: of the
+    disruption controller's file, where the holder's has another."""
 
     token: int
-    life: int
+    generation: int
     seq: int
     at: int
     term: int
@@ -84,7 +88,7 @@
     """`before`: how many get theirs first."""
 
     token: int
-    life: int
+    generation: int
     seq: int
     why: int
     before: int
@@ -97,9 +101,9 @@
 
 
 class ReturnConfirmed(NamedTuple):
-    """The steward counts it out no more."""
+    """The disruption controller counts it out no more."""
 
-    life: int
+    generation: int
     seq: int
 
 
@@ -108,7 +112,7 @@
 
 
 class PermitEvent(NamedTuple):
-    """For the history: a permit was `took`, `gave` back or `refused` (an older steward's)."""
+    """For the history: a permit was `took`, `gave` back or `refused` (an older controller's)."""
 
     what: str
     kind: int
@@ -117,14 +121,15 @@
 
 
 class Holder:
-    """One process that may want to be out; it holds one permit at most. The steward it knows by polls."""
+    """One process that may want to be out; it holds one permit at most. The disruption controller it
+    knows by polls."""
 
-    def __init__(self, rules: Rules, life: int) -> None:
+    def __init__(self, rules: Rules, generation: int) -> None:
         self.rules = rules
-        self.life = life
+        self.generation = generation
         self.notes: list[PermitEvent] = []
-        self.steward = -1
-        self.floor = 0  # token of the greatest steward that it has answered
+        self.disruption_controller = -1
+        self.floor = 0  # the greatest of the disruption controllers' tokens that it has answered
         self.kind = 0  # of what it wants or holds
         self.why, self.before = 0, 0  # of the last answer that gave nothing
         self._seq = 0
@@ -182,10 +187,10 @@
         if now < self._next_ask:
             return []
         letters: OutgoingMessages = []
-        if self.steward >= 0 and self._giving:
-            letters.append((self.steward, ReturnPermit(self._giving)))
-        if self.steward >= 0 and self._wanted:
-            letters.append((self.steward, Ask(self._seq, self.kind, now)))
+        if self.disruption_controller >= 0 and self._giving:
+            letters.append((self.disruption_controller, ReturnPermit(self._giving)))
+        if self.disruption_controller >= 0 and self._wanted:
+            letters.append((self.disruption_controller, Ask(self._seq, self.kind, now)))
         self._next_ask = now + ASK_EVERY if self._wanted or self._giving else NEVER
         return letters
 
@@ -202,23 +207,23 @@
                 if token < self.floor:
                     return []
                 if token > self.floor:
-                    self.floor, self.steward = token, sender
+                    self.floor, self.disruption_controller = token, sender
                     self._next_ask = now if self._wanted or self._giving else self._next_ask
                 seq = self._seq if self._token else 0
                 return [(sender, PollReply(token, seq, self.kind if seq else 0, self.left(now)))]
             case Permit():
                 return self._permitted(now, sender, message)
-            case Wait(token, life, seq, why, before):
-                if token >= self.floor and (life, seq) == (self.life, self._seq) and self._wanted:
-                    self.steward, self.why, self.before = sender, why, before
-            case ReturnConfirmed(life, seq):
-                if (life, seq) == (self.life, self._giving):
+            case Wait(token, generation, seq, why, before):
+                if token >= self.floor and (generation, seq) == (self.generation, self._seq) and self._wanted:
+                    self.disruption_controller, self.why, self.before = sender, why, before
+            case ReturnConfirmed(generation, seq):
+                if (generation, seq) == (self.generation, self._giving):
                     self._giving = 0
         return []
 
     def _permitted(self, now: int, sender: int, message: Permit) -> OutgoingMessages:
-        token, life, seq, at, term = message
-        if life != self.life:
+        token, generation, seq, at, term = message
+        if generation != self.generation:
             return []  # of the process before this one, with that one's clock
         if token < self.floor:
             self.notes.append(PermitEvent("refused", self.kind, token, now))
@@ -229,7 +234,7 @@
         until = at + min(term, self.rules.term)
         if now >= until:
             return []  # it was long on its way
-        self.floor, self.steward = token, sender
+        self.floor, self.disruption_controller = token, sender
         self._wanted, self._token, self._until = False, token, until
         self._next_ask = NEVER
         self.notes.append(PermitEvent("took", self.kind, token, self._until))
--- a/driftstair/tier/ownership/proposer.py
+++ b/driftstair/tier/ownership/proposer.py
@@ -1,6 +1,6 @@
-"""Whoever wants a lease: asks the council for promises, then for the lease, and makes it longer in time.
+"""Whoever wants a lease: asks the voters for promises, then for the lease, and makes it longer in time.
 
-Its lease counts from when it *sent* what the council accepted, so it is over before any member's record of
+Its lease counts from when it *sent* what the voters accepted, so it is over before any voter's record of
 it. `token(now)` is what it may act with; what bears the effect compares it, since between a look at a clock
 and an act a process may stand still for as long as it likes. Times are monotonic ns.
 """
@@ -23,7 +23,7 @@
     next_token_above,
 )
 
-WITHIN = 400_000_000  # ns: for the council's answers to one question
+WITHIN = 400_000_000  # ns: for the voters' answers to one question
 KEEN = 1_000_000_000  # ns in which an heir asks again soon
 LEAST_PAUSE, MOST_PAUSE = 100_000_000, 1_600_000_000  # ns between two attempts
 
@@ -38,15 +38,15 @@
     """One task's, in one process."""
 
     def __init__(
-        self, task: int, own: int, life: int, council: tuple[int, ...], terms: Terms, random: Random
+        self, task: int, own: int, generation: int, voters: tuple[int, ...], terms: Terms, random: Random
     ) -> None:  # fmt: skip
         self.task = task
         self.wanted = False
         self._own = own
-        self._council = council
+        self._voters = voters
         self._terms = terms
         self._random = random
-        self._next = first_token(life, own)  # the token of the next attempt
+        self._next = first_token(generation, own)  # the token of the next attempt
         self._phase = Phase.IDLE
         self._asked = 0  # the token that is asked for
         self._seq = 0
@@ -104,7 +104,7 @@
         return self._all(Propose(self.task, self._asked, self._seq))
 
     def _all(self, message: Prepare | Propose | Release) -> OutgoingMessages:
-        return [(number, message) for number in self._council]
+        return [(number, message) for number in self._voters]
 
     def _give_up(self, now: int) -> None:
         """This attempt; a lease that is held runs on."""
@@ -144,13 +144,13 @@
         if self._phase is Phase.IDLE or answer.token != self._asked:
             return
         self._refusals.add(member)
-        if len(self._refusals) > len(self._council) - self._majority():
+        if len(self._refusals) > len(self._voters) - self._majority():
             self._give_up(now)
             if answer.owner >= 0 and not self._token and now >= self._keen_until:
                 self._pause_until = max(self._pause_until, now + min(answer.left, self._terms.lease))
 
     def floor(self, token: int) -> None:
-        """Its next attempt is above this: of the council, or of what bears the effect."""
+        """Its next attempt is above this: of the voters, or of what bears the effect."""
         if token >= self._next:
             self._next = next_token_above(self._next, token)
 
@@ -168,7 +168,7 @@
         return self._all(Release(self.task, held, heir))
 
     def free(self, now: int) -> None:
-        """The owner wants this one next: no reason to wait any longer. The council may hear of it later."""
+        """The owner wants this one next: no reason to wait any longer. The voters may hear of it later."""
         self._pause_until = min(self._pause_until, now)
         self._keen_until = now + KEEN
         self._failures = 0
@@ -187,7 +187,7 @@
         return min(times, default=1 << 62)
 
     def _majority(self) -> int:
-        return len(self._council) // 2 + 1
+        return len(self._voters) // 2 + 1
 
     def _enough(self, members: set[int]) -> bool:
         return len(members) >= self._majority()
--- a/driftstair/tier/ownership/wire.py
+++ b/driftstair/tier/ownership/wire.py
@@ -1,4 +1,4 @@
-"""Messages of the council as items in a datagram: what both ends know by the datagram is left out."""
+"""Messages of leases and permits as items in a datagram: what both ends know by the datagram is left out."""
 
 from __future__ import annotations
 
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -35,7 +35,7 @@
 log = logging.getLogger(__name__)
 
 EPOCH = 1_704_067_200  # s of Unix time: 2024-01-01 00:00 UTC
-LIVES_PER_S = 16
+GENERATIONS_PER_S = 16
 BIND_AGAIN = 0.5  # s: the process before this one may hold the address yet
 SAID_EVERY = 60.0  # s between two lines on datagrams that were thrown away
 DEGRADED_HEALTH_SCORE = 4  # of the local health score: by then the fault is likely here
@@ -43,10 +43,12 @@
 FORMAT = "driftstair.tier/1"
 
 
-def life_at(time_ns: int) -> int:
-    """The life of a process that starts at that time. A clock that is off is no harm: the tier tells a
+def generation_at(time_ns: int) -> int:
+    """The generation of a process that starts at that time. A clock that is off is no harm: the tier tells a
     process what its number was called before."""
-    return min(max(1, (time_ns - EPOCH * 1_000_000_000) * LIVES_PER_S // 1_000_000_000), wire.MAX_COUNT - 1)
+    return min(
+        max(1, (time_ns - EPOCH * 1_000_000_000) * GENERATIONS_PER_S // 1_000_000_000), wire.MAX_COUNT - 1
+    )
 
 
 class Tier:
@@ -86,7 +88,7 @@
         shares = shares or bool(budgets or judges or collect or permits)
         supports = wire.SUPPORTS_MEMBERSHIP | (wire.SUPPORTS_SHARED if shares else 0)
         self.core = Membership(
-            peers.own_number, len(peers.peers), life_at(system.time_ns()),
+            peers.own_number, len(peers.peers), generation_at(system.time_ns()),
             Traits(peers.zone, wire.VERSION, supports), period, Random(config.seed ^ 0x7E12),
             wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
@@ -98,8 +100,8 @@
             self.sharing = Sharing(
                 budgets, Random(config.seed ^ 0x54A2), system.monotonic_ns, self._sharers, self._carry,
                 self._write, EvidenceSettings(peers.zone, self._sound, self._zones) if judges else None,
-                ("collect",) if collect else (), PermitSettings(permits, self._lives) if permits else None,
-                self._keep_token,
+                ("collect",) if collect else (),
+                PermitSettings(permits, self._generations) if permits else None, self._keep_token,
             )  # fmt: skip
         if collect:
             from driftstair.tier.collector import TASK, LedgerCollector
@@ -139,12 +141,12 @@
             self._binding = self._loop.call_later(BIND_AGAIN, self._bind)
             return
         if self.sharing is not None:
-            # The machine gives the address to one process alone: whoever has it has the number's rights.
+            # The machine gives the address to one process alone: whoever has it has the number's escrow.
             lent_until = loan_expiry.take(self._lent) if self._lent is not None and not self._opened else None
             self._opened = True
             self.sharing.open(
                 self._told.own_number,
-                self.core.own_claim.life,
+                self.core.own_claim.generation,
                 len(self._told.peers),
                 lent_until,
                 self._token(),
@@ -176,11 +178,11 @@
             if one.traits.supports & wire.SUPPORTS_SHARED
         ]
 
-    def _lives(self) -> dict[int, tuple[int, int]]:
-        """By number: life and zone of those that live and share state, this node among them."""
+    def _generations(self) -> dict[int, tuple[int, int]]:
+        """By number: generation and zone of those that live and share state, this node among them."""
         known = self.core.live_claims().items()
-        return {self._told.own_number: (self.core.own_claim.life, self._told.zone)} | {
-            number: (one.life, one.traits.zone)
+        return {self._told.own_number: (self.core.own_claim.generation, self._told.zone)} | {
+            number: (one.generation, one.traits.zone)
             for number, one in known
             if one.traits.supports & wire.SUPPORTS_SHARED
         }
@@ -222,7 +224,7 @@
         self._tell(api.PeersChanged(len(peers.peers), peers.own_number, moved))
         if self.sharing is not None and self._socket is not None:
             self.sharing.open(
-                peers.own_number, self.core.own_claim.life, len(peers.peers), token=self._token()
+                peers.own_number, self.core.own_claim.generation, len(peers.peers), token=self._token()
             )
         self._write("moved", number=peers.own_number, nodes=len(peers.peers))
 
@@ -269,31 +271,31 @@
                     self._send(message)
                 case api.StateChanged(claim, why, told_too):
                     if claim.number == self._told.own_number and self.sharing is not None:
-                        self.sharing.set_life(claim.life)
+                        self.sharing.set_generation(claim.generation)
                     if claim.number != self._told.own_number:
                         log.info("node %d is %s: %s", claim.number, claim.state.name.lower(), why)
                     self._write(
                         "member", member=claim.number, state=claim.state.name.lower(),
-                        incarnation=claim.incarnation, member_life=claim.life, told=told_too, why=why,
+                        incarnation=claim.incarnation, member_life=claim.generation, told=told_too, why=why,
                     )  # fmt: skip
                 case api.ProcessStalled(late):
                     self._write("stood-still", late_ns=late)
-                case api.PayloadReceived(sender, life, items):
+                case api.PayloadReceived(sender, generation, items):
                     if self.sharing is not None:
-                        self.sharing.heard(sender, life, items)
-                case api.Superseded(life):
+                        self.sharing.heard(sender, generation, items)
+                case api.Superseded(generation):
                     if self.sharing is not None:
-                        self.sharing.close()  # the other process has this number's rights
+                        self.sharing.close()  # the other process has this number's escrow
                     log.error(
                         "another process is node %d; this one is out of the tier", self._told.own_number
                     )
-                    self._write("superseded", by_life=life)
+                    self._write("superseded", by_life=generation)
         self._set_timer()
 
     def _write(self, event: str, **fields: Any) -> None:
         if self._history is not None:
             now = self._system.monotonic_ns()
-            self._history.write(now, self._told.own_number, self.core.own_claim.life, event, **fields)
+            self._history.write(now, self._told.own_number, self.core.own_claim.generation, event, **fields)
 
     def _set_timer(self) -> None:
         wanted = self.core.wake_at
@@ -378,7 +380,7 @@
     # The token on the disk.
 
     def _token(self) -> int | None:
-        """None: there is no disk, or what is there can't be read: floors are by lives then."""
+        """None: there is no disk, or what is there can't be read: floors are by generations then."""
         if self._tokens is None:
             return None
         if self._disk is None:
@@ -421,13 +423,13 @@
         return {
             "format": FORMAT,
             "node": {
-                "number": mine.number, "life": mine.life, "incarnation": mine.incarnation,
+                "number": mine.number, "life": mine.generation, "incarnation": mine.incarnation,
                 "state": mine.state.name.lower(), "zone": mine.traits.zone, "health": core.health.score,
                 "alone": core.is_isolated(), "superseded": core.superseded,
             },
             "members": [
                 {
-                    "number": one.number, "state": _name(one.state), "life": one.life,
+                    "number": one.number, "state": _name(one.state), "life": one.generation,
                     "incarnation": one.incarnation, "zone": one.zone, "version": one.version,
                     "supports": one.supports, "held_s": _seconds(one.state_age_ns),
                     "heard_s": _seconds(one.heard_age_ns),
--- a/driftstair/tier/shared/budget.py
+++ b/driftstair/tier/shared/budget.py
@@ -1,6 +1,6 @@
 """One budget of the fleet at one node: what it may spend, whom it asks for more, and whom it lends to.
 
-`rights` keeps the bound, whatever is decided here; this decides for use. Times are monotonic ns.
+`escrow` keeps the bound, whatever is decided here; this decides for use. Times are monotonic ns.
 
 - A node wants so many shares as its demand needs, and some room. It asks nodes drawn by chance for what is
   missing, more at a time while they give and one at a time while they don't.
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from driftstair.tier.shared.demand import Demand
-from driftstair.tier.shared.rights import Ask, GiveBack, Grant, Rights, Terms
+from driftstair.tier.shared.escrow import Ask, Escrow, GiveBack, Grant, Terms
 from driftstair.tier.shared.token_bucket import TokenBucket
 
 TERMS = Terms(shares=32, floor=1, lent=3_000_000_000, drift=0.01)
@@ -33,8 +33,8 @@
 
 class Spec(NamedTuple):
     """A budget as all nodes are told it. `burst`: ns of the budget that may be saved up. The terms of lending
-    are the program's and no file's: a life with other terms than the one before it would not know what is
-    out."""
+    are the program's and no file's: a generation with other terms than the one before it would not know
+    what is out."""
 
     name: str
     per_s: float  # tokens a second, of the whole fleet
@@ -49,11 +49,11 @@
 
 
 class Note(NamedTuple):
-    """Of a right that moved, for the history. `until`: ns, by this node's clock."""
+    """Of a loan that moved, for the history. `until`: ns, by this node's clock."""
 
     what: str  # of the lender: lent, extended, returned; of the borrower: took, renewed, gave
     other: int
-    life: int  # of the lender's process
+    generation: int  # of the lender's process
     loan: int
     shares: int
     until: int
@@ -67,14 +67,14 @@
     """`count` nodes; `others`: the numbers that may be asked now."""
 
     def __init__(
-        self, spec: Spec, own: int, life: int, count: int, now: int, random: Random,
+        self, spec: Spec, own: int, generation: int, count: int, now: int, random: Random,
         others: Callable[[], list[int]],
     ) -> None:  # fmt: skip
         self.spec = spec
         self.key = spec.key(count)
-        self.rights = Rights(own, life, spec.terms, now)
+        self.escrow = Escrow(own, generation, spec.terms, now)
         self.share = spec.per_s / (count * spec.terms.shares)  # tokens a second
-        self.bucket = TokenBucket(self.rights, self.share, spec.burst / 1e9, now)
+        self.bucket = TokenBucket(self.escrow, self.share, spec.burst / 1e9, now)
         self.demand = Demand(now)
         self.notes: list[Note] = []
         self.counts = {"asked": 0, "granted": 0, "refused": 0, "lent": 0, "spent": 0, "denied": 0}
@@ -130,10 +130,10 @@
         for number in [number for number, until in self._again.items() if until <= now]:
             del self._again[number]
         out: Messages = []
-        need, held, lent = self.need(), self.rights.held(now), self.spec.terms.lent
+        need, held, lent = self.need(), self.escrow.held(now), self.spec.terms.lent
         surplus, sure = held - need, held
         ease = min(MAX_EASE, held * 100 // max(1, need))
-        loans = self.rights.loans()
+        loans = self.escrow.loans()
         known = {key for key, _ in loans}
         self._longer = {key: at for key, at in self._longer.items() if key in known}
         for key, loan in loans:
@@ -146,7 +146,7 @@
                 surplus -= loan.shares
             elif now >= self._longer.get(key, 0):
                 self._longer[key] = now + lent // TICKS
-                out.append((key[0], self.rights.ask(now, loan.shares)._replace(renews=key[2], ease=ease)))
+                out.append((key[0], self.escrow.ask(now, loan.shares)._replace(renews=key[2], ease=ease)))
         self._pending = {number: one for number, one in self._pending.items() if one[0] > now}
         missing = 0 if self._leaving else need - sure - sum(shares for _, shares in self._pending.values())
         if missing > 0:
@@ -168,17 +168,17 @@
                 break
             self._again[number] = now + terms.lent // 4
             self._pending[number] = now + terms.lent // TICKS, shares
-            out.append((number, self.rights.ask(now, shares)._replace(ease=ease)))
+            out.append((number, self.escrow.ask(now, shares)._replace(ease=ease)))
             missing -= shares
         return out
 
     def _give_back(self, now: int, shares: int) -> Messages:
-        before = dict(self.rights.loans())
-        backs = self.rights.give_back(now, shares)
+        before = dict(self.escrow.loans())
+        backs = self.escrow.give_back(now, shares)
         self.bucket.advance(now)
         for back in backs:
-            loan = before[back.lender, back.lender_life, back.loan]
-            self.notes.append(Note("gave", back.lender, back.lender_life, back.loan, loan.shares, now))
+            loan = before[back.lender, back.lender_generation, back.loan]
+            self.notes.append(Note("gave", back.lender, back.lender_generation, back.loan, loan.shares, now))
         return [(back.lender, back) for back in backs]
 
     def granted(self, now: int, grant: Grant) -> None:
@@ -188,16 +188,16 @@
             self.counts["refused"] += 1
             self._again[lender] = now + self.spec.terms.lent // 2
             if loan:  # not to be made longer
-                self._longer[lender, grant.lender_life, loan] = now + self.spec.terms.lent
+                self._longer[lender, grant.lender_generation, loan] = now + self.spec.terms.lent
             else:
                 self._wide = max(WIDE_LEAST, self._wide - 1)
             return
-        key = lender, grant.lender_life, loan
-        known = self.rights.borrowed(key) is not None
+        key = lender, grant.lender_generation, loan
+        known = self.escrow.borrowed(key) is not None
         self.bucket.advance(now)
-        taken = self.rights.take(now, grant)
+        taken = self.escrow.take(now, grant)
         self.bucket.advance(now)
-        loan_now = self.rights.borrowed(key)
+        loan_now = self.escrow.borrowed(key)
         if taken and loan_now is not None:
             self.counts["granted"] += 1
             self._wide = min(WIDE_MOST, self._wide + 1)
@@ -217,18 +217,18 @@
         self.bucket.advance(now)
         terms, borrower = self.spec.terms, ask.borrower
         self._ease[borrower] = ask.ease
-        lent = sum(self.rights.lent_to().values())
+        lent = sum(self.escrow.lent_to().values())
         spare = 0 if self._leaving else terms.shares - lent - min(terms.shares, max(terms.floor, self.need()))
         grants: list[Grant | None] = []
         if ask.renews:
             if not self._leaving and not self._wants_back(ask, -spare):
-                grants.append(self.rights.lend(now, ask, 0))
+                grants.append(self.escrow.lend(now, ask, 0))
         else:
             piece = -(-(terms.shares - terms.floor) // PIECES)
             wanted = min(ask.shares, max(0, spare)) if self._may_have(now, ask) else 0
             while wanted > 0:
                 part = min(piece, wanted)
-                grants.append(self.rights.lend(now, ask._replace(shares=part), part))
+                grants.append(self.escrow.lend(now, ask._replace(shares=part), part))
                 wanted -= part
             if not grants:
                 self._unmet[borrower] = now + terms.lent, ask.ease
@@ -239,14 +239,14 @@
         made = [grant for grant in grants if grant is not None]
         self.counts["lent"] += len(made)
         what, until = "extended" if ask.renews else "lent", now + terms.waited()
-        life = self.rights.life
-        self.notes += [Note(what, borrower, life, grant.loan, grant.shares, until) for grant in made]
-        return made or [Grant(self.rights.own, life, ask.renews, borrower, ask.life, ask.at, 0)]
+        generation = self.escrow.generation
+        self.notes += [Note(what, borrower, generation, grant.loan, grant.shares, until) for grant in made]
+        return made or [Grant(self.escrow.own, generation, ask.renews, borrower, ask.generation, ask.at, 0)]
 
     def _wants_back(self, ask: Ask, missing: int) -> bool:
         """Loans that are not made longer, until they are enough for what the lender needs itself."""
-        self._recalled &= self.rights.out().keys()
-        if ask.renews not in self._recalled and missing > sum(map(self.rights.lent_by, self._recalled)):
+        self._recalled &= self.escrow.out().keys()
+        if ask.renews not in self._recalled and missing > sum(map(self.escrow.lent_by, self._recalled)):
             self._recalled.add(ask.renews)
         return ask.renews in self._recalled
 
@@ -258,7 +258,7 @@
 
     def _recall(self, ask: Ask) -> None:
         """One piece, from whoever has the most of what it needs."""
-        out = self.rights.out()
+        out = self.escrow.out()
         self._recalled &= out.keys()
         self._ease = {one: ease for one, ease in self._ease.items() if one in out.values()}
         kept = [number for number in out if number not in self._recalled and out[number] != ask.borrower]
@@ -271,9 +271,9 @@
 
     def returned(self, now: int, back: GiveBack) -> None:
         self.bucket.advance(now)
-        before = self.rights.lent_to().get(back.borrower, 0)
-        self.rights.returned(back)
-        shares = before - self.rights.lent_to().get(back.borrower, 0)
+        before = self.escrow.lent_to().get(back.borrower, 0)
+        self.escrow.returned(back)
+        shares = before - self.escrow.lent_to().get(back.borrower, 0)
         self.bucket.advance(now)
         if shares:
-            self.notes.append(Note("returned", back.borrower, back.lender_life, back.loan, shares, now))
+            self.notes.append(Note("returned", back.borrower, back.lender_generation, back.loan, shares, now))
--- a/driftstair/tier/shared/core.py
+++ b/driftstair/tier/shared/core.py
@@ -1,6 +1,6 @@
 """State that the nodes of a tier share, as one machine: events in, actions out, no clock, socket or chance.
 
-Membership carries its datagrams: they come from a living process, once, and in no other life's name.
+Membership carries its datagrams: they come from a living process, once, and in no other generation's name.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from random import Random
 from typing import Any
 
-from driftstair.tier.ownership import wire as council
+from driftstair.tier.ownership import wire as lease_wire
+from driftstair.tier.ownership.disruption_controller import LiveNodes
 from driftstair.tier.ownership.leases import LeaseChange, Leases
 from driftstair.tier.ownership.messages import OutgoingMessages
-from driftstair.tier.ownership.permit_manager import TASK as STEWARD
+from driftstair.tier.ownership.permit_manager import TASK as DISRUPTION_CONTROLLER
 from driftstair.tier.ownership.permit_manager import PermitManager
 from driftstair.tier.ownership.permits import Holder, Kind, Rules
 from driftstair.tier.ownership.permits import OutgoingMessages as OutgoingPermitMessages
-from driftstair.tier.ownership.steward import LiveNodes
 from driftstair.tier.shared import wire
 from driftstair.tier.shared.budget import TICKS, Budget, Messages, Spec
+from driftstair.tier.shared.escrow import Ask, GiveBack, Grant
 from driftstair.tier.shared.evidence import OutlierDetector
 from driftstair.tier.shared.facts import Facts
 from driftstair.tier.shared.gossip import ROUND, Gossip, Tells
-from driftstair.tier.shared.rights import Ask, GiveBack, Grant
 from driftstair.tier.shared.wire import InvalidItem
 
 NEVER = 1 << 62
@@ -60,7 +60,7 @@
 
 class SharedState:
     """`others`: the numbers of living nodes that understand this, but for the node's own. Times are monotonic
-    ns. It holds no rights until `open`: whoever has the node's address among its peers has them."""
+    ns. It holds no escrow until `open`: whoever has the node's address among its peers has it."""
 
     def __init__(self, specs: Iterable[Spec], random: Random, others: Callable[[], list[int]]) -> None:
         self.specs = {spec.name: spec for spec in specs}
@@ -76,20 +76,22 @@
         self._holder: Holder | None = None  # outlives a change of number
         self._budget_at = self._gossip_at = NEVER
         self._gossip: Gossip | None = None
-        self._own = self._life = self._count = -1
+        self._own = self._generation = self._count = -1
         self._is_open = False
 
     # Its life.
 
-    def open(self, now: int, own: int, life: int, count: int, lent_until: int | None = None) -> list[Action]:
+    def open(
+        self, now: int, own: int, generation: int, count: int, lent_until: int | None = None
+    ) -> list[Action]:
         """This process is that node from now on; one before it may have lent what is not known here, but for
         `lent_until` (ns), if it has told."""
-        self._own, self._life, self._count, self._is_open = own, life, count, True
+        self._own, self._generation, self._count, self._is_open = own, generation, count, True
         self.budgets = {}
         for spec in self.specs.values():
             self._add(now, spec)
             if lent_until is not None:
-                self.budgets[spec.name].rights.known(lent_until)
+                self.budgets[spec.name].escrow.known(lent_until)
         self._keys = {one.key: one for one in self.budgets.values()}
         self._set_wake(now)
         return [_described(now, one, count) for one in self.budgets.values()]
@@ -98,7 +100,7 @@
         self, now: int, zone: int, sound: Callable[[], bool], zones: Callable[[], dict[int, int]]
     ) -> OutlierDetector:
         """Tell others what is seen of servers, from `open` on, and judge by what all have seen."""
-        facts = Facts(self._own, self._life, self._random)
+        facts = Facts(self._own, self._generation, self._random)
         self._gossip = Gossip(facts, self._random, self._others, self.discarded)
         before, self.outlier_detector = self.outlier_detector, OutlierDetector(facts, now, zone, sound, zones)
         if before is not None:
@@ -115,16 +117,18 @@
     ) -> Leases:
         """Take part in who has which task, from `open` on; `living`: this node's number among them; `kept`:
         the token on its disk, None where it has none."""
-        self.leases = Leases(tasks, self._own, self._life, self._count, now, self._random, living, kept=kept)
+        self.leases = Leases(
+            tasks, self._own, self._generation, self._count, now, self._random, living, kept=kept
+        )
         self._set_wake(now)
         return self.leases
 
     def enable_permits(self, now: int, rules: Rules, living: Callable[[], LiveNodes]) -> PermitManager:
         """Take part in permits to be out, once it takes part in who has which task."""
-        self.permits = PermitManager(rules, self._own, self._life, self._count, living)
+        self.permits = PermitManager(rules, self._own, self._generation, self._count, living)
         if self._holder is not None:  # the same process, under another number or address
             self.permits.holder = self._holder
-            self._holder.life = self._life
+            self._holder.generation = self._generation
         self._holder = self.permits.holder
         self._set_wake(now)
         return self.permits
@@ -137,12 +141,12 @@
             self.permits.give_back(now)
         else:
             self.permits.request_permit(now, kind, now + WISH)
-        out = self._permitted(self.permits.tick(now, self._steward(now)))
+        out = self._permitted(self.permits.tick(now, self._disruption_controller_token(now)))
         self._set_wake(now)
         return out
 
-    def _steward(self, now: int) -> int:
-        return 0 if self.leases is None else self.leases.token(now, STEWARD)
+    def _disruption_controller_token(self, now: int) -> int:
+        return 0 if self.leases is None else self.leases.token(now, DISRUPTION_CONTROLLER)
 
     def _permitted(self, letters: OutgoingPermitMessages) -> list[Action]:
         assert self.permits is not None
@@ -153,11 +157,11 @@
             })
             for note in self.permits.notes()
         ]  # fmt: skip
-        return notes + _sent([(to, council.encode_permit(message)) for to, message in letters])
+        return notes + _sent([(to, lease_wire.encode_permit(message)) for to, message in letters])
 
     def _add(self, now: int, spec: Spec) -> None:
         self.budgets[spec.name] = Budget(
-            spec, self._own, self._life, self._count, now, self._random, self._others
+            spec, self._own, self._generation, self._count, now, self._random, self._others
         )
 
     def close(self) -> None:
@@ -166,15 +170,15 @@
         self.leases = self.outlier_detector = self.permits = None
         self._budget_at = self._gossip_at = self.wake_at = NEVER
 
-    def set_life(self, life: int) -> None:
-        """The same process under a later life: it knows all that it has lent."""
-        self._life = life
+    def set_generation(self, generation: int) -> None:
+        """The same process under a later generation: it knows all that it has lent."""
+        self._generation = generation
         if self._gossip is not None:
-            self._gossip.facts.life = life
+            self._gossip.facts.generation = generation
         for one in self.budgets.values():
-            one.rights.life = life
+            one.escrow.generation = generation
         if self.permits is not None:
-            self.permits.holder.life = life
+            self.permits.holder.generation = generation
 
     def update_specs(self, now: int, specs: Iterable[Spec]) -> list[Action]:
         """The file has been replaced. A budget that was not there begins as after a start."""
@@ -199,7 +203,7 @@
 
     def lent_until(self) -> int | None:
         """ns; to be asked once it lends no more: after `leave`."""
-        return max((one.rights.lent_until() for one in self.budgets.values()), default=None)
+        return max((one.escrow.lent_until() for one in self.budgets.values()), default=None)
 
     def leave(self, now: int) -> list[Action]:
         out = self._told([(one, one.leave(now)) for one in self.budgets.values()])
@@ -218,8 +222,8 @@
             out += _sent(self._gossip.tick(now))
         if self.leases is not None and now >= self.leases.wake_at:
             out += self._led(now, *self.leases.tick(now))
-        if self.permits is not None and now >= self.permits.wake_at(self._steward(now)):
-            out += self._permitted(self.permits.tick(now, self._steward(now)))
+        if self.permits is not None and now >= self.permits.wake_at(self._disruption_controller_token(now)):
+            out += self._permitted(self.permits.tick(now, self._disruption_controller_token(now)))
         self._set_wake(now)
         return out
 
@@ -231,7 +235,7 @@
         if self.leases is not None:
             self.wake_at = min(self.wake_at, self.leases.wake_at)
         if self.permits is not None:
-            self.wake_at = min(self.wake_at, self.permits.wake_at(self._steward(now)))
+            self.wake_at = min(self.wake_at, self.permits.wake_at(self._disruption_controller_token(now)))
 
     def token_persisted(self, now: int, token: int) -> list[Action]:
         if self.leases is None:
@@ -253,7 +257,7 @@
                 out.append(RecordEvent("lost", {"task": one.task, "token": one.was, "over_ns": one.over}))
             if one.token:
                 out.append(RecordEvent("own", {"task": one.task, "token": one.token}))
-        return out + _sent([(to, council.encode(message)) for to, message in letters])
+        return out + _sent([(to, lease_wire.encode(message)) for to, message in letters])
 
     def release(self, now: int, task: str, heir: int) -> list[Action]:
         """What this process owns, to `heir` next; -1: to whoever asks."""
@@ -290,7 +294,7 @@
             for verdict, some in (("out", left_out), ("back", back)) for one in some
         ]  # fmt: skip
 
-    def heard(self, now: int, sender: int, life: int, items: bytes) -> list[Action]:
+    def heard(self, now: int, sender: int, generation: int, items: bytes) -> list[Action]:
         found, broken = wire.unpack_items(items)
         self.discarded["unreadable"] += broken
         answers: list[tuple[Budget, Messages]] = []
@@ -300,23 +304,25 @@
             try:
                 if item[0] in (wire.FACT, wire.DIGEST, wire.DIGEST_BACK) and self._gossip is not None:
                     tells += self._gossip.take(now, sender, item)
-                elif item[0] in council.KINDS and self.leases is not None:
-                    led += self._led(now, *self.leases.heard(now, sender, life, council.decode(item)))
-                elif item[0] in council.PERMITS and self.permits is not None:
-                    said = council.decode_permit(item)
-                    token = self._steward(now)
-                    led += self._permitted(self.permits.heard(now, token, sender, life, said))
+                elif item[0] in lease_wire.KINDS and self.leases is not None:
+                    led += self._led(
+                        now, *self.leases.heard(now, sender, generation, lease_wire.decode(item))
+                    )
+                elif item[0] in lease_wire.PERMITS and self.permits is not None:
+                    said = lease_wire.decode_permit(item)
+                    token = self._disruption_controller_token(now)
+                    led += self._permitted(self.permits.heard(now, token, sender, generation, said))
                 else:
-                    answers += self._take(now, sender, life, item)
+                    answers += self._take(now, sender, generation, item)
             except InvalidItem as problem:
                 self.discarded[str(problem)] += 1
         self._set_wake(now)
         return self._told(answers) + _sent(tells) + led
 
-    def _take(self, now: int, sender: int, life: int, item: wire.Item) -> list[tuple[Budget, Messages]]:
+    def _take(self, now: int, sender: int, generation: int, item: wire.Item) -> list[tuple[Budget, Messages]]:
         if item[0] not in (wire.ASK, wire.GRANT, wire.BACK):
             raise InvalidItem("other_kind")
-        key, message = wire.decode_right(item, sender, life, self._own)
+        key, message = wire.decode_escrow_message(item, sender, generation, self._own)
         budget = self._keys.get(key)
         if budget is None:
             raise InvalidItem("other_budget")
@@ -333,7 +339,7 @@
         out: list[Action] = []
         tells: Tells = []
         for budget, some in messages:
-            tells += [(to, wire.encode_right(message, budget.key)) for to, message in some]
+            tells += [(to, wire.encode_escrow_message(message, budget.key)) for to, message in some]
             for note in budget.notes:
                 out.append(RecordEvent("right", {"budget": budget.spec.name, **_fields(note)}))
             budget.notes.clear()
@@ -350,7 +356,7 @@
 
 def _fields(note: Any) -> dict[str, Any]:
     return {
-        "what": note.what, "other": note.other, "lender_life": note.life, "loan": note.loan,
+        "what": note.what, "other": note.other, "lender_life": note.generation, "loan": note.loan,
         "shares": note.shares, "until_ns": note.until,
     }  # fmt: skip
 
@@ -360,5 +366,5 @@
     return RecordEvent("budget", {
         "budget": spec.name, "per_s": spec.per_s, "burst_ns": spec.burst, "nodes": count,
         "shares": spec.terms.shares, "floor": spec.terms.floor, "lent_ns": spec.terms.lent,
-        "drift": spec.terms.drift, "own": budget.rights.of_own(now),
+        "drift": spec.terms.drift, "own": budget.escrow.of_own(now),
     })  # fmt: skip
--- a/driftstair/tier/shared/rights.py
+++ b/driftstair/tier/shared/escrow.py
@@ -37,7 +37,7 @@
     """From a node that wants more. `at`: its own clock, which comes back with the grant."""
 
     borrower: int
-    life: int
+    generation: int
     at: int
     shares: int
     renews: int = 0  # a loan of the lender's to be made longer; 0: a new one
@@ -45,13 +45,13 @@
 
 
 class Grant(NamedTuple):
-    """`loan`: a number that the lender's life gives to no other loan."""
+    """`loan`: a number that the lender's generation gives to no other loan."""
 
     lender: int
-    lender_life: int
+    lender_generation: int
     loan: int
     borrower: int
-    life: int  # of the borrower's process that asked
+    generation: int  # of the borrower's process that asked
     asked_at: int  # by the borrower's clock
     shares: int
 
@@ -60,7 +60,7 @@
     """Not wanted any more: the lender may use it at once, if the borrower never spends on it again."""
 
     lender: int
-    lender_life: int
+    lender_generation: int
     loan: int
     borrower: int
 
@@ -71,18 +71,18 @@
     until: int  # ns, by the clock of who keeps this record
 
 
-class Rights:
+class Escrow:
     """One process's part. `started`: ns; it is not known what an earlier process has lent."""
 
-    def __init__(self, own: int, life: int, terms: Terms, started: int) -> None:
+    def __init__(self, own: int, generation: int, terms: Terms, started: int) -> None:
         if not 0 < terms.floor <= terms.shares:
             raise ValueError(f"a floor of {terms.floor} shares; 1 to {terms.shares} would do")
         self.own = own
-        self.life = life
+        self.generation = generation
         self.terms = terms
         self._whole_at = started + terms.waited()
         self._out: dict[int, tuple[int, Loan]] = {}  # by number: the borrower
-        self._in: dict[tuple[int, int, int], Loan] = {}  # by lender, its life, number
+        self._in: dict[tuple[int, int, int], Loan] = {}  # by lender, its generation, number
         self._done: dict[tuple[int, int, int], int] = {}  # given back, and until when that is remembered
         self._last = 0
         self._seen = started  # the latest time that was told
@@ -128,13 +128,13 @@
     # A borrower's part.
 
     def ask(self, now: int, shares: int) -> Ask:
-        return Ask(self.own, self.life, now, shares)
+        return Ask(self.own, self.generation, now, shares)
 
     def take(self, now: int, grant: Grant) -> bool:
         """Whether something is held by it; a grant may be repeated, late, or another process's."""
         until = grant.asked_at + self.terms.lent
-        key = grant.lender, grant.lender_life, grant.loan
-        mine = grant.borrower == self.own and grant.life == self.life and grant.asked_at <= now
+        key = grant.lender, grant.lender_generation, grant.loan
+        mine = grant.borrower == self.own and grant.generation == self.generation and grant.asked_at <= now
         if not mine or until <= now or grant.shares <= 0 or key in self._done:
             return False
         held = self._in.get(key)
@@ -157,11 +157,11 @@
         return out
 
     def loans(self) -> list[tuple[tuple[int, int, int], Loan]]:
-        """What is borrowed, by lender, its life and the loan's number, the soonest to end first."""
+        """What is borrowed, by lender, its generation and the loan's number, the soonest to end first."""
         return sorted(self._in.items(), key=lambda one: one[1].until)
 
     def borrowed(self, key: tuple[int, int, int]) -> Loan | None:
-        """By lender, its life and the loan's number."""
+        """By lender, its generation and the loan's number."""
         return self._in.get(key)
 
     # A lender's part.
@@ -191,7 +191,7 @@
             return None
         self._last += 1
         self._out[self._last] = ask.borrower, Loan(shares, now + self.terms.waited())
-        return Grant(self.own, self.life, self._last, ask.borrower, ask.life, ask.at, shares)
+        return Grant(self.own, self.generation, self._last, ask.borrower, ask.generation, ask.at, shares)
 
     def _lengthen(self, now: int, ask: Ask) -> Grant | None:
         self._forget(now)
@@ -199,10 +199,14 @@
         if borrower != ask.borrower:
             return None
         loan.until = max(loan.until, now + self.terms.waited())
-        return Grant(self.own, self.life, ask.renews, borrower, ask.life, ask.at, loan.shares)
+        return Grant(self.own, self.generation, ask.renews, borrower, ask.generation, ask.at, loan.shares)
 
     def returned(self, back: GiveBack) -> None:
-        """Of another life, or not lent to who gives it back: nothing is taken."""
+        """Of another generation, or not lent to who gives it back: nothing is taken."""
         one = self._out.get(back.loan)
-        if (back.lender, back.lender_life) == (self.own, self.life) and one and one[0] == back.borrower:
+        if (
+            (back.lender, back.lender_generation) == (self.own, self.generation)
+            and one
+            and one[0] == back.borrower
+        ):
             del self._out[back.loan]
--- a/driftstair/tier/shared/facts.py
+++ b/driftstair/tier/shared/facts.py
@@ -1,9 +1,9 @@
 """Small facts that nodes tell of themselves, replicated: each has one writer, whose latest word stands.
 
-A fact is one register of its owner, by kind and subject. (life, version) rises with each write, so keeping
-the greater is commutative, associative and idempotent: any order, repeat or loss gives the same store, as far
-as it was heard (a map of last-writer registers; Shapiro and others, 2011). Sums, votes and counts are taken
-when they are read, over the owners; so nothing that several write has to be merged.
+A fact is one register of its owner, by kind and subject. (generation, version) rises with each write, so
+keeping the greater is commutative, associative and idempotent: any order, repeat or loss gives the same
+store, as far as it was heard (a map of last-writer registers; Shapiro and others, 2011). Sums, votes and
+counts are taken when they are read, over the owners; so nothing that several write has to be merged.
 
 A fact goes out with its age. Whoever takes it adds the longest that a datagram is taken to be on its way, so
 an age is too little only by what is beyond that, and each hop adds. What is older than its kind lives counts
@@ -39,7 +39,7 @@
 
 class Fact(NamedTuple):
     owner: int
-    life: int
+    generation: int
     version: int
     kind: int
     subject: int
@@ -50,20 +50,20 @@
         return self.owner, self.kind, self.subject
 
     def rank(self) -> tuple[int, int]:
-        return self.life, self.version
+        return self.generation, self.version
 
 
 class Facts:
     """What one process holds. `random` chooses what goes round; nothing that is held depends on it."""
 
-    def __init__(self, own: int, life: int, random: Random, most: int = FACTS_MOST) -> None:
-        self.own, self.life = own, life
+    def __init__(self, own: int, generation: int, random: Random, most: int = FACTS_MOST) -> None:
+        self.own, self.generation = own, generation
         self.dropped = 0  # for want of room
         self._most = most
         self._random = random
         self._version = 0
         self._held: dict[Place, Fact] = {}
-        self._lives: dict[int, int] = {}  # the latest life that each owner wrote in
+        self._generations: dict[int, int] = {}  # the latest generation that each owner wrote in
         self._left: dict[Place, int] = {}  # how often what is news here goes out yet
         self._round: list[Place] = []
 
@@ -72,7 +72,7 @@
     def publish(self, now: int, kind: int, subject: int, value: tuple[int, ...], nodes: int) -> None:
         """Of this node itself; `nodes`: that live, which says how often news goes out."""
         self._version += 1
-        self._put(Fact(self.own, self.life, self._version, kind, subject, now, value), nodes)
+        self._put(Fact(self.own, self.generation, self._version, kind, subject, now, value), nodes)
 
     def published(self, kind: int, subject: int) -> Fact | None:
         return self._held.get((self.own, kind, subject))
@@ -80,7 +80,7 @@
     def take(self, now: int, fact: Fact, nodes: int) -> bool:
         """Whether it is news. `fact.born` is as its sender reckons; the way here is taken off."""
         kind = KINDS[fact.kind]
-        if fact.owner == self.own or fact.life < self._lives.get(fact.owner, 0):
+        if fact.owner == self.own or fact.generation < self._generations.get(fact.owner, 0):
             return False
         fact = fact._replace(born=fact.born - TRANSIT)
         if now - fact.born >= kind.lives:
@@ -94,9 +94,9 @@
         return True
 
     def _put(self, fact: Fact, nodes: int) -> None:
-        before = self._lives.get(fact.owner, 0)
-        if fact.life > before:
-            self._lives[fact.owner] = fact.life
+        before = self._generations.get(fact.owner, 0)
+        if fact.generation > before:
+            self._generations[fact.owner] = fact.generation
             if before:
                 self.forget(fact.owner)
         self._held[fact.place()] = fact
@@ -175,7 +175,7 @@
         out = dict.fromkeys(choose(sorted({one.owner for one in self._held.values()})), 0)
         for one in self._held.values():
             if one.owner in out:
-                out[one.owner] ^= crc32(f"{one.kind}/{one.subject}/{one.life}/{one.version}".encode())
+                out[one.owner] ^= crc32(f"{one.kind}/{one.subject}/{one.generation}/{one.version}".encode())
         return out
 
     def differing(self, told: dict[int, int]) -> list[int]:
--- a/driftstair/tier/shared/gossip.py
+++ b/driftstair/tier/shared/gossip.py
@@ -22,7 +22,7 @@
 OWNERS_A_DATAGRAM = 18
 ANSWER_MOST = 4  # datagrams of facts for one digest
 ANSWERS_A_ROUND = 8
-LIFE_MOST = VERSION_MOST = SUBJECT_MOST = (1 << 32) - 1
+GENERATION_MOST = VERSION_MOST = SUBJECT_MOST = (1 << 32) - 1
 
 Tells = list[tuple[int, Item]]
 
@@ -61,7 +61,16 @@
 
     def _item(self, now: int, fact: Fact) -> Item:
         age = (now - fact.born) // MS
-        return (wire.FACT, fact.owner, fact.life, fact.version, fact.kind, fact.subject, age, *fact.value)
+        return (
+            wire.FACT,
+            fact.owner,
+            fact.generation,
+            fact.version,
+            fact.kind,
+            fact.subject,
+            age,
+            *fact.value,
+        )
 
     def take(self, now: int, sender: int, item: Item) -> Tells:
         """Raises InvalidItem."""
@@ -95,14 +104,14 @@
 def _fact(now: int, item: Item) -> Fact:
     if len(item) < 7:
         raise InvalidItem("too_few_fields")
-    owner, life, version, kind, subject, age, *value = item[1:]
+    owner, generation, version, kind, subject, age, *value = item[1:]
     known = KINDS.get(kind) if type(kind) is int else None
     if known is None:
         raise InvalidItem("other_fact")
     if len(value) < known.fields:
         raise InvalidItem("too_few_fields")
     return Fact(
-        checked_int(owner, wire.MAX_NODE), checked_int(life, LIFE_MOST),
+        checked_int(owner, wire.MAX_NODE), checked_int(generation, GENERATION_MOST),
         checked_int(version, VERSION_MOST, 1), kind, checked_int(subject, SUBJECT_MOST),
         now - checked_int(age, known.lives // MS) * MS,
         tuple(checked_int(one, 0xFFFF) for one in value[: known.fields]),
--- a/driftstair/tier/shared/token_bucket.py
+++ b/driftstair/tier/shared/token_bucket.py
@@ -7,20 +7,20 @@
 
 from __future__ import annotations
 
-from driftstair.tier.shared.rights import Rights
+from driftstair.tier.shared.escrow import Escrow
 
 
 class TokenBucket:
     """`share`: tokens a second that one share gives; `depth`: s of them that are kept. Whoever changes
-    `rights` calls `advance` before and after."""
+    `escrow` calls `advance` before and after."""
 
-    def __init__(self, rights: Rights, share: float, depth: float, now: int) -> None:
-        self.rights = rights
+    def __init__(self, escrow: Escrow, share: float, depth: float, now: int) -> None:
+        self.escrow = escrow
         self._share = share
         self._depth = depth
         self._tokens = 0.0
         self._at = now
-        self._held = rights.held(now)
+        self._held = escrow.held(now)
 
     def spend(self, now: int, tokens: float = 1.0) -> bool:
         """Whether it may; then it has."""
@@ -59,12 +59,12 @@
 
     def advance(self, now: int) -> None:
         """Let time pass, over each moment at which what is held changes."""
-        while (ends := self.rights.ends_at()) <= now:
+        while (ends := self.escrow.ends_at()) <= now:
             self._fill(max(ends, self._at))
         self._fill(now)
 
     def _fill(self, now: int) -> None:
-        held = self.rights.held(now)
+        held = self.escrow.held(now)
         # Between two looks the fewer count: what came in between may have come late.
         gained = min(held, self._held) * self._share * max(0, now - self._at) / 1e9
         self._tokens = min(self._tokens + gained, held * self._share * self._depth)
--- a/driftstair/tier/shared/wire.py
+++ b/driftstair/tier/shared/wire.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from driftstair.tier.shared.rights import Ask, GiveBack, Grant
+from driftstair.tier.shared.escrow import Ask, GiveBack, Grant
 from driftstair.tier.wire import MAX_COUNT, MAX_ITEMS_BYTES
 
 MAX_NS = (1 << 63) - 1
@@ -80,17 +80,19 @@
     return value
 
 
-def encode_right(message: Ask | Grant | GiveBack, budget: int) -> Item:
+def encode_escrow_message(message: Ask | Grant | GiveBack, budget: int) -> Item:
     """What both ends know by the datagram they leave out: who sends it, and who is to have it."""
     if isinstance(message, Ask):
         return ASK, budget, message.at, message.shares, message.renews, message.ease
     if isinstance(message, Grant):
-        return GRANT, budget, message.loan, message.asked_at, message.life, message.shares
-    return BACK, budget, message.loan, message.lender_life
+        return GRANT, budget, message.loan, message.asked_at, message.generation, message.shares
+    return BACK, budget, message.loan, message.lender_generation
 
 
-def decode_right(item: Item, sender: int, life: int, own: int) -> tuple[int, Ask | Grant | GiveBack]:
-    """The budget's key, and what is said of it; `life`: the sender's. Raises InvalidItem."""
+def decode_escrow_message(
+    item: Item, sender: int, generation: int, own: int
+) -> tuple[int, Ask | Grant | GiveBack]:
+    """The budget's key, and what is said of it; `generation`: the sender's. Raises InvalidItem."""
     kind, *fields = item
     if len(fields) < {ASK: 5, GRANT: 5, BACK: 3}[kind]:
         raise InvalidItem("too_few_fields")
@@ -98,14 +100,16 @@
     if kind == ASK:
         at, shares, renews, ease = fields[1:5]
         return budget, Ask(
-            sender, life, checked_int(at, MAX_NS, -MAX_NS), checked_int(shares, MAX_SHARES, 1),
+            sender, generation, checked_int(at, MAX_NS, -MAX_NS), checked_int(shares, MAX_SHARES, 1),
             checked_int(renews, MAX_COUNT), checked_int(ease, MAX_EASE),
         )  # fmt: skip
     if kind == GRANT:
-        loan, at, its_life, shares = fields[1:5]
+        loan, at, its_generation, shares = fields[1:5]
         return budget, Grant(
-            sender, life, checked_int(loan, MAX_COUNT), own, checked_int(its_life, MAX_COUNT),
+            sender, generation, checked_int(loan, MAX_COUNT), own, checked_int(its_generation, MAX_COUNT),
             checked_int(at, MAX_NS, -MAX_NS), checked_int(shares, MAX_SHARES),
         )  # fmt: skip
-    loan, lender_life = fields[1:3]
-    return budget, GiveBack(own, checked_int(lender_life, MAX_COUNT), checked_int(loan, MAX_COUNT), sender)
+    loan, lender_generation = fields[1:3]
+    return budget, GiveBack(
+        own, checked_int(lender_generation, MAX_COUNT), checked_int(loan, MAX_COUNT), sender
+    )
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -8,9 +8,9 @@
 
 from driftstair.net.identifiers import digest
 from driftstair.tier.observed_module import ObservedModule, server_key
+from driftstair.tier.ownership.disruption_controller import LiveNodes
 from driftstair.tier.ownership.permit_manager import TASK as PERMITS
 from driftstair.tier.ownership.permits import Kind, Rules
-from driftstair.tier.ownership.steward import LiveNodes
 from driftstair.tier.shared.budget import Spec
 from driftstair.tier.shared.core import Action, PersistToken, SendItems, SharedState
 from driftstair.tier.shared.evidence import OutlierDetector
@@ -26,7 +26,7 @@
 
 
 class PermitSettings(NamedTuple):
-    """Of a node that asks before it is out: the fleet's rules, and the life and zone of those that live."""
+    """Of a node that asks before it is out: the fleet's rules, and generation and zone of those that live."""
 
     rules: Rules
     living: Callable[[], LiveNodes]
@@ -50,7 +50,7 @@
         self._kept = 0.0  # tokens taken by `has`, which `take` is about to confirm
 
     def has(self, now: int, tokens: float = 1.0) -> bool:
-        """Takes them out at once: between a check and what is done by it no right may end unseen."""
+        """Takes them out at once: between a check and what is done by it no loan may end unseen."""
         budget = self._shared.budgets.get(self._name)
         if budget is None:
             self._kept = 0.0
@@ -116,10 +116,10 @@
         self._write("spend", budget=name, amount=1.0)
 
     def open(
-        self, own: int, life: int, count: int, lent_until: int | None = None, token: int | None = None
+        self, own: int, generation: int, count: int, lent_until: int | None = None, token: int | None = None
     ) -> None:
-        """`token`: that of the council's member on the disk; None: it has no disk."""
-        self._do(self.core.open(self._clock(), own, life, count, lent_until))
+        """`token`: that of this voter on the disk; None: it has no disk."""
+        self._do(self.core.open(self._clock(), own, generation, count, lent_until))
         if self._speaks is not None:
             self.core.enable_outlier_detection(self._clock(), *self._speaks)
         if self._speaks is not None or self._tasks:
@@ -192,8 +192,8 @@
     def close(self) -> None:
         self.core.close()
 
-    def set_life(self, life: int) -> None:
-        self.core.set_life(life)
+    def set_generation(self, generation: int) -> None:
+        self.core.set_generation(generation)
 
     def update_specs(self, specs: Iterable[Spec]) -> None:
         self._do(self.core.update_specs(self._clock(), specs))
@@ -204,8 +204,8 @@
     def wake(self) -> None:
         self._do(self.core.wake(self._clock()))
 
-    def heard(self, sender: int, life: int, items: bytes) -> None:
-        self._do(self.core.heard(self._clock(), sender, life, items))
+    def heard(self, sender: int, generation: int, items: bytes) -> None:
+        self._do(self.core.heard(self._clock(), sender, generation, items))
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
@@ -221,12 +221,12 @@
         now = self._clock()
         budgets = {}
         for name, one in self.core.budgets.items():
-            held, lent = one.rights.held(now), sum(one.rights.lent_to().values())
+            held, lent = one.escrow.held(now), sum(one.escrow.lent_to().values())
             budgets[name] = {
                 "per_s": one.spec.per_s, "held_per_s": round(held * one.share, 6),
                 "home_per_s": round(one.spec.terms.shares * one.share, 6),
                 "lent_per_s": round(lent * one.share, 6),
-                "borrowed_per_s": round(sum(loan.shares for _, loan in one.rights.loans()) * one.share, 6),
+                "borrowed_per_s": round(sum(loan.shares for _, loan in one.escrow.loans()) * one.share, 6),
                 "wanted_per_s": round(one.demand.per_s, 6), "saved": round(one.bucket.tokens(now), 3),
                 **one.counts,
             }  # fmt: skip
@@ -238,7 +238,7 @@
         }  # fmt: skip
         leases = self.core.leases
         led = {} if leases is None else {
-            "council": list(leases.council), "silent": leases.silent(now), "tasks": leases.report(now),
+            "council": list(leases.voters), "silent": leases.silent(now), "tasks": leases.report(now),
         }  # fmt: skip
         permits = {} if self.core.permits is None else {"permits": self._permits()}
         return {"budgets": budgets, "counts": thrown, **judged, **led, **permits}
--- a/driftstair/tier/tokens.py
+++ b/driftstair/tier/tokens.py
@@ -1,4 +1,4 @@
-"""The greatest token that this node as a member of the council may have promised, on a disk that lasts.
+"""The greatest token that this node as a voter may have promised, on a disk that lasts.
 
 Two slots of fixed size are written in turn, each with its number and a checksum, and synced before anything
 is promised by them: a torn write spoils one slot, and the other has what was promised before. Weighed: a file
--- a/driftstair/tier/wire.py
+++ b/driftstair/tier/wire.py
@@ -29,7 +29,7 @@
 
 class _Claim(msgspec.Struct, array_like=True, frozen=True, gc=False):
     number: int
-    life: int
+    generation: int
     incarnation: int
     state: int
     reporter: int
@@ -76,7 +76,7 @@
     """Encoded length in bytes."""
     zone, version, supports = claim.traits
     return (
-        2 + _int_bytes(claim.number) + _int_bytes(claim.life) + _int_bytes(claim.incarnation)
+        2 + _int_bytes(claim.number) + _int_bytes(claim.generation) + _int_bytes(claim.incarnation)
         + _int_bytes(claim.reporter) + _int_bytes(zone) + _int_bytes(version) + _int_bytes(supports)
     )  # fmt: skip
 
@@ -150,7 +150,7 @@
     traits = Traits(wire_claim.zone, wire_claim.version, wire_claim.supports)
     claim = Claim(
         wire_claim.number,
-        wire_claim.life,
+        wire_claim.generation,
         wire_claim.incarnation,
         State(wire_claim.state),
         wire_claim.reporter,
@@ -165,7 +165,7 @@
     """Whether all fields are within the ranges of the datagram format."""
     zone, version, supports = claim.traits
     return (
-        0 <= claim.number < MAX_NUMBER and 0 <= claim.life <= MAX_COUNT
+        0 <= claim.number < MAX_NUMBER and 0 <= claim.generation <= MAX_COUNT
         and 0 <= claim.incarnation <= MAX_NUMBER and 0 <= claim.reporter < MAX_NUMBER and 0 <= zone <= 255
         and 0 <= version <= 255 and 0 <= supports <= MAX_NUMBER
     )  # fmt: skip
--- a/tests/model/test_model_world.py
+++ b/tests/model/test_model_world.py
@@ -94,8 +94,8 @@
     }
     world = World(load("whole-fleet", tree))
     world.play()
-    assert all(node.life == 3 - 2 * (node.life == 1) for node in world.nodes.values())
-    assert sum(node.life == 3 for node in world.nodes.values()) == 14
+    assert all(node.generation == 3 - 2 * (node.generation == 1) for node in world.nodes.values())
+    assert sum(node.generation == 3 for node in world.nodes.values()) == 14
     assert world.account.whole.asked == world.clients.first
 
 
--- a/tests/tier/stewardship.py
+++ b/tests/tier/disruption_control.py
@@ -1,5 +1,5 @@
-"""A small world around stewards and holders: clocks that drift, letters lost, late and doubled, crashes,
-restarts, and stewards that come after one another."""
+"""A small world around disruption controllers and holders: clocks that drift, letters lost, late and doubled,
+crashes, restarts, and disruption controllers that come after one another."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from random import Random
 from typing import Any
 
+from driftstair.tier.ownership.disruption_controller import DisruptionController, LiveNodes
 from driftstair.tier.ownership.permits import Ask, Holder, Kind, PollReply, ReturnPermit, Rules
-from driftstair.tier.ownership.steward import LiveNodes, Steward
 
 SECOND = 1_000_000_000
 TERM = 20 * SECOND
 RULES = Rules(at_once=2, term=TERM, drift=0.01)
-TO_STEWARD = (PollReply, Ask, ReturnPermit)
+TO_DISRUPTION_CONTROLLER = (PollReply, Ask, ReturnPermit)
 
 
 @dataclass
@@ -24,9 +24,9 @@
     zone: int
     rate: float
     offset: int
-    life: int
+    generation: int
     holder: Holder | None
-    steward: Steward | None = None
+    disruption_controller: DisruptionController | None = None
     out_until: float = -1.0  # s of the world: a process that held a permit has ended, and is not back
 
 
@@ -37,7 +37,7 @@
     random: Random
     rules: Rules = RULES
     holder: type[Holder] = Holder
-    steward: type[Steward] = Steward
+    disruption_controller: type[DisruptionController] = DisruptionController
     loss: float = 0.1
     late: float = 3.0  # s at most, but for a few
     now: float = 0.0  # s
@@ -57,14 +57,14 @@
             self.nodes.append(node)
             self.start(node)
 
-    # Times and lives.
+    # Times and generations.
 
     def clock(self, node: Node) -> int:
         return node.offset + int(self.now * node.rate * SECOND)
 
     def start(self, node: Node) -> None:
-        node.life += 1
-        node.holder = self.holder(self.rules, node.life)
+        node.generation += 1
+        node.holder = self.holder(self.rules, node.generation)
         node.out_until = -1.0
 
     def stop(self, node: Node) -> None:
@@ -72,14 +72,14 @@
             left = node.holder.left(self.clock(node)) / node.rate / SECOND
             node.out_until = self.now + left
         self.count_taken(node)
-        node.holder = node.steward = None
+        node.holder = node.disruption_controller = None
         if self.owner == node.number:
             self.lapse()
 
     def lapse(self) -> None:
         """The owner's lease is over; the next one's begins some time later."""
         if self.owner >= 0:
-            self.nodes[self.owner].steward = None
+            self.nodes[self.owner].disruption_controller = None
             self.owner, self.free_at = -1, self.now + self.random.uniform(0.0, 2.0)
 
     def elect(self) -> None:
@@ -87,13 +87,15 @@
         if self.owner < 0 and self.now >= self.free_at and running:
             node = self.random.choice(running)
             self.owner, self.token = node.number, self.token + 1
-            node.steward = self.steward(self.rules, node.number, self.count, self.living)
-            node.steward.lead(self.clock(node), self.token)
+            node.disruption_controller = self.disruption_controller(
+                self.rules, node.number, self.count, self.living
+            )
+            node.disruption_controller.lead(self.clock(node), self.token)
 
     def living(self) -> LiveNodes:
         """As membership would have it; wrong at times, as it may be."""
         return {
-            one.number: (one.life, one.zone) for one in self.nodes
+            one.number: (one.generation, one.zone) for one in self.nodes
             if one.holder is not None and self.random.random() > 0.02
         }  # fmt: skip
 
@@ -106,17 +108,19 @@
                 late = self.random.uniform(0.0, self.late)
                 if self.random.random() < 0.03:
                     late = self.random.uniform(0.0, 2.5 * TERM / SECOND)
-                self.letters.append((self.now + late, source.number, source.life, to, message))
+                self.letters.append((self.now + late, source.number, source.generation, to, message))
 
     def deliver(self) -> None:
         due = [one for one in self.letters if one[0] <= self.now]
         self.letters = [one for one in self.letters if one[0] > self.now]
         self.random.shuffle(due)
-        for _, source, life, to, message in due:
+        for _, source, generation, to, message in due:
             node = self.nodes[to]
-            if isinstance(message, TO_STEWARD):
-                if node.steward is not None:
-                    self.send(node, node.steward.heard(self.clock(node), source, life, message))
+            if isinstance(message, TO_DISRUPTION_CONTROLLER):
+                if node.disruption_controller is not None:
+                    self.send(
+                        node, node.disruption_controller.heard(self.clock(node), source, generation, message)
+                    )
             elif node.holder is not None:
                 self.send(node, node.holder.heard(self.clock(node), source, message))
             self.check()
@@ -128,8 +132,8 @@
         for node in self.nodes:
             if node.holder is not None:
                 self.send(node, node.holder.tick(self.clock(node)))
-            if node.steward is not None:
-                self.send(node, node.steward.tick(self.clock(node)))
+            if node.disruption_controller is not None:
+                self.send(node, node.disruption_controller.tick(self.clock(node)))
         self.check()
 
     def mischief(self) -> None:
@@ -157,7 +161,7 @@
     def check(self) -> None:
         out = self.out()
         self.most = max(self.most, len(out))
-        told = [(one.number, one.zone, one.life) for one in out]
+        told = [(one.number, one.zone, one.generation) for one in out]
         assert len(out) <= self.rules.at_once, f"at {self.now}: {told} out"
         assert len({one.zone for one in out}) <= 1, f"at {self.now}: {told} out"
 
--- a/tests/tier/lending.py
+++ b/tests/tier/lending.py
@@ -25,7 +25,7 @@
     done: Any
     back: Any  # that it was given back is under way, or has come
     shares: Any
-    OB: Any  # the same of a loan that an earlier life of the lender gave
+    OB: Any  # the same of a loan that an earlier generation of the lender gave
     OP: Any
     OD: Any
     Odone: Any
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class State:
-    W: Any  # until the home's process knows that nothing of an earlier life is out
+    W: Any  # until the home's process knows that nothing of an earlier generation is out
     slots: tuple[Slot, ...]
 
 
@@ -156,7 +156,7 @@
         return self.logic.both(slot.OD <= 0), self._with(state, number, Odone=self.logic.false)
 
     def borrower_restarts(self, state: State, number: int) -> tuple[Any, State]:
-        """Grants name the life that asked."""
+        """Grants name the generation that asked."""
         none = dict.fromkeys(("B", "P", "Q", "N", "D", "OB", "OP", "OD"), self.f.T * 0)
         return self.logic.true, self._with(
             state, number, **none, done=self.logic.false, Odone=self.logic.false
--- a/tests/tier/test_budget_checks.py
+++ b/tests/tier/test_budget_checks.py
@@ -10,7 +10,7 @@
 from driftstair.rehearsal.tier.budgets import check, spending
 from driftstair.tier.shared.budget import TERMS, Spec
 from driftstair.tier.shared.core import SharedState
-from driftstair.tier.shared.rights import Grant
+from driftstair.tier.shared.escrow import Grant
 from driftstair.tier.sharing import FleetTokens, Sharing
 
 SECOND = 1_000_000_000
@@ -30,7 +30,7 @@
     return [{"t_ns": one, "node": node, "event": "spend", "budget": "b", "amount": 1.0} for one in times]
 
 
-def right(
+def escrow_event(
     node: int, what: str, other: int, at: float, until: float, loan: int = 1, shares: int = 8
 ) -> dict[str, Any]:
     return {
@@ -61,21 +61,21 @@
     return told(0) | {"t_ns": 2 * SECOND, "own": own}
 
 
-LENT = [told(0), right(0, "lent", 1, 1.0, 4.1), right(1, "took", 0, 1.01, 4.0)]
+LENT = [told(0), escrow_event(0, "lent", 1, 1.0, 4.1), escrow_event(1, "took", 0, 1.01, 4.0)]
 
 
 @pytest.mark.parametrize(
     ("more", "wrong"),
     [
         ([], False),
-        ([right(0, "extended", 1, 3.0, 6.1), right(1, "renewed", 0, 3.01, 6.0)], False),
-        ([right(1, "gave", 0, 2.0, 2.0), right(0, "returned", 1, 2.01, 2.01)], False),
-        ([right(1, "renewed", 0, 3.01, 6.0)], True),  # the lender knows nothing of it
-        ([right(0, "returned", 1, 2.0, 2.0)], True),  # it was not given back
-        ([right(1, "took", 0, 2.0, 5.0, loan=2)], True),
+        ([escrow_event(0, "extended", 1, 3.0, 6.1), escrow_event(1, "renewed", 0, 3.01, 6.0)], False),
+        ([escrow_event(1, "gave", 0, 2.0, 2.0), escrow_event(0, "returned", 1, 2.01, 2.01)], False),
+        ([escrow_event(1, "renewed", 0, 3.01, 6.0)], True),  # the lender knows nothing of it
+        ([escrow_event(0, "returned", 1, 2.0, 2.0)], True),  # it was not given back
+        ([escrow_event(1, "took", 0, 2.0, 5.0, loan=2)], True),
         ([begins(1)], False),
         ([begins(32)], True),  # a process that does not know of the loan
-        ([right(0, "lent", 2, 2.0, 5.0, loan=2, shares=25)], True),  # more than there is
+        ([escrow_event(0, "lent", 2, 2.0, 5.0, loan=2, shares=25)], True),  # more than there is
     ],
 )
 def test_a_share_has_one_holder(more: list[dict[str, Any]], wrong: bool) -> None:
@@ -117,13 +117,13 @@
     budget = core.budgets["b"]
     while mine.take(0):
         pass
-    budget.granted(0, Grant(1, 1, 1, 0, 1, budget.rights.ask(0, 31).at, 31))
-    assert budget.rights.held(SECOND) == TERMS.shares + 31
+    budget.granted(0, Grant(1, 1, 1, 0, 1, budget.escrow.ask(0, 31).at, 31))
+    assert budget.escrow.held(SECOND) == TERMS.shares + 31
     clock.now = 60 * SECOND
     assert sum(mine.take(SECOND) for _ in range(100)) <= 10  # what its own part saves up, not the loan's
 
 
-def test_a_node_without_its_rights_spends_nothing() -> None:
+def test_a_node_without_its_escrow_spends_nothing() -> None:
     mine, core, _, spent = tokens()
     assert mine.has(0)
     core.close()
--- a/tests/tier/test_budgets_processes.py
+++ b/tests/tier/test_budgets_processes.py
@@ -196,16 +196,16 @@
     ("module", "what"),
     [
         # A lender that does not wait its loans out.
-        ("rights", "rights.Terms.waited = lambda self: self.lent // 8"),
+        ("escrow", "escrow.Terms.waited = lambda self: self.lent // 8"),
         # A borrower that counts it from when it came.
         (
-            "rights",
-            "plain = rights.Rights.take\n"
+            "escrow",
+            "plain = escrow.Escrow.take\n"
             "def take(self, now, grant):\n"
             "    found = plain(self, now, grant)\n"
             "    for loan in self._in.values(): loan.until += 2 * 10**9\n"
             "    return found\n"
-            "rights.Rights.take = take",
+            "escrow.Escrow.take = take",
         ),
     ],
 )
--- a/tests/tier/test_budgets_world.py
+++ b/tests/tier/test_budgets_world.py
@@ -11,7 +11,7 @@
 from driftstair.model.tier.world import SECOND, Link
 from driftstair.tier.shared.budget import TERMS, Budget, Spec
 from driftstair.tier.shared.core import RecordEvent, SendItems, SharedState
-from driftstair.tier.shared.rights import Ask, GiveBack, Grant, Rights, Terms
+from driftstair.tier.shared.escrow import Ask, Escrow, GiveBack, Grant, Terms
 
 BURST = 5 * SECOND
 COUNT = 20
@@ -135,7 +135,7 @@
     (items,) = carried(one.wake(SECOND))
     (grants,) = carried(other.heard(SECOND, 0, 7, items))
     one.heard(SECOND, 1, 7, grants)
-    mine, its = one.budgets["retries"].rights, other.budgets["retries"].rights
+    mine, its = one.budgets["retries"].escrow, other.budgets["retries"].escrow
     assert (mine.held(SECOND), its.held(SECOND)) == (TERMS.shares * 2 - TERMS.floor, TERMS.floor)
     (back,) = carried(one.leave(SECOND))
     other.heard(SECOND, 0, 7, back)
@@ -162,7 +162,7 @@
     assert one.update_specs(0, (SPEC._replace(per_s=SPEC.per_s / 10),)) == []
     one.update_specs(0, (SPEC._replace(name="other"),))
     assert list(one.budgets) == ["other"]
-    assert one.budgets["other"].rights.held(0) == TERMS.floor
+    assert one.budgets["other"].escrow.held(0) == TERMS.floor
 
 
 @pytest.mark.parametrize(
@@ -187,16 +187,16 @@
     return self.lent // 4
 
 
-def minted(self: Rights, own: int, life: int, terms: Terms, started: int) -> None:
-    plain(self, own, life, terms, started - 2 * terms.waited())
+def minted(self: Escrow, own: int, generation: int, terms: Terms, started: int) -> None:
+    plain(self, own, generation, terms, started - 2 * terms.waited())
 
 
-plain = Rights.__init__
+plain = Escrow.__init__
 
 
 @pytest.mark.parametrize(
     ("where", "name", "defect"),
-    [(Terms, "waited", unwaited), (Rights, "__init__", minted)],
+    [(Terms, "waited", unwaited), (Escrow, "__init__", minted)],
 )
 def test_a_planted_defect_overspends(
     where: type, name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
--- a/tests/tier/test_rights.py
+++ b/tests/tier/test_escrow.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from driftstair.tier.shared import rights as module
-from driftstair.tier.shared.rights import Ask, GiveBack, Grant, Rights, Terms
+from driftstair.tier.shared import escrow as module
+from driftstair.tier.shared.escrow import Ask, Escrow, GiveBack, Grant, Terms
 from driftstair.tier.shared.token_bucket import TokenBucket
 
 SECOND = 1_000_000_000
@@ -36,7 +36,7 @@
         self.random = random = Random(seed)
         self.now = 0
         self.clocks = [Clock(random) for _ in range(NODES)]
-        self.lives = [0] * NODES
+        self.generations = [0] * NODES
         self.stopped: set[int] = set()
         self.purses: list[TokenBucket | None] = [None] * NODES
         self.flight: list[tuple[int, int, Ask | Grant | GiveBack]] = []
@@ -46,9 +46,11 @@
             self.start(number)
 
     def start(self, number: int) -> None:
-        self.lives[number] += 1
+        self.generations[number] += 1
         at = self.clocks[number].at(self.now)
-        self.purses[number] = TokenBucket(Rights(number, self.lives[number], TERMS, at), SHARE, DEPTH, at)
+        self.purses[number] = TokenBucket(
+            Escrow(number, self.generations[number], TERMS, at), SHARE, DEPTH, at
+        )
 
     def send(self, to: int, message: Ask | Grant | GiveBack) -> None:
         self.old = [*self.old[-40:], (to, message)]
@@ -63,13 +65,13 @@
         at = self.clocks[to].at(self.now)
         purse.advance(at)
         if isinstance(message, Ask):
-            grant = purse.rights.lend(at, message, self.random.randint(1, 4))
+            grant = purse.escrow.lend(at, message, self.random.randint(1, 4))
             if grant is not None:
                 self.send(grant.borrower, grant)
         elif isinstance(message, Grant):
-            purse.rights.take(at, message)
+            purse.escrow.take(at, message)
         else:
-            purse.rights.returned(message)
+            purse.escrow.returned(message)
         purse.advance(at)
 
     def step(self) -> None:
@@ -97,12 +99,12 @@
             self.stopped.add(number)
         elif chance < 0.2:
             purse.advance(at)
-            for back in purse.rights.give_back(at, random.randint(1, 4)):
+            for back in purse.escrow.give_back(at, random.randint(1, 4)):
                 self.send(back.lender, back)
             purse.advance(at)
         elif chance < 0.8:
             other = random.randrange(NODES)
-            self.send(other, purse.rights.ask(at, random.randint(1, 6)))
+            self.send(other, purse.escrow.ask(at, random.randint(1, 6)))
         for other, one in enumerate(self.purses):
             if one is not None and other not in self.stopped:
                 while one.spend(self.clocks[other].at(self.now)):
@@ -110,7 +112,7 @@
 
     def held(self) -> list[int]:
         return [
-            purse.rights.held(self.clocks[number].at(self.now))
+            purse.escrow.held(self.clocks[number].at(self.now))
             for number, purse in enumerate(self.purses) if purse is not None
         ]  # fmt: skip
 
@@ -152,20 +154,20 @@
     return self.lent
 
 
-def minted(self: Rights, own: int, life: int, terms: Terms, started: int) -> None:
-    plain(self, own, life, terms, started - 2 * terms.waited())
+def minted(self: Escrow, own: int, generation: int, terms: Terms, started: int) -> None:
+    plain(self, own, generation, terms, started - 2 * terms.waited())
 
 
-def from_arrival(self: Rights, now: int, grant: Grant) -> bool:
+def from_arrival(self: Escrow, now: int, grant: Grant) -> bool:
     return taken(self, now, grant._replace(asked_at=now))
 
 
-plain, taken = Rights.__init__, Rights.take
+plain, taken = Escrow.__init__, Escrow.take
 
 
 @pytest.mark.parametrize(
     ("where", "name", "defect"),
-    [(Terms, "waited", unwaited), (Rights, "__init__", minted), (Rights, "take", from_arrival)],
+    [(Terms, "waited", unwaited), (Escrow, "__init__", minted), (Escrow, "take", from_arrival)],
 )
 def test_a_planted_defect_is_found(
     where: type, name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
@@ -175,17 +177,19 @@
 
 
 def test_a_grant_that_is_late_repeated_or_anothers_gives_nothing() -> None:
-    lender, borrower = Rights(0, 1, TERMS, -100 * SECOND), Rights(1, 1, TERMS, -100 * SECOND)
+    lender, borrower = Escrow(0, 1, TERMS, -100 * SECOND), Escrow(1, 1, TERMS, -100 * SECOND)
     grant = lender.lend(0, borrower.ask(0, 3), 9)
     assert grant is not None and grant.shares == 3 and lender.held(0) == 3
     assert not borrower.take(2 * SECOND, grant)  # its time is over
-    assert not borrower.take(0, grant._replace(life=2)) and not borrower.take(0, grant._replace(borrower=2))
+    assert not borrower.take(0, grant._replace(generation=2)) and not borrower.take(
+        0, grant._replace(borrower=2)
+    )
     assert borrower.take(SECOND, grant) and borrower.take(SECOND, grant)
     assert borrower.held(SECOND) == 9
     (back,) = borrower.give_back(SECOND, 3)
     assert not borrower.take(SECOND, grant)  # not once it is given back
     assert borrower.held(SECOND) == 6
-    lender.returned(back._replace(lender_life=2))
+    lender.returned(back._replace(lender_generation=2))
     lender.returned(back._replace(borrower=2))
     assert lender.held(SECOND) == 3
     lender.returned(back)
@@ -193,7 +197,7 @@
 
 
 def test_a_node_that_hears_nothing_keeps_its_floor_and_a_lender_has_all_again_in_time() -> None:
-    lender = Rights(0, 1, TERMS, -100 * SECOND)
+    lender = Escrow(0, 1, TERMS, -100 * SECOND)
     assert lender.lend(0, Ask(1, 1, 0, 9), 9) is not None
     assert lender.held(0) == TERMS.floor and lender.spare(0) == 0
     assert lender.lend(0, Ask(2, 1, 0, 9), 9) is None
@@ -201,7 +205,7 @@
 
 
 def test_a_restart_holds_its_floor_until_the_longest_loan_is_over() -> None:
-    anew = Rights(0, 2, TERMS, 0)
+    anew = Escrow(0, 2, TERMS, 0)
     assert (anew.held(0), anew.spare(0), anew.ends_at()) == (2, 0, TERMS.waited())
     assert anew.held(TERMS.waited()) == 6 and anew.ends_at() == module.NEVER
 
@@ -209,4 +213,4 @@
 @pytest.mark.parametrize("floor", [0, -1, 7])
 def test_terms_without_a_floor_or_beyond_the_shares_are_refused(floor: int) -> None:
     with pytest.raises(ValueError, match="1 to 6 would do"):
-        Rights(0, 1, Terms(6, floor), 0)
+        Escrow(0, 1, Terms(6, floor), 0)
--- a/tests/tier/test_rights_every_order.py
+++ b/tests/tier/test_escrow_every_order.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from driftstair.tier.shared.rights import Ask, GiveBack, Grant, Rights, Terms
+from driftstair.tier.shared.escrow import Ask, Escrow, GiveBack, Grant, Terms
 
 # A clock counts 2 or 4 while 3 pass: a third slow or fast. Then a lender waits 9 of its own for a loan of 4.
 TERMS = Terms(shares=2, floor=1, lent=4, drift=1 / 3)
@@ -20,19 +20,19 @@
 
 
 class World:
-    __slots__ = ("clocks", "lives", "messages", "nodes", "restarts")
+    __slots__ = ("clocks", "generations", "messages", "nodes", "restarts")
 
     def __init__(self) -> None:
         self.clocks = [0, 1000]
-        self.lives = [1, 1]
+        self.generations = [1, 1]
         self.restarts = 0
         self.messages: tuple[Ask | Grant | GiveBack, ...] = ()  # all ever sent: any may come, again and again
         # Both have been up for long.
-        self.nodes = [Rights(one, 1, TERMS, clock - 100) for one, clock in enumerate(self.clocks)]
+        self.nodes = [Escrow(one, 1, TERMS, clock - 100) for one, clock in enumerate(self.clocks)]
 
     def copy(self) -> World:
         new = copy.copy(self)
-        new.clocks, new.lives = list(self.clocks), list(self.lives)
+        new.clocks, new.generations = list(self.clocks), list(self.generations)
         new.nodes = [copy.copy(node) for node in self.nodes]
         for node in new.nodes:
             node._out = {number: (to, copy.copy(loan)) for number, (to, loan) in node._out.items()}
@@ -56,7 +56,7 @@
                 messages.append((rest, left(at + TERMS.lent, one.borrower)))
         nodes = tuple(
             (
-                node.life, left(node._whole_at, one), node._last,
+                node.generation, left(node._whole_at, one), node._last,
                 tuple((number, to, left(loan.until, one)) for number, (to, loan) in node._out.items()),
                 tuple(sorted((key, left(loan.until, one)) for key, loan in node._in.items())),
                 tuple(sorted((key, left(until, one)) for key, until in node._done.items())),
@@ -111,8 +111,8 @@
             if self.restarts < RESTARTS_MOST:
                 new = self.copy()
                 new.restarts += 1
-                new.lives[number] += 1
-                new.nodes[number] = Rights(number, new.lives[number], TERMS, new.clocks[number])
+                new.generations[number] += 1
+                new.nodes[number] = Escrow(number, new.generations[number], TERMS, new.clocks[number])
                 yield new
 
 
@@ -162,20 +162,20 @@
     return self.lent
 
 
-def minted(self: Rights, own: int, life: int, terms: Terms, started: int) -> None:
-    plain(self, own, life, terms, started - 100)
+def minted(self: Escrow, own: int, generation: int, terms: Terms, started: int) -> None:
+    plain(self, own, generation, terms, started - 100)
 
 
-def from_arrival(self: Rights, now: int, grant: Grant) -> bool:
+def from_arrival(self: Escrow, now: int, grant: Grant) -> bool:
     return taken(self, now, grant._replace(asked_at=now))
 
 
-def taken_again(self: Rights, now: int, grant: Grant) -> bool:
+def taken_again(self: Escrow, now: int, grant: Grant) -> bool:
     self._done.clear()
     return taken(self, now, grant)
 
 
-def forgets_what_it_gave_back(self: Rights, now: int, shares: int) -> list[GiveBack]:
+def forgets_what_it_gave_back(self: Escrow, now: int, shares: int) -> list[GiveBack]:
     ends = {key: loan.until for key, loan in self._in.items()}
     out = given(self, now, shares)
     for key in self._done.keys() & ends.keys():
@@ -183,7 +183,7 @@
     return out
 
 
-def longer_in_vain(self: Rights, now: int, ask: Ask) -> Grant | None:
+def longer_in_vain(self: Escrow, now: int, ask: Ask) -> Grant | None:
     before = {number: loan.until for number, (_, loan) in self._out.items()}
     grant = lengthened(self, now, ask)
     if grant is not None:
@@ -191,13 +191,13 @@
     return grant
 
 
-plain, taken, given, lengthened = Rights.__init__, Rights.take, Rights.give_back, Rights._lengthen
+plain, taken, given, lengthened = Escrow.__init__, Escrow.take, Escrow.give_back, Escrow._lengthen
 
 
 @pytest.mark.parametrize(
     ("where", "name", "defect"),
-    [(Terms, "waited", too_short), (Rights, "__init__", minted), (Rights, "take", from_arrival),
-     (Rights, "take", taken_again)],
+    [(Terms, "waited", too_short), (Escrow, "__init__", minted), (Escrow, "take", from_arrival),
+     (Escrow, "take", taken_again)],
 )  # fmt: skip
 def test_a_planted_defect_is_found(
     where: type, name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
@@ -212,5 +212,5 @@
 def test_a_defect_of_what_follows_a_loan_is_found(
     name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Rights, name, defect)
+    monkeypatch.setattr(Escrow, name, defect)
     assert explore(DEPTH, with_a_loan)[2]
--- a/tests/tier/test_rights_proved.py
+++ b/tests/tier/test_escrow_proved.py
@@ -15,7 +15,7 @@
 from solving import refuted
 
 from driftstair.tier.shared.budget import TERMS
-from driftstair.tier.shared.rights import Ask, GiveBack, Grant, Rights, Terms
+from driftstair.tier.shared.escrow import Ask, Escrow, GiveBack, Grant, Terms
 
 BORROWERS = 3
 BOOLS = ("done", "back", "Odone")
@@ -149,9 +149,9 @@
         none = Slot(**{name: False if name in BOOLS else 0 for name in NAMES})
         self.state = State(FIGURES.waited, (none,) * BORROWERS)
         self.now = [0] * (BORROWERS + 1)  # the home's clock last
-        self.lives = [1] * BORROWERS
-        self.home = Rights(BORROWERS, 1, SMALL, 0)
-        self.others = [Rights(number, 1, SMALL, -9999) for number in range(BORROWERS)]
+        self.generations = [1] * BORROWERS
+        self.home = Escrow(BORROWERS, 1, SMALL, 0)
+        self.others = [Escrow(number, 1, SMALL, -9999) for number in range(BORROWERS)]
         self.asks: list[Ask | None] = [None] * BORROWERS
         self.longer: list[Ask | None] = [None] * BORROWERS
         self.grants: list[Grant | None] = [None] * BORROWERS  # the one that would last longest
@@ -218,13 +218,13 @@
                         self.state = model.returned(self.state, number)[1]
             case "b":
                 if self.random.random() < 0.3:
-                    self.lives[number] += 1
-                    self.others[number] = Rights(number, self.lives[number], SMALL, at - 9999)
+                    self.generations[number] += 1
+                    self.others[number] = Escrow(number, self.generations[number], SMALL, at - 9999)
                     self.asks[number] = self.longer[number] = self.grants[number] = None
                     self.state = model.borrower_restarts(state, number)[1]
             case "h":
                 if self.random.random() < 0.1 and all(one.B <= 0 for one in state.slots):
-                    self.home = Rights(BORROWERS, self.home.life + 1, SMALL, home)
+                    self.home = Escrow(BORROWERS, self.home.generation + 1, SMALL, home)
                     self.grants, self.backs = [None] * BORROWERS, [None] * BORROWERS
                     self.longer = [None] * BORROWERS
                     self.state = model.home_restarts(state)[1]
--- a/tests/tier/test_facts.py
+++ b/tests/tier/test_facts.py
@@ -20,8 +20,9 @@
 
 # One writer: a version has one value.
 FACTS = st.builds(
-    lambda owner, life, version, subject, age: Fact(
-        owner, life, version, EVIDENCE, subject, SECOND - age * MS, (version, life, subject, owner, 0)
+    lambda owner, generation, version, subject, age: Fact(
+        owner, generation, version, EVIDENCE, subject, SECOND - age * MS,
+        (version, generation, subject, owner, 0),
     ),
     st.integers(1, 3), st.integers(1, 2), st.integers(1, 4), st.integers(0, 2), st.integers(0, 900),
 )  # fmt: skip
@@ -55,7 +56,7 @@
     }
 
 
-def test_an_old_life_never_comes_back() -> None:
+def test_an_old_generation_never_comes_back() -> None:
     facts = Facts(0, 1, Random(0))
     assert facts.take(SECOND, Fact(1, 5, 9, EVIDENCE, 7, SECOND, VALUE), 4)
     assert facts.take(SECOND, Fact(1, 6, 1, EVIDENCE, 8, SECOND, VALUE), 4)
--- a/tests/tier/test_judgements_processes.py
+++ b/tests/tier/test_judgements_processes.py
@@ -111,7 +111,7 @@
         (first,) = probers(fleet)
         found = await asyncio.to_thread(state, fleet)
         (task,) = found["tasks"].values()
-        assert task["owner"] in (first, None)  # a member of the council that has not heard of it yet
+        assert task["owner"] in (first, None)  # a voter that has not heard of it yet
         await fleet.kill(first)
         await fleet.wait_until(lambda: len(set(probers(fleet))) > 1)
         second = probers(fleet)[-1]
--- a/tests/tier/test_leases_every_order.py
+++ b/tests/tier/test_leases_every_order.py
@@ -1,4 +1,4 @@
-"""One owner at a time, and tokens that only rise: every order of a small council, random ones of a worse."""
+"""One owner at a time, and tokens that only rise: every order of a few voters, random ones of a worse."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from council import SHORT, explore, owned, proposing, quick, walk
+from voters import SHORT, explore, owned, proposing, quick, walk
 
 from driftstair.tier.ownership.acceptor import Acceptor
 from driftstair.tier.ownership.messages import Accepted, Prepare, Refused, Terms, first_token
@@ -50,20 +50,22 @@
 
 
 def taken_from_another(
-    self: Acceptor, now: int, sender: int, life: int, task: int, token: int
+    self: Acceptor, now: int, sender: int, generation: int, task: int, token: int
 ) -> Refused | None:
     known = max(self.floor, self.known.get(task, 0))
     return Refused(task, token, known) if token < known else None
 
 
-def no_floor(self: Acceptor, terms: Terms, life: int, started: int) -> None:
-    begun(self, terms, life, started)
+def no_floor(self: Acceptor, terms: Terms, generation: int, started: int) -> None:
+    begun(self, terms, generation, started)
     self.floor = 0
 
 
-def any_token(self: Acceptor, now: int, sender: int, life: int, task: int, token: int) -> Refused | None:
+def any_token(
+    self: Acceptor, now: int, sender: int, generation: int, task: int, token: int
+) -> Refused | None:
     lease = self.lease(now, task)
-    if lease is not None and (lease.owner, lease.life) != (sender, life):
+    if lease is not None and (lease.owner, lease.generation) != (sender, generation):
         return Refused(task, token, 0, lease.owner, lease.until - now)
     return None
 
--- a/tests/tier/test_leases_proved.py
+++ b/tests/tier/test_leases_proved.py
@@ -1,4 +1,4 @@
-"""One owner at a time after any number of steps, by a solver: a council of three, two who want, clocks as
+"""One owner at a time after any number of steps, by a solver: three voters, two who want, clocks as
 real numbers; and what is proved holds in the shipped core at every step of random orders."""
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 
 import pytest
 import z3
-from council import World, proposing, quick, walk
 from solving import refuted
+from voters import World, proposing, quick, walk
 
 from driftstair.tier.ownership.leases import TERMS
 
--- a/tests/tier/test_leases_world.py
+++ b/tests/tier/test_leases_world.py
@@ -10,15 +10,15 @@
 from driftstair.model.tier.ownership import Fleet
 from driftstair.model.tier.world import SECOND, Link
 from driftstair.tier.ownership.leases import (
-    MAX_COUNCIL_SIZE,
+    MAX_VOTERS,
     TERMS,
     Leases,
-    council_members,
     rank_nodes,
     task_key,
+    voter_numbers,
 )
 
-SILENT = TERMS.waited() / SECOND  # s after a start in which a council says nothing
+SILENT = TERMS.waited() / SECOND  # s after a start in which the voters say nothing
 TASKS = tuple(f"task {number}" for number in range(12))
 
 
@@ -30,7 +30,7 @@
     return out
 
 
-def test_each_task_has_one_owner_once_the_council_speaks_and_keeps_it() -> None:
+def test_each_task_has_one_owner_once_the_voters_speak_and_keeps_it() -> None:
     play = fleet(tasks=TASKS)
     owners = [play.owners(task) for task in TASKS]
     assert all(len(one) == 1 for one in owners)
@@ -92,7 +92,7 @@
     play.until_owned(8.0)
 
 
-def test_an_owner_that_hears_the_council_and_is_not_heard_stops_in_time() -> None:
+def test_an_owner_that_hears_the_voters_and_is_not_heard_stops_in_time() -> None:
     play = fleet(5)
     (owner,) = play.owners()
     play.world.cut = lambda source, target: source == owner
@@ -191,15 +191,15 @@
     assert rate / (200 / 9) < 14  # a task's owner: seven asked and seven answers in half a lease, and rivals
 
 
-def test_the_council_is_the_same_whatever_numbers_come_beyond_it() -> None:
-    assert council_members(7) == council_members(200) == tuple(range(MAX_COUNCIL_SIZE))
-    assert council_members(3) == (0, 1, 2)
+def test_the_voters_are_the_same_whatever_numbers_come_beyond_them() -> None:
+    assert voter_numbers(7) == voter_numbers(200) == tuple(range(MAX_VOTERS))
+    assert voter_numbers(3) == (0, 1, 2)
 
 
-def test_a_node_beyond_the_council_may_own_and_decides_nothing() -> None:
+def test_a_node_that_is_no_voter_may_own_and_decides_nothing() -> None:
     play = fleet(30, tasks=TASKS)
     owners = {play.owners(task)[0] for task in TASKS}
-    assert max(owners) >= MAX_COUNCIL_SIZE
+    assert max(owners) >= MAX_VOTERS
     assert play.world.hosts[20].detector.core.acceptor is None  # type: ignore[union-attr]
 
 
--- a/tests/tier/test_loan_expiry.py
+++ b/tests/tier/test_loan_expiry.py
@@ -9,7 +9,7 @@
 
 from driftstair.tier import loan_expiry
 from driftstair.tier.shared.budget import TERMS
-from driftstair.tier.shared.rights import Ask, Rights
+from driftstair.tier.shared.escrow import Ask, Escrow
 
 
 def test_the_file_is_read_once(tmp_path: Path) -> None:
@@ -40,13 +40,13 @@
 
 
 def test_the_next_process_holds_all_shares_once_all_loans_have_expired() -> None:
-    first = Rights(0, 1, TERMS, -(10**12))
+    first = Escrow(0, 1, TERMS, -(10**12))
     assert first.lend(0, Ask(1, 1, 0, 4), 4) is not None
     until = first.lent_until()
     assert until == TERMS.waited()
-    following = Rights(0, 2, TERMS, 10**9)
+    following = Escrow(0, 2, TERMS, 10**9)
     following.known(until)
     assert following.held(until - 1) == TERMS.floor and following.held(until) == TERMS.shares
-    late = Rights(0, 3, TERMS, 10**9)
+    late = Escrow(0, 3, TERMS, 10**9)
     late.known(10**15)  # whatever the file says, no longer than a loan can last
     assert late.held(10**9 + TERMS.waited()) == TERMS.shares
--- a/tests/tier/test_membership_machine.py
+++ b/tests/tier/test_membership_machine.py
@@ -25,7 +25,7 @@
     @initialize(count=st.integers(2, 5))
     def begin(self, count: int) -> None:
         self.now_ns = 0
-        self.lives = [0] * count
+        self.generations = [0] * count
         self.nodes: list[Membership | None] = [None] * count
         self.in_flight: list[tuple[int, int, api.Message]] = []
         self.sent: list[api.Message] = []
@@ -37,9 +37,9 @@
             self._start(number)
 
     def _start(self, number: int) -> None:
-        self.lives[number] += 1
+        self.generations[number] += 1
         self.nodes[number] = node = Membership(
-            number, len(self.nodes), self.lives[number], Traits(0, 1, 1), PERIOD_NS,
+            number, len(self.nodes), self.generations[number], Traits(0, 1, 1), PERIOD_NS,
             Random(number), wire.MAX_CLAIMS_BYTES, wire.claim_size,
         )  # fmt: skip
         self.ranks = {pair: rank for pair, rank in self.ranks.items() if pair[0] != number}
@@ -125,9 +125,9 @@
                 pair, rank = (node.own_number, member.number), member.claim.rank()
                 assert rank >= self.ranks.get(pair, rank)
                 self.ranks[pair] = rank
-                # Only a process raises its own life and incarnation.
+                # Only a process raises its own generation and incarnation.
                 own = self.nodes[member.number]
-                if own is not None and not own.superseded and own.own_claim.life == rank[0]:
+                if own is not None and not own.superseded and own.own_claim.generation == rank[0]:
                     assert rank[1] <= own.own_claim.incarnation
 
     @invariant()
--- a/tests/tier/test_membership_world.py
+++ b/tests/tier/test_membership_world.py
@@ -121,9 +121,9 @@
     assert not tier.deaths()
 
 
-def test_simultaneous_restarts_are_seen_as_new_lives_by_all() -> None:
+def test_simultaneous_restarts_are_seen_as_new_generations_by_all() -> None:
     tier = joined_tier(20)
-    before = {node.core.own_number: node.core.own_claim.life for node in tier.cores()}
+    before = {node.core.own_number: node.core.own_claim.generation for node in tier.cores()}
     for number in range(20):
         tier.world.crash(number)
         tier.world.after(tier.world.random.random(), tier.world.start, number)
@@ -131,20 +131,20 @@
     tier.join(20.0)
     for node in tier.cores():
         for member in node.core.members.values():
-            assert member.claim is not None and member.claim.life > before[member.number]
+            assert member.claim is not None and member.claim.generation > before[member.number]
 
 
-def test_a_life_from_a_clock_that_was_set_back_is_raised_above_the_previous_one() -> None:
-    """The others still hold the old life; the new process learns of it and takes a later one."""
+def test_a_generation_from_a_clock_that_was_set_back_is_raised_above_the_previous_one() -> None:
+    """The others still hold the old generation; the new process learns of it and takes a later one."""
     tier = joined_tier(5)
     tier.world.crash(2)
     tier.world.run(10.0)
-    with_early_life = lambda host, life: Swim(host, -50, 5, 1.0, 9)  # noqa: E731
-    tier.world._make = with_early_life
+    with_early_generation = lambda host, generation: Swim(host, -50, 5, 1.0, 9)  # noqa: E731
+    tier.world._make = with_early_generation
     tier.world.start(2)
     tier.join(10.0)
     claims = [node.core.members[2].claim for node in tier.cores() if node.core.own_number != 2]
-    assert {claim.life for claim in claims if claim is not None} == {101}
+    assert {claim.generation for claim in claims if claim is not None} == {101}
 
 
 def test_a_leave_is_disseminated_without_suspicion() -> None:
@@ -308,8 +308,8 @@
     assert any(false_deaths_after_stall(seed) for seed in range(12))
 
 
-def swim_of_life(life: int) -> Callable[[Host, int], Detector]:
-    return lambda host, _: Swim(host, life, 4, 1.0, 3)
+def swim_of_generation(generation: int) -> Callable[[Host, int], Detector]:
+    return lambda host, _: Swim(host, generation, 4, 1.0, 3)
 
 
 def test_of_two_processes_with_one_number_exactly_one_is_superseded() -> None:
@@ -321,13 +321,13 @@
     rival.detector = detector = Swim(rival, 500, 4, 1.0, 8)
     first = tier.world.hosts[2].detector
     assert isinstance(first, Swim)
-    rival.life = tier.world.hosts[2].life
+    rival.generation = tier.world.hosts[2].generation
     deliver = tier.world._arrive
 
     def deliver_to_both(target: int, datagram: object) -> None:
         deliver(target, datagram)
         if target == 2:
-            tier.world._read(rival, rival.life, datagram)
+            tier.world._read(rival, rival.generation, datagram)
 
     tier.world._arrive = deliver_to_both  # type: ignore[method-assign]
     detector.start()
@@ -339,7 +339,7 @@
     for node in tier.cores():
         if node.core.own_number != 2:
             claim = node.core.members[2].claim
-            assert claim is not None and (claim.life, claim.state) == (
-                survivor.core.own_claim.life,
+            assert claim is not None and (claim.generation, claim.state) == (
+                survivor.core.own_claim.generation,
                 State.ALIVE,
             )
--- a/tests/tier/test_other_detectors.py
+++ b/tests/tier/test_other_detectors.py
@@ -15,8 +15,8 @@
 
 NS_PER_S = 1_000_000_000
 DETECTORS: list[MakeOf] = [
-    lambda count, seed: lambda host, life: Heartbeats(host, count),
-    lambda count, seed: lambda host, life: Accrual(host, count),
+    lambda count, seed: lambda host, generation: Heartbeats(host, count),
+    lambda count, seed: lambda host, generation: Accrual(host, count),
 ]
 
 
@@ -58,11 +58,11 @@
 
 
 def member_event(
-    at: float, node: int, of: int, state: str, life: int = 1, incarnation: int = 0
+    at: float, node: int, of: int, state: str, generation: int = 1, incarnation: int = 0
 ) -> dict[str, object]:
     return {
         "t_ns": int(at * NS_PER_S), "node": node, "life": 1, "event": "member", "member": of, "state": state,
-        "incarnation": incarnation, "member_life": life, "told": True, "why": "",
+        "incarnation": incarnation, "member_life": generation, "told": True, "why": "",
     }  # fmt: skip
 
 
@@ -112,10 +112,10 @@
 
 def test_a_death_that_a_node_never_learns_of_is_found() -> None:
     def missed(histories: list[list[dict[str, object]]]) -> None:
-        histories[0] += [member_event(21, 0, 2, "dead"), member_event(41, 0, 2, "alive", life=2)]
-        histories[1] += [member_event(41, 1, 2, "alive", life=2)]
+        histories[0] += [member_event(21, 0, 2, "dead"), member_event(41, 0, 2, "alive", generation=2)]
+        histories[1] += [member_event(41, 1, 2, "alive", generation=2)]
         histories[2] += [start_event(2, 40), member_event(41, 2, 0, "alive"), member_event(41, 2, 1, "alive"),
-                         member_event(40, 2, 2, "alive", life=2)]  # fmt: skip
+                         member_event(40, 2, 2, "alive", generation=2)]  # fmt: skip
 
     assert broken_rules(missed, down(2, 20, 40)) == {"a dead node is not held dead"}
 
@@ -135,14 +135,14 @@
     assert "a node that runs is not held alive when all is over" in broken_rules(stays)
 
 
-def test_an_old_life_that_replaces_a_newer_one_is_found() -> None:
+def test_an_old_generation_that_replaces_a_newer_one_is_found() -> None:
     def old(histories: list[list[dict[str, object]]]) -> None:
         for node in (0, 1):
             histories[node] += [
-                member_event(30, node, 2, "alive", life=3),
-                member_event(31, node, 2, "alive", life=2),
+                member_event(30, node, 2, "alive", generation=3),
+                member_event(31, node, 2, "alive", generation=2),
             ]
-        histories[2].append(member_event(31, 2, 2, "alive", life=2))
+        histories[2].append(member_event(31, 2, 2, "alive", generation=2))
 
     assert broken_rules(old) == {"an old claim replaced a newer one"}
 
