--- a/tests/tier/test_permits.py
+++ b/tests/tier/test_permits.py
@@ -1,4 +1,5 @@
-"""Permits to be out: never too many, never two zones, whoever is the steward; and that all get theirs."""
+"""Permits to be out: never too many, never two zones, whoever is the disruption controller; and that all
+get theirs."""
 
 from __future__ import annotations
 
@@ -7,8 +8,9 @@
 from typing import Any
 
 import pytest
-from stewardship import RULES, SECOND, TERM, World
+from disruption_control import RULES, SECOND, TERM, World
 
+from driftstair.tier.ownership.disruption_controller import DisruptionController
 from driftstair.tier.ownership.permits import (
     Ask,
     Holder,
@@ -22,7 +24,6 @@
     Wait,
     WaitReason,
 )
-from driftstair.tier.ownership.steward import Steward
 
 SEEDS = 60
 STEPS = 1200
@@ -52,28 +53,28 @@
 
 
 class NoFloor(Holder):
-    """Takes what an older steward has given."""
+    """Takes what an older disruption controller has given."""
 
     def heard(self, now: int, sender: int, message: Any) -> Any:
         self.floor = 0
         return super().heard(now, sender, message)
 
 
-class AnyLife(Holder):
+class AnyGeneration(Holder):
     """Takes what was given to the process before it."""
 
     def _permitted(self, now: int, sender: int, message: Permit) -> Any:
-        return super()._permitted(now, sender, message._replace(life=self.life))
+        return super()._permitted(now, sender, message._replace(generation=self.generation))
 
 
-class Unpolled(Steward):
+class Unpolled(DisruptionController):
     """Takes who has not answered for one that is not out."""
 
     def _out(self, now: int, living: Any) -> dict[int, int]:
         return {number: self._zones.get(number, -1) for number in self.given}
 
 
-class Hasty(Steward):
+class Hasty(DisruptionController):
     """Forgets a permit when its own clock says that the term is over."""
 
     def _look(self, now: int) -> Any:
@@ -83,7 +84,7 @@
         return super()._look(now)
 
 
-class Trusting(Steward):
+class Trusting(DisruptionController):
     """A restart gives back, before the new process has said that it is there."""
 
     def _look(self, now: int) -> Any:
@@ -93,15 +94,17 @@
         return living
 
 
-class AnyZone(Steward):
+class AnyZone(DisruptionController):
     def _refused(self, living: Any, out: dict[int, int], number: int) -> WaitReason | None:
         return super()._refused(living, dict.fromkeys(out, self._zones.get(number, -1)), number)
 
 
-@pytest.mark.parametrize("defect", [FromTheAnswer, NoFloor, AnyLife, Unpolled, Hasty, Trusting, AnyZone])
+@pytest.mark.parametrize(
+    "defect", [FromTheAnswer, NoFloor, AnyGeneration, Unpolled, Hasty, Trusting, AnyZone]
+)
 def test_a_planted_defect_is_found(defect: type) -> None:
-    parts = {"holder": defect} if issubclass(defect, Holder) else {"steward": defect}
-    if defect is AnyLife:
+    parts = {"holder": defect} if issubclass(defect, Holder) else {"disruption_controller": defect}
+    if defect is AnyGeneration:
         parts["loss"] = 0.0
     with pytest.raises(AssertionError, match="out"):
         for seed in range(1000, 1400):
@@ -112,7 +115,8 @@
 
 
 class Tier:
-    """A steward and holders on one clock, with letters that arrive at once unless `lost` says otherwise."""
+    """A disruption controller and holders on one clock, with letters that arrive at once unless `lost` says
+    otherwise."""
 
     def __init__(self, zones: list[int], rules: Rules = RULES) -> None:
         self.now = 100 * SECOND
@@ -123,26 +127,28 @@
         self.lead(7)
 
     def lead(self, token: int) -> None:
-        self.steward = Steward(self.rules, 0, len(self.holders), lambda: self.living)
-        self.steward.lead(self.now, token)
+        self.disruption_controller = DisruptionController(
+            self.rules, 0, len(self.holders), lambda: self.living
+        )
+        self.disruption_controller.lead(self.now, token)
 
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 4)):
             self.now += SECOND // 4
-            self._deliver(0, 1, self.steward.tick(self.now))
+            self._deliver(0, 1, self.disruption_controller.tick(self.now))
             for number, holder in enumerate(self.holders):
                 if number in self.living:
-                    self._deliver(number, holder.life, holder.tick(self.now))
+                    self._deliver(number, holder.generation, holder.tick(self.now))
 
-    def _deliver(self, source: int, life: int, letters: list[tuple[int, Any]]) -> None:
+    def _deliver(self, source: int, generation: int, letters: list[tuple[int, Any]]) -> None:
         for to, message in letters:
             if to not in self.living or self.lost(to, message):
                 continue
             if isinstance(message, PollReply | Ask | ReturnPermit):
-                self._deliver(0, 1, self.steward.heard(self.now, source, life, message))
+                self._deliver(0, 1, self.disruption_controller.heard(self.now, source, generation, message))
             else:
                 holder = self.holders[to]
-                self._deliver(to, holder.life, holder.heard(self.now, 0, message))
+                self._deliver(to, holder.generation, holder.heard(self.now, 0, message))
 
     def want(self, *numbers: int) -> None:
         for number in numbers:
@@ -152,9 +158,9 @@
         return [number for number, one in enumerate(self.holders) if one.held(self.now)]
 
     def restart(self, number: int) -> None:
-        life, zone = self.living[number]
-        self.holders[number] = Holder(self.rules, life + 1)
-        self.living[number] = (life + 1, zone)
+        generation, zone = self.living[number]
+        self.holders[number] = Holder(self.rules, generation + 1)
+        self.living[number] = (generation + 1, zone)
 
 
 def test_all_get_theirs_in_turn_two_at_a_time_and_by_zones() -> None:
@@ -196,7 +202,7 @@
     assert tier.out() == [0]
     gone = tier.living.pop(0)
     tier.run(5)
-    assert tier.out() == [0] and tier.steward.out(tier.now) == {0: 0}  # the steward's record
+    assert tier.out() == [0] and tier.disruption_controller.out(tier.now) == {0: 0}  # the controller's record
     tier.living[0] = gone
     tier.restart(0)
     tier.run(2)
@@ -226,7 +232,9 @@
     assert tier.out() == [2]  # gone for longer than a permit could last
 
 
-def test_the_next_steward_knows_what_the_one_before_it_gave_by_asking_those_that_have_it() -> None:
+def test_the_next_disruption_controller_knows_what_the_one_before_it_gave_by_asking_those_that_have_it() -> (
+    None
+):
     tier = Tier([0, 0, 0], Rules(1, TERM))
     tier.run(1)
     tier.want(1)
@@ -258,14 +266,14 @@
     tier.lost = lambda to, message: isinstance(message, Permit)
     tier.want(1)
     tier.run(6)
-    assert tier.out() == [] and tier.steward.out(tier.now) == {1: 0}
+    assert tier.out() == [] and tier.disruption_controller.out(tier.now) == {1: 0}
     tier.lost = lambda to, message: False
     tier.run(2)
     assert tier.out() == [1]
     assert tier.holders[1].left(tier.now) < TERM - (tier.now - began) + SECOND
 
 
-def test_an_older_stewards_permit_is_refused() -> None:
+def test_an_older_disruption_controllers_permit_is_refused() -> None:
     holder = Holder(RULES, 5)
     holder.want(10, Kind.DRAIN)
     holder.heard(11, 2, Poll(9))
@@ -293,7 +301,7 @@
     assert holder.tick(4) == [(3, ReturnPermit(1))]
     assert holder.tick(5) == []
     assert holder.tick(4 + SECOND) == [(3, ReturnPermit(1))]
-    holder.heard(5 + SECOND, 3, ReturnConfirmed(4, 1))  # of another life
+    holder.heard(5 + SECOND, 3, ReturnConfirmed(4, 1))  # of another generation
     assert holder.tick(4 + 2 * SECOND) == [(3, ReturnPermit(1))]
     holder.heard(5 + 2 * SECOND, 3, ReturnConfirmed(5, 1))
     assert holder.tick(4 + 3 * SECOND) == []
@@ -323,6 +331,6 @@
     holder = Holder(RULES, 5)
     holder.want(10, Kind.RESTART)
     holder.heard(11, 4, Wait(9, 5, 1, int(WaitReason.OUT), 3))
-    assert (holder.why, holder.before, holder.steward) == (WaitReason.OUT, 3, 4)
-    holder.heard(12, 4, Wait(9, 4, 1, int(WaitReason.TURN), 0))  # of another life
+    assert (holder.why, holder.before, holder.disruption_controller) == (WaitReason.OUT, 3, 4)
+    holder.heard(12, 4, Wait(9, 4, 1, int(WaitReason.TURN), 0))  # of another generation
     assert holder.before == 3
--- a/tests/tier/test_permits_every_order.py
+++ b/tests/tier/test_permits_every_order.py
@@ -1,5 +1,6 @@
-"""Permits in every order of a small world: two nodes, two stewards one after the other, letters that are
-lost, doubled and as late as they like, wishes, restarts. Clocks are alike here; random worlds have drift."""
+"""Permits in every order of a small world: two nodes, two disruption controllers one after the other,
+letters that are lost, doubled and as late as they like, wishes, restarts. Clocks are alike here; random
+worlds have drift."""
 
 from __future__ import annotations
 
@@ -10,49 +11,57 @@
 import pytest
 from test_permits import Unpolled
 
+from driftstair.tier.ownership.disruption_controller import DisruptionController, LiveNodes
 from driftstair.tier.ownership.permits import Ask, Holder, Kind, Permit, PollReply, ReturnPermit, Rules
-from driftstair.tier.ownership.steward import LiveNodes, Steward
 
 SECOND = 1_000_000_000
 TERM = 2  # s
 RULES = Rules(at_once=1, term=TERM * SECOND, drift=0.0)
 NODES = (0, 1)
-STEWARD = 9  # a node of its own, that never asks
+DISRUPTION_CONTROLLER = 9  # a node of its own, that never asks
 AIR = 2  # letters at once; a third is lost
 STATES_MOST = 400_000
 
 
 class World:
-    def __init__(self, holder: type[Holder] = Holder, steward: type[Steward] = Steward) -> None:
-        self.holder, self.steward_of = holder, steward
+    def __init__(
+        self,
+        holder: type[Holder] = Holder,
+        disruption_controller: type[DisruptionController] = DisruptionController,
+    ) -> None:
+        self.holder, self.disruption_controller_of = holder, disruption_controller
         self.now = 0
-        self.lives = [1, 1]
+        self.generations = [1, 1]
         self.holders = [holder(RULES, 1) for _ in NODES]
         self.token = 1
         self.air: list[tuple[int, int, int, Any]] = []
         self.wants, self.repeats, self.restarts, self.elections = 2, 1, 1, 1
-        self.steward = self._steward()
+        self.disruption_controller = self._disruption_controller()
 
     def _living(self) -> LiveNodes:
-        return {number: (life, 0) for number, life in enumerate(self.lives)}
+        return {number: (generation, 0) for number, generation in enumerate(self.generations)}
 
-    def _steward(self) -> Steward:
-        out = self.steward_of(RULES, STEWARD, len(NODES), self._living)
+    def _disruption_controller(self) -> DisruptionController:
+        out = self.disruption_controller_of(RULES, DISRUPTION_CONTROLLER, len(NODES), self._living)
         out.lead(self.now, self.token)
         return out
 
     def copy(self) -> World:
         new = copy.copy(self)
-        new.lives, new.air = list(self.lives), list(self.air)
+        new.generations, new.air = list(self.generations), list(self.air)
         new.holders = [copy.copy(one) for one in self.holders]
         for one in new.holders:
             one.notes = []
-        new.steward = copy.copy(self.steward)
-        new.steward._living = new._living
+        new.disruption_controller = copy.copy(self.disruption_controller)
+        new.disruption_controller._living = new._living
         for name in ("_answered", "_cleared", "_polled", "_seen", "_zones"):
-            setattr(new.steward, name, dict(getattr(self.steward, name)))
-        new.steward.given = {key: copy.copy(one) for key, one in self.steward.given.items()}
-        new.steward._wishes = {key: copy.copy(one) for key, one in self.steward._wishes.items()}
+            setattr(new.disruption_controller, name, dict(getattr(self.disruption_controller, name)))
+        new.disruption_controller.given = {
+            key: copy.copy(one) for key, one in self.disruption_controller.given.items()
+        }
+        new.disruption_controller._wishes = {
+            key: copy.copy(one) for key, one in self.disruption_controller._wishes.items()
+        }
         return new
 
     def key(self) -> Any:
@@ -61,30 +70,37 @@
                                 if name not in ("notes", "rules", "_living")))  # fmt: skip
 
         return (
-            self.now, tuple(self.lives), tuple(told(one) for one in self.holders), told(self.steward),
-            tuple(sorted(map(repr, self.air))), self.wants, self.repeats, self.restarts, self.elections,
+            self.now, tuple(self.generations), tuple(told(one) for one in self.holders),
+            told(self.disruption_controller), tuple(sorted(map(repr, self.air))), self.wants,
+            self.repeats, self.restarts, self.elections,
         )  # fmt: skip
 
     # Steps.
 
-    def send(self, source: int, life: int, letters: list[tuple[int, Any]]) -> None:
+    def send(self, source: int, generation: int, letters: list[tuple[int, Any]]) -> None:
         for to, message in letters:
             if len(self.air) < AIR:
-                self.air.append((source, life, to, message))
+                self.air.append((source, generation, to, message))
 
     def deliver(self, letter: tuple[int, int, int, Any]) -> None:
-        source, life, to, message = letter
+        source, generation, to, message = letter
         if isinstance(message, PollReply | Ask | ReturnPermit):
-            # To whoever is the steward: another token's answers it passes over by itself.
-            self.send(STEWARD, 1, self.steward.heard(self.now, source, life, message))
+            # To whoever is the disruption controller: another token's answers it passes over by itself.
+            self.send(
+                DISRUPTION_CONTROLLER,
+                1,
+                self.disruption_controller.heard(self.now, source, generation, message),
+            )
         else:
-            self.send(to, self.lives[to], self.holders[to].heard(self.now, STEWARD, message))
+            self.send(
+                to, self.generations[to], self.holders[to].heard(self.now, DISRUPTION_CONTROLLER, message)
+            )
 
     def second(self) -> None:
         self.now += SECOND
-        self.send(STEWARD, 1, self.steward.tick(self.now))
+        self.send(DISRUPTION_CONTROLLER, 1, self.disruption_controller.tick(self.now))
         for number, holder in enumerate(self.holders):
-            self.send(number, self.lives[number], holder.tick(self.now))
+            self.send(number, self.generations[number], holder.tick(self.now))
 
     def steps(self, until: int) -> Iterator[World]:
         def after(what: Callable[[World], None]) -> World:
@@ -119,8 +135,8 @@
 
                 def restart(new: World, number: int = number) -> None:
                     new.restarts -= 1
-                    new.lives[number] += 1
-                    new.holders[number] = new.holder(RULES, new.lives[number])
+                    new.generations[number] += 1
+                    new.holders[number] = new.holder(RULES, new.generations[number])
 
                 yield after(restart)
         if self.elections:
@@ -128,7 +144,7 @@
             def elect(new: World) -> None:
                 new.elections -= 1
                 new.token += 1
-                new.steward = new._steward()
+                new.disruption_controller = new._disruption_controller()
 
             yield after(elect)
 
@@ -160,7 +176,7 @@
     assert states > 50_000 and held > 5_000
 
 
-class Forgetful(Steward):
+class Forgetful(DisruptionController):
     """Has no record of what it gave."""
 
     def _give(self, now: int, living: LiveNodes) -> Any:
@@ -170,5 +186,5 @@
 
 
 @pytest.mark.parametrize(("defect", "until"), [(Forgetful, 2), (Unpolled, 3)])
-def test_a_planted_defect_is_found(defect: type[Steward], until: int) -> None:
-    assert explored(until, steward=defect)[2]
+def test_a_planted_defect_is_found(defect: type[DisruptionController], until: int) -> None:
+    assert explored(until, disruption_controller=defect)[2]
--- a/tests/tier/test_permits_processes.py
+++ b/tests/tier/test_permits_processes.py
@@ -50,7 +50,7 @@
         assert status == 0, err
         return json.loads(out)
 
-    async def steward(self) -> int:
+    async def disruption_controller(self) -> int:
         """Until one is known to itself."""
         while True:
             for number in range(self.fleet.count):
@@ -98,9 +98,11 @@
     played(tmp_path, 3, act)
 
 
-def test_a_steward_that_stood_still_gives_nothing_to_who_knows_the_next_one(tmp_path: Path) -> None:
+def test_a_disruption_controller_that_stood_still_gives_nothing_to_who_knows_the_next_one(
+    tmp_path: Path,
+) -> None:
     async def act(fleet: Fleet, desks: Desks) -> None:
-        old = await desks.steward()
+        old = await desks.disruption_controller()
         others = [number for number in range(5) if number != old]
         status, _, err = await desks.call(others[0], "permit", "--for", "drain", "--within", "60")
         assert status == 0, err
@@ -108,7 +110,7 @@
         await fleet.wait_for_state((old,), "dead")
         while (new := await asyncio.wait_for(_another(fleet, desks, others), 90.0)) == old:
             pass
-        # Who holds one says so to the next steward, and two would be out with another.
+        # Who holds one says so to the next disruption controller, and two would be out with another.
         status, _, err = await desks.call(others[1], "permit", "--within", "2")
         assert status == 1 and "no permit within 2 s" in err
         fleet.resume(old)
@@ -133,7 +135,7 @@
 
 def test_operators_hand_a_task_over_and_are_told_what_they_can_not_do(tmp_path: Path) -> None:
     async def act(fleet: Fleet, desks: Desks) -> None:
-        owner = await desks.steward()
+        owner = await desks.disruption_controller()
         other, third = [number for number in range(3) if number != owner]
         told = await desks.report(owner, "owners")
         token = told["permits"]["token"]
@@ -177,21 +179,21 @@
             before = tokens()
             assert len(list(disks.glob("*.tokens"))) == 3
             for path in disks.glob("*.members"):
-                path.unlink()  # else a process knows by it what its life has to be above
+                path.unlink()  # else a process knows by it what its generation has to be above
             fleet.programs = dict.fromkeys(range(3), SHIFTED_CLOCK_PROGRAM.format(hours=-24))
             await fleet.start()
             await fleet.wait_until(lambda: len(tokens()) > len(before), "no owner after the restart")
             assert min(tokens()[len(before) :]) > max(before)
-            lives = {one["node"]: one["life"] for one in fleet.events()}
+            generations = {one["node"]: one["life"] for one in fleet.events()}
             began = {one["node"]: one["life"] for one in reversed(fleet.events())}
-            assert all(lives[number] < began[number] for number in range(3))
+            assert all(generations[number] < began[number] for number in range(3))
 
     run_for(test(), 180.0)
 
 
 def test_a_node_that_dies_with_its_permit_is_waited_for(tmp_path: Path) -> None:
     async def act(fleet: Fleet, desks: Desks) -> None:
-        await desks.steward()
+        await desks.disruption_controller()
         status, _, err = await desks.call(2, "permit", "--for", "upgrade", "--within", "60")
         assert status == 0, err
         await fleet.kill(2)
--- a/tests/tier/test_tier_processes.py
+++ b/tests/tier/test_tier_processes.py
@@ -128,9 +128,9 @@
             fleet.programs[3] = SHIFTED_CLOCK_PROGRAM.format(hours=-24)
             await fleet.start(3)
             await fleet.wait_joined()
-            lives = [process.last()[3].rank[0] for process in before if process.node == 3]
+            generations = [process.last()[3].rank[0] for process in before if process.node == 3]
             assert fleet.story().processes[-2].node == 3
-            assert fleet.story().processes[-2].last()[3].rank[0] > max(lives)
+            assert fleet.story().processes[-2].last()[3].rank[0] > max(generations)
             assert {one.member for _, one in fleet.dead_verdicts()} == {3}
             assert fleet.findings(LOOSE_BOUNDS) == []
 
@@ -181,7 +181,9 @@
     kept.mkdir()
 
     async def act(fleet: Fleet) -> None:
-        lives = {process.node: process.last()[process.node].rank[0] for process in fleet.story().processes}
+        generations = {
+            process.node: process.last()[process.node].rank[0] for process in fleet.story().processes
+        }
         for number in range(fleet.count):
             fleet.process(number).send_signal(signal.SIGTERM)
         await asyncio.gather(*(fleet.process(number).wait() for number in range(fleet.count)))
@@ -189,6 +191,6 @@
         await fleet.start()
         await fleet.wait_joined()
         for process in fleet.story().processes[1::2]:
-            assert process.last()[process.node].rank[0] > lives[process.node]
+            assert process.last()[process.node].rank[0] > generations[process.node]
 
     run_fleet(tmp_path, 3, act, f'folder = "{kept}"')
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -15,7 +15,7 @@
 from driftstair.tier.ownership.acceptor import Acceptor
 from driftstair.tier.ownership.leases import rank_nodes, task_key
 from driftstair.tier.shared import evidence
-from driftstair.tier.shared.rights import Rights, Terms
+from driftstair.tier.shared.escrow import Escrow, Terms
 
 SCENARIOS = [name for name in shipped() if name.startswith("tier-")]
 JUDGED = ["shared-bad-eighth", "shared-liar"]
@@ -23,7 +23,7 @@
 LIGHT = {"load": {"rate": 15.0, "keys": 30}, "boxes": {"count": 4}}
 
 
-plain, taken = Rights.__init__, Rights.take
+plain, taken = Escrow.__init__, Escrow.take
 
 
 def report(name: str, changes: dict[str, Any] = LIGHT) -> dict[str, Any]:
@@ -123,14 +123,14 @@
     ("name", "where", "attribute", "defect"),
     [
         ("shared-stalled-holder", Terms, "waited", lambda self: self.lent // 8),
-        ("shared-mass-kill", Rights, "__init__", lambda self, own, life, terms, started: plain(
-            self, own, life, terms, started - 10 * terms.lent)),
-        ("shared-late", Rights, "take", lambda self, now, grant: taken(
+        ("shared-mass-kill", Escrow, "__init__", lambda self, own, generation, terms, started: plain(
+            self, own, generation, terms, started - 10 * terms.lent)),
+        ("shared-late", Escrow, "take", lambda self, now, grant: taken(
             self, now, grant._replace(asked_at=now))),
     ],
     ids=["unwaited", "minted", "from-arrival"],
 )  # fmt: skip
-def test_a_planted_defect_of_the_rights_is_found(
+def test_a_planted_defect_of_the_escrow_is_found(
     name: str, where: type, attribute: str, defect: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(where, attribute, defect)
--- a/tests/tier/test_tokens.py
+++ b/tests/tier/test_tokens.py
@@ -79,15 +79,15 @@
     assert (file.token, TokenFile(path).token) == (5, 5)
 
 
-# A member of the council.
+# A voter.
 
 
-def member(number: int, life: int, now: int, kept: int | None, count: int = 3) -> Leases:
-    return Leases((), number, life, count, now, Random(number), lambda: list(range(count)), TERMS, kept)
+def member(number: int, generation: int, now: int, kept: int | None, count: int = 3) -> Leases:
+    return Leases((), number, generation, count, now, Random(number), lambda: list(range(count)), TERMS, kept)
 
 
-def prepared(one: Leases, now: int, token: int, life: int = 7) -> Any:
-    letters, _ = one.heard(now, 1, life, Prepare(77, token))
+def prepared(one: Leases, now: int, token: int, generation: int = 7) -> Any:
+    letters, _ = one.heard(now, 1, generation, Prepare(77, token))
     return [message for _, message in letters]
 
 
@@ -124,16 +124,16 @@
 Disks = dict[int, int | None]
 
 
-def elected(lives: dict[int, int], kept: Disks, now: int) -> tuple[int, Disks]:
-    """The token that a council of three gives to node 0 after all have started, and what is on the disks."""
-    nodes = {number: member(number, lives[number], now, kept[number]) for number in range(3)}
+def elected(generations: dict[int, int], kept: Disks, now: int) -> tuple[int, Disks]:
+    """The token that three voters give to node 0 after all have started, and what is on the disks."""
+    nodes = {number: member(number, generations[number], now, kept[number]) for number in range(3)}
     nodes[0].add(now, "work")
     now += TERMS.waited() + 1
     for _ in range(200):
         air = [(0, letter) for letter in nodes[0].tick(now)[0]]
         while air:
             source, (to, message) = air.pop(0)
-            letters, _ = nodes[to].heard(now, source, lives[source], message)
+            letters, _ = nodes[to].heard(now, source, generations[source], message)
             air += [(to, one) for one in letters]
             for number, node in nodes.items():
                 if token := node.token_to_persist(now):
--- a/tests/tier/council.py
+++ b/tests/tier/voters.py
@@ -1,4 +1,4 @@
-"""A small council: messages are lost, late and repeated, members restart, and clocks run as they like within
+"""A few voters: messages are lost, late and repeated, voters restart, and clocks run as they like within
 the drift, one step at a time, in an order that others choose."""
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 # A clock counts 2 or 4 while 3 pass: a member waits 9 of its own for a lease of 4, 21 for one of 10.
 SHORT, LONG = Terms(lease=4, drift=1 / 3, margin=0), Terms(lease=10, drift=1 / 3, margin=0)
 TASK = 0
-COUNCIL = (0, 1, 2)
+VOTERS = (0, 1, 2)
 CONTENDERS = (0, 1)
 RATES = ((3, 3, 3), (2, 4, 4), (4, 2, 4), (2, 2, 4))
 
@@ -38,13 +38,13 @@
 
 
 class World:
-    """`air`: who, its life, to whom, what."""
+    """`air`: who, its generation, to whom, what."""
 
     def __init__(self, terms: Terms = SHORT, air_most: int = 3, repeats: int = 1, restarts: int = 1) -> None:
         self.terms = terms
         self.crowded = False  # where too much is in the air: the oldest is lost, else the newest
         self.clocks = [0, 1000, 2000]
-        self.lives = [1, 1, 1]
+        self.generations = [1, 1, 1]
         self.air: list[tuple[int, int, int, Message]] = []
         self.air_most, self.repeats, self.restarts = air_most, repeats, restarts
         self.acceptors = [Acceptor(terms, 0, clock - 100) for clock in self.clocks]
@@ -54,13 +54,13 @@
         self.grants = 0
 
     def _proposer(self, number: int) -> Proposer:
-        out = Proposer(TASK, number, self.lives[number], COUNCIL, self.terms, Middle())
+        out = Proposer(TASK, number, self.generations[number], VOTERS, self.terms, Middle())
         out.wanted = True
         return out
 
     def copy(self) -> World:
         new = copy.copy(self)
-        new.clocks, new.lives, new.air = list(self.clocks), list(self.lives), list(self.air)
+        new.clocks, new.generations, new.air = list(self.clocks), list(self.generations), list(self.air)
         new.acceptors = [copy.copy(one) for one in self.acceptors]
         for one in new.acceptors:
             one.running = {task: copy.copy(lease) for task, lease in one.running.items()}
@@ -75,25 +75,25 @@
     def send(self, source: int, letters: list[tuple[int, Message]]) -> None:
         for to, message in letters:
             if to == source:
-                self.take(source, self.lives[source], to, message)
+                self.take(source, self.generations[source], to, message)
                 continue
             if len(self.air) >= self.air_most:
                 if not self.crowded:
                     continue
                 del self.air[0]
-            self.air.append((source, self.lives[source], to, message))
+            self.air.append((source, self.generations[source], to, message))
 
-    def take(self, source: int, life: int, to: int, message: Message) -> None:
+    def take(self, source: int, generation: int, to: int, message: Message) -> None:
         now, acceptor, proposer = self.clocks[to], self.acceptors[to], self.proposers.get(to)
         match message:
             case Prepare():
-                answer = acceptor.prepare(now, source, life, message)
+                answer = acceptor.prepare(now, source, generation, message)
                 self.send(to, [(source, answer)] if answer is not None else [])
             case Propose():
-                answer = acceptor.propose(now, source, life, message)
+                answer = acceptor.propose(now, source, generation, message)
                 self.send(to, [(source, answer)] if answer is not None else [])
             case Release():
-                acceptor.release(now, source, life, message)
+                acceptor.release(now, source, generation, message)
             case Promise() if proposer is not None:
                 self.send(to, proposer.promised(now, source, message))
             case Accepted() if proposer is not None:
@@ -120,17 +120,17 @@
         self.clocks = [clock + rate for clock, rate in zip(self.clocks, rates, strict=True)]
 
     def deliver(self, place: int, again: bool) -> None:
-        source, life, to, message = self.air[place]
+        source, generation, to, message = self.air[place]
         if again:
             self.repeats -= 1
         else:
             del self.air[place]
-        self.take(source, life, to, message)
+        self.take(source, generation, to, message)
 
     def restart(self, number: int) -> None:
         self.restarts -= 1
-        self.lives[number] = max(self.lives) + 1  # lives are by the clock
-        self.acceptors[number] = Acceptor(self.terms, self.lives[number], self.clocks[number])
+        self.generations[number] = max(self.generations) + 1  # generations are by the clock
+        self.acceptors[number] = Acceptor(self.terms, self.generations[number], self.clocks[number])
         if number in self.proposers:
             self.proposers[number] = self._proposer(number)
 
@@ -147,7 +147,7 @@
             if self.proposers[number].holds(self.clocks[number]):
                 yield "release", (number,)
         if self.restarts:
-            for number in COUNCIL:
+            for number in VOTERS:
                 yield "restart", (number,)
 
     def do(self, what: str, arguments: tuple[Any, ...]) -> None:
@@ -167,7 +167,7 @@
         acceptors = tuple(
             (
                 max(0, one._silent_until - now), one.floor, tuple(one.known.items()),
-                tuple((lease.owner, lease.life, lease.token, max(0, lease.until - now))
+                tuple((lease.owner, lease.generation, lease.token, max(0, lease.until - now))
                       for lease in one.running.values()),
             )
             for one, now in zip(self.acceptors, self.clocks, strict=True)
@@ -259,7 +259,7 @@
         elif kind == "pass_time":
             world.do("pass_time", (random.choice(RATES),))
         elif kind == "restart":
-            world.do("restart", (random.choice(COUNCIL),))
+            world.do("restart", (random.choice(VOTERS),))
         elif kind in ("tick", "release"):
             world.do(kind, (random.choice(CONTENDERS),))
         if world.look():
