--- a/driftstair/control/replica_runner.py
+++ b/driftstair/control/replica_runner.py
@@ -19,21 +19,21 @@
 from driftstair.control.puts import Outcome
 from driftstair.control.replication.actions import (
     Action,
-    Committed,
     Conflict,
-    Invalid,
+    EntryCommitted,
+    InvalidChangeSet,
     NoMajority,
     NotLeader,
     Persist,
     ProposalCommitted,
     ProposalRefused,
-    Reason,
+    RefusalReason,
     ReplicaRegressed,
-    Restored,
     Send,
+    SnapshotInstalled,
     StoredLog,
 )
-from driftstair.control.replication.core import GENERATIONS, ControlReplica
+from driftstair.control.replication.core import GENERATION_COUNT, ControlReplica
 from driftstair.control.replication.messages import (
     MESSAGE_BYTES_MAX,
     ReplicationMessage,
@@ -107,11 +107,11 @@
 
     @property
     def committed(self) -> int:
-        return self._replica.committed
+        return self._replica.committed_revision
 
     @property
     def oldest(self) -> int:
-        return self._replica.compacted
+        return self._replica.compacted_revision
 
     @property
     def state(self) -> ConfigurationState:
@@ -120,7 +120,7 @@
     @property
     def is_leader(self) -> bool:
         """Whether proposals can be checked here: all that earlier leaders left is committed or gone."""
-        return self._replica.is_leader and self._led_token == self._replica.token
+        return self._replica.is_leader and self._led_token == self._replica.promised_token
 
     @property
     def leader(self) -> int | None:
@@ -144,7 +144,7 @@
         return 0
 
     def entries(self, after: int, most: int) -> list[LoggedChangeSet]:
-        return self._replica.entries(after, most)
+        return self._replica.committed_entries(after, most)
 
     def age_ms(self) -> int:
         age_ms = (time.monotonic_ns() - self._replica.last_contact_ns) // 1_000_000
@@ -215,11 +215,11 @@
                     link.send(encode(message))
             case Persist():
                 self._disk.add(action)
-            case Committed(logged):
-                if logged.change_set.id == f"{LEADER_ID_PREFIX}{self._replica.token}":
-                    self._led_token = self._replica.token
+            case EntryCommitted(logged):
+                if logged.change_set.id == f"{LEADER_ID_PREFIX}{self._replica.promised_token}":
+                    self._led_token = self._replica.promised_token
                 self.on_committed(logged)
-            case Restored():
+            case SnapshotInstalled():
                 log.info("the state of revision %d came from another server", self.committed)
                 self.on_restored()
             case ProposalCommitted(change_set_id, revision):
@@ -252,10 +252,10 @@
 
 def _generation(stored: StoredLog) -> int:
     """Of this process: above those of all tokens on the disk, also where the machine's clock was set back."""
-    return max(time.time_ns() // 1_000_000_000, stored.lease_token // GENERATIONS + 1)
+    return max(time.time_ns() // 1_000_000_000, stored.lease_token // GENERATION_COUNT + 1)
 
 
-def _refusal(reason: Reason) -> Outcome:
+def _refusal(reason: RefusalReason) -> Outcome:
     match reason:
         case NotLeader(leader):
             return Outcome(0, 503, f"this server does not lead; leader: {leader}")
@@ -265,5 +265,5 @@
             )
         case Conflict(resource, revision):
             return Outcome(0, 409, f"{resource}: expected_revision: revision {revision} changed it last")
-        case Invalid(why):
+        case InvalidChangeSet(why):
             return Outcome(0, 400, why)
--- a/driftstair/control/replication/actions.py
+++ b/driftstair/control/replication/actions.py
@@ -1,4 +1,5 @@
-"""What a replica wants done, what it wants on its disk, and what it finds there when it starts."""
+"""The actions that a replica returns, the records it writes to its disk, and what it reads there at its
+start."""
 
 from __future__ import annotations
 
@@ -8,9 +9,15 @@
 
 from driftstair.configuration.change_sets import LoggedChangeSet
 from driftstair.configuration.resources import Resource, ResourceKey
-from driftstair.control.replication.messages import START, LogEntry, LogPosition, Number, ReplicationMessage
+from driftstair.control.replication.messages import (
+    LOG_START,
+    LogEntry,
+    LogPosition,
+    NonNegativeInt,
+    ReplicationMessage,
+)
 
-# The disk.
+# Disk records.
 
 
 class Snapshot(msgspec.Struct, frozen=True):
@@ -18,38 +25,40 @@
 
     position: LogPosition
     resources: tuple[Resource, ...]
-    recent_ids: tuple[tuple[str, Number], ...] = ()
+    recent_ids: tuple[tuple[str, NonNegativeInt], ...] = ()
 
 
 class StoredLog(msgspec.Struct, frozen=True):
     """All that a replica's disk holds. An empty disk is `StoredLog()`."""
 
-    promised: Number = 0  # no lower token is followed
-    followed: Number = 0  # the greatest token whose leader changed this log
-    lease_token: Number = 0  # the greatest token that the lease's acceptor may have promised
-    committed: Number = 0  # known to be committed; more may be
-    base: LogPosition = START  # of the entry before the first one kept; not behind the snapshot's
+    promised: NonNegativeInt = 0  # tokens below this one are rejected
+    followed: NonNegativeInt = 0  # greatest token of a leader that changed this log
+    lease_token: NonNegativeInt = 0  # greatest token that the lease's acceptor may have promised
+    # Greatest revision known to be committed; later entries may be committed too.
+    committed: NonNegativeInt = 0
+    # Position of the entry before the first stored one; not after the snapshot's position.
+    base: LogPosition = LOG_START
     entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None
 
 
 class PromiseRecord(msgspec.Struct, frozen=True, tag="promise"):
-    token: Number
+    token: NonNegativeInt
 
 
 class LeaseTokenRecord(msgspec.Struct, frozen=True, tag="lease_token"):
-    token: Number
+    token: NonNegativeInt
 
 
 class CommitRecord(msgspec.Struct, frozen=True, tag="commit"):
-    revision: Number
+    revision: NonNegativeInt
 
 
 class EntriesRecord(msgspec.Struct, frozen=True, tag="entries"):
     """What the log held after `after_revision` is cut, and these entries stand there."""
 
-    followed: Number
-    after_revision: Number
+    followed: NonNegativeInt
+    after_revision: NonNegativeInt
     entries: tuple[LogEntry, ...]
 
 
@@ -62,80 +71,99 @@
 Record = PromiseRecord | LeaseTokenRecord | CommitRecord | EntriesRecord | ReplaceRecord
 
 
-# Why a proposal is refused.
+# Reasons for refusing a proposal.
 
 
 class NotLeader(NamedTuple):
-    """`leader`: the replica to ask; None: none is known."""
+    """This replica does not lead. `leader` is the replica to ask, None if none is known."""
 
     leader: int | None
 
 
 class NoMajority(NamedTuple):
-    """Whether it is committed is not known: the same set with the same id may be put again."""
+    """No majority has confirmed the change set, so its outcome is unknown. The same change set may be
+    proposed again with the same id."""
 
 
 class Conflict(NamedTuple):
-    """The change of `resource` expected another revision than `revision`, which changed it last."""
+    """A change of `resource` expected another revision than `revision`, the one that changed it last."""
 
     resource: ResourceKey
     revision: int
 
 
-class Invalid(NamedTuple):
-    """No log takes it."""
+class InvalidChangeSet(NamedTuple):
+    """The change set can never be appended to the log; `why` is the text for the client."""
 
     why: str
 
 
-Reason = NotLeader | NoMajority | Conflict | Invalid
+RefusalReason = NotLeader | NoMajority | Conflict | InvalidChangeSet
 
 
-# Actions, to be done in the order in which they come.
+# Actions. They have to be carried out in the order in which they are returned.
 
 
 class Send(NamedTuple):
-    """May be lost, late, repeated or overtaken."""
+    """Sends a message to replica `to`. The message may be lost, delayed, duplicated or reordered."""
 
     to: int
     message: ReplicationMessage
 
 
 class Persist(NamedTuple):
-    """To be written and synced after all of lower numbers, then told of by `on_persisted`. What fails is
-    tried again; until it is done this replica acknowledges nothing that needs it."""
+    """Writes records to the disk.
+
+    They are written and synced after all writes of lower sequence numbers, and then reported by
+    `on_persisted`. A failed write is repeated; until it succeeds, this replica acknowledges nothing that
+    depends on it.
+    """
 
     sequence: int
     records: tuple[Record, ...]
 
 
-class Committed(NamedTuple):
-    logged: LoggedChangeSet
+class EntryCommitted(NamedTuple):
+    """The change set is committed and is applied to the state."""
+
+    logged_change_set: LoggedChangeSet
 
 
-class Restored(NamedTuple):
-    """The state is the snapshot's now: what came before is void."""
+class SnapshotInstalled(NamedTuple):
+    """The state has been replaced by the snapshot's; everything reported before is void."""
 
     snapshot: Snapshot
 
 
 class ProposalCommitted(NamedTuple):
+    """The proposed change set `id` is committed at `revision`."""
+
     id: str
     revision: int
 
 
 class ProposalRefused(NamedTuple):
+    """The proposed change set `id` is refused, or its outcome is unknown (`NoMajority`)."""
+
     id: str
-    reason: Reason
+    reason: RefusalReason
 
 
 class ReplicaRegressed(NamedTuple):
-    """A replica has less on its disk than it acknowledged: an old copy was restored. It is caught up, and
-    counts as far as it is."""
+    """A replica has less on its disk than it acknowledged, because an old copy of the disk was restored. It
+    is brought up to date, and until then counts only as far as its disk reaches."""
 
     replica: int
-    acknowledged: int  # revision
-    found: int  # revision
-
-
-Action = Send | Persist | Committed | Restored | ProposalCommitted | ProposalRefused | ReplicaRegressed
+    acknowledged_revision: int
+    stored_revision: int
+
+
+Action = (
+    Send
+    | Persist
+    | EntryCommitted
+    | SnapshotInstalled
+    | ProposalCommitted
+    | ProposalRefused
+    | ReplicaRegressed
+)
--- a/driftstair/control/replication/core.py
+++ b/driftstair/control/replication/core.py
@@ -1,4 +1,4 @@
-"""One control replica: its log, its leadership and the lease that decides who leads, joined."""
+"""One control replica: joins its log, its leadership and the lease that decides who leads."""
 
 from __future__ import annotations
 
@@ -16,43 +16,56 @@
     LeaseMessage,
     ReplicationMessage,
 )
-from driftstair.control.replication.stored import restored_state
+from driftstair.control.replication.stored import restore_state
 
-GENERATIONS = 1 << 32  # 32 of a token's 64 bits; the others count attempts and name the replica
-ALIVE_NS = 1_000_000_000  # between two messages that say this replica could lead
-COMMIT_ON_DISK_NS = 1_000_000_000  # until a commit that no other write took along is written by itself
+GENERATION_COUNT = 1 << 32  # 32 of a token's 64 bits; the other bits count attempts and name the replica
+ALIVE_INTERVAL_NS = 1_000_000_000  # between messages announcing that this replica could lead
+# Longest time until a commit that no other write carried is written by itself.
+COMMIT_RECORD_INTERVAL_NS = 1_000_000_000
 
 
 class ControlReplica:
-    """Replica `own` of `count` (7 at most). `generation` rises with each start of the process and is below
-    2**32 (Unix seconds would do); `stored` is what its disk holds. Times are monotonic ns.
+    """Replica `own_number` of `replica_count` (at most 7).
 
-    Actions are done in the order in which they are returned. `tick` wants to be called at `wake_at_ns`.
+    `generation` rises with each start of the process and is below 2**32; Unix seconds are suitable. `stored`
+    is what the replica's disk holds. Times are monotonic, in ns.
+
+    Actions have to be carried out in the order in which they are returned. `tick` has to be called at
+    `wake_at_ns`.
     """
 
     def __init__(
-        self, own: int, count: int, generation: int, now_ns: int, random: Random, stored: StoredLog,
+        self, own_number: int, replica_count: int, generation: int, now_ns: int, random: Random,
+        stored: StoredLog,
         kept_entries: int = KEPT_ENTRIES,
     ) -> None:  # fmt: skip
-        if not 0 <= own < count <= REPLICAS_MAX:
-            raise ValueError(f"replica {own} of {count}; up to {REPLICAS_MAX}, counted from 0, would do")
-        if not 0 < generation < GENERATIONS:
-            raise ValueError(f"generation {generation}: 1 to {GENERATIONS - 1} would do, as Unix seconds")
-        self._own = own
-        self._count = count
-        self._consensus = Consensus(own, count, now_ns, stored, restored_state(stored), kept_entries)
-        self._election = Election(own, count, generation, now_ns, random, self._consensus.replica)
-        self._lease_token = 0  # of the lease held; 0: none
-        self._alive_at_ns = now_ns
-        self._commit_at_ns = now_ns + COMMIT_ON_DISK_NS
+        if not 0 <= own_number < replica_count <= REPLICAS_MAX:
+            raise ValueError(
+                f"replica {own_number} of {replica_count}; up to {REPLICAS_MAX}, counted from 0, would do"
+            )
+        if not 0 < generation < GENERATION_COUNT:
+            raise ValueError(
+                f"generation {generation}: 1 to {GENERATION_COUNT - 1} would do, as Unix seconds"
+            )
+        self._own_number = own_number
+        self._replica_count = replica_count
+        self._consensus = Consensus(
+            own_number, replica_count, now_ns, stored, restore_state(stored), kept_entries
+        )
+        self._election = Election(
+            own_number, replica_count, generation, now_ns, random, self._consensus.replica
+        )
+        self._lease_token = 0  # token of the lease held; 0: no lease
+        self._next_alive_ns = now_ns
+        self._next_commit_record_ns = now_ns + COMMIT_RECORD_INTERVAL_NS
         self._now_ns = now_ns
         self.wake_at_ns = now_ns
 
-    # What it knows.
+    # State.
 
     @property
     def is_leader(self) -> bool:
-        """Whether proposals are taken here: it has the lease, and has read from a majority."""
+        """Whether proposals are taken here: this replica has the lease and has read from a majority."""
         return self._consensus.is_leader
 
     @property
@@ -61,84 +74,96 @@
         return self._consensus.leader
 
     @property
-    def token(self) -> int:
-        """The greatest one promised here: of the leader, or of who wants to be."""
-        return self._consensus.replica.promised
+    def promised_token(self) -> int:
+        """The greatest token promised here, that of the leader or of a replica that wants to lead."""
+        return self._consensus.replica.promised_token
 
     @property
-    def committed(self) -> int:
+    def committed_revision(self) -> int:
         """The greatest revision that this replica knows to be committed."""
-        return self._consensus.replica.committed
+        return self._consensus.replica.committed_revision
 
     @property
-    def compacted(self) -> int:
-        """The log begins after this revision: `entries(after)` wants no lower one."""
+    def compacted_revision(self) -> int:
+        """The log begins after this revision; `committed_entries` takes no lower one."""
         return self._consensus.replica.log.base.revision
 
     @property
     def last_contact_ns(self) -> int:
-        """When it last knew its state to be that of a leader with a majority; its start if it never did."""
-        return self._consensus.contact_ns(self._now_ns)
+        """When this replica last knew its state to be that of a leader with a majority, or when it started if
+        it never did."""
+        return self._consensus.majority_contact_ns(self._now_ns)
 
     @property
     def state(self) -> ConfigurationState:
-        """At `committed`. Not to be changed; another object after each Restored."""
+        """The state at `committed_revision`. Callers must not change it; each SnapshotInstalled replaces the
+        object."""
         return self._consensus.replica.state
 
-    def entries(self, after: int, most: int) -> list[LoggedChangeSet]:
-        """Committed ones, for watchers. Raises CompactedError."""
-        most = max(0, min(most, self.committed - after))
-        return [entry.logged() for entry in self._consensus.replica.log.after(after, most)]
+    def committed_entries(self, after_revision: int, limit: int) -> list[LoggedChangeSet]:
+        """Up to `limit` committed entries after a revision, for watchers. Raises CompactedError."""
+        limit = max(0, min(limit, self.committed_revision - after_revision))
+        return [
+            entry.to_logged_change_set()
+            for entry in self._consensus.replica.log.entries_after(after_revision, limit)
+        ]
 
     # Events.
 
     def on_message(self, now_ns: int, sender: int, message: ReplicationMessage) -> list[Action]:
-        """A message of another replica. Raises ReplicationFaultError where a committed entry would change."""
+        """Handles a message of another replica.
+
+        Raises ReplicationFaultError where the message would change a committed entry.
+        """
         self._now_ns = now_ns
-        if not 0 <= sender < self._count or sender == self._own:
+        if not 0 <= sender < self._replica_count or sender == self._own_number:
             return []
-        self._election.on_heard(now_ns, sender)
+        self._election.record_contact(now_ns, sender)
         if isinstance(message, LeaseMessage):
-            return self._settle(
-                now_ns, self._follow(now_ns, self._election.on_message(now_ns, sender, message))
+            return self._finish_event(
+                now_ns,
+                self._apply_election_result(now_ns, self._election.on_message(now_ns, sender, message)),
             )
-        return self._settle(now_ns, self._consensus.on_message(now_ns, sender, message))
+        return self._finish_event(now_ns, self._consensus.on_message(now_ns, sender, message))
 
     def on_persisted(self, now_ns: int, sequence: int) -> list[Action]:
-        """The Persist of that number is synced, and all before it."""
+        """Handles the report that the Persist of this sequence number and all earlier ones are synced."""
         self._now_ns = now_ns
         actions = self._consensus.on_persisted(now_ns, sequence)
-        actions += self._follow(now_ns, self._election.on_persisted(now_ns, sequence))
-        return self._settle(now_ns, actions)
+        actions += self._apply_election_result(now_ns, self._election.on_persisted(now_ns, sequence))
+        return self._finish_event(now_ns, actions)
 
     def propose(self, now_ns: int, change_set: ChangeSet) -> list[Action]:
-        """A checked change set. Answered by ProposalCommitted or ProposalRefused, now or later."""
+        """Proposes a checked change set; ProposalCommitted or ProposalRefused follows, at once or later."""
         self._now_ns = now_ns
-        return self._settle(now_ns, self._consensus.propose(now_ns, change_set))
+        return self._finish_event(now_ns, self._consensus.propose(now_ns, change_set))
 
     def tick(self, now_ns: int) -> list[Action]:
+        """Does what is due at this time: lease, leadership, Alive messages and commit records."""
         self._now_ns = now_ns
-        actions = self._follow(now_ns, self._election.tick(now_ns))
+        actions = self._apply_election_result(now_ns, self._election.tick(now_ns))
         actions += self._consensus.tick(now_ns)
-        if now_ns >= self._alive_at_ns:
-            self._alive_at_ns = now_ns + ALIVE_NS
-            actions += [Send(number, Alive()) for number in range(self._count) if number != self._own]
-        if now_ns >= self._commit_at_ns:
-            self._commit_at_ns = now_ns + COMMIT_ON_DISK_NS
+        if now_ns >= self._next_alive_ns:
+            self._next_alive_ns = now_ns + ALIVE_INTERVAL_NS
+            actions += [
+                Send(number, Alive()) for number in range(self._replica_count) if number != self._own_number
+            ]
+        if now_ns >= self._next_commit_record_ns:
+            self._next_commit_record_ns = now_ns + COMMIT_RECORD_INTERVAL_NS
             actions += self._consensus.replica.persist_commit()
-        return self._settle(now_ns, actions)
+        return self._finish_event(now_ns, actions)
 
     def leave(self, now_ns: int) -> list[Action]:
-        """The process is about to end: whoever leads hands the lease on."""
+        """Hands the lease over if this replica leads, because the process is about to end."""
         self._now_ns = now_ns
-        return self._settle(now_ns, self._follow(now_ns, self._election.leave(now_ns)))
+        return self._finish_event(now_ns, self._apply_election_result(now_ns, self._election.leave(now_ns)))
 
     # Lease and leadership.
 
-    def _follow(self, now_ns: int, result: ElectionResult) -> list[Action]:
-        """Leads with a lease that was won, and stops with one that is over."""
+    def _apply_election_result(self, now_ns: int, result: ElectionResult) -> list[Action]:
+        """Begins a leadership for each lease that was won, and resigns for each that ended."""
         actions = result.actions
-        for change in result.changes:
+        for change in result.lease_changes:
             self._lease_token = change.token
             if change.token:
                 actions += self._consensus.lead(now_ns, change.token)
@@ -146,20 +171,25 @@
                 actions += self._consensus.resign(None)
         return actions
 
-    def _settle(self, now_ns: int, actions: list[Action]) -> list[Action]:
-        """Gives the lease back where its leadership is over, or never began for a token that is too low."""
+    def _finish_event(self, now_ns: int, actions: list[Action]) -> list[Action]:
+        """Ends the handling of an event: raises the token floor, releases a lease that has no leadership,
+        sets the wake-up time.
+
+        A lease has no leadership if the leadership has resigned, or never began because the token was too
+        low.
+        """
         replica, leadership = self._consensus.replica, self._consensus.leadership
-        self._election.set_floor(max(replica.promised, self._consensus.refused_token))
+        self._election.set_token_floor(max(replica.promised_token, self._consensus.refusal_promised_token))
         if self._lease_token:
-            leads = leadership is not None and leadership.token == self._lease_token
-            if leadership is None or not leads or leadership.phase is Phase.RESIGNED:
-                heir = leadership.heir if leadership is not None and leads else None
-                actions += self._follow(now_ns, self._election.release(now_ns, heir))
-        self._set_wake(leadership.due_ns if leadership is not None else None)
+            is_lease_leadership = leadership is not None and leadership.token == self._lease_token
+            if leadership is None or not is_lease_leadership or leadership.phase is Phase.RESIGNED:
+                successor = leadership.successor if leadership is not None and is_lease_leadership else None
+                actions += self._apply_election_result(now_ns, self._election.release(now_ns, successor))
+        self._set_wake_time(leadership.next_tick_ns if leadership is not None else None)
         return actions
 
-    def _set_wake(self, leadership_due_ns: int | None) -> None:
-        times = [self._election.wake_at_ns, self._alive_at_ns, self._commit_at_ns]
-        if leadership_due_ns is not None:
-            times.append(leadership_due_ns)
+    def _set_wake_time(self, leadership_tick_ns: int | None) -> None:
+        times = [self._election.wake_at_ns, self._next_alive_ns, self._next_commit_record_ns]
+        if leadership_tick_ns is not None:
+            times.append(leadership_tick_ns)
         self.wake_at_ns = min(times)
--- a/driftstair/control/replication/followers.py
+++ b/driftstair/control/replication/followers.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one follower, and the next message for it."""
+"""What a leader knows about one follower, and the next message to send to it."""
 
 from __future__ import annotations
 
@@ -6,78 +6,90 @@
 
 from driftstair.control.replication.messages import (
     APPEND_BYTES_MAX,
-    START,
+    LOG_START,
     Append,
     LogEntry,
     LogPosition,
 )
 from driftstair.control.replication.replica import Replica
 
-RETRY_NS = 500_000_000  # for an answer; longer with each that is missing
-RETRY_DOUBLINGS_MAX = 3  # up to 4 s
-HEARTBEAT_NS = 1_000_000_000  # between messages where nothing happens
+RETRY_INTERVAL_NS = 500_000_000  # first wait for an answer; doubles with each message that stays unanswered
+RETRY_DOUBLINGS_MAX = 3  # waits of up to 4 s
+HEARTBEAT_INTERVAL_NS = 1_000_000_000  # between messages when there is nothing to replicate
 APPEND_ENTRIES_MAX = 256
 CHANGE_OVERHEAD_BYTES = 128  # kind, keys and expected revision of one change in JSON
 
 
 @dataclass(slots=True)
 class Follower:
-    heard_ns: int  # its last answer
-    next_revision: int = 1  # of the next entry for it
-    acknowledged: LogPosition = START  # up to here its disk holds this leader's log
-    number: int = 0  # of the last message to it
-    is_waiting: bool = False  # for the answer to that
-    sent_ns: int = 0
-    unanswered: int = 0  # messages since its last answer
-    told_committed: int = 0
-    part: int = 0  # of a snapshot: the next one for it
-    regressed_number: int = 0  # answers up to this one are of a disk that was replaced
-
-    def on_sent(self, now_ns: int, committed: int) -> None:
-        self.number += 1
-        self.unanswered += 1 if self.is_waiting else 0
-        self.is_waiting = True
-        self.sent_ns = now_ns
-        self.told_committed = committed
+    """Replication progress of one follower, as its leader knows it."""
+
+    last_answer_ns: int
+    next_revision: int = 1  # revision of the next entry to send
+    acknowledged_position: LogPosition = LOG_START  # its disk holds this leader's log up to here
+    last_message_number: int = 0
+    awaits_answer: bool = False  # the last message is not answered yet
+    last_sent_ns: int = 0
+    unanswered_count: int = 0  # messages sent since its last answer
+    sent_committed_revision: int = 0
+    next_snapshot_part: int = 0  # next part of the snapshot to send
+    regressed_message_number: int = 0  # answers up to this message number describe a disk that was replaced
+
+    def on_sent(self, now_ns: int, committed_revision: int) -> None:
+        """Records that the next message was sent with this commit revision."""
+        self.last_message_number += 1
+        self.unanswered_count += 1 if self.awaits_answer else 0
+        self.awaits_answer = True
+        self.last_sent_ns = now_ns
+        self.sent_committed_revision = committed_revision
 
     def on_answered(self) -> None:
-        self.is_waiting = False
-        self.unanswered = 0
+        """Records the answer to the last message."""
+        self.awaits_answer = False
+        self.unanswered_count = 0
 
     def on_regressed(self) -> None:
-        self.acknowledged = START
-        self.regressed_number = self.number
+        """Discards what the follower acknowledged, since its disk has lost it."""
+        self.acknowledged_position = LOG_START
+        self.regressed_message_number = self.last_message_number
 
     @property
-    def due_ns(self) -> int:
-        """When the next message is to go out."""
-        if not self.is_waiting:
-            return self.sent_ns + HEARTBEAT_NS
-        return self.sent_ns + (RETRY_NS << min(self.unanswered, RETRY_DOUBLINGS_MAX))
+    def next_send_ns(self) -> int:
+        """When the next message has to be sent."""
+        if not self.awaits_answer:
+            return self.last_sent_ns + HEARTBEAT_INTERVAL_NS
+        return self.last_sent_ns + (RETRY_INTERVAL_NS << min(self.unanswered_count, RETRY_DOUBLINGS_MAX))
 
 
 def next_append(
-    token: int, follower: Follower, replica: Replica, acknowledged: tuple[LogPosition, ...]
+    token: int, follower: Follower, replica: Replica, acknowledged_positions: tuple[LogPosition, ...]
 ) -> Append:
-    """From the follower's next entry on, which the log still has."""
-    after = follower.next_revision - 1
-    previous = replica.log.position_at(after)
+    """Builds the Append that begins at the follower's next entry, which the log must still hold."""
+    previous_revision = follower.next_revision - 1
+    previous = replica.log.position_at(previous_revision)
     assert previous is not None
-    entries = _within_bytes(replica.log.after(after, APPEND_ENTRIES_MAX))
-    return Append(token, follower.number, previous, entries, replica.committed, acknowledged)
+    entries = _limit_to_message_size(replica.log.entries_after(previous_revision, APPEND_ENTRIES_MAX))
+    return Append(
+        token,
+        follower.last_message_number,
+        previous,
+        entries,
+        replica.committed_revision,
+        acknowledged_positions,
+    )
 
 
-def _within_bytes(entries: list[LogEntry]) -> tuple[LogEntry, ...]:
-    """As many as fit into one message, one at least."""
-    size = 0
+def _limit_to_message_size(entries: list[LogEntry]) -> tuple[LogEntry, ...]:
+    """As many entries as fit into one message, but at least one."""
+    total_bytes = 0
     for index, entry in enumerate(entries):
-        size += _size(entry)
-        if index and size > APPEND_BYTES_MAX:
+        total_bytes += _entry_bytes(entry)
+        if index and total_bytes > APPEND_BYTES_MAX:
             return tuple(entries[:index])
     return tuple(entries)
 
 
-def _size(entry: LogEntry) -> int:
+def _entry_bytes(entry: LogEntry) -> int:
     changes = entry.change_set.changes
     return CHANGE_OVERHEAD_BYTES + sum(
         len(change.name.encode()) + len(bytes(change.content)) + CHANGE_OVERHEAD_BYTES for change in changes
--- a/driftstair/control/replication/messages.py
+++ b/driftstair/control/replication/messages.py
@@ -1,6 +1,6 @@
-"""What replicas send each other: one JSON object a message, the kind under `type`.
+"""The messages between replicas. Each is one JSON object whose `type` names its kind.
 
-Tokens are the ballots of leaders: whole numbers that only rise. Revisions are places in the log, from 1.
+Tokens are the ballots of leaders: integers that only rise. Revisions are positions in the log, from 1.
 """
 
 from __future__ import annotations
@@ -13,67 +13,67 @@
 from driftstair.configuration.resource_table import REVISION_MAX
 from driftstair.configuration.resources import Resource
 
-MESSAGE_BYTES_MAX = 1 << 20  # a batch of entries or a part of a snapshot, with room
-APPEND_BYTES_MAX = 384 << 10  # contents in one Append, unless one change set is longer
-SNAPSHOT_PART_BYTES_MAX = 128 << 10  # contents in one part, unless one resource is longer
+MESSAGE_BYTES_MAX = 1 << 20  # a full Append or a snapshot part, with room to spare
+APPEND_BYTES_MAX = 384 << 10  # content bytes in one Append; a single larger change set is sent alone
+SNAPSHOT_PART_BYTES_MAX = 128 << 10  # content bytes in one part; a single larger resource is sent alone
 REPLICAS_MAX = 7
-NUMBER_MAX = (1 << 64) - 1
+LEASE_ITEM_NUMBER_MAX = (1 << 64) - 1
 
-Number = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 Revision = Annotated[int, msgspec.Meta(ge=0, le=REVISION_MAX)]
 
 
 class ReplicationMessageError(Exception):
-    """Bytes that are no message; the text says what and where, in one line."""
+    """The bytes are not a valid message. The text says in one line what is wrong and where."""
 
 
 class LogPosition(NamedTuple):
     """The place of a log's last entry. Positions order logs by how recent they are (Raft, 5.4.1)."""
 
-    token: Number
+    token: NonNegativeInt
     revision: Revision
 
 
-START = LogPosition(0, 0)  # before the first entry
+LOG_START = LogPosition(0, 0)  # the position before the first entry
 
 
 class LogEntry(msgspec.Struct, frozen=True):
     """A change set at its place in the log, and the token of the leader that put it there."""
 
     revision: Revision
-    token: Number
+    token: NonNegativeInt
     change_set: ChangeSet
 
     @property
     def position(self) -> LogPosition:
         return LogPosition(self.token, self.revision)
 
-    def logged(self) -> LoggedChangeSet:
-        """As watchers get it: they know nothing of tokens."""
+    def to_logged_change_set(self) -> LoggedChangeSet:
+        """The entry as watchers get it, without the token, which they don't know."""
         return LoggedChangeSet(self.revision, self.change_set)
 
 
 class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
     """Wants to lead with this token: no lower one is to be followed from now on."""
 
-    token: Number
+    token: NonNegativeInt
 
 
 class Promise(msgspec.Struct, frozen=True, tag="promise"):
     """The promise is on the disk. `last`: of this replica's log; `followed`: the greatest token whose leader
     changed this log."""
 
-    token: Number
+    token: NonNegativeInt
     last: LogPosition
-    followed: Number
+    followed: NonNegativeInt
 
 
 class Append(msgspec.Struct, frozen=True, tag="append"):
     """The entries after `previous`, none for a heartbeat. `number` counts what this leader sent to this
     replica. `acknowledged`: up to where the leader knows each replica's disk, by the replica's number."""
 
-    token: Number
-    number: Number
+    token: NonNegativeInt
+    number: NonNegativeInt
     previous: LogPosition
     entries: tuple[LogEntry, ...]
     committed: Revision
@@ -83,34 +83,34 @@
 class Appended(msgspec.Struct, frozen=True, tag="appended"):
     """Up to `revision` the log on this replica's disk is the leader's."""
 
-    token: Number
-    number: Number
+    token: NonNegativeInt
+    number: NonNegativeInt
     revision: Revision
 
 
 class Mismatch(msgspec.Struct, frozen=True, tag="mismatch"):
     """The log differs at the `previous` of an Append. Up to `revision` it may be the same."""
 
-    token: Number
-    number: Number
+    token: NonNegativeInt
+    number: NonNegativeInt
     revision: Revision
 
 
 class Refusal(msgspec.Struct, frozen=True, tag="refusal"):
     """The token asked with is lower than the one promised."""
 
-    token: Number
-    promised: Number
+    token: NonNegativeInt
+    promised: NonNegativeInt
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, tag="snapshot"):
     """A part of the state at `position`, for a replica whose log ends before the leader's begins. `part`
     counts from 0. The ids come with the last part."""
 
-    token: Number
-    number: Number
+    token: NonNegativeInt
+    number: NonNegativeInt
     position: LogPosition
-    part: Number
+    part: NonNegativeInt
     is_last: bool
     resources: tuple[Resource, ...]
     recent_ids: tuple[tuple[str, Revision], ...] = ()
@@ -119,16 +119,16 @@
 class SnapshotProgress(msgspec.Struct, frozen=True, tag="snapshot_progress"):
     """The parts before `wanted_part` are here (not yet on the disk)."""
 
-    token: Number
-    number: Number
+    token: NonNegativeInt
+    number: NonNegativeInt
     position: LogPosition
-    wanted_part: Number
+    wanted_part: NonNegativeInt
 
 
 class LeaseMessage(msgspec.Struct, frozen=True, tag="lease"):
     """A message of the lease, as `driftstair.tier.ownership.wire` writes it."""
 
-    generation: Number  # of the sender's process
+    generation: NonNegativeInt  # that of the sender's process
     item: tuple[int, ...]
 
 
@@ -145,11 +145,12 @@
 
 
 def encode(message: ReplicationMessage) -> bytes:
+    """Encodes a message as JSON."""
     return msgspec.json.encode(message)
 
 
 def decode(document: bytes) -> ReplicationMessage:
-    """Raises ReplicationMessageError."""
+    """Decodes and checks a message. Raises ReplicationMessageError."""
     if len(document) > MESSAGE_BYTES_MAX:
         raise ReplicationMessageError(f"$: longer than {MESSAGE_BYTES_MAX:,} bytes")
     try:
@@ -158,12 +159,12 @@
         raise ReplicationMessageError("$: nested too deeply") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
         raise ReplicationMessageError(str(problem).replace("\n", " ")[:200]) from None
-    _check(message)
+    _check_values(message)
     return message
 
 
-def _check(message: ReplicationMessage) -> None:
-    """What the types can't say. Raises ReplicationMessageError."""
+def _check_values(message: ReplicationMessage) -> None:
+    """Checks what the types can't express. Raises ReplicationMessageError."""
     match message:
         case Append(entries=entries, previous=previous, acknowledged=acknowledged):
             if len(acknowledged) > REPLICAS_MAX:
@@ -172,13 +173,16 @@
         case SnapshotPart(resources=resources, position=position):
             for index, resource in enumerate(resources):
                 if not 0 <= resource.revision <= position.revision:
-                    why = f"{resource.revision} in a snapshot of {position.revision}"
-                    raise ReplicationMessageError(f"$.resources[{index}].revision: {why}")
-        case LeaseMessage(item=item) if len(item) > 16 or any(abs(number) > NUMBER_MAX for number in item):
+                    detail = f"{resource.revision} in a snapshot of {position.revision}"
+                    raise ReplicationMessageError(f"$.resources[{index}].revision: {detail}")
+        case LeaseMessage(item=item) if len(item) > 16 or any(
+            abs(number) > LEASE_ITEM_NUMBER_MAX for number in item
+        ):
             raise ReplicationMessageError("$.item: no message of a lease")
 
 
 def _check_entries(previous: LogPosition, token: int, entries: tuple[LogEntry, ...]) -> None:
+    """Checks that revisions are consecutive and tokens in order. Raises ReplicationMessageError."""
     for index, entry in enumerate(entries):
         where = f"$.entries[{index}]"
         if entry.revision != previous.revision + 1:
--- a/driftstair/control/replication/replica.py
+++ b/driftstair/control/replication/replica.py
@@ -1,7 +1,6 @@
-"""The durable side of one replica: what it promised, its log, and what of that is on its disk.
+"""The durable part of one replica: its promises, its log, and how much of both is on its disk.
 
-Nothing that a leader may count is said before it is synced: a reply waits for all that was handed to the disk
-before it.
+A reply that a leader may count is sent only after everything handed to the disk before it is synced.
 """
 
 from __future__ import annotations
@@ -13,21 +12,21 @@
 from driftstair.control.replication.actions import (
     Action,
     CommitRecord,
-    Committed,
     EntriesRecord,
+    EntryCommitted,
     LeaseTokenRecord,
     Persist,
     PromiseRecord,
     Record,
     ReplaceRecord,
-    Restored,
     Send,
     Snapshot,
+    SnapshotInstalled,
     StoredLog,
 )
 from driftstair.control.replication.log import EntryLog
 from driftstair.control.replication.messages import (
-    START,
+    LOG_START,
     Append,
     Appended,
     LogEntry,
@@ -42,165 +41,194 @@
 )
 from driftstair.control.replication.snapshots import IncomingSnapshot
 
-RESOURCES_PER_ENTRY = 16  # in a snapshot, for each entry that is cut with it
+RESOURCES_PER_ENTRY = 16  # resources in a snapshot for each entry that is compacted with it
 
 
 class ReplicationFaultError(Exception):
-    """What can't happen while a majority's disks keep what they synced: this replica has to stop."""
+    """An event that is impossible while the disks of a majority keep what they synced. This replica has to
+    stop."""
 
 
-class HeldReply(NamedTuple):
-    """A reply that waits until the Persist of that number is synced."""
+class PendingReply(NamedTuple):
+    """A reply that is sent once the Persist of this sequence number is synced."""
 
     sequence: int
     message: ReplicationMessage
 
 
-class Unsynced(NamedTuple):
-    """Up to `revision` the log is on the disk once the Persist of that number is synced."""
+class UnsyncedEntries(NamedTuple):
+    """The log is on the disk up to `revision` once the Persist of this sequence number is synced."""
 
     sequence: int
     revision: int
 
 
 class Replica:
-    """`state` is at the revision known to be committed."""
+    """The promises, the log and the state of one replica. The state is at the committed revision."""
 
     def __init__(self, stored: StoredLog, state: ConfigurationState) -> None:
-        self.promised = stored.promised
-        self.followed = stored.followed
+        self.promised_token = stored.promised
+        self.followed_token = stored.followed
         self.lease_token = stored.lease_token
         self.log = EntryLog(stored.base, list(stored.entries))
         self.state = state
-        self.leader: int | None = None  # whoever appended last under the promised token
-        self.sequence = 0  # of the last Persist
-        self.synced = 0  # Persists up to this number are on the disk
-        self.synced_revision = self.log.last.revision  # up to here the log is on the disk
-        self.acknowledged: tuple[LogPosition, ...] = ()  # by replica, as a leader last told
-        self.acknowledged_by = (0, 0)  # that leader's token, and the number of its message
-        self._unsynced: list[Unsynced] = []
-        self._held: dict[tuple[int, type[ReplicationMessage]], HeldReply] = {}
-        self._committed_on_disk = stored.committed
-        self._incoming: IncomingSnapshot | None = None
+        # The replica that last sent an Append or a snapshot under the promised token.
+        self.leader: int | None = None
+        self.last_sequence = 0  # of the last Persist returned
+        self.synced_sequence = 0  # all Persists up to this sequence number are synced
+        self.synced_revision = self.log.last_position.revision  # the log is on the disk up to this revision
+        # By replica number, as last reported by a leader.
+        self.acknowledged_positions: tuple[LogPosition, ...] = ()
+        self.acknowledged_source = (0, 0)  # that leader's token, and the number of its message
+        self._unsynced_entries: list[UnsyncedEntries] = []
+        self._pending_replies: dict[tuple[int, type[ReplicationMessage]], PendingReply] = {}
+        self._persisted_commit_revision = stored.committed
+        self._incoming_snapshot: IncomingSnapshot | None = None
 
     @property
-    def committed(self) -> int:
+    def committed_revision(self) -> int:
+        """The greatest revision known to be committed."""
         return self.state.revision
 
-    # The disk.
+    # Disk writes.
 
     def persist(self, *records: Record) -> Persist:
-        """The next Persist. What is known to be committed goes with it: that costs no sync of its own."""
-        if self.committed > self._committed_on_disk and not isinstance(records[0], ReplaceRecord):
-            records += (CommitRecord(self.committed),)
-        self._committed_on_disk = self.committed
-        self.sequence += 1
-        return Persist(self.sequence, records)
+        """Returns the next Persist. It also stores the commit revision, which saves a sync of its own."""
+        if self.committed_revision > self._persisted_commit_revision and not isinstance(
+            records[0], ReplaceRecord
+        ):
+            records += (CommitRecord(self.committed_revision),)
+        self._persisted_commit_revision = self.committed_revision
+        self.last_sequence += 1
+        return Persist(self.last_sequence, records)
 
     def persist_commit(self) -> list[Action]:
-        """For a replica that starts while no leader is to be had: it serves up to here."""
-        if self.committed == self._committed_on_disk:
+        """Stores the commit revision by itself, if it has changed.
+
+        A replica that starts while no leader is available serves the state up to this revision.
+        """
+        if self.committed_revision == self._persisted_commit_revision:
             return []
-        self._committed_on_disk = self.committed
-        return [self.persist(CommitRecord(self.committed))]
+        self._persisted_commit_revision = self.committed_revision
+        return [self.persist(CommitRecord(self.committed_revision))]
 
     def persist_lease_token(self, token: int) -> Persist:
+        """Stores a token that the lease's acceptor may have promised."""
         self.lease_token = max(self.lease_token, token)
         return self.persist(LeaseTokenRecord(self.lease_token))
 
     def on_persisted(self, sequence: int) -> list[Action]:
-        """The replies that waited for it."""
-        self.synced = max(self.synced, sequence)
-        while self._unsynced and self._unsynced[0].sequence <= self.synced:
-            self.synced_revision = self._unsynced.pop(0).revision
-        ready = [(key, held) for key, held in self._held.items() if held.sequence <= self.synced]
+        """Records that all writes up to `sequence` are synced; returns the replies that waited for them."""
+        self.synced_sequence = max(self.synced_sequence, sequence)
+        while self._unsynced_entries and self._unsynced_entries[0].sequence <= self.synced_sequence:
+            self.synced_revision = self._unsynced_entries.pop(0).revision
+        ready = [
+            (key, reply)
+            for key, reply in self._pending_replies.items()
+            if reply.sequence <= self.synced_sequence
+        ]
         for key, _ in ready:
-            del self._held[key]
-        return [Send(key[0], held.message) for key, held in ready]
+            del self._pending_replies[key]
+        return [Send(key[0], reply.message) for key, reply in ready]
 
     def _reply(self, to: int, message: ReplicationMessage) -> list[Action]:
-        """Sent once all that was handed to the disk so far is synced; of one kind only the last waits."""
-        if self.sequence <= self.synced:
+        """Sends a reply once everything handed to the disk so far is synced.
+
+        Of several waiting replies of one type to the same replica, only the last is kept.
+        """
+        if self.last_sequence <= self.synced_sequence:
             return [Send(to, message)]
-        self._held[to, type(message)] = HeldReply(self.sequence, message)
+        self._pending_replies[to, type(message)] = PendingReply(self.last_sequence, message)
         return []
 
     # Promises.
 
     def promise(self, token: int) -> list[Action]:
-        """No lower token is followed from now on."""
-        self.promised = token
+        """Rejects all lower tokens from now on."""
+        self.promised_token = token
         self.leader = None
         return [self.persist(PromiseRecord(token))]
 
     def on_prepare(self, sender: int, message: Prepare) -> list[Action]:
+        """Promises the token, or refuses it if a higher one was promised."""
         if self.is_outdated(message.token):
-            return [Send(sender, Refusal(message.token, self.promised))]
-        actions = self.promise(message.token) if message.token > self.promised else []
-        return actions + self._reply(sender, Promise(message.token, self.log.last, self.followed))
+            return [Send(sender, Refusal(message.token, self.promised_token))]
+        actions = self.promise(message.token) if message.token > self.promised_token else []
+        return actions + self._reply(
+            sender, Promise(message.token, self.log.last_position, self.followed_token)
+        )
 
     def is_outdated(self, token: int) -> bool:
-        """Whether a higher token was promised."""
-        return token < self.promised
+        """Whether a higher token has been promised."""
+        return token < self.promised_token
+
+    def acknowledged_position_of(self, replica: int, followed_token: int) -> LogPosition:
+        """The position that another replica's log must reach according to what it has acknowledged.
 
-    def owed_position(self, replica: int, followed: int) -> LogPosition:
-        """Up to where the log of another replica must reach by what it acknowledged, as far as this one was
-        told. A leader with a later token than the one that told may have cut it since: then nothing is."""
-        if followed > self.acknowledged_by[0] or replica >= len(self.acknowledged):
-            return START
-        return self.acknowledged[replica]
+        Known only as far as a leader reported it to this replica. A leader with a later token than the
+        reporting one may have truncated that log since; then nothing is required.
+        """
+        if followed_token > self.acknowledged_source[0] or replica >= len(self.acknowledged_positions):
+            return LOG_START
+        return self.acknowledged_positions[replica]
 
-    # The log.
+    # Log.
 
-    def append_own(self, token: int, change_set: ChangeSet) -> list[Action]:
-        """As the leader, at the end."""
-        entry = LogEntry(self.log.last.revision + 1, token, change_set)
+    def append_as_leader(self, token: int, change_set: ChangeSet) -> list[Action]:
+        """Appends a change set at the end of the log, as the leader."""
+        entry = LogEntry(self.log.last_position.revision + 1, token, change_set)
         return [self._persist_entries(token, (entry,))]
 
     def on_append(self, sender: int, message: Append) -> list[Action]:
+        """Handles entries or a heartbeat of a leader."""
         if self.is_outdated(message.token):
-            return [Send(sender, Refusal(message.token, self.promised))]
-        actions = self._follow(sender, message.token)
-        self._note_acknowledged(message)
+            return [Send(sender, Refusal(message.token, self.promised_token))]
+        actions = self._follow_leader(sender, message.token)
+        self._record_acknowledged(message)
         previous = message.previous
-        if not self._holds(previous):
-            shared = self._shared_with(previous)
-            return actions + self._reply(sender, Mismatch(message.token, message.number, shared))
-        new = self._missing(message.entries)
-        if new:
-            actions.append(self._persist_entries(message.token, new))
-        matched = max(previous.revision + len(message.entries), self.log.base.revision)
-        actions += self.commit_to(min(message.committed, matched))
-        return actions + self._reply(sender, Appended(message.token, message.number, matched))
-
-    def _holds(self, position: LogPosition) -> bool:
-        """Whether the log has that very entry; what was compacted is committed, and the same everywhere."""
+        if not self._contains(previous):
+            shared_revision = self._max_shared_revision(previous)
+            return actions + self._reply(sender, Mismatch(message.token, message.number, shared_revision))
+        new_entries = self._missing_entries(message.entries)
+        if new_entries:
+            actions.append(self._persist_entries(message.token, new_entries))
+        matched_revision = max(previous.revision + len(message.entries), self.log.base.revision)
+        actions += self.commit_up_to(min(message.committed, matched_revision))
+        return actions + self._reply(sender, Appended(message.token, message.number, matched_revision))
+
+    def _contains(self, position: LogPosition) -> bool:
+        """Whether the log contains this very entry. Compacted entries are committed, and equal on all
+        replicas."""
         if position.revision < self.log.base.revision:
             return True
         return self.log.position_at(position.revision) == position
 
-    def _shared_with(self, position: LogPosition) -> int:
-        """Up to which revision a log that has this position may be the same, where this one has it not."""
-        if self.log.last.revision < position.revision:
-            return self.log.last.revision
-        return self.committed  # an uncommitted tail differs: where it begins isn't known
-
-    def _follow(self, sender: int, token: int) -> list[Action]:
-        actions = self.promise(token) if token > self.promised else []
+    def _max_shared_revision(self, position: LogPosition) -> int:
+        """The revision up to which this log may equal a log that contains `position`, which this one does
+        not."""
+        if self.log.last_position.revision < position.revision:
+            return self.log.last_position.revision
+        # The uncommitted part differs, and where it begins to differ is unknown.
+        return self.committed_revision
+
+    def _follow_leader(self, sender: int, token: int) -> list[Action]:
+        """Promises the token of a leader if it is higher, and records who leads."""
+        actions = self.promise(token) if token > self.promised_token else []
         self.leader = sender
         return actions
 
-    def _note_acknowledged(self, message: Append) -> None:
-        told_by = (message.token, message.number)
-        if message.acknowledged and told_by > self.acknowledged_by:
-            self.acknowledged, self.acknowledged_by = message.acknowledged, told_by
+    def _record_acknowledged(self, message: Append) -> None:
+        """Keeps the acknowledged positions that a leader reported, unless a newer report is known."""
+        source = (message.token, message.number)
+        if message.acknowledged and source > self.acknowledged_source:
+            self.acknowledged_positions, self.acknowledged_source = message.acknowledged, source
 
-    def note_own_view(self, token: int, acknowledged: tuple[LogPosition, ...]) -> None:
-        """What this replica knew as the leader."""
-        self.acknowledged, self.acknowledged_by = acknowledged, (token, 0)
+    def record_own_acknowledged(self, token: int, acknowledged_positions: tuple[LogPosition, ...]) -> None:
+        """Keeps the acknowledged positions that this replica knew as the leader."""
+        self.acknowledged_positions, self.acknowledged_source = acknowledged_positions, (token, 0)
 
-    def _missing(self, entries: tuple[LogEntry, ...]) -> tuple[LogEntry, ...]:
-        """From the first that this log lacks or has another entry in place of."""
+    def _missing_entries(self, entries: tuple[LogEntry, ...]) -> tuple[LogEntry, ...]:
+        """The entries from the first one on that this log lacks or holds differently."""
         for index, entry in enumerate(entries):
             if entry.revision <= self.log.base.revision:
                 continue
@@ -209,85 +237,102 @@
         return ()
 
     def _persist_entries(self, token: int, entries: tuple[LogEntry, ...]) -> Persist:
-        """These stand in the log after what is before the first of them, and nothing behind."""
-        after = entries[0].revision - 1
-        if after < self.committed:
-            raise ReplicationFaultError(f"revision {after + 1} is committed, a leader has another one there")
-        self._cut_after(after)
+        """Puts entries into the log in place of everything from the first of them on."""
+        previous_revision = entries[0].revision - 1
+        if previous_revision < self.committed_revision:
+            raise ReplicationFaultError(
+                f"revision {previous_revision + 1} is committed, a leader has another one there"
+            )
+        self._truncate_after(previous_revision)
         for entry in entries:
             self.log.append(entry)
-        self.followed = max(self.followed, token)
-        persist = self.persist(EntriesRecord(token, after, entries))
-        self._unsynced.append(Unsynced(persist.sequence, self.log.last.revision))
+        self.followed_token = max(self.followed_token, token)
+        persist = self.persist(EntriesRecord(token, previous_revision, entries))
+        self._unsynced_entries.append(UnsyncedEntries(persist.sequence, self.log.last_position.revision))
         return persist
 
-    def _cut_after(self, revision: int) -> None:
-        if revision == self.log.last.revision:
+    def _truncate_after(self, revision: int) -> None:
+        """Drops all entries after a revision from the log in memory."""
+        if revision == self.log.last_position.revision:
             return
-        self.log.cut_after(revision)
+        self.log.truncate_after(revision)
         self.synced_revision = min(self.synced_revision, revision)
-        self._unsynced = [Unsynced(one.sequence, min(one.revision, revision)) for one in self._unsynced]
+        self._unsynced_entries = [
+            UnsyncedEntries(unsynced.sequence, min(unsynced.revision, revision))
+            for unsynced in self._unsynced_entries
+        ]
 
-    def commit_to(self, revision: int) -> list[Action]:
-        """Applies what is committed up to there."""
+    def commit_up_to(self, revision: int) -> list[Action]:
+        """Applies all entries up to a committed revision."""
         actions: list[Action] = []
-        for entry in self.log.after(self.committed, max(0, revision - self.committed)):
-            logged = entry.logged()
-            self.state.apply(logged)
-            actions.append(Committed(logged))
+        for entry in self.log.entries_after(
+            self.committed_revision, max(0, revision - self.committed_revision)
+        ):
+            logged_change_set = entry.to_logged_change_set()
+            self.state.apply(logged_change_set)
+            actions.append(EntryCommitted(logged_change_set))
         return actions
 
     # Snapshots.
 
     def take_snapshot(self) -> Snapshot:
-        """Of what is committed."""
-        position = self.log.position_at(self.committed)
-        assert position is not None  # the log begins before what is committed
+        """Builds a snapshot of the committed state."""
+        position = self.log.position_at(self.committed_revision)
+        assert position is not None  # the log begins no later than the committed revision
         return Snapshot(position, tuple(self.state.resources()), self.state.recent_ids())
 
-    def compact(self, kept: int) -> list[Action]:
-        """Cuts the log to the last `kept` committed entries once there are twice as many, and more of a
-        great state, so that a snapshot's cost stays small beside that of the changes it stands for."""
-        if self.committed - self.log.base.revision < 2 * kept + len(self.state) // RESOURCES_PER_ENTRY:
+    def compact(self, kept_entries: int) -> list[Action]:
+        """Cuts the log to the last `kept_entries` committed entries once it holds twice as many.
+
+        With a large state it waits for more entries, so that the cost of a snapshot stays small compared to
+        that of the changes it replaces.
+        """
+        if (
+            self.committed_revision - self.log.base.revision
+            < 2 * kept_entries + len(self.state) // RESOURCES_PER_ENTRY
+        ):
             return []
         snapshot = self.take_snapshot()
-        base = self.log.position_at(self.committed - kept)
+        base = self.log.position_at(self.committed_revision - kept_entries)
         assert base is not None
         self.log.compact_to(base)
-        return [self.persist(ReplaceRecord(self._to_store(snapshot)))]
+        return [self.persist(ReplaceRecord(self._to_stored_log(snapshot)))]
 
-    def _to_store(self, snapshot: Snapshot) -> StoredLog:
+    def _to_stored_log(self, snapshot: Snapshot) -> StoredLog:
+        """What the disk has to hold, with this snapshot."""
         return StoredLog(
-            self.promised, self.followed, self.lease_token, self.committed, self.log.base,
-            tuple(self.log.entries), snapshot,
+            self.promised_token, self.followed_token, self.lease_token, self.committed_revision,
+            self.log.base, tuple(self.log.entries), snapshot,
         )  # fmt: skip
 
     def on_snapshot_part(self, sender: int, message: SnapshotPart) -> list[Action]:
+        """Handles a part of a leader's snapshot; installs the snapshot once all parts have arrived."""
         token, number, position = message.token, message.number, message.position
         if self.is_outdated(token):
-            return [Send(sender, Refusal(token, self.promised))]
-        actions = self._follow(sender, token)
-        if position.revision <= self.committed:
-            self._incoming = None
-            return actions + self._reply(sender, Appended(token, number, self.committed))
-        if self._incoming is None or not self._incoming.is_of(token, position):
-            self._incoming = IncomingSnapshot(token, position, type(self.state)())
-        incoming = self._incoming
-        whole = incoming.add(message)
-        if whole is None:
-            progress = SnapshotProgress(token, number, position, incoming.wanted_part)
+            return [Send(sender, Refusal(token, self.promised_token))]
+        actions = self._follow_leader(sender, token)
+        if position.revision <= self.committed_revision:
+            self._incoming_snapshot = None
+            return actions + self._reply(sender, Appended(token, number, self.committed_revision))
+        if self._incoming_snapshot is None or not self._incoming_snapshot.matches(token, position):
+            self._incoming_snapshot = IncomingSnapshot(token, position, type(self.state)())
+        incoming = self._incoming_snapshot
+        snapshot = incoming.add_part(message)
+        if snapshot is None:
+            progress = SnapshotProgress(token, number, position, incoming.next_part)
             return actions + self._reply(sender, progress)
-        self._incoming = None
-        actions += self._install(token, whole, incoming.state)
+        self._incoming_snapshot = None
+        actions += self._install_snapshot(token, snapshot, incoming.state)
         return actions + self._reply(sender, Appended(token, number, position.revision))
 
-    def _install(self, token: int, snapshot: Snapshot, state: ConfigurationState) -> list[Action]:
-        """What is behind the snapshot's position stays only where that very entry is in the log."""
+    def _install_snapshot(self, token: int, snapshot: Snapshot, state: ConfigurationState) -> list[Action]:
+        """Replaces the state by a snapshot. Entries after its position stay only if the log contains that
+        very position."""
         position = snapshot.position
         self.log.compact_to(position)
         self.state = state
-        self.followed = max(self.followed, token)
-        self.synced_revision, self._unsynced = 0, []
-        persist = self.persist(ReplaceRecord(self._to_store(snapshot)))
-        self._unsynced.append(Unsynced(persist.sequence, self.log.last.revision))
-        return [persist, Restored(snapshot)]
+        self.followed_token = max(self.followed_token, token)
+        self.synced_revision, self._unsynced_entries = 0, []
+        persist = self.persist(ReplaceRecord(self._to_stored_log(snapshot)))
+        self._unsynced_entries.append(UnsyncedEntries(persist.sequence, self.log.last_position.revision))
+        return [persist, SnapshotInstalled(snapshot)]
--- a/driftstair/control/replication/snapshots.py
+++ b/driftstair/control/replication/snapshots.py
@@ -1,4 +1,5 @@
-"""Snapshots on their way from a leader to a replica that is behind the leader's log, in bounded parts."""
+"""Snapshots sent in parts of bounded size from a leader to a replica whose log ends before the leader's
+begins."""
 
 from __future__ import annotations
 
@@ -13,14 +14,14 @@
 
 
 class OutgoingSnapshot(NamedTuple):
-    """Cut into parts; the last one may be empty."""
+    """A snapshot split into parts. The last part holds no resources; it carries the ids."""
 
     position: LogPosition
     parts: tuple[tuple[Resource, ...], ...]
     recent_ids: tuple[tuple[str, int], ...]
 
-    def message(self, token: int, number: int, part: int) -> SnapshotPart:
-        """Part `part`; a number beyond the last one starts again."""
+    def part_message(self, token: int, number: int, part: int) -> SnapshotPart:
+        """The message for part `part`. A number beyond the last part starts over with the first."""
         if part >= len(self.parts):
             part = 0
         is_last = part == len(self.parts) - 1
@@ -28,18 +29,19 @@
         return SnapshotPart(token, number, self.position, part, is_last, self.parts[part], ids)
 
 
-def cut_snapshot(snapshot: Snapshot, bytes_max: int = SNAPSHOT_PART_BYTES_MAX) -> OutgoingSnapshot:
-    """The ids go in a last part of their own: 4,096 of them may take as much as a part does."""
+def split_snapshot(snapshot: Snapshot, bytes_max: int = SNAPSHOT_PART_BYTES_MAX) -> OutgoingSnapshot:
+    """Splits a snapshot into parts. The ids get a last part of their own: 4,096 of them may be as large as a
+    part."""
     parts: list[tuple[Resource, ...]] = []
     part: list[Resource] = []
-    size = 0
+    part_bytes = 0
     for resource in snapshot.resources:
-        one = len(resource.name) + len(bytes(resource.content)) + RESOURCE_OVERHEAD_BYTES
-        if part and size + one > bytes_max:
+        resource_bytes = len(resource.name) + len(bytes(resource.content)) + RESOURCE_OVERHEAD_BYTES
+        if part and part_bytes + resource_bytes > bytes_max:
             parts.append(tuple(part))
-            part, size = [], 0
+            part, part_bytes = [], 0
         part.append(resource)
-        size += one
+        part_bytes += resource_bytes
     if part:
         parts.append(tuple(part))
     parts.append(())
@@ -47,27 +49,28 @@
 
 
 class IncomingSnapshot:
-    """What came so far. `state` is loaded part by part: all at once would stop a replica for seconds."""
+    """The parts received so far. Each part is loaded into `state` on arrival, since loading all of them at
+    once would block a replica for seconds."""
 
     def __init__(self, token: int, position: LogPosition, state: ConfigurationState) -> None:
         self.token = token
         self.position = position
         self.state = state
-        self.wanted_part = 0
+        self.next_part = 0
         self._resources: list[Resource] = []
 
-    def is_of(self, token: int, position: LogPosition) -> bool:
-        """Parts of another leader's cut don't fit, though they are of one position."""
+    def matches(self, token: int, position: LogPosition) -> bool:
+        """Whether a part belongs to this snapshot. Parts from another leader are split differently, even at
+        the same position."""
         return (self.token, self.position) == (token, position)
 
-    def add(self, message: SnapshotPart) -> Snapshot | None:
-        """The snapshot, once it is whole and `state` with it. A part that isn't the wanted one changes
-        nothing."""
-        if message.part != self.wanted_part:
+    def add_part(self, message: SnapshotPart) -> Snapshot | None:
+        """Returns the snapshot once it is complete and loaded into `state`. Ignores a part out of order."""
+        if message.part != self.next_part:
             return None
         self.state.load(message.resources)
         self._resources += message.resources
-        self.wanted_part += 1
+        self.next_part += 1
         if not message.is_last:
             return None
         self.state.finish_restore(self.position.revision, message.recent_ids)
--- a/driftstair/control/replication/stored.py
+++ b/driftstair/control/replication/stored.py
@@ -1,4 +1,4 @@
-"""What the records on a disk add up to."""
+"""Reconstructs the content of a disk from the records on it."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 
 
 class StoredLogError(Exception):
-    """Records that no replica writes in this order; the text says what would do."""
+    """The records are in an order that no replica writes; the text says what was expected."""
 
 
 class StoredLogBuilder:
-    """Takes records one after the other."""
+    """Applies records one by one, in the order in which they were written."""
 
     def __init__(self, stored: StoredLog | None = None) -> None:
-        self._start(stored if stored is not None else StoredLog())
+        self._reset(stored if stored is not None else StoredLog())
 
-    def _start(self, stored: StoredLog) -> None:
+    def _reset(self, stored: StoredLog) -> None:
         self._promised = stored.promised
         self._followed = stored.followed
         self._lease_token = stored.lease_token
         self._committed = stored.committed
         self._log = EntryLog(stored.base, list(stored.entries))
-        self._position: LogPosition | None = None
-        self._resources: list[Resource] = []
+        self._snapshot_position: LogPosition | None = None
+        self._snapshot_resources: list[Resource] = []
         self._recent_ids: list[tuple[str, int]] = []
         if stored.snapshot is not None:
-            self._position = stored.snapshot.position
-            self._resources = list(stored.snapshot.resources)
+            self._snapshot_position = stored.snapshot.position
+            self._snapshot_resources = list(stored.snapshot.resources)
             self._recent_ids = list(stored.snapshot.recent_ids)
 
     def add(self, record: Record) -> None:
-        """Raises StoredLogError."""
+        """Applies one record. Raises StoredLogError."""
         match record:
             case PromiseRecord(token=token):
                 self._promised = max(self._promised, token)
@@ -54,40 +54,53 @@
             case EntriesRecord():
                 self._add_entries(record)
             case ReplaceRecord(stored=stored):
-                self._start(stored)
+                self._reset(stored)
 
     def _add_entries(self, record: EntriesRecord) -> None:
-        after = record.after_revision
-        if not max(self._log.base.revision, self._committed) <= after <= self._log.last.revision:
+        previous_revision = record.after_revision
+        if (
+            not max(self._log.base.revision, self._committed)
+            <= previous_revision
+            <= self._log.last_position.revision
+        ):
             raise StoredLogError(
-                f"entries after revision {after} don't fit; {self._log.last.revision} would do"
+                f"entries after revision {previous_revision} don't fit; "
+                f"entries after {self._log.last_position.revision} were expected"
             )
-        self._log.cut_after(after)
+        self._log.truncate_after(previous_revision)
         for entry in record.entries:
-            if entry.revision != self._log.last.revision + 1 or entry.token < self._log.last.token:
+            if (
+                entry.revision != self._log.last_position.revision + 1
+                or entry.token < self._log.last_position.token
+            ):
                 raise StoredLogError(
-                    f"entry {entry.revision} is out of order after {self._log.last.revision}"
+                    f"entry {entry.revision} is out of order after {self._log.last_position.revision}"
                 )
             self._log.append(entry)
         self._followed = max(self._followed, record.followed)
 
     def add_resources(self, resources: tuple[Resource, ...]) -> None:
-        """More of the snapshot that the last ReplaceRecord began."""
-        self._resources += resources
+        """Adds resources to the snapshot that the last ReplaceRecord began."""
+        self._snapshot_resources += resources
 
     def add_recent_ids(self, recent_ids: tuple[tuple[str, int], ...]) -> None:
+        """Adds ids to the snapshot that the last ReplaceRecord began."""
         self._recent_ids += recent_ids
 
-    def result(self) -> StoredLog:
-        """Raises StoredLogError."""
+    def build(self) -> StoredLog:
+        """Returns the content of the disk. Raises StoredLogError."""
         log = self._log
         snapshot = None
-        if self._position is not None:
-            snapshot = Snapshot(self._position, tuple(self._resources), tuple(self._recent_ids))
-        start = self._position.revision if self._position is not None else 0
-        if not log.base.revision <= start <= log.last.revision:
-            raise StoredLogError(f"the log begins after {log.base.revision}, the snapshot is of {start}")
-        committed = max(start, min(self._committed, log.last.revision))
+        if self._snapshot_position is not None:
+            snapshot = Snapshot(
+                self._snapshot_position, tuple(self._snapshot_resources), tuple(self._recent_ids)
+            )
+        snapshot_revision = self._snapshot_position.revision if self._snapshot_position is not None else 0
+        if not log.base.revision <= snapshot_revision <= log.last_position.revision:
+            raise StoredLogError(
+                f"the log begins after {log.base.revision}, but the snapshot is at {snapshot_revision}"
+            )
+        committed = max(snapshot_revision, min(self._committed, log.last_position.revision))
         return StoredLog(
             self._promised,
             self._followed,
@@ -99,8 +112,8 @@
         )
 
 
-def restored_state(stored: StoredLog) -> ConfigurationState:
-    """The state at the revision that a disk knows to be committed."""
+def restore_state(stored: StoredLog) -> ConfigurationState:
+    """The state at the revision that the disk knows to be committed."""
     state = ConfigurationState()
     if stored.snapshot is not None:
         snapshot = stored.snapshot
@@ -109,5 +122,5 @@
         )
     for entry in stored.entries:
         if state.revision < entry.revision <= stored.committed:
-            state.apply(entry.logged())
+            state.apply(entry.to_logged_change_set())
     return state
--- a/driftstair/control/storage.py
+++ b/driftstair/control/storage.py
@@ -28,7 +28,7 @@
     Snapshot,
     StoredLog,
 )
-from driftstair.control.replication.messages import LogPosition, Number
+from driftstair.control.replication.messages import LogPosition, NonNegativeInt
 from driftstair.control.replication.stored import StoredLogBuilder, StoredLogError
 from driftstair.record_file import CorruptRecordError, RecordFile
 
@@ -59,9 +59,9 @@
 class BaseRecord(msgspec.Struct, frozen=True, tag="base"):
     """The log begins after `base`; the snapshot at `snapshot` follows in pieces."""
 
-    promised: Number
-    followed: Number
-    lease_token: Number
+    promised: NonNegativeInt
+    followed: NonNegativeInt
+    lease_token: NonNegativeInt
     base: LogPosition
     snapshot: LogPosition | None
 
@@ -71,7 +71,7 @@
 
 
 class RecentIdsRecord(msgspec.Struct, frozen=True, tag="recent_ids"):
-    recent_ids: tuple[tuple[str, Number], ...]
+    recent_ids: tuple[tuple[str, NonNegativeInt], ...]
 
 
 DiskRecord = (
@@ -156,7 +156,7 @@
             except (msgspec.DecodeError, StoredLogError) as problem:
                 raise StorageError(f"{self._path}, record {index}: {problem}; {ANOTHER_WAY}") from None
         try:
-            return builder.result()
+            return builder.build()
         except StoredLogError as problem:
             raise StorageError(f"{self._path}: {problem}; {ANOTHER_WAY}") from None
 
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -1,8 +1,9 @@
-"""Control replicas in virtual time: messages are lost, late and repeated, links are cut, processes are killed
-and paused, disks are full, slow or old. All by one seed.
+"""Simulates control replicas in virtual time: messages are lost, delayed and duplicated, links are cut,
+processes are killed and paused, disks are full, slow or replaced by old copies. One seed determines
+everything.
 
-What holds at every moment is checked as it happens (`Ledger`): one content a revision, each id once,
-each replica's applied sequence without gaps, no answer to a client that isn't true.
+Invariants are checked at every event (`CommitHistory`): each revision has one content, each id is committed
+once, each replica applies revisions without gaps, and each answer to a client is true.
 """
 
 from __future__ import annotations
@@ -18,307 +19,357 @@
 from driftstair.configuration.resources import ResourceKind
 from driftstair.control.replication.actions import (
     Action,
-    Committed,
+    EntryCommitted,
     Persist,
     ProposalCommitted,
     ProposalRefused,
     ReplicaRegressed,
-    Restored,
     Send,
+    SnapshotInstalled,
     StoredLog,
 )
 from driftstair.control.replication.core import ControlReplica
 from driftstair.control.replication.messages import ReplicationMessage, decode, encode
 from driftstair.control.replication.stored import StoredLogBuilder
 
-SECOND = 1_000_000_000
-MILLISECOND = 1_000_000
+SECOND_NS = 1_000_000_000
+MILLISECOND_NS = 1_000_000
 
 
-class Violation(AssertionError):
-    """Something that must never happen did."""
+class InvariantViolation(AssertionError):
+    """An invariant was violated."""
 
 
 @dataclass
-class Ledger:
-    """What was committed anywhere, ever."""
-
-    sets: dict[int, ChangeSet] = field(default_factory=dict)
-    revisions: dict[str, int] = field(default_factory=dict)
-    acknowledged: dict[str, int] = field(default_factory=dict)  # what clients were told
-
-    def on_committed(self, logged: LoggedChangeSet) -> None:
-        known = self.sets.setdefault(logged.revision, logged.change_set)
-        if known != logged.change_set:
-            raise Violation(f"revision {logged.revision} is {known.id} and {logged.change_set.id}")
-        first = self.revisions.setdefault(logged.change_set.id, logged.revision)
-        if first != logged.revision:
-            raise Violation(f"{logged.change_set.id} is committed at {first} and {logged.revision}")
+class CommitHistory:
+    """Everything that was ever committed on any replica, and everything acknowledged to clients."""
+
+    change_sets: dict[int, ChangeSet] = field(default_factory=dict)
+    revisions_by_id: dict[str, int] = field(default_factory=dict)
+    acknowledged_revisions: dict[str, int] = field(default_factory=dict)  # as answered to clients, by id
+
+    def on_committed(self, logged_change_set: LoggedChangeSet) -> None:
+        """Checks that the revision and the id were not committed differently before."""
+        known_change_set = self.change_sets.setdefault(
+            logged_change_set.revision, logged_change_set.change_set
+        )
+        if known_change_set != logged_change_set.change_set:
+            raise InvariantViolation(
+                f"revision {logged_change_set.revision} is {known_change_set.id} "
+                f"and {logged_change_set.change_set.id}"
+            )
+        first_revision = self.revisions_by_id.setdefault(
+            logged_change_set.change_set.id, logged_change_set.revision
+        )
+        if first_revision != logged_change_set.revision:
+            raise InvariantViolation(
+                f"{logged_change_set.change_set.id} is committed at {first_revision} "
+                f"and {logged_change_set.revision}"
+            )
 
     def on_acknowledged(self, change_set_id: str, revision: int) -> None:
-        if self.sets.get(revision, ChangeSet("")).id != change_set_id:
-            raise Violation(f"{change_set_id} was acknowledged as {revision} and isn't committed there")
-        self.acknowledged[change_set_id] = revision
+        """Checks that a change set acknowledged to a client is committed at that revision."""
+        if self.change_sets.get(revision, ChangeSet("")).id != change_set_id:
+            raise InvariantViolation(
+                f"{change_set_id} was acknowledged as {revision} and isn't committed there"
+            )
+        self.acknowledged_revisions[change_set_id] = revision
 
 
 class Node:
-    """A machine: its disk outlives its process."""
+    """A simulated machine. Its disk outlives its process."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.replica: ControlReplica | None = None
-        self.process = 0  # counts starts; what an earlier one began is void
+        self.process_number = 0  # number of starts; events of earlier processes are ignored
         self.disk = StoredLogBuilder()
-        self.pending: list[Persist] = []
+        self.pending_writes: list[Persist] = []
         self.is_writing = False
-        self.is_full = False
-        self.paused_until = 0
-        self.applied = 0  # the last revision that its process handed to watchers
+        self.is_disk_full = False
+        self.paused_until_ns = 0
+        self.applied_revision = 0  # last revision that its process passed to watchers
 
     @property
-    def running(self) -> ControlReplica:
+    def running_replica(self) -> ControlReplica:
+        """The replica of a process that is known to run."""
         assert self.replica is not None
         return self.replica
 
 
 class Cluster:
-    def __init__(self, count: int, seed: int, kept_entries: int = 8, loss: float = 0.0) -> None:
+    """Replicas with simulated clocks, links and disks, driven by one queue of events."""
+
+    def __init__(self, replica_count: int, seed: int, kept_entries: int = 8, loss_rate: float = 0.0) -> None:
         self.random = Random(seed)
-        self.count, self.kept_entries, self.loss = count, kept_entries, loss
-        self.now = 0
-        self.ledger = Ledger()
-        self.nodes = [Node(number) for number in range(count)]
-        self.offsets = [self.random.randrange(7200) * SECOND for _ in range(count)]
-        self.cut: set[frozenset[int]] = set()  # links that carry nothing
+        self.replica_count, self.kept_entries, self.loss_rate = replica_count, kept_entries, loss_rate
+        self.now_ns = 0
+        self.history = CommitHistory()
+        self.nodes = [Node(number) for number in range(replica_count)]
+        self.clock_offsets_ns = [self.random.randrange(7200) * SECOND_NS for _ in range(replica_count)]
+        self.cut_links: set[frozenset[int]] = set()  # links that deliver nothing
         self.answers: list[ProposalCommitted | ProposalRefused] = []
-        self.regressed: list[ReplicaRegressed] = []
-        self.restored = 0  # snapshots installed
+        self.regressions: list[ReplicaRegressed] = []
+        self.installed_snapshots = 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._event_number = 0
-        for number in range(count):
+        for number in range(replica_count):
             self.start(number)
 
     # Processes.
 
     def start(self, number: int) -> None:
+        """Starts a replica's process from what its disk holds."""
         node = self.nodes[number]
         assert node.replica is None
-        node.process += 1
-        stored = self._read_disk(node)
+        node.process_number += 1
+        stored_log = self._read_disk(node)
         node.replica = ControlReplica(
-            number, self.count, 1_000_000 + node.process + self.now // SECOND, self._clock(number),
-            Random(self.random.random()), stored, self.kept_entries,
+            number, self.replica_count, 1_000_000 + node.process_number + self.now_ns // SECOND_NS,
+            self._clock_ns(number),
+            Random(self.random.random()), stored_log, self.kept_entries,
         )  # fmt: skip
-        node.applied = node.replica.committed
-        self._wake(node)
+        node.applied_revision = node.replica.committed_revision
+        self._schedule_tick(node)
 
     def _read_disk(self, node: Node) -> StoredLog:
-        return node.disk.result()
+        return node.disk.build()
 
     def kill(self, number: int) -> None:
-        """What isn't synced is lost, and all that it would have said."""
+        """Ends a process. Writes that are not synced and messages that depend on them are lost."""
         node = self.nodes[number]
-        node.process += 1
+        node.process_number += 1
         node.replica = None
-        node.pending, node.is_writing, node.paused_until = [], False, 0
+        node.pending_writes, node.is_writing, node.paused_until_ns = [], False, 0
 
-    def pause(self, number: int, duration: int) -> None:
-        self.nodes[number].paused_until = self.now + duration
+    def pause(self, number: int, duration_ns: int) -> None:
+        """Stops a process for a while; its events are handled when it continues."""
+        self.nodes[number].paused_until_ns = self.now_ns + duration_ns
 
     def copy_disk(self, number: int) -> StoredLog:
-        return self.nodes[number].disk.result()
+        """Returns a copy of a replica's disk."""
+        return self.nodes[number].disk.build()
 
     def restore_disk(self, number: int, copy: StoredLog) -> None:
-        """Of a process that isn't running."""
+        """Replaces the disk of a replica whose process isn't running by an older copy."""
         assert self.nodes[number].replica is None
         self.nodes[number].disk = StoredLogBuilder(copy)
 
     def isolate(self, group: set[int]) -> None:
-        """The group and the others don't hear each other."""
-        others = set(range(self.count)) - group
-        self.cut = {frozenset((one, other)) for one in group for other in others}
+        """Cuts all links between a group of replicas and the others."""
+        outsiders = set(range(self.replica_count)) - group
+        self.cut_links = {frozenset((inside, outside)) for inside in group for outside in outsiders}
 
     # Time.
 
-    def _clock(self, number: int) -> int:
-        return self.now + self.offsets[number]
+    def _clock_ns(self, number: int) -> int:
+        return self.now_ns + self.clock_offsets_ns[number]
 
-    def at(self, delay: int, do: Callable[[], None]) -> None:
+    def schedule(self, delay_ns: int, callback: Callable[[], None]) -> None:
+        """Calls a function after a delay."""
         self._event_number += 1
-        heapq.heappush(self._events, (self.now + delay, self._event_number, do))
-
-    def run(self, duration: int, until: Callable[[], bool] = lambda: False) -> bool:
-        """Whether `until` came true; stops there."""
-        end = self.now + duration
-        while self._events and self._events[0][0] <= end:
-            self.now, _, do = heapq.heappop(self._events)
-            do()
+        heapq.heappush(self._events, (self.now_ns + delay_ns, self._event_number, callback))
+
+    def run(self, duration_ns: int, until: Callable[[], bool] = lambda: False) -> bool:
+        """Runs events for a time, or until a condition holds. Returns whether it holds at the end."""
+        end_ns = self.now_ns + duration_ns
+        while self._events and self._events[0][0] <= end_ns:
+            self.now_ns, _, callback = heapq.heappop(self._events)
+            callback()
             if until():
                 return True
-        self.now = end
+        self.now_ns = end_ns
         return until()
 
-    def _in_process(self, node: Node, do: Callable[[ControlReplica], list[Action]], delay: int = 0) -> None:
-        """Later, unless the process has ended then; a paused one does it when it goes on."""
-        process = node.process
+    def _schedule_in_process(
+        self, node: Node, handle: Callable[[ControlReplica], list[Action]], delay_ns: int = 0
+    ) -> None:
+        """Handles an event in a node's process after a delay, unless the process has ended by then.
+
+        A paused process handles the event when it continues.
+        """
+        process_number = node.process_number
 
         def run() -> None:
-            if node.process != process or node.replica is None:
+            if node.process_number != process_number or node.replica is None:
                 return
-            if self.now < node.paused_until:
-                self.at(node.paused_until - self.now, run)
+            if self.now_ns < node.paused_until_ns:
+                self.schedule(node.paused_until_ns - self.now_ns, run)
                 return
-            self._do(node, do(node.replica))
-            self._check(node)
+            self._execute(node, handle(node.replica))
+            self._check_applied_revision(node)
 
-        self.at(delay, run)
+        self.schedule(delay_ns, run)
 
-    def _wake(self, node: Node) -> None:
-        replica = node.running
+    def _schedule_tick(self, node: Node) -> None:
+        """Schedules the replica's next tick, and after it the one that follows."""
+        replica = node.running_replica
 
-        def tick(running: ControlReplica) -> list[Action]:
-            if self._clock(node.number) < running.wake_at_ns:
+        def tick(running_replica: ControlReplica) -> list[Action]:
+            if self._clock_ns(node.number) < running_replica.wake_at_ns:
                 return []
-            return running.tick(self._clock(node.number))
+            return running_replica.tick(self._clock_ns(node.number))
 
-        delay = replica.wake_at_ns - self._clock(node.number)
-        delay = min(max(delay, 20 * MILLISECOND), 100 * MILLISECOND)
-        self._in_process(node, tick, delay)
-        self.at(delay + 1, self._wake_again(node, node.process))
+        delay_ns = replica.wake_at_ns - self._clock_ns(node.number)
+        delay_ns = min(max(delay_ns, 20 * MILLISECOND_NS), 100 * MILLISECOND_NS)
+        self._schedule_in_process(node, tick, delay_ns)
+        self.schedule(delay_ns + 1, self._next_tick_scheduler(node, node.process_number))
 
-    def _wake_again(self, node: Node, process: int) -> Callable[[], None]:
-        def again() -> None:
-            if node.process == process and node.replica is not None:
-                self._wake(node)
+    def _next_tick_scheduler(self, node: Node, process_number: int) -> Callable[[], None]:
+        def schedule_next_tick() -> None:
+            if node.process_number == process_number and node.replica is not None:
+                self._schedule_tick(node)
 
-        return again
+        return schedule_next_tick
 
     # Actions.
 
-    def _do(self, node: Node, actions: list[Action]) -> None:
+    def _execute(self, node: Node, actions: list[Action]) -> None:
+        """Carries out the actions of a replica."""
         for action in actions:
             match action:
                 case Send(to, message):
                     self._send(node.number, to, message)
                 case Persist():
-                    node.pending.append(action)
+                    node.pending_writes.append(action)
                     self._write(node)
-                case Committed(logged):
-                    if logged.revision != node.applied + 1:
-                        raise Violation(f"{node.number} applies {logged.revision} after {node.applied}")
-                    node.applied = logged.revision
-                    self.ledger.on_committed(logged)
-                case Restored(snapshot):
-                    self.restored += 1
-                    node.applied = snapshot.position.revision
+                case EntryCommitted(logged_change_set):
+                    if logged_change_set.revision != node.applied_revision + 1:
+                        raise InvariantViolation(
+                            f"{node.number} applies {logged_change_set.revision} "
+                            f"after {node.applied_revision}"
+                        )
+                    node.applied_revision = logged_change_set.revision
+                    self.history.on_committed(logged_change_set)
+                case SnapshotInstalled(snapshot):
+                    self.installed_snapshots += 1
+                    node.applied_revision = snapshot.position.revision
                 case ProposalCommitted(id_, revision):
-                    self.ledger.on_acknowledged(id_, revision)
+                    self.history.on_acknowledged(id_, revision)
                     self.answers.append(action)
                 case ProposalRefused():
                     self.answers.append(action)
                 case ReplicaRegressed():
-                    self.regressed.append(action)
+                    self.regressions.append(action)
 
-    def _check(self, node: Node) -> None:
-        replica = node.running
-        if replica.committed != node.applied:
-            raise Violation(f"{node.number} is at {replica.committed}, told of {node.applied}")
+    def _check_applied_revision(self, node: Node) -> None:
+        """Checks that the replica's committed revision is the one that watchers know."""
+        replica = node.running_replica
+        if replica.committed_revision != node.applied_revision:
+            raise InvariantViolation(
+                f"{node.number} is at {replica.committed_revision}, but watchers are at {node.applied_revision}"
+            )
 
     def _send(self, source: int, to: int, message: ReplicationMessage) -> None:
+        """Sends a message, which may be lost, delayed or duplicated."""
         document = encode(message)
-        copies = 1 + (self.random.random() < self.loss / 2)
+        copies = 1 + (self.random.random() < self.loss_rate / 2)
         for _ in range(copies):
-            if self.random.random() < self.loss:
+            if self.random.random() < self.loss_rate:
                 continue
-            delay = int(self.random.expovariate(1 / (3 * MILLISECOND)))
-            self.at(delay, lambda: self._deliver(source, to, document))
+            delay_ns = int(self.random.expovariate(1 / (3 * MILLISECOND_NS)))
+            self.schedule(delay_ns, lambda: self._deliver(source, to, document))
 
     def _deliver(self, source: int, to: int, document: bytes) -> None:
-        if frozenset((source, to)) in self.cut:
+        if frozenset((source, to)) in self.cut_links:
             return
         node = self.nodes[to]
-        clock = self._clock
-        self._in_process(node, lambda replica: replica.on_message(clock(to), source, decode(document)))
+        clock_ns = self._clock_ns
+        self._schedule_in_process(
+            node, lambda replica: replica.on_message(clock_ns(to), source, decode(document))
+        )
 
     def _write(self, node: Node) -> None:
-        """One after the other, each with all that waits then; a full disk is tried again."""
-        if node.is_writing or not node.pending:
+        """Writes to a disk, one write at a time, each of everything that waits at its start.
+
+        A write to a full disk is repeated until there is space.
+        """
+        if node.is_writing or not node.pending_writes:
             return
         node.is_writing = True
-        process, waiting = node.process, len(node.pending)
+        process_number, batch_size = node.process_number, len(node.pending_writes)
 
-        def done() -> None:
-            if node.process != process:
+        def finish_write() -> None:
+            if node.process_number != process_number:
                 return
-            if node.is_full:
-                self.at(100 * MILLISECOND, done)
+            if node.is_disk_full:
+                self.schedule(100 * MILLISECOND_NS, finish_write)
                 return
-            persists, node.pending = node.pending[:waiting], node.pending[waiting:]
+            persists, node.pending_writes = node.pending_writes[:batch_size], node.pending_writes[batch_size:]
             for persist in persists:
                 for record in persist.records:
                     node.disk.add(record)
             node.is_writing = False
             self._write(node)
-            clock, last = self._clock, persists[-1].sequence
-            self._in_process(node, lambda r: r.on_persisted(clock(node.number), last))
+            clock_ns, last_sequence = self._clock_ns, persists[-1].sequence
+            self._schedule_in_process(
+                node, lambda replica: replica.on_persisted(clock_ns(node.number), last_sequence)
+            )
 
-        self.at(int(self.random.expovariate(1 / (2 * MILLISECOND))), done)
+        self.schedule(int(self.random.expovariate(1 / (2 * MILLISECOND_NS))), finish_write)
 
     # Clients.
 
     def leaders(self) -> list[int]:
+        """The replicas that consider themselves the leader."""
         return [node.number for node in self.nodes if node.replica is not None and node.replica.is_leader]
 
-    def leader(self, within: int = 60 * SECOND) -> int:
-        """Runs until there is one."""
-        assert self.run(within, lambda: bool(self.leaders())), "nobody leads"
+    def wait_for_leader(self, timeout_ns: int = 60 * SECOND_NS) -> int:
+        """Runs until a replica leads, and returns its number."""
+        assert self.run(timeout_ns, lambda: bool(self.leaders())), "no replica leads"
         return self.leaders()[0]
 
     def propose(self, number: int, change_set: ChangeSet) -> None:
-        clock = self._clock
-        self._in_process(self.nodes[number], lambda r: r.propose(clock(number), change_set))
-
-    def put(self, change_set: ChangeSet, within: int = 60 * SECOND) -> int:
-        """As a client does: again under the same id until it is committed."""
-        end = self.now + within
-        while self.now < end:
+        """Proposes a change set to one replica."""
+        clock_ns = self._clock_ns
+        self._schedule_in_process(
+            self.nodes[number], lambda replica: replica.propose(clock_ns(number), change_set)
+        )
+
+    def put(self, change_set: ChangeSet, timeout_ns: int = 60 * SECOND_NS) -> int:
+        """Proposes a change set as a client does: repeatedly, under the same id, until it is committed."""
+        end_ns = self.now_ns + timeout_ns
+        while self.now_ns < end_ns:
             leaders = self.leaders()
             if leaders:
                 self.propose(leaders[-1], change_set)
-            if self.run(SECOND, lambda: change_set.id in self.ledger.acknowledged):
-                return self.ledger.acknowledged[change_set.id]
-        raise AssertionError(f"{change_set.id} wasn't committed in {within / SECOND} s")
+            if self.run(SECOND_NS, lambda: change_set.id in self.history.acknowledged_revisions):
+                return self.history.acknowledged_revisions[change_set.id]
+        raise AssertionError(f"{change_set.id} wasn't committed in {timeout_ns / SECOND_NS} s")
 
     def heal(self) -> None:
-        """All links, processes and disks work from now on."""
-        self.cut, self.loss = set(), 0.0
+        """Makes all links, processes and disks work from now on."""
+        self.cut_links, self.loss_rate = set(), 0.0
         for node in self.nodes:
-            node.is_full, node.paused_until = False, 0
+            node.is_disk_full, node.paused_until_ns = False, 0
             if node.replica is None:
                 self.start(node.number)
 
-    def settle(self, within: int = 120 * SECOND) -> None:
-        """Healed, all replicas come to the same state, with all that was ever committed."""
+    def converge(self, timeout_ns: int = 120 * SECOND_NS) -> None:
+        """Heals the cluster and checks that all replicas reach the same state, with everything that was
+        committed."""
         self.heal()
-        self.put(change_set(f"last.{self.now}"), within)
-        newest = max(self.ledger.sets)
+        self.put(change_set(f"last.{self.now_ns}"), timeout_ns)
+        newest_revision = max(self.history.change_sets)
 
-        def same() -> bool:
-            return all(node.running.committed >= newest for node in self.nodes)
+        def all_caught_up() -> bool:
+            return all(node.running_replica.committed_revision >= newest_revision for node in self.nodes)
 
-        if not self.run(within, same):
-            raise Violation(f"{[node.running.committed for node in self.nodes]} of {newest}")
+        if not self.run(timeout_ns, all_caught_up):
+            raise InvariantViolation(
+                f"{[node.running_replica.committed_revision for node in self.nodes]} of {newest_revision}"
+            )
         states = {
-            (node.running.state.revision, node.running.state.digest)
+            (node.running_replica.state.revision, node.running_replica.state.digest)
             for node in self.nodes
-            if node.running.committed == newest
+            if node.running_replica.committed_revision == newest_revision
         }
         if len(states) > 1:
-            raise Violation(f"states differ: {states}")
+            raise InvariantViolation(f"states differ: {states}")
 
 
 def change_set(id_: str, name: str = "", value: int = 0, expected: int | None = None) -> ChangeSet:
-    """One that puts a tenant, or an empty one."""
+    """A change set that puts a tenant, or an empty one if no name is given."""
     if not name:
         return ChangeSet(id_)
     content = msgspec.Raw(b'{"v":%d}' % value)
--- a/tests/control/test_replication_every_order.py
+++ b/tests/control/test_replication_every_order.py
@@ -1,7 +1,8 @@
-"""The log in every order of a small world, and defects of each part of the argument, which have to be found.
+"""Searches the orders of events in a small system for violations of the log's guarantees, and checks that
+planted defects of each part of the algorithm are detected.
 
-The longer form is `python tests/control/test_replication_every_order.py [MILLIONS]`: all bounds below, each
-until so many million states (3 by default).
+The longer form is `python tests/control/test_replication_every_order.py [MILLIONS]`: all searches below, each
+limited to so many million states (3 by default).
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from typing import Any, NamedTuple
 
 import pytest
-from small_world import Bounds, Search, explore, walk
+from small_world import Bounds, SearchResult, explore, explore_randomly
 
 from driftstair.control.replication.actions import Action, Send
 from driftstair.control.replication.leader import Leader
@@ -20,182 +21,208 @@
 from driftstair.control.replication.proposals import Proposals
 from driftstair.control.replication.replica import Replica
 
-STATES_MOST = 150_000
+STATES_MAX = 150_000
 
 SEARCHES = {
     "two leaders, a crash": Bounds(tokens=((1,), (2,)), crashes=1),
-    "two leaders, a repeat": Bounds(tokens=((1,), (2,)), repeats=1),
-    "three leaderships": Bounds(tokens=((1, 3), (2,)), writes_at_once=True),
-    "two leaders, one set put at both": Bounds(tokens=((1,), (2,)), puts=("a", "a"), writes_at_once=True),
+    "two leaders, a duplicated message": Bounds(tokens=((1,), (2,)), duplicates=1),
+    "three leaderships": Bounds(tokens=((1, 3), (2,)), synchronous_writes=True),
+    "two leaders, one change set proposed to both": Bounds(
+        tokens=((1,), (2,)), puts=("a", "a"), synchronous_writes=True
+    ),
 }
-"""Small enough to be searched whole."""
+"""Bounds small enough for a complete search."""
 
 LONG_SEARCHES = {
-    "two leaders, a message sent again": Bounds(tokens=((1,), (2,)), resends=1),
+    "two leaders, a retransmission": Bounds(tokens=((1,), (2,)), retransmissions=1),
     "three leaderships, slow disks": Bounds(tokens=((1, 3), (2,))),
-    "four leaderships": Bounds(writes_at_once=True),
-    "two leaders, a crash, one set": Bounds(tokens=((1,), (2,)), puts=("a",), crashes=1),
-    "two leaders, two sets, one of them twice": Bounds(
-        tokens=((1,), (2,)), puts=("a", "a", "b"), writes_at_once=True
+    "four leaderships": Bounds(synchronous_writes=True),
+    "two leaders, a crash, one change set": Bounds(tokens=((1,), (2,)), puts=("a",), crashes=1),
+    "two leaders, two change sets, one of them proposed twice": Bounds(
+        tokens=((1,), (2,)), puts=("a", "a", "b"), synchronous_writes=True
     ),
     "three leaderships, a crash": Bounds(tokens=((1, 3), (2,)), crashes=1),
-    "compaction": Bounds(tokens=((1,), (2,)), puts=("a", "b"), kept_entries=1, writes_at_once=True),
-    "all": Bounds(puts=("a", "a", "b"), crashes=2, repeats=1, resends=1, kept_entries=1),
+    "compaction": Bounds(tokens=((1,), (2,)), puts=("a", "b"), kept_entries=1, synchronous_writes=True),
+    "all": Bounds(puts=("a", "a", "b"), crashes=2, duplicates=1, retransmissions=1, kept_entries=1),
 }
 
 
 @pytest.mark.parametrize("name", SEARCHES)
-def test_no_order_of_events_loses_or_changes_what_is_committed(name: str) -> None:
-    found = explore(SEARCHES[name], STATES_MOST)
-    assert found.violation == "", found.path
-    assert found.is_whole and found.most_committed >= 2
-    print(f"{name}: {found.states:,} states")
+def test_no_order_of_events_loses_or_changes_a_committed_entry(name: str) -> None:
+    """Explores every order within bounds that are small enough for a complete search."""
+    result = explore(SEARCHES[name], STATES_MAX)
+    assert result.violation == "", result.path
+    assert result.is_complete and result.committed_max >= 2
+    print(f"{name}: {result.states:,} states")
 
 
-THREE_EACH = ((1, 3, 5), (2, 4, 6))
-DEEP = {
+THREE_TOKENS_EACH = ((1, 3, 5), (2, 4, 6))
+RANDOM_SEARCHES = {
     "one entry at a time": Bounds(
-        tokens=THREE_EACH, puts=("a", "a", "b", "c"), crashes=3, repeats=2, resends=8, kept_entries=2,
-        tells_acknowledged=True,
+        tokens=THREE_TOKENS_EACH, puts=("a", "a", "b", "c"), crashes=3, duplicates=2, retransmissions=8,
+        kept_entries=2, reports_acknowledged=True,
     ),
     "two entries at a time": Bounds(
-        tokens=THREE_EACH, puts=("a", "a", "b", "c"), crashes=3, repeats=2, resends=8, kept_entries=2,
-        entries_most=2,
+        tokens=THREE_TOKENS_EACH, puts=("a", "a", "b", "c"), crashes=3, duplicates=2, retransmissions=8,
+        kept_entries=2, append_entries_max=2,
     ),
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", DEEP)
-def test_no_deep_order_by_chance_does(name: str) -> None:
-    """Six leaderships, crashes, messages sent again, compaction and snapshots: too much to be searched."""
-    found = walk(DEEP[name], range(300), 200)
-    assert found.violation == "", found.path
-    assert found.states > 5_000 and found.most_committed >= 4
-    print(f"{name}: {found.states:,} states")
+@pytest.mark.parametrize("name", RANDOM_SEARCHES)
+def test_no_long_random_order_loses_or_changes_a_committed_entry(name: str) -> None:
+    """Six leaderships, crashes, retransmissions, compaction and snapshots: too many states for a full
+    search."""
+    result = explore_randomly(RANDOM_SEARCHES[name], range(300), 200)
+    assert result.violation == "", result.path
+    assert result.states > 5_000 and result.committed_max >= 4
+    print(f"{name}: {result.states:,} states")
 
 
-# Defects. Found by what follows of them: the check of disks at each commitment is off.
+# Defects. They have to be detected by their consequences, so the check of disks at each commit is off.
 
 
-def replies_before_sync(self: Replica, to: int, message: ReplicationMessage) -> list[Action]:
+def reply_before_sync(self: Replica, to: int, message: ReplicationMessage) -> list[Action]:
+    """Acknowledges entries before they are synced."""
     return [Send(to, message)]
 
 
-def promises_before_sync(self: Replica, to: int, message: ReplicationMessage) -> list[Action]:
-    return [Send(to, message)] if isinstance(message, Promise) else reply(self, to, message)
+def promise_before_sync(self: Replica, to: int, message: ReplicationMessage) -> list[Action]:
+    """Promises a token before the promise is synced."""
+    return [Send(to, message)] if isinstance(message, Promise) else original_reply(self, to, message)
 
 
-def leads_unread(self: Leader, now_ns: int) -> list[Action]:
-    self._promises = {0, 1, 2}
-    return lead_if_promised(self, now_ns)
+def lead_without_promises(self: Leader, now_ns: int) -> list[Action]:
+    """Leads without reading from a majority first."""
+    self._promised_by = {0, 1, 2}
+    return original_lead_if_promised(self, now_ns)
 
 
-def never_outdated(self: Replica, token: int) -> bool:
+def accept_outdated_tokens(self: Replica, token: int) -> bool:
+    """Accepts messages of any token."""
     return False
 
 
-def one_is_enough(self: Leader) -> int:
-    acknowledged = [one.acknowledged.revision for one in self.followers.values()]
+def commit_by_minority(self: Leader) -> int:
+    """Commits what a single disk holds."""
+    acknowledged = [follower.acknowledged_position.revision for follower in self.followers.values()]
     return max([*acknowledged, self._replica.synced_revision])
 
 
-def counts_any_token(self: Leader, position: LogPosition) -> bool:
+def commit_any_token_by_count(self: Leader, position: LogPosition) -> bool:
+    """Commits entries of earlier tokens because a majority has them."""
     return True
 
 
-def counts_itself_unsynced(self: Leader) -> int:
-    revisions = [one.acknowledged.revision for one in self.followers.values()]
-    return sorted([*revisions, self._replica.log.last.revision])[1]
+def count_own_unsynced_entries(self: Leader) -> int:
+    """Counts the leader's own entries before they are synced."""
+    revisions = [follower.acknowledged_position.revision for follower in self.followers.values()]
+    return sorted([*revisions, self._replica.log.last_position.revision])[1]
 
 
-def leads_with_any_log(self: Leader, now_ns: int, sender: int, message: Promise) -> list[Action]:
-    return on_promise(self, now_ns, sender, Promise(message.token, LogPosition(0, 0), message.followed))
+def lead_with_any_log(self: Leader, now_ns: int, sender: int, message: Promise) -> list[Action]:
+    """Leads although a promise shows a more recent log."""
+    return original_on_promise(
+        self, now_ns, sender, Promise(message.token, LogPosition(0, 0), message.followed)
+    )
 
 
-def appends_anywhere(self: Replica, position: LogPosition) -> bool:
-    return position.revision <= self.log.last.revision
+def append_without_matching(self: Replica, position: LogPosition) -> bool:
+    """Appends entries without comparing the one before them."""
+    return position.revision <= self.log.last_position.revision
 
 
-def forgets_uncommitted_ids(self: Proposals, change_set_id: str) -> int | None:
+def forget_uncommitted_ids(self: Proposals, change_set_id: str) -> int | None:
+    """Appends an id again that an earlier leader has appended."""
     return self._state.revision_of(change_set_id)
 
 
-reply, lead_if_promised, on_promise = Replica._reply, Leader._lead_if_promised, Leader.on_promise
+original_reply, original_lead_if_promised, original_on_promise = (
+    Replica._reply,
+    Leader._lead_if_promised,
+    Leader.on_promise,
+)
 
 
 class Defect(NamedTuple):
-    where: Any
-    name: str
-    plant: Callable[..., object]
+    """A method replaced by a defective one, and the bounds within which that is detected."""
+
+    target: Any
+    attribute: str
+    replacement: Callable[..., object]
     bounds: Bounds
 
 
-TWO, FOUR = ((1,), (2,)), ((1, 3), (2, 4))
+TWO_TOKENS, FOUR_TOKENS = ((1,), (2,)), ((1, 3), (2, 4))
 DEFECTS = {
     "acknowledged before synced": Defect(
-        Replica, "_reply", replies_before_sync, Bounds(tokens=TWO, crashes=1, checks_disks=False)
+        Replica, "_reply", reply_before_sync, Bounds(tokens=TWO_TOKENS, crashes=1, checks_disks=False)
     ),
     "promised before synced": Defect(
-        Replica, "_reply", promises_before_sync, Bounds(tokens=TWO, crashes=1, checks_disks=False)
+        Replica, "_reply", promise_before_sync, Bounds(tokens=TWO_TOKENS, crashes=1, checks_disks=False)
     ),
-    "no read before the first write": Defect(
-        Leader, "_lead_if_promised", leads_unread, Bounds(tokens=TWO, checks_disks=False)
+    "leads without promises of a majority": Defect(
+        Leader, "_lead_if_promised", lead_without_promises, Bounds(tokens=TWO_TOKENS, checks_disks=False)
     ),
     "token not checked": Defect(
-        Replica, "is_outdated", never_outdated, Bounds(tokens=TWO, checks_disks=False)
+        Replica, "is_outdated", accept_outdated_tokens, Bounds(tokens=TWO_TOKENS, checks_disks=False)
     ),
-    "commit by a minority": Defect(
-        Leader, "_majority_revision", one_is_enough, Bounds(tokens=TWO, checks_disks=False)
+    "committed by a minority": Defect(
+        Leader, "_majority_revision", commit_by_minority, Bounds(tokens=TWO_TOKENS, checks_disks=False)
     ),
     "an earlier token's entry committed by count alone": Defect(
-        Leader, "_may_count", counts_any_token, Bounds(tokens=FOUR, writes_at_once=True, checks_disks=False)
+        Leader, "_may_commit_by_count", commit_any_token_by_count,
+        Bounds(tokens=FOUR_TOKENS, synchronous_writes=True, checks_disks=False)
     ),
     "its own entry counted before synced": Defect(
-        Leader, "_majority_revision", counts_itself_unsynced,
-        Bounds(tokens=TWO, crashes=1, checks_disks=False),
+        Leader, "_majority_revision", count_own_unsynced_entries,
+        Bounds(tokens=TWO_TOKENS, crashes=1, checks_disks=False),
     ),
     "leads without the most recent log": Defect(
-        Leader, "on_promise", leads_with_any_log, Bounds(tokens=TWO, checks_disks=False)
+        Leader, "on_promise", lead_with_any_log, Bounds(tokens=TWO_TOKENS, checks_disks=False)
     ),
-    "the entry before not compared": Defect(
-        Replica, "_holds", appends_anywhere,
-        Bounds(tokens=((1,), (2, 4)), writes_at_once=True, checks_disks=False),
+    "the entry before the new ones not compared": Defect(
+        Replica, "_contains", append_without_matching,
+        Bounds(tokens=((1,), (2, 4)), synchronous_writes=True, checks_disks=False),
     ),
     "an id appended again by the next leader": Defect(
-        Proposals, "revision_of", forgets_uncommitted_ids,
-        Bounds(tokens=TWO, puts=("a", "a"), writes_at_once=True, checks_disks=False),
+        Proposals, "revision_of", forget_uncommitted_ids,
+        Bounds(tokens=TWO_TOKENS, puts=("a", "a"), synchronous_writes=True, checks_disks=False),
     ),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_a_planted_defect_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_planted_defect_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Checks that the search detects the defect by its consequences."""
     defect = DEFECTS[name]
-    monkeypatch.setattr(defect.where, defect.name, defect.plant)
-    found = explore(defect.bounds, STATES_MOST)
-    assert found.violation, f"{found.states:,} states, nothing found"
-    print(f"{name}: after {found.states:,} states, {len(found.path)} steps: {found.violation}")
+    monkeypatch.setattr(defect.target, defect.attribute, defect.replacement)
+    result = explore(defect.bounds, STATES_MAX)
+    assert result.violation, f"{result.states:,} states, no violation found"
+    print(f"{name}: after {result.states:,} states, {len(result.path)} steps: {result.violation}")
 
 
-def report(name: str, found: Search, seconds: float) -> bool:
-    how = "whole" if found.is_whole else "cut off"
+def report(name: str, result: SearchResult, seconds: float) -> bool:
+    """Prints the result of a search; returns whether it found no violation."""
+    extent = "complete" if result.is_complete else "incomplete"
     print(
-        f"{name}: {found.states:,} states, {how}, {found.most_committed} committed at most, {seconds:.0f} s"
+        f"{name}: {result.states:,} states, {extent}, "
+        f"{result.committed_max} committed at most, {seconds:.0f} s"
     )
-    if found.violation:
-        print(f"  {found.violation}", *found.path, sep="\n    ")
-    return not found.violation
+    if result.violation:
+        print(f"  {result.violation}", *result.path, sep="\n    ")
+    return not result.violation
 
 
 def main() -> int:
-    """The longer form."""
-    states_most = int(float(sys.argv[1] if len(sys.argv) > 1 else 3) * 1_000_000)
-    good = True
+    """Runs the longer form."""
+    states_max = int(float(sys.argv[1] if len(sys.argv) > 1 else 3) * 1_000_000)
+    all_passed = True
     for name, bounds in (SEARCHES | LONG_SEARCHES).items():
-        started = time.monotonic()
-        found = explore(bounds, states_most)
-        good = report(name, found, time.monotonic() - started) and good
-    return 0 if good else 1
+        started_s = time.monotonic()
+        result = explore(bounds, states_max)
+        all_passed = report(name, result, time.monotonic() - started_s) and all_passed
+    return 0 if all_passed else 1
 
 
 if __name__ == "__main__":  # with PYTHONPATH=.:tests/control
--- a/tests/control/test_replication_replica.py
+++ b/tests/control/test_replication_replica.py
@@ -1,4 +1,4 @@
-"""One replica, message by message: what only a certain order shows."""
+"""One replica, message by message: behaviour that depends on a certain order of events."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from cluster import SECOND, change_set
+from cluster import SECOND_NS, change_set
 
 from driftstair.configuration.change_sets import Change, ChangeSet
 from driftstair.configuration.resources import Resource, ResourceKey, ResourceKind
@@ -21,19 +21,19 @@
     ProposalRefused,
     ReplaceRecord,
     ReplicaRegressed,
-    Restored,
     Send,
     Snapshot,
+    SnapshotInstalled,
     StoredLog,
 )
 from driftstair.control.replication.consensus import Consensus
 from driftstair.control.replication.core import ControlReplica
-from driftstair.control.replication.followers import APPEND_ENTRIES_MAX, RETRY_NS
+from driftstair.control.replication.followers import APPEND_ENTRIES_MAX, RETRY_INTERVAL_NS
 from driftstair.control.replication.log import CompactedError, EntryLog
 from driftstair.control.replication.messages import (
     APPEND_BYTES_MAX,
+    LOG_START,
     MESSAGE_BYTES_MAX,
-    START,
     Append,
     Appended,
     LogEntry,
@@ -46,428 +46,481 @@
     SnapshotProgress,
     encode,
 )
-from driftstair.control.replication.proposals import PROPOSAL_TIMEOUT_NS, UNCOMMITTED_MAX, Proposals
+from driftstair.control.replication.proposals import PROPOSAL_TIMEOUT_NS, UNCOMMITTED_ENTRIES_MAX, Proposals
 from driftstair.control.replication.replica import (
     RESOURCES_PER_ENTRY,
     ReplicationFaultError,
 )
-from driftstair.control.replication.snapshots import cut_snapshot
-from driftstair.control.replication.stored import restored_state
+from driftstair.control.replication.snapshots import split_snapshot
+from driftstair.control.replication.stored import restore_state
 
 
-def consensus(stored: StoredLog | None = None, own: int = 2, count: int = 3, kept: int = 100) -> Consensus:
+def make_consensus(
+    stored: StoredLog | None = None, own_number: int = 2, replica_count: int = 3, kept_entries: int = 100
+) -> Consensus:
+    """Replica 2 of 3, or another one, with this content on its disk."""
     stored = stored or StoredLog()
-    return Consensus(own, count, 0, stored, restored_state(stored), kept)
+    return Consensus(own_number, replica_count, 0, stored, restore_state(stored), kept_entries)
 
 
-def entry(revision: int, token: int, name: str = "") -> LogEntry:
+def make_entry(revision: int, token: int, name: str = "") -> LogEntry:
+    """An entry with its own change set, empty unless a tenant is named."""
     return LogEntry(revision, token, change_set(f"s{token}.{revision}", name, revision))
 
 
-def synced(one: Consensus, actions: list[Action], now: int = 0) -> list[Action]:
-    """All but the Persists, with what follows once those are on the disk."""
-    rest = []
-    waiting = list(actions)
-    while waiting:
-        action = waiting.pop(0)
+def run_writes(consensus: Consensus, actions: list[Action], now: int = 0) -> list[Action]:
+    """Completes all Persists among the actions and those that follow; returns all other actions."""
+    other_actions = []
+    remaining = list(actions)
+    while remaining:
+        action = remaining.pop(0)
         if isinstance(action, Persist):
-            waiting += one.on_persisted(now, action.sequence)
+            remaining += consensus.on_persisted(now, action.sequence)
         else:
-            rest.append(action)
-    return rest
+            other_actions.append(action)
+    return other_actions
 
 
-def leading(count: int = 3, stored: StoredLog | None = None, kept: int = 100) -> Consensus:
-    """Replica 0 leads with token 10, promised by enough others; nobody acknowledged anything."""
-    one = consensus(stored, 0, count, kept)
-    synced(one, one.lead(0, 10))
-    for sender in range(1, count // 2 + 1):
-        synced(one, one.on_message(0, sender, Promise(10, START, 0)))
-    assert one.is_leader
-    return one
+def make_leader(
+    replica_count: int = 3, stored: StoredLog | None = None, kept_entries: int = 100
+) -> Consensus:
+    """Replica 0 of the group leads with token 10, with promises of a majority and nothing acknowledged."""
+    consensus = make_consensus(stored, 0, replica_count, kept_entries)
+    run_writes(consensus, consensus.lead(0, 10))
+    for sender in range(1, replica_count // 2 + 1):
+        run_writes(consensus, consensus.on_message(0, sender, Promise(10, LOG_START, 0)))
+    assert consensus.is_leader
+    return consensus
 
 
-def sends(actions: list[Action]) -> list[Send]:
+def sends_of(actions: list[Action]) -> list[Send]:
     return [action for action in actions if isinstance(action, Send)]
 
 
 # Promises.
 
 
-def test_a_promise_is_said_once_it_is_on_the_disk() -> None:
-    one = consensus()
-    actions = one.on_message(0, 0, Prepare(5))
+def test_a_promise_is_sent_once_it_is_on_the_disk() -> None:
+    consensus = make_consensus()
+    actions = consensus.on_message(0, 0, Prepare(5))
     assert [type(action) for action in actions] == [Persist]
-    assert one.on_persisted(0, 1) == [Send(0, Promise(5, START, 0))]
-    assert one.on_message(0, 1, Prepare(4)) == [Send(1, Refusal(4, 5))]
-    assert one.on_message(0, 0, Prepare(5)) == [Send(0, Promise(5, START, 0))]  # it was lost
+    assert consensus.on_persisted(0, 1) == [Send(0, Promise(5, LOG_START, 0))]
+    assert consensus.on_message(0, 1, Prepare(4)) == [Send(1, Refusal(4, 5))]
+    # Asked again because the first answer was lost.
+    assert consensus.on_message(0, 0, Prepare(5)) == [Send(0, Promise(5, LOG_START, 0))]
 
 
-def test_who_leads_promises_itself_on_the_disk_before_it_asks() -> None:
-    one = consensus(own=0)
-    actions = one.lead(0, 5)
+def test_a_candidate_stores_its_own_promise_before_it_asks_others() -> None:
+    consensus = make_consensus(own_number=0)
+    actions = consensus.lead(0, 5)
     assert [type(action) for action in actions] == [Persist]
-    assert one.on_persisted(0, 1) == [Send(1, Prepare(5)), Send(2, Prepare(5))]
+    assert consensus.on_persisted(0, 1) == [Send(1, Prepare(5)), Send(2, Prepare(5))]
 
 
-def test_a_token_that_is_not_above_all_promised_leads_nobody() -> None:
-    one = consensus(StoredLog(promised=5), 0)
-    assert one.lead(0, 5) == [] and one.leadership is None
+def test_a_token_not_above_the_promised_one_begins_no_leadership() -> None:
+    consensus = make_consensus(StoredLog(promised=5), 0)
+    assert consensus.lead(0, 5) == [] and consensus.leadership is None
 
 
-def test_a_leader_whose_log_is_behind_a_promise_names_its_heir() -> None:
-    one = consensus(StoredLog(entries=(entry(1, 3),)), 0)
-    synced(one, one.lead(0, 5))
-    one.on_message(0, 1, Promise(5, LogPosition(4, 1), 4))
-    assert not one.is_leader
-    assert one.leadership is not None and one.leadership.heir == 1
+def test_a_candidate_with_an_older_log_resigns_and_names_a_successor() -> None:
+    consensus = make_consensus(StoredLog(entries=(make_entry(1, 3),)), 0)
+    run_writes(consensus, consensus.lead(0, 5))
+    consensus.on_message(0, 1, Promise(5, LogPosition(4, 1), 4))
+    assert not consensus.is_leader
+    assert consensus.leadership is not None and consensus.leadership.successor == 1
 
 
 def test_a_leader_is_fenced_by_a_higher_token() -> None:
-    one = leading()
-    one.propose(0, change_set("a"))
-    actions = one.on_message(0, 1, Prepare(11))
-    assert not one.is_leader and ProposalRefused("a", NoMajority()) in actions
+    consensus = make_leader()
+    consensus.propose(0, change_set("a"))
+    actions = consensus.on_message(0, 1, Prepare(11))
+    assert not consensus.is_leader and ProposalRefused("a", NoMajority()) in actions
 
 
 # The log.
 
 
-def test_entries_are_acknowledged_once_they_are_on_the_disk_and_repeats_too() -> None:
-    one = consensus()
-    message = Append(5, 1, START, (entry(1, 5), entry(2, 5)), 0)
-    assert sends(one.on_message(0, 0, message)) == []
-    assert sends(one.on_message(0, 0, message)) == []  # again while the disk is slow: no early answer
-    assert one.on_persisted(0, 1) == []  # the promise; the entries are the second write
-    assert one.on_persisted(0, 2) == [Send(0, Appended(5, 1, 2))]
+def test_entries_and_their_duplicates_are_acknowledged_once_they_are_on_the_disk() -> None:
+    consensus = make_consensus()
+    message = Append(5, 1, LOG_START, (make_entry(1, 5), make_entry(2, 5)), 0)
+    assert sends_of(consensus.on_message(0, 0, message)) == []
+    # A duplicate while the disk is slow must not be answered early.
+    assert sends_of(consensus.on_message(0, 0, message)) == []
+    assert consensus.on_persisted(0, 1) == []  # the first write is the promise, the second the entries
+    assert consensus.on_persisted(0, 2) == [Send(0, Appended(5, 1, 2))]
 
 
-def test_an_uncommitted_tail_is_replaced_and_a_committed_one_never() -> None:
-    one = consensus(StoredLog(committed=1, entries=(entry(1, 3), entry(2, 3), entry(3, 3))))
-    actions = one.on_message(0, 0, Append(5, 1, LogPosition(3, 1), (entry(2, 5),), 0))
-    assert sends(synced(one, actions)) == [Send(0, Appended(5, 1, 2))]
-    assert one.replica.log.last == (5, 2)
+def test_uncommitted_entries_are_replaced_and_committed_ones_never() -> None:
+    consensus = make_consensus(
+        StoredLog(committed=1, entries=(make_entry(1, 3), make_entry(2, 3), make_entry(3, 3)))
+    )
+    actions = consensus.on_message(0, 0, Append(5, 1, LogPosition(3, 1), (make_entry(2, 5),), 0))
+    assert sends_of(run_writes(consensus, actions)) == [Send(0, Appended(5, 1, 2))]
+    assert consensus.replica.log.last_position == (5, 2)
     with pytest.raises(ReplicationFaultError, match="revision 1 is committed"):
-        one.on_message(0, 0, Append(5, 2, START, (entry(1, 5),), 0))
+        consensus.on_message(0, 0, Append(5, 2, LOG_START, (make_entry(1, 5),), 0))
 
 
-def test_a_log_that_differs_says_up_to_where_it_may_be_the_same() -> None:
-    one = consensus(StoredLog(committed=1, entries=(entry(1, 3), entry(2, 3))))
-    differs = one.on_message(0, 0, Append(5, 1, LogPosition(4, 2), (), 0))
-    assert sends(synced(one, differs)) == [Send(0, Mismatch(5, 1, 1))]
-    short = one.on_message(0, 0, Append(5, 2, LogPosition(4, 9), (), 0))
-    assert sends(synced(one, short)) == [Send(0, Mismatch(5, 2, 2))]
+def test_a_mismatch_reports_the_revision_up_to_which_the_logs_may_be_equal() -> None:
+    consensus = make_consensus(StoredLog(committed=1, entries=(make_entry(1, 3), make_entry(2, 3))))
+    replies_to_other_token = consensus.on_message(0, 0, Append(5, 1, LogPosition(4, 2), (), 0))
+    assert sends_of(run_writes(consensus, replies_to_other_token)) == [Send(0, Mismatch(5, 1, 1))]
+    replies_to_gap = consensus.on_message(0, 0, Append(5, 2, LogPosition(4, 9), (), 0))
+    assert sends_of(run_writes(consensus, replies_to_gap)) == [Send(0, Mismatch(5, 2, 2))]
 
 
-def test_a_commit_goes_no_further_than_what_the_leader_showed_to_be_the_same() -> None:
-    """The tail behind it may be another leader's."""
-    one = consensus(StoredLog(entries=(entry(1, 3), entry(2, 3))))
-    one.on_message(0, 0, Append(5, 1, LogPosition(3, 1), (), 2))
-    assert one.replica.committed == 1
+def test_a_follower_commits_only_entries_known_to_equal_the_leaders() -> None:
+    """Entries after the matched revision may be another leader's."""
+    consensus = make_consensus(StoredLog(entries=(make_entry(1, 3), make_entry(2, 3))))
+    consensus.on_message(0, 0, Append(5, 1, LogPosition(3, 1), (), 2))
+    assert consensus.replica.committed_revision == 1
 
 
-def test_what_is_committed_is_on_the_disk_soon_without_a_write_of_its_own() -> None:
-    one = consensus()
-    one.on_message(0, 0, Append(5, 1, START, (entry(1, 5),), 0))
-    one.on_message(0, 0, Append(5, 2, LogPosition(5, 1), (), 1))
-    (persist,) = one.on_message(0, 0, Append(5, 3, LogPosition(5, 1), (entry(2, 5),), 1))
+def test_the_commit_revision_is_stored_with_the_next_write() -> None:
+    consensus = make_consensus()
+    consensus.on_message(0, 0, Append(5, 1, LOG_START, (make_entry(1, 5),), 0))
+    consensus.on_message(0, 0, Append(5, 2, LogPosition(5, 1), (), 1))
+    (persist,) = consensus.on_message(0, 0, Append(5, 3, LogPosition(5, 1), (make_entry(2, 5),), 1))
     assert isinstance(persist, Persist) and CommitRecord(1) in persist.records
-    assert one.replica.persist_commit() == []
+    assert consensus.replica.persist_commit() == []
 
 
-def test_entries_that_the_log_was_cut_at_are_known_to_be_the_same() -> None:
-    one = consensus(kept=1)
+def test_compacted_entries_count_as_equal_to_the_leaders() -> None:
+    consensus = make_consensus(kept_entries=1)
     for revision in range(1, 6):
-        previous = one.replica.log.last
-        synced(one, one.on_message(0, 0, Append(5, revision, previous, (entry(revision, 5, "t"),), revision)))
-    assert one.replica.log.base.revision == 4
-    late = Append(5, 9, LogPosition(5, 1), (entry(2, 5),), 1)
-    assert sends(one.on_message(0, 0, late)) == [Send(0, Appended(5, 9, 4))]
+        previous = consensus.replica.log.last_position
+        run_writes(
+            consensus,
+            consensus.on_message(
+                0, 0, Append(5, revision, previous, (make_entry(revision, 5, "t"),), revision)
+            ),
+        )
+    assert consensus.replica.log.base.revision == 4
+    late_append = Append(5, 9, LogPosition(5, 1), (make_entry(2, 5),), 1)
+    assert sends_of(consensus.on_message(0, 0, late_append)) == [Send(0, Appended(5, 9, 4))]
     with pytest.raises(CompactedError, match="after 3"):
-        one.replica.log.after(3, 1)
+        consensus.replica.log.entries_after(3, 1)
 
 
-def test_an_entry_log_keeps_what_is_behind_the_position_it_is_cut_at() -> None:
-    log = EntryLog(START, [entry(1, 3), entry(2, 3), entry(3, 4)])
+def test_an_entry_log_keeps_the_entries_after_the_position_it_is_compacted_to() -> None:
+    log = EntryLog(LOG_START, [make_entry(1, 3), make_entry(2, 3), make_entry(3, 4)])
     log.compact_to(LogPosition(3, 2))
-    assert (log.base, log.last, log.position_at(2), log.position_at(1)) == ((3, 2), (4, 3), (3, 2), None)
-    log.compact_to(LogPosition(9, 3))  # another one's entry stands there
+    assert (log.base, log.last_position, log.position_at(2), log.position_at(1)) == (
+        (3, 2),
+        (4, 3),
+        (3, 2),
+        None,
+    )
+    log.compact_to(LogPosition(9, 3))  # the log holds another entry at that revision
     assert (log.base, log.entries) == ((9, 3), [])
 
 
 # The leader.
 
 
-def test_an_entry_counts_for_the_leader_once_it_is_on_its_own_disk() -> None:
-    one = consensus(own=0, count=5)
-    synced(one, one.lead(0, 10))
-    one.on_message(0, 1, Promise(10, START, 0))
-    actions = one.on_message(0, 2, Promise(10, START, 0))
+def test_the_leader_counts_itself_only_once_an_entry_is_on_its_own_disk() -> None:
+    consensus = make_consensus(own_number=0, replica_count=5)
+    run_writes(consensus, consensus.lead(0, 10))
+    consensus.on_message(0, 1, Promise(10, LOG_START, 0))
+    actions = consensus.on_message(0, 2, Promise(10, LOG_START, 0))
     persist = next(action for action in actions if isinstance(action, Persist))
     for sender in (1, 2):
-        number = next(send.message for send in sends(actions) if send.to == sender)
-        assert isinstance(number, Append)
-        one.on_message(0, sender, Appended(10, number.number, 1))
-    assert one.replica.committed == 0
-    one.on_persisted(0, persist.sequence)
-    assert one.replica.committed == 1
-
-
-def test_a_majority_of_others_is_enough_while_the_leaders_disk_is_full() -> None:
-    one = consensus(own=0)
-    synced(one, one.lead(0, 10))
-    one.on_message(0, 1, Promise(10, START, 0))
+        append = next(send.message for send in sends_of(actions) if send.to == sender)
+        assert isinstance(append, Append)
+        consensus.on_message(0, sender, Appended(10, append.number, 1))
+    assert consensus.replica.committed_revision == 0
+    consensus.on_persisted(0, persist.sequence)
+    assert consensus.replica.committed_revision == 1
+
+
+def test_a_majority_of_followers_commits_while_the_leaders_disk_is_full() -> None:
+    consensus = make_consensus(own_number=0)
+    run_writes(consensus, consensus.lead(0, 10))
+    consensus.on_message(0, 1, Promise(10, LOG_START, 0))
     for sender in (1, 2):
-        one.on_message(0, sender, Appended(10, 1, 1))
-    assert one.replica.committed == 1 and one.replica.synced_revision == 0
+        consensus.on_message(0, sender, Appended(10, 1, 1))
+    assert consensus.replica.committed_revision == 1 and consensus.replica.synced_revision == 0
 
 
-def test_answers_that_say_nothing_of_this_leadership_change_nothing() -> None:
-    one = leading()
+def test_answers_that_do_not_belong_to_this_leadership_change_nothing() -> None:
+    consensus = make_leader()
     for message in (
         Appended(9, 1, 1),
         Appended(10, 1, 99),
         Mismatch(10, 7, 0),
-        SnapshotProgress(10, 7, START, 1),
+        SnapshotProgress(10, 7, LOG_START, 1),
     ):
-        assert one.on_message(0, 1, message) == []
-    assert one.on_message(0, 9, Appended(10, 1, 1)) == []
-    assert one.replica.committed == 0
-
-
-def test_who_does_not_answer_is_asked_again_less_and_less_often() -> None:
-    one = leading()
-    at = []
-    for now in range(0, 30 * SECOND, RETRY_NS // 5):
-        at += [now for send in sends(one.tick(now)) if send.to == 1]
-    gaps = [second - first for first, second in pairwise(at)]
-    assert gaps == sorted(gaps) and gaps[0] >= RETRY_NS and gaps[-1] == 8 * RETRY_NS
+        assert consensus.on_message(0, 1, message) == []
+    assert consensus.on_message(0, 9, Appended(10, 1, 1)) == []
+    assert consensus.replica.committed_revision == 0
+
+
+def test_retries_to_a_silent_follower_back_off() -> None:
+    consensus = make_leader()
+    sent_at_ns = []
+    for now_ns in range(0, 30 * SECOND_NS, RETRY_INTERVAL_NS // 5):
+        sent_at_ns += [now_ns for send in sends_of(consensus.tick(now_ns)) if send.to == 1]
+    gaps_ns = [later_ns - earlier_ns for earlier_ns, later_ns in pairwise(sent_at_ns)]
+    assert (
+        gaps_ns == sorted(gaps_ns)
+        and gaps_ns[0] >= RETRY_INTERVAL_NS
+        and gaps_ns[-1] == 8 * RETRY_INTERVAL_NS
+    )
 
 
-def test_a_batch_of_great_change_sets_fits_into_a_message() -> None:
-    one = leading()
+def test_a_batch_of_large_change_sets_fits_into_a_message() -> None:
+    consensus = make_leader()
     content = msgspec.Raw(b'{"x":"' + b"y" * 16_000 + b'"}')
-    great = tuple(Change(ResourceKind.ROUTE, f"r{index}", content) for index in range(16))
+    large_changes = tuple(Change(ResourceKind.ROUTE, f"r{index}", content) for index in range(16))
     for index in range(4):
-        one.propose(0, ChangeSet(f"great{index}", great))
+        consensus.propose(0, ChangeSet(f"large{index}", large_changes))
     for index in range(APPEND_ENTRIES_MAX * 2):
-        one.propose(0, change_set(f"small{index}"))
-    sizes, number, last = [], 1, one.replica.log.last.revision
-    (send,) = sends(one.on_message(0, 1, Appended(10, number, 1)))[:1]
+        consensus.propose(0, change_set(f"small{index}"))
+    sizes_bytes, message_number, last_revision = [], 1, consensus.replica.log.last_position.revision
+    (send,) = sends_of(consensus.on_message(0, 1, Appended(10, message_number, 1)))[:1]
     while isinstance(send.message, Append) and send.message.entries:
-        sizes.append(len(encode(send.message)))
+        sizes_bytes.append(len(encode(send.message)))
         message = send.message
         revision = message.previous.revision + len(message.entries)
-        answers = sends(one.on_message(0, 1, Appended(10, message.number, revision)))
-        if revision == last:
+        answers = sends_of(consensus.on_message(0, 1, Appended(10, message.number, revision)))
+        if revision == last_revision:
             break
-        (send,) = [one for one in answers if one.to == 1][:1]
-    assert max(sizes) < MESSAGE_BYTES_MAX and max(sizes) > APPEND_BYTES_MAX // 2 and len(sizes) >= 4
+        (send,) = [reply for reply in answers if reply.to == 1][:1]
+    assert (
+        max(sizes_bytes) < MESSAGE_BYTES_MAX
+        and max(sizes_bytes) > APPEND_BYTES_MAX // 2
+        and len(sizes_bytes) >= 4
+    )
 
 
-def test_proposals_that_wait_too_long_are_unknown_and_the_same_id_waits_again() -> None:
-    one = leading()
-    assert ProposalRefused("a", NoMajority()) not in one.propose(0, change_set("a"))
-    assert ProposalRefused("a", NoMajority()) in one.tick(PROPOSAL_TIMEOUT_NS)
-    last = one.replica.log.last
-    assert one.propose(PROPOSAL_TIMEOUT_NS, change_set("a")) == []
-    assert one.replica.log.last == last
-    assert ProposalRefused("a", NoMajority()) in one.tick(2 * PROPOSAL_TIMEOUT_NS)
+def test_an_expired_proposal_has_an_unknown_outcome_and_may_be_proposed_again() -> None:
+    consensus = make_leader()
+    assert ProposalRefused("a", NoMajority()) not in consensus.propose(0, change_set("a"))
+    assert ProposalRefused("a", NoMajority()) in consensus.tick(PROPOSAL_TIMEOUT_NS)
+    last_position = consensus.replica.log.last_position
+    assert consensus.propose(PROPOSAL_TIMEOUT_NS, change_set("a")) == []
+    assert consensus.replica.log.last_position == last_position
+    assert ProposalRefused("a", NoMajority()) in consensus.tick(2 * PROPOSAL_TIMEOUT_NS)
 
 
 def test_a_leader_without_a_majority_takes_a_bounded_number_of_entries() -> None:
-    one = leading()
-    refused = 0
-    for index in range(UNCOMMITTED_MAX + 5):
-        refused += ProposalRefused(f"a{index}", NoMajority()) in one.propose(0, change_set(f"a{index}"))
-    assert refused == 6  # its own first entry is one of them
-    assert len(one.replica.log.entries) == UNCOMMITTED_MAX
+    consensus = make_leader()
+    refused_count = 0
+    for index in range(UNCOMMITTED_ENTRIES_MAX + 5):
+        refused_count += ProposalRefused(f"a{index}", NoMajority()) in consensus.propose(
+            0, change_set(f"a{index}")
+        )
+    assert refused_count == 6  # the leader's own first entry counts too
+    assert len(consensus.replica.log.entries) == UNCOMMITTED_ENTRIES_MAX
 
 
-def test_a_deleted_resource_has_revision_zero_before_it_is_committed_too() -> None:
+def test_a_resource_has_revision_zero_once_its_deletion_is_appended() -> None:
     state = ConfigurationState()
     key = ResourceKey(ResourceKind.TENANT, "t")
-    proposals = Proposals(state, [entry(1, 5, "t")])
-    assert proposals.reason_against(change_set("x", "t", 1, expected=0)) == Conflict(key, 1)
-    deletes = ChangeSet("delete", (Change(ResourceKind.TENANT, "t"),))
-    proposals.add(LogEntry(2, 5, deletes))
-    assert proposals.reason_against(change_set("x", "t", 1, expected=0)) is None
-    assert proposals.reason_against(change_set("x", "t", 1, expected=1)) == Conflict(key, 0)
+    proposals = Proposals(state, [make_entry(1, 5, "t")])
+    assert proposals.refusal_reason(change_set("x", "t", 1, expected=0)) == Conflict(key, 1)
+    deletion = ChangeSet("delete", (Change(ResourceKind.TENANT, "t"),))
+    proposals.add(LogEntry(2, 5, deletion))
+    assert proposals.refusal_reason(change_set("x", "t", 1, expected=0)) is None
+    assert proposals.refusal_reason(change_set("x", "t", 1, expected=1)) == Conflict(key, 0)
+
 
+# Restored old disks.
 
-# Old disks.
 
+def candidate_that_knows_acknowledged_positions(followed_token: int) -> tuple[Consensus, list[Action]]:
+    """Replica 2 as a candidate that knows what replica 1 acknowledged, and gets a promise of replica 1.
 
-def told_by_a_leader(followed: int) -> tuple[Consensus, list[Action]]:
-    """Replica 2 heard from leader 0 that 1 has revision 3 on its disk; then it wants to lead, and 1 promises
-    with a shorter log, changed last by the leader of `followed`."""
-    one = consensus(StoredLog(entries=(entry(1, 3),)))
-    acknowledged = (LogPosition(5, 3), LogPosition(5, 3), START)
-    synced(one, one.on_message(0, 0, Append(5, 1, LogPosition(5, 3), (), 3, acknowledged)))
-    synced(one, one.lead(0, 8))
-    return one, one.on_message(0, 1, Promise(8, LogPosition(3, 1), followed))
+    Leader 0 has reported that replica 1 has revision 3 on its disk. Replica 1 promises with a shorter log,
+    last changed by the leader of `followed_token`.
+    """
+    consensus = make_consensus(StoredLog(entries=(make_entry(1, 3),)))
+    acknowledged = (LogPosition(5, 3), LogPosition(5, 3), LOG_START)
+    run_writes(consensus, consensus.on_message(0, 0, Append(5, 1, LogPosition(5, 3), (), 3, acknowledged)))
+    run_writes(consensus, consensus.lead(0, 8))
+    return consensus, consensus.on_message(0, 1, Promise(8, LogPosition(3, 1), followed_token))
 
 
-def test_a_promise_on_an_old_disk_does_not_count_for_one_that_lacks_what_it_had() -> None:
-    one, actions = told_by_a_leader(followed=3)
-    assert actions == [ReplicaRegressed(1, 3, 1)] and not one.is_leader
+def test_a_promise_from_an_old_disk_does_not_count_for_a_candidate_that_lacks_the_entries() -> None:
+    consensus, actions = candidate_that_knows_acknowledged_positions(followed_token=3)
+    assert actions == [ReplicaRegressed(1, 3, 1)] and not consensus.is_leader
 
 
-def test_a_log_that_a_later_leader_cut_is_not_taken_for_an_old_disk() -> None:
-    one, _ = told_by_a_leader(followed=6)
-    assert one.is_leader
+def test_a_log_that_a_later_leader_truncated_does_not_count_as_an_old_disk() -> None:
+    consensus, _ = candidate_that_knows_acknowledged_positions(followed_token=6)
+    assert consensus.is_leader
 
 
-def test_a_follower_that_lacks_what_it_acknowledged_is_told_and_caught_up_and_counts_anew() -> None:
-    one = leading(5)
-    (first,) = [send.message for send in sends(one.tick(RETRY_NS)) if send.to == 1]
-    assert isinstance(first, Append)
-    one.on_message(0, 1, Appended(10, first.number, 1))
-    follower = one.leadership.followers[1] if one.leadership else None
-    assert follower is not None and follower.acknowledged == (10, 1)
-    one.propose(0, change_set("a"))
-    actions = one.on_message(0, 1, Mismatch(10, follower.number, 0))
+def test_a_follower_that_lost_acknowledged_entries_is_reported_and_counts_from_the_start() -> None:
+    consensus = make_leader(5)
+    (first_append,) = [send.message for send in sends_of(consensus.tick(RETRY_INTERVAL_NS)) if send.to == 1]
+    assert isinstance(first_append, Append)
+    consensus.on_message(0, 1, Appended(10, first_append.number, 1))
+    follower = consensus.leadership.followers[1] if consensus.leadership else None
+    assert follower is not None and follower.acknowledged_position == (10, 1)
+    consensus.propose(0, change_set("a"))
+    actions = consensus.on_message(0, 1, Mismatch(10, follower.last_message_number, 0))
     assert actions[0] == ReplicaRegressed(1, 1, 0)
-    assert follower.acknowledged == START and follower.next_revision == 1
-    one.on_message(0, 1, Appended(10, first.number, 1))  # late, of the disk that is gone
-    assert follower.acknowledged == START
-    one.on_message(0, 1, Appended(10, follower.number, 2))
-    assert follower.acknowledged == (10, 2)
+    assert follower.acknowledged_position == LOG_START and follower.next_revision == 1
+    # Late, and sent from the disk that was replaced.
+    consensus.on_message(0, 1, Appended(10, first_append.number, 1))
+    assert follower.acknowledged_position == LOG_START
+    consensus.on_message(0, 1, Appended(10, follower.last_message_number, 2))
+    assert follower.acknowledged_position == (10, 2)
 
 
 # Snapshots.
 
 
 def compacted_leader(resources: int = 20) -> Consensus:
+    """A leader that has committed and compacted this many resources."""
     entries = tuple(
         LogEntry(index, 3, change_set(f"s{index}", f"t{index:03}", index))
         for index in range(1, resources + 1)
     )
-    one = leading(stored=StoredLog(committed=resources, entries=entries), kept=2)
-    synced(one, one.on_message(0, 1, Appended(10, 1, resources + 1)))
-    assert one.replica.committed == resources + 1
-    assert one.replica.log.base.revision == resources - 2
-    return one
-
-
-def transfer(leader: Consensus, follower: Consensus, lose: Random | None = None) -> list[Action]:
-    """Until nothing is left to say; with `lose` some messages are lost, and sent again later."""
-    out: list[Action] = []
-    now = 0
+    consensus = make_leader(stored=StoredLog(committed=resources, entries=entries), kept_entries=2)
+    run_writes(consensus, consensus.on_message(0, 1, Appended(10, 1, resources + 1)))
+    assert consensus.replica.committed_revision == resources + 1
+    assert consensus.replica.log.base.revision == resources - 2
+    return consensus
+
+
+def deliver_until_caught_up(
+    leader: Consensus, follower: Consensus, loss: Random | None = None
+) -> list[Action]:
+    """Delivers messages until the follower has caught up; with `loss`, some are lost and sent again later."""
+    follower_actions: list[Action] = []
+    now_ns = 0
     for _ in range(400):
-        now += RETRY_NS * 8
-        waiting = [send for send in sends(leader.tick(now)) if send.to == 2]
-        while waiting:
-            send = waiting.pop(0)
-            if lose is not None and lose.random() < 0.3:
+        now_ns += RETRY_INTERVAL_NS * 8
+        queue = [send for send in sends_of(leader.tick(now_ns)) if send.to == 2]
+        while queue:
+            send = queue.pop(0)
+            if loss is not None and loss.random() < 0.3:
                 continue
-            actions = synced(follower, follower.on_message(now, 0, send.message))
-            out += actions
-            for answer in sends(actions):
-                if lose is None or lose.random() > 0.3:
-                    sent = synced(leader, leader.on_message(now, 2, answer.message), now)
-                    waiting += [one for one in sends(sent) if one.to == 2]
+            actions = run_writes(follower, follower.on_message(now_ns, 0, send.message))
+            follower_actions += actions
+            for answer in sends_of(actions):
+                if loss is None or loss.random() > 0.3:
+                    leader_actions = run_writes(leader, leader.on_message(now_ns, 2, answer.message), now_ns)
+                    queue += [next_send for next_send in sends_of(leader_actions) if next_send.to == 2]
         assert leader.leadership is not None
-        if leader.leadership.followers[2].acknowledged.revision == leader.replica.committed:
-            return out
-    raise AssertionError("no end")
+        if leader.leadership.followers[2].acknowledged_position.revision == leader.replica.committed_revision:
+            return follower_actions
+    raise AssertionError("the follower does not catch up")
 
 
 @pytest.mark.parametrize("seed", [None, 1, 2, 3])
-def test_a_replica_behind_the_log_gets_the_state_in_parts(
+def test_a_replica_behind_the_compacted_log_gets_the_state_in_parts(
     seed: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(cut_snapshot, "__defaults__", (200,))  # bytes in a part
-    leader, follower = compacted_leader(), consensus()
-    actions = transfer(leader, follower, None if seed is None else Random(seed))
-    assert len([action for action in actions if isinstance(action, Restored)]) == 1
+    monkeypatch.setattr(split_snapshot, "__defaults__", (200,))  # bytes in a part
+    leader, follower = compacted_leader(), make_consensus()
+    actions = deliver_until_caught_up(leader, follower, None if seed is None else Random(seed))
+    assert len([action for action in actions if isinstance(action, SnapshotInstalled)]) == 1
     assert follower.replica.state.digest == leader.replica.state.digest
     assert follower.replica.state.recent_ids() == leader.replica.state.recent_ids()
     assert follower.replica.log.base == leader.replica.log.position_at(21)
-    assert leader.leadership is not None and leader.leadership._outgoing is None
+    assert leader.leadership is not None and leader.leadership._outgoing_snapshot is None
 
 
-def test_a_part_out_of_order_is_not_taken_and_the_wanted_one_is_named() -> None:
-    follower = consensus()
+def test_a_snapshot_part_out_of_order_is_ignored_and_the_expected_part_is_named() -> None:
+    follower = make_consensus()
     position = LogPosition(3, 9)
     part = SnapshotPart(5, 1, position, 1, False, ())
-    assert sends(synced(follower, follower.on_message(0, 0, part))) == [
+    assert sends_of(run_writes(follower, follower.on_message(0, 0, part))) == [
         Send(0, SnapshotProgress(5, 1, position, 0))
     ]
-    first = SnapshotPart(5, 2, position, 0, False, ())
-    assert sends(follower.on_message(0, 0, first)) == [Send(0, SnapshotProgress(5, 2, position, 1))]
-    other = SnapshotPart(6, 1, position, 1, True, ())  # the next leader cuts it differently
-    answers = sends(synced(follower, follower.on_message(0, 1, other)))
+    first_part = SnapshotPart(5, 2, position, 0, False, ())
+    assert sends_of(follower.on_message(0, 0, first_part)) == [Send(0, SnapshotProgress(5, 2, position, 1))]
+    # The next leader splits the snapshot differently.
+    part_of_next_leader = SnapshotPart(6, 1, position, 1, True, ())
+    answers = sends_of(run_writes(follower, follower.on_message(0, 1, part_of_next_leader)))
     assert answers == [Send(1, SnapshotProgress(6, 1, position, 0))]
-    assert follower.replica.committed == 0
+    assert follower.replica.committed_revision == 0
 
 
 def test_a_snapshot_that_is_not_newer_changes_nothing() -> None:
-    follower = consensus(StoredLog(committed=2, entries=(entry(1, 3), entry(2, 3))))
+    follower = make_consensus(StoredLog(committed=2, entries=(make_entry(1, 3), make_entry(2, 3))))
     part = SnapshotPart(5, 1, LogPosition(3, 2), 0, True, ())
-    assert sends(synced(follower, follower.on_message(0, 0, part))) == [Send(0, Appended(5, 1, 2))]
+    assert sends_of(run_writes(follower, follower.on_message(0, 0, part))) == [Send(0, Appended(5, 1, 2))]
     assert follower.replica.state.revision_of("s3.1") == 1
 
 
 def test_compaction_keeps_entries_for_watchers_and_a_restart_gives_the_same_state() -> None:
-    one = consensus(kept=3)
-    stored = []
+    consensus = make_consensus(kept_entries=3)
+    stored_logs = []
     for revision in range(1, 10):
-        previous = one.replica.log.last
-        for action in one.on_message(
-            0, 0, Append(5, revision, previous, (entry(revision, 5, "t"),), revision)
+        previous = consensus.replica.log.last_position
+        for action in consensus.on_message(
+            0, 0, Append(5, revision, previous, (make_entry(revision, 5, "t"),), revision)
         ):
             if isinstance(action, Persist):
-                stored += [one.stored for one in action.records if isinstance(one, ReplaceRecord)]
-                one.on_persisted(0, action.sequence)
-    assert len(stored) == 2 and stored[-1].base.revision == 6
-    assert [one.revision for one in stored[-1].entries] == [7, 8, 9]
-    again = consensus(stored[-1])
-    assert again.replica.state.digest == one.replica.state.digest
-    assert again.replica.state.recent_ids() == one.replica.state.recent_ids()
-
-
-def test_a_great_state_is_compacted_after_more_entries() -> None:
-    """A snapshot costs by what it holds: beside a handful of changes each it would stop a busy leader."""
-    many = tuple(Resource(ResourceKind.TENANT, f"t{index:04}", 1, msgspec.Raw(b"{}")) for index in range(800))
-    snapshot = Snapshot(LogPosition(3, 1), many)
-    one = consensus(StoredLog(committed=1, base=LogPosition(3, 1), snapshot=snapshot), kept=3)
-    replaced = []
+                stored_logs += [
+                    record.stored for record in action.records if isinstance(record, ReplaceRecord)
+                ]
+                consensus.on_persisted(0, action.sequence)
+    assert len(stored_logs) == 2 and stored_logs[-1].base.revision == 6
+    assert [kept_entry.revision for kept_entry in stored_logs[-1].entries] == [7, 8, 9]
+    restarted = make_consensus(stored_logs[-1])
+    assert restarted.replica.state.digest == consensus.replica.state.digest
+    assert restarted.replica.state.recent_ids() == consensus.replica.state.recent_ids()
+
+
+def test_a_large_state_is_compacted_after_more_entries() -> None:
+    """The cost of a snapshot depends on its size: taken after only a few changes each, snapshots of a large
+    state would block a busy leader."""
+    resources = tuple(
+        Resource(ResourceKind.TENANT, f"t{index:04}", 1, msgspec.Raw(b"{}")) for index in range(800)
+    )
+    snapshot = Snapshot(LogPosition(3, 1), resources)
+    consensus = make_consensus(
+        StoredLog(committed=1, base=LogPosition(3, 1), snapshot=snapshot), kept_entries=3
+    )
+    compacted_at = []
     for revision in range(2, 60):
-        message = Append(5, revision, one.replica.log.last, (entry(revision, 5),), revision)
-        for action in one.on_message(0, 0, message):
+        message = Append(
+            5, revision, consensus.replica.log.last_position, (make_entry(revision, 5),), revision
+        )
+        for action in consensus.on_message(0, 0, message):
             if isinstance(action, Persist) and isinstance(action.records[0], ReplaceRecord):
-                replaced.append(revision)
-    assert replaced == [1 + 2 * 3 + 800 // RESOURCES_PER_ENTRY]
+                compacted_at.append(revision)
+    assert compacted_at == [1 + 2 * 3 + 800 // RESOURCES_PER_ENTRY]
 
 
-# The whole replica.
+# The replica with its lease.
 
 
-@pytest.mark.parametrize(("own", "count"), [(0, 8), (3, 3), (-1, 3)])
-def test_a_replica_is_one_of_at_most_seven(own: int, count: int) -> None:
+@pytest.mark.parametrize(("own_number", "replica_count"), [(0, 8), (3, 3), (-1, 3)])
+def test_replica_numbers_outside_a_group_of_seven_are_refused(own_number: int, replica_count: int) -> None:
     with pytest.raises(ValueError, match="would do"):
-        ControlReplica(own, count, 1, 0, Random(1), StoredLog())
+        ControlReplica(own_number, replica_count, 1, 0, Random(1), StoredLog())
 
 
 @pytest.mark.parametrize("generation", [0, 1 << 32, 1_760_000_000_000])
-def test_a_generation_that_tokens_have_no_room_for_is_refused(generation: int) -> None:
-    """Milliseconds would give tokens that no message carries, and nobody would ever lead."""
+def test_a_generation_that_does_not_fit_into_a_token_is_refused(generation: int) -> None:
+    """Guards against a generation in milliseconds: its tokens would fit into no message, and no replica could
+    ever lead."""
     with pytest.raises(ValueError, match="Unix seconds"):
         ControlReplica(0, 3, generation, 0, Random(1), StoredLog())
 
 
-def test_messages_of_nobody_and_of_itself_are_passed_over() -> None:
-    one = ControlReplica(0, 3, 1, 0, Random(1), StoredLog())
+def test_messages_from_unknown_senders_or_itself_are_ignored() -> None:
+    replica = ControlReplica(0, 3, 1, 0, Random(1), StoredLog())
     for sender in (-1, 0, 3):
-        assert one.on_message(0, sender, Prepare(5)) == []
-    assert one.token == 0
-
-
-def test_watchers_get_committed_entries_alone() -> None:
-    stored = StoredLog(committed=2, entries=(entry(1, 3), entry(2, 3), entry(3, 3)))
-    one = ControlReplica(0, 3, 1, 0, Random(1), stored)
-    assert [logged.revision for logged in one.entries(0, 10)] == [1, 2]
-    assert [logged.revision for logged in one.entries(1, 10)] == [2]
-    assert one.entries(2, 10) == [] and one.entries(0, 1)[0].revision == 1
-    assert (one.committed, one.compacted, one.is_leader, one.leader) == (2, 0, False, None)
+        assert replica.on_message(0, sender, Prepare(5)) == []
+    assert replica.promised_token == 0
+
+
+def test_watchers_get_only_committed_entries() -> None:
+    stored = StoredLog(committed=2, entries=(make_entry(1, 3), make_entry(2, 3), make_entry(3, 3)))
+    replica = ControlReplica(0, 3, 1, 0, Random(1), stored)
+    assert [logged.revision for logged in replica.committed_entries(0, 10)] == [1, 2]
+    assert [logged.revision for logged in replica.committed_entries(1, 10)] == [2]
+    assert replica.committed_entries(2, 10) == [] and replica.committed_entries(0, 1)[0].revision == 1
+    assert (replica.committed_revision, replica.compacted_revision, replica.is_leader, replica.leader) == (
+        2,
+        0,
+        False,
+        None,
+    )
