--- a/driftstair/control/replication/messages.py
+++ b/driftstair/control/replication/messages.py
@@ -46,6 +46,7 @@
 
     @property
     def position(self) -> LogPosition:
+        """The position of the log that ends with this entry."""
         return LogPosition(self.token, self.revision)
 
     def to_logged_change_set(self) -> LoggedChangeSet:
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -119,7 +119,7 @@
     # Processes.
 
     def start(self, number: int) -> None:
-        """Starts a replica's process from what its disk holds."""
+        """Starts a replica's process from the content of its disk."""
         node = self.nodes[number]
         assert node.replica is None
         node.process_number += 1
@@ -257,7 +257,8 @@
         replica = node.running_replica
         if replica.committed_revision != node.applied_revision:
             raise InvariantViolation(
-                f"{node.number} is at {replica.committed_revision}, but watchers are at {node.applied_revision}"
+                f"{node.number} is at {replica.committed_revision}, "
+                f"but watchers are at {node.applied_revision}"
             )
 
     def _send(self, source: int, to: int, message: ReplicationMessage) -> None:
--- a/tests/control/small_world.py
+++ b/tests/control/small_world.py
@@ -180,6 +180,7 @@
     committed: tuple[CommittedSet, ...]  # in the order of revisions
 
     def key(self) -> Any:
+        """Identifies the state; equal machines are represented by equal numbers."""
         return tuple(machine.state_number for machine in self.machines), *self[1:]
 
 
--- a/tests/control/test_replication_replica.py
+++ b/tests/control/test_replication_replica.py
@@ -94,6 +94,7 @@
 
 
 def sends_of(actions: list[Action]) -> list[Send]:
+    """The messages among the actions."""
     return [action for action in actions if isinstance(action, Send)]
 
 
