--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -68,18 +68,21 @@
     """In the order of a snapshot."""
     import msgspec
 
-    from driftstair.configuration.resources import Resource, ResourceKind, canonical
+    from driftstair.configuration.resources import Resource, ResourceKind, canonical_json
 
     for number in sorted(range(routes), key=route_name):
         yield Resource(
-            ResourceKind.ROUTE, route_name(number), 1 + number, msgspec.Raw(canonical(route_content(number)))
+            ResourceKind.ROUTE,
+            route_name(number),
+            1 + number,
+            msgspec.Raw(canonical_json(route_content(number))),
         )
     for number in range(tenants):
         yield Resource(
             ResourceKind.TENANT,
             f"tenant-{number:06d}",
             1 + number,
-            msgspec.Raw(canonical(tenant_content(number))),
+            msgspec.Raw(canonical_json(tenant_content(number))),
         )
 
 
@@ -103,9 +106,9 @@
     def load(self, loaded: Iterable[Any], prove: bool = True) -> None:
         for resource in loaded:
             if prove:
-                assessment = self.steps.run(self.validator.assessing(change_set(resource)))
+                assessment = self.steps.run(self.validator.assess_in_steps(change_set(resource)))
                 assert not assessment.violations, assessment.violations
-                self.steps.run(self.validator.taking(assessment))
+                self.steps.run(self.validator.apply_assessment_in_steps(assessment))
             began = self.steps.begin()
             self.state.load((resource,))
             self.steps.end(began)
@@ -115,10 +118,10 @@
         from driftstair.configuration.change_sets import LoggedChangeSet
 
         began = time.process_time()
-        assessment = self.steps.run(self.validator.assessing(changes))
+        assessment = self.steps.run(self.validator.assess_in_steps(changes))
         assert not assessment.violations, assessment.violations[:2]
-        self.steps.run(self.validator.taking(assessment))
-        self.steps.run(self.state.applying(LoggedChangeSet(self.state.revision + 1, changes)))
+        self.steps.run(self.validator.apply_assessment_in_steps(assessment))
+        self.steps.run(self.state.apply_in_steps(LoggedChangeSet(self.state.revision + 1, changes)))
         return time.process_time() - began
 
 
@@ -214,7 +217,7 @@
     """One route of a set, put over an old one, new, and deleted."""
     import msgspec
 
-    from driftstair.configuration.resources import Resource, ResourceKind, canonical
+    from driftstair.configuration.resources import Resource, ResourceKind, canonical_json
 
     held = Held()
     held.load(resources(routes, 0))
@@ -225,7 +228,7 @@
         content["timeout"]["attempt"] = f"{20 + round_number}ms"
         new = {**content, "match": {"path": f"/service-0007/new/{round_number}/*"}}
         sets = {
-            "replace": (route_name(7), canonical(content)), "add": ("new", canonical(new)),
+            "replace": (route_name(7), canonical_json(content)), "add": ("new", canonical_json(new)),
             "delete": ("new", b"null"),
         }  # fmt: skip
         for what, (name, text) in sets.items():
@@ -244,8 +247,8 @@
     others = [one for one in resources(21_000, 0) if not one.name.startswith("service-0007-")]
     held.load([*own, *others[:: max(1, len(others) // routes)][:routes]], prove=False)
     for resource in held.state.resources():
-        assessment = held.steps.run(held.validator.assessing(change_set(resource), judge=False))
-        held.steps.run(held.validator.taking(assessment))
+        assessment = held.steps.run(held.validator.assess_in_steps(change_set(resource), check_rules=False))
+        held.steps.run(held.validator.apply_assessment_in_steps(assessment))
     index = held.validator.routes
 
     def asked(place: int, number: int) -> RouteQuery:
@@ -290,17 +293,17 @@
     """The longest step of what a node does at full size; CPU time."""
     import msgspec
 
-    from driftstair.configuration.resources import Resource, ResourceKind, canonical
+    from driftstair.configuration.resources import Resource, ResourceKind, canonical_json
 
     held = Held()
     held.load(resources(routes, tenants), prove=False)
     for resource in resources(routes, 0):
-        assessment = held.steps.run(held.validator.assessing(change_set(resource), judge=False))
-        held.steps.run(held.validator.taking(assessment))
+        assessment = held.steps.run(held.validator.assess_in_steps(change_set(resource), check_rules=False))
+        held.steps.run(held.validator.apply_assessment_in_steps(assessment))
     rows = [{"what": "load of one resource, all sizes on the way", **held.steps.row()}]
 
     def route(name: str, content: dict[str, Any]) -> Any:
-        return Resource(ResourceKind.ROUTE, name, 0, msgspec.Raw(canonical(content)))
+        return Resource(ResourceKind.ROUTE, name, 0, msgspec.Raw(canonical_json(content)))
 
     def tenant(name: str) -> Any:
         return Resource(ResourceKind.TENANT, name, 0, msgspec.Raw(b'{"per_s":1.5}'))
--- a/benchmarks/scale/in_force.py
+++ b/benchmarks/scale/in_force.py
@@ -42,13 +42,13 @@
     """In the order of keys, as a snapshot has them; each of a change set of its own."""
     from msgspec import Raw
 
-    from driftstair.configuration.resources import Resource, ResourceKind, canonical
+    from driftstair.configuration.resources import Resource, ResourceKind, canonical_json
 
     for number in range(routes):
-        content = Raw(canonical(route_content(number)))
+        content = Raw(canonical_json(route_content(number)))
         yield Resource(ResourceKind.ROUTE, route_name(number), number % REVISION + 1, content)
     for number in range(tenants):
-        content = Raw(canonical({"per_s": 10.0 + number % PLANS, "in_flight": 50}))
+        content = Raw(canonical_json({"per_s": 10.0 + number % PLANS, "in_flight": 50}))
         yield Resource(ResourceKind.TENANT, documents.tenant_name(number), number % REVISION + 1, content)
 
 
@@ -116,10 +116,10 @@
     from msgspec import Raw
 
     from driftstair.configuration.change_sets import Change, ChangeSet, LoggedChangeSet
-    from driftstair.configuration.resources import ResourceKind, canonical
+    from driftstair.configuration.resources import ResourceKind, canonical_json
 
     number = revision * 7919 % routes
-    content = Raw(canonical(route_content(number, total_ms=800 - revision % 2)))
+    content = Raw(canonical_json(route_content(number, total_ms=800 - revision % 2)))
     change = Change(ResourceKind.ROUTE, route_name(number), content)
     return LoggedChangeSet(revision, ChangeSet(f"set-{revision}", (change,)))
 
--- a/driftstair/configuration/assessment.py
+++ b/driftstair/configuration/assessment.py
@@ -1,4 +1,4 @@
-"""A change set while it is judged: what it would change, and what is wrong with it."""
+"""The assessment of one change set: what it would change, and which rules it would violate."""
 
 from __future__ import annotations
 
@@ -15,28 +15,30 @@
 from driftstair.limits.findings import Finding, ValidationContext
 from driftstair.service.schema import FleetBudget, Match, Route, Table
 
-# Of one route, so that no step of a check is long. Each combination is a line of the index.
+# Limits of one route, which bound the duration of each step of a check. Each combination is a line of the
+# index.
 CELLS_MAX = 64  # combinations of class, tenant and method
 HEADERS_MAX = 16
-PATH_LETTERS_MAX = 1_024
+PATH_CHARACTERS_MAX = 1_024
 PATH_PARTS_MAX = 32
 
 
 class Violation(NamedTuple):
-    """What is wrong with a resource as a change set would leave it."""
+    """A rule that a resource would violate once the change set is applied."""
 
     resource: ResourceKey
-    where: str  # the path of a key in its content; "$" for the whole
+    where: str  # path of a key in the content; "$" for the whole content
     why: str
 
 
-# Of change sets without routes, most of them tenants: nothing is ever added to these.
-NO_ROUTES = RouteIndex()
-NO_SUMS = RouteSums()
+# Shared by all change sets without routes, which are most of them. Nothing is ever added to these.
+EMPTY_ROUTE_INDEX = RouteIndex()
+EMPTY_ROUTE_SUMS = RouteSums()
 
 
 class RouteChange(NamedTuple):
-    """A route of a change set. None: there was none, or there will be none."""
+    """A route before and after a change set. None: the route does not exist at that point, or can't be
+    indexed."""
 
     before: RouteFacts | None
     after: RouteFacts | None
@@ -44,71 +46,80 @@
 
 @dataclass(slots=True)
 class Assessment:
+    """The effect of a change set on routes, budgets and sums, and the violations found so far."""
+
     change_set: ChangeSet
-    budgets: dict[str, FleetBudget]  # all that there would be
-    staged: RouteIndex  # the routes that it puts
+    budgets: dict[str, FleetBudget]  # all budgets as they would be
+    staged: RouteIndex  # the routes that the change set adds or replaces
     view: RouteView  # all routes as they would be
-    sums: RouteSums  # the difference that it makes
+    sums: RouteSums  # the change that it makes to the sums
     violations: list[Violation] = field(default_factory=list)
     routes: dict[str, RouteChange] = field(default_factory=dict)
 
     @staticmethod
-    def of(change_set: ChangeSet, routes: RouteIndex, budgets: Mapping[str, FleetBudget]) -> Assessment:
-        """`routes` and `budgets` are those in force."""
-        changed = {one.name for one in change_set.changes if one.kind is ResourceKind.ROUTE}
-        staged, sums = (RouteIndex(), RouteSums()) if changed else (NO_ROUTES, NO_SUMS)
-        view = RouteView(routes, changed, staged)
+    def for_change_set(
+        change_set: ChangeSet, routes: RouteIndex, budgets: Mapping[str, FleetBudget]
+    ) -> Assessment:
+        """Starts the assessment of a change set. `routes` and `budgets` are those in force."""
+        changed_routes = {change.name for change in change_set.changes if change.kind is ResourceKind.ROUTE}
+        staged, sums = (
+            (RouteIndex(), RouteSums()) if changed_routes else (EMPTY_ROUTE_INDEX, EMPTY_ROUTE_SUMS)
+        )
+        view = RouteView(routes, changed_routes, staged)
         return Assessment(change_set, dict(budgets), staged, view, sums)
 
-    def touches_rules_over_routes(self) -> bool:
-        """Whether sums and budgets can be others than they were."""
+    def affects_cross_route_rules(self) -> bool:
+        """Whether the change set can alter sums over routes or budgets, so that the rules over several routes
+        have to be checked."""
         kinds = (change.kind for change in self.change_set.changes)
         return bool(self.routes) or ResourceKind.BUDGET in kinds
 
-    def violate(self, key: ResourceKey, where: str, why: str) -> None:
+    def add_violation(self, key: ResourceKey, where: str, why: str) -> None:
+        """Records a violation."""
         self.violations.append(Violation(key, where, why))
 
-    def parse(self, change: Change) -> Table | None:
-        """A content by the schema of its kind; what is wrong with it is a violation."""
+    def parse_change(self, change: Change) -> Table | None:
+        """Parses the content by the schema of its kind. Each fault in it is recorded as a violation."""
         try:
             return parse_content(change.key, bytes(change.content))
-        except ContentError as problem:
-            for fault in problem.faults:
-                self.violate(change.key, fault.where, fault.why)
+        except ContentError as error:
+            for fault in error.faults:
+                self.add_violation(change.key, fault.where, fault.why)
             return None
 
-    def facts(self, key: ResourceKey, route: Route, given: ValidationContext) -> RouteFacts | None:
-        """Of a route that can be indexed; what stands in the way is a violation."""
-        fault = oversize(route.match)
+    def route_facts(self, key: ResourceKey, route: Route, context: ValidationContext) -> RouteFacts | None:
+        """Returns the facts of a route that can be indexed. If it can't be, the reason is recorded as a
+        violation."""
+        fault = find_size_fault(route.match)
         if fault is not None:
-            self.violate(key, fault.where, fault.why)
+            self.add_violation(key, fault.where, fault.why)
             return None
         try:
-            return RouteFacts.of(route, given)
-        except ValueError as problem:
-            self.violate(key, "match.path", str(problem))
+            return RouteFacts.from_route(route, context)
+        except ValueError as error:
+            self.add_violation(key, "match.path", str(error))
             return None
 
 
-def oversize(match: Match) -> Fault | None:
-    """What of a match would make too many or too long lines in the index."""
-    cells = 1
+def find_size_fault(match: Match) -> Fault | None:
+    """Returns the fault of a match that would need too many or too long lines in the index, else None."""
+    cell_count = 1
     for names in (match.classes, match.tenant, match.method):
-        cells *= max(1, len(set(names or ())))
+        cell_count *= max(1, len(set(names or ())))
     path = match.path or ""
-    for where, count, most, what in (
-        ("match", cells, CELLS_MAX, "combinations of class, tenant and method"),
+    for where, count, limit, unit in (
+        ("match", cell_count, CELLS_MAX, "combinations of class, tenant and method"),
         ("match.header", len(match.header), HEADERS_MAX, "headers"),
-        ("match.path", len(path), PATH_LETTERS_MAX, "letters"),
+        ("match.path", len(path), PATH_CHARACTERS_MAX, "letters"),
         ("match.path", path.count("/"), PATH_PARTS_MAX, "parts"),
     ):
-        if count > most:
-            return Fault(where, f"names {count:,} {what}; {most:,} at most would do")
+        if count > limit:
+            return Fault(where, f"names {count:,} {unit}; {limit:,} at most would do")
     return None
 
 
-def explained(finding: Finding) -> str:
-    """A finding in one line, without its path."""
+def describe_finding(finding: Finding) -> str:
+    """Formats a finding as one line, without its path."""
     rule = f" (would break: {finding.rule})" if finding.rule else ""
-    instead = f"; {finding.instead} would do" if finding.instead else ""
-    return f"{finding.why}{rule}{instead}"
+    suggestion = f"; {finding.instead} would do" if finding.instead else ""
+    return f"{finding.why}{rule}{suggestion}"
--- a/driftstair/configuration/change_sets.py
+++ b/driftstair/configuration/change_sets.py
@@ -1,4 +1,4 @@
-"""Change sets: changes of resources that are in force together or not at all."""
+"""Change sets: changes of resources that are applied atomically."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
     NAME_BYTES_MAX,
     ResourceKey,
     ResourceKind,
-    canonical,
+    canonical_json,
 )
 
-CHANGES_MAX = 1_000  # of one set
-CHANGE_SET_BYTES_MAX = 256 << 10  # of one set's document
-NULL = msgspec.Raw(b"null")
-ID = re.compile(r"[0-9A-Za-z][0-9A-Za-z._-]{0,63}")
+CHANGES_MAX = 1_000  # in one change set
+CHANGE_SET_BYTES_MAX = 256 << 10  # of the JSON document of one change set
+NULL_CONTENT = msgspec.Raw(b"null")
+CHANGE_SET_ID = re.compile(r"[0-9A-Za-z][0-9A-Za-z._-]{0,63}")
 
 
 class ChangeSetError(Exception):
-    """A document that is no change set. `where` is the path of the key at fault, `why` says what would do."""
+    """An invalid change set. `where` is the path of the key at fault, `why` names the fault and what is
+    accepted."""
 
     def __init__(self, where: str, why: str) -> None:
         super().__init__(f"{where}: {why}")
@@ -35,17 +36,18 @@
 
     kind: ResourceKind
     name: str
-    content: msgspec.Raw = NULL
-    expected_revision: int | None = (
-        None  # refused unless this revision changed the resource last; 0: none did
-    )
+    content: msgspec.Raw = NULL_CONTENT
+    # Refused unless this revision changed the resource last; 0: the resource must not exist.
+    expected_revision: int | None = None
 
     @property
     def key(self) -> ResourceKey:
+        """The key of the changed resource."""
         return ResourceKey(self.kind, self.name)
 
     @property
     def deletes(self) -> bool:
+        """Whether the change deletes its resource."""
         return bytes(self.content) == b"null"
 
 
@@ -55,7 +57,9 @@
 
     id: str
     changes: tuple[Change, ...] = ()
-    created_ms: int = 0  # Unix time by the clock of whoever took it; told to people, never compared
+    # Unix time by the clock of the process that accepted the change set. It is only displayed: clocks differ,
+    # so it is never compared.
+    created_ms: int = 0
 
 
 class LoggedChangeSet(msgspec.Struct, frozen=True):
@@ -69,24 +73,26 @@
 
 
 def parse_change_set(document: bytes) -> ChangeSet:
-    """A change set as operators send it, checked and with canonical contents. Raises ChangeSetError."""
+    """Parses and checks a change set as operators send it, and makes its contents canonical. Raises
+    ChangeSetError."""
     if len(document) > CHANGE_SET_BYTES_MAX:
         raise ChangeSetError(
             "$", f"longer than {CHANGE_SET_BYTES_MAX:,} bytes; several smaller sets would do"
         )
     try:
-        found = _decoder.decode(document)
+        change_set = _decoder.decode(document)
     except RecursionError:
         raise ChangeSetError("$", "nested too deeply; a few levels would do") from None
-    except (msgspec.DecodeError, UnicodeDecodeError) as problem:
-        why, _, where = str(problem).partition(" - at ")
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        why, _, where = str(error).partition(" - at ")
         raise ChangeSetError(where.strip("`") or "$", why) from None
-    return checked(found)
+    return normalize_change_set(change_set)
 
 
-def checked(change_set: ChangeSet) -> ChangeSet:
-    """The set with canonical contents. Raises ChangeSetError for what no set may hold."""
-    if not ID.fullmatch(change_set.id):
+def normalize_change_set(change_set: ChangeSet) -> ChangeSet:
+    """Returns the change set with canonical contents. Raises ChangeSetError if its id, names or
+    contents are invalid."""
+    if not CHANGE_SET_ID.fullmatch(change_set.id):
         raise ChangeSetError(
             "$.id", f"{change_set.id[:64]!r} is no id; letters, digits, '.', '_', '-' would do"
         )
@@ -99,28 +105,28 @@
         if change.key in seen:
             raise ChangeSetError(where, f"{change.key} is changed twice; one change of it would do")
         seen.add(change.key)
-        changes.append(_checked_change(where, change))
+        changes.append(_normalize_change(where, change))
     return ChangeSet(change_set.id, tuple(changes), change_set.created_ms)
 
 
-def _checked_change(where: str, change: Change) -> Change:
+def _normalize_change(where: str, change: Change) -> Change:
     size = len(change.name.encode())
-    if not 0 < size <= NAME_BYTES_MAX or any(not letter.isprintable() for letter in change.name):
+    if not 0 < size <= NAME_BYTES_MAX or any(not character.isprintable() for character in change.name):
         raise ChangeSetError(f"{where}.name", f"wants 1 to {NAME_BYTES_MAX} bytes of printable text")
     if change.deletes:
         return change
-    content = _object(f"{where}.content", bytes(change.content))
-    text = canonical(content)
+    content = _parse_object(f"{where}.content", bytes(change.content))
+    text = canonical_json(content)
     if len(text) > CONTENT_BYTES_MAX:
         raise ChangeSetError(f"{where}.content", f"longer than {CONTENT_BYTES_MAX:,} bytes")
     return Change(change.kind, change.name, msgspec.Raw(text), change.expected_revision)
 
 
-def _object(where: str, text: bytes) -> dict[str, Any]:
+def _parse_object(where: str, text: bytes) -> dict[str, Any]:
     try:
         content = msgspec.json.decode(text)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise ChangeSetError(where, str(problem)) from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise ChangeSetError(where, str(error)) from None
     if not isinstance(content, dict):
         raise ChangeSetError(where, "no JSON object; null would delete the resource")
     return content
--- a/driftstair/configuration/content_codec.py
+++ b/driftstair/configuration/content_codec.py
@@ -1,21 +1,23 @@
-"""How a content is kept: short as it is, longer ones deflated with a dictionary of routes' usual words.
+"""The stored form of contents: short ones as they are, longer ones deflated with a preset dictionary of words
+that are frequent in routes.
 
-A route of 295 bytes takes 73; packing takes some 5 us, unpacking 1 us. Contents in documents, on disks and in
-digests are plain JSON: this form never leaves the process.
+A route of 295 bytes takes 73. Packing takes about 5 us, unpacking 1 us. Contents in documents, on disk and in
+digests are plain JSON: the packed form never leaves the process.
 """
 
 from __future__ import annotations
 
 import zlib
 
-PLAIN_BYTES_MAX = 80  # shorter ones would gain too little; tenants' contents are shared instead
-LEVEL = 6
+# Deflating shorter contents saves too little; equal contents of tenants are shared instead.
+UNCOMPRESSED_BYTES_MAX = 80
+COMPRESSION_LEVEL = 6
 WINDOW_BITS = 15
 MEMORY_LEVEL = 5
-DEFLATED = b"\0"  # the first byte of a deflated content; a plain one begins with "{"
+DEFLATE_MARKER = b"\0"  # first byte of a deflated content; a plain one begins with "{"
 
-# The likeliest text stands last, where the distance of a match is coded shortest.
-DICTIONARY = (
+# The most frequent text stands at the end, where the distance of a match has the shortest code.
+DEFLATE_DICTIONARY = (
     b'"tenant":["","key":"","header":{"x-"method":["GET","POST"]"priority":"low""normal""lowest""fleet":"'
     b'"copy":{"after":"100ms","at":0.95,"budget":{"burst":10.0,"floor":1.0,"share":0.05}},'
     b'{"admit":{"body":"64KiB","in_flight":10,"rate":{"burst":10.0,"by":"tenant","per_s":10.0}},'
@@ -27,17 +29,22 @@
 
 
 def pack(content: bytes) -> bytes:
-    """A canonical content as it is kept."""
-    if len(content) <= PLAIN_BYTES_MAX:
+    """Returns a canonical content in its stored form."""
+    if len(content) <= UNCOMPRESSED_BYTES_MAX:
         return bytes(content)
-    deflate = zlib.compressobj(
-        LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL, zlib.Z_DEFAULT_STRATEGY, DICTIONARY
+    compressor = zlib.compressobj(
+        COMPRESSION_LEVEL,
+        zlib.DEFLATED,
+        -WINDOW_BITS,
+        MEMORY_LEVEL,
+        zlib.Z_DEFAULT_STRATEGY,
+        DEFLATE_DICTIONARY,
     )
-    return DEFLATED + deflate.compress(content) + deflate.flush()
+    return DEFLATE_MARKER + compressor.compress(content) + compressor.flush()
 
 
 def unpack(packed: bytes) -> bytes:
-    """What `pack` was given."""
-    if packed[:1] != DEFLATED:
+    """Returns the content that was given to `pack`."""
+    if packed[:1] != DEFLATE_MARKER:
         return packed
-    return zlib.decompressobj(-WINDOW_BITS, zdict=DICTIONARY).decompress(packed[1:])
+    return zlib.decompressobj(-WINDOW_BITS, zdict=DEFLATE_DICTIONARY).decompress(packed[1:])
--- a/driftstair/configuration/messages.py
+++ b/driftstair/configuration/messages.py
@@ -1,7 +1,7 @@
-"""The documents between control servers and nodes: one JSON object a line, the kind under `type`.
+"""The messages between control servers and nodes: one JSON object per line, with its type under `type`.
 
-A watch answers with `Changes` while the log reaches back to the node's revision, else with a snapshot in
-parts and then `Changes` from the snapshot's revision on. An empty line is a heartbeat.
+A watch is answered with `Changes` if the log reaches back to the node's revision, else with a snapshot in
+parts, followed by `Changes` from the snapshot's revision on. An empty line is a heartbeat.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from driftstair.configuration.change_sets import LoggedChangeSet
 from driftstair.configuration.resources import Resource
 
-LINE_BYTES_MAX = 512 << 10  # one change set of the greatest size and some more
-PART_BYTES_MAX = 16 << 10  # contents in one part of a snapshot, unless one resource is longer
+LINE_BYTES_MAX = 512 << 10  # room for one change set of the greatest size with its envelope
+PART_BYTES_MAX = 16 << 10  # contents in one part of a snapshot, unless a single resource is longer
 
 
 class MessageError(Exception):
-    """A line that is no message; the text says what and where."""
+    """A line that is not a valid message. The text says what is wrong and where."""
 
 
 class Changes(msgspec.Struct, frozen=True, tag="changes"):
@@ -33,7 +33,7 @@
     all changes after `revision` are applied, the state is that of the last change."""
 
     revision: int
-    first: bool  # what came of another snapshot before is void
+    first: bool  # parts received of an earlier snapshot are to be discarded
     last: bool
     resources: tuple[Resource, ...]
 
@@ -41,9 +41,9 @@
 class Freshness(msgspec.Struct, frozen=True, tag="freshness"):
     """What the control server knows of itself: sent when it changes, and with each 15th heartbeat."""
 
-    revision: int  # the greatest that it knows to be committed
-    age_ms: int  # since it last heard from a leader with a majority; 0 while it does
-    digest: str = ""  # of its state at that revision, 16 hexadecimal digits; left out: it is not told
+    revision: int  # the greatest revision that the server knows to be committed
+    age_ms: int  # time since it last heard from a leader with a majority; 0 while it does
+    digest: str = ""  # of its state at that revision, 16 hexadecimal digits; empty: not sent
 
 
 WatchMessage = Changes | SnapshotPart | Freshness
@@ -61,7 +61,7 @@
     """What is in force in one process of a node."""
 
     node: str
-    generation: int  # of the process: a later one's report replaces an earlier one's
+    generation: int  # of the process: a report of a later generation replaces one of an earlier generation
     revision: int
     digest: str  # of the state as received, 16 hexadecimal digits
     refused: tuple[RefusedChange, ...] = ()
@@ -74,17 +74,17 @@
 
 
 def encode(message: WatchMessage | NodeReport) -> bytes:
-    """One line, without its end."""
+    """Encodes a message as one line, without the line feed."""
     return msgspec.json.encode(message)
 
 
 def decode_watch_message(line: bytes) -> WatchMessage:
-    """Raises MessageError."""
+    """Decodes a line of a watch. Raises MessageError."""
     return _decode(_watch_decoder, line)
 
 
 def decode_report(document: bytes) -> NodeReport:
-    """Raises MessageError."""
+    """Decodes a node's report. Raises MessageError."""
     return _decode(_report_decoder, document)
 
 
@@ -93,5 +93,5 @@
         raise MessageError(f"longer than {LINE_BYTES_MAX:,} bytes")
     try:
         return decoder.decode(document)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise MessageError(str(problem)) from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise MessageError(str(error)) from None
--- a/driftstair/configuration/resources.py
+++ b/driftstair/configuration/resources.py
@@ -1,6 +1,6 @@
 """What can be configured: a resource has a kind, a name and a content, which is one JSON object.
 
-Contents are kept as canonical JSON text and parsed when they are first used.
+Contents are stored as canonical JSON text and parsed when they are first used.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import msgspec
 
 NAME_BYTES_MAX = 128
-CONTENT_BYTES_MAX = 16 << 10  # of one resource's canonical text; a route takes some 300
+CONTENT_BYTES_MAX = 16 << 10  # of one resource's canonical text; a route takes about 300
 HASH_BYTES = 8
 
 
@@ -27,13 +27,13 @@
 
 
 class ResourceKey(NamedTuple):
-    """The identity of a resource. Keys sort by the kind's word, then by name (see `sort_key`)."""
+    """The identity of a resource. Keys sort by the word of the kind, then by name (see `sort_key`)."""
 
     kind: ResourceKind
     name: str
 
     def sort_key(self) -> tuple[str, str]:
-        """The total order in which snapshots list resources."""
+        """The sort key of the total order in which snapshots list resources."""
         return self.kind.value, self.name
 
     def __str__(self) -> str:
@@ -41,7 +41,7 @@
 
     @staticmethod
     def parse(text: str) -> ResourceKey:
-        """The key that `str` wrote. Raises ValueError."""
+        """Parses a key from the text that `str` gives. Raises ValueError."""
         kind, slash, name = text.partition("/")
         if not slash or not name:
             raise ValueError(f"{text!r} is no KIND/NAME")
@@ -58,17 +58,18 @@
 
     @property
     def key(self) -> ResourceKey:
+        """The identity of the resource."""
         return ResourceKey(self.kind, self.name)
 
 
-def canonical(content: Any) -> bytes:
-    """The one JSON text of a content: keys sorted, no white space, UTF-8."""
+def canonical_json(content: Any) -> bytes:
+    """Encodes a content as its canonical JSON text: sorted keys, no white space, UTF-8."""
     return json.dumps(content, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode()
 
 
 def resource_hash(key: ResourceKey, revision: int, content: bytes) -> int:
-    """A 64-bit hash of one resource. The digest of a state is the sum of these modulo 2**64, so that a
-    change costs by what it touches."""
+    """Returns a 64-bit hash of one resource. The digest of a state is the sum of these hashes modulo 2**64,
+    so that the cost of its update depends only on the resources changed."""
     hasher = blake2b(f"{key}\0{revision}\0".encode(), digest_size=HASH_BYTES)
     hasher.update(content)
     return int.from_bytes(hasher.digest(), "big")
--- a/driftstair/configuration/route_lines.py
+++ b/driftstair/configuration/route_lines.py
@@ -1,7 +1,9 @@
-"""Routes as sorted lines of text: one for each combination of class, tenant and method that a route names.
+"""Routes as sorted lines of text: one line for each combination of class, tenant and method that a route
+names.
 
 The fields of a line, in order: path, rank at the path, header names, class, tenant, method, key, header
-values, and the route's name. They are escaped: no control character is in them but those named here.
+values, and the name of the route. Fields are escaped: they contain no control characters except the ones
+defined here.
 """
 
 from __future__ import annotations
@@ -12,21 +14,21 @@
 
 from driftstair.limits.routes import LookUpKey, PathPattern, Rank, Shape
 
-ANY_PATH, PREFIX, TEMPLATE, EXACT = range(4)  # PathPattern.shape
+ANY_PATH, PREFIX, TEMPLATE, EXACT = range(4)  # values of PathPattern.shape
 
 PathId = NewType("PathId", str)
-"""A path pattern by all that it matches: its shape's digit, then its text. Of a template the text is its
-parts, each behind a slash, "" for one that may be anything: what parts are called makes no difference."""
+"""Identifies the set of paths that a pattern matches: the digit of its shape, then its text. The text of a
+template is its parts, each behind a slash, and "" for a part that matches any, whatever its name."""
 
-FIELD = "\x01"  # behind each field but the name
-ESCAPED = "\x02"  # on both sides of the number of a character that is not printable
-PART = "\x03"  # before each part of a template; sorts before all that a part can have
-AFTER_PART = "\x04"
-ITEM = "\t"  # between header names, and between values
+FIELD_END = "\x01"  # behind each field except the name
+ESCAPE_MARK = "\x02"  # around the code point of a character that is not printable
+PART_START = "\x03"  # before each part of a template; sorts before all characters of a part
+AFTER_PART_END = "\x04"  # sorts after FIELD_END and PART_START, which can follow a part
+ITEM_SEPARATOR = "\t"  # between header names, and between header values
 
 
 class Entry(NamedTuple):
-    """One line, taken apart behind its header names. Texts are escaped."""
+    """The fields of a line that follow the header names. Texts are escaped."""
 
     kind: str
     tenant: str
@@ -37,78 +39,90 @@
 
 
 def path_id(path: PathPattern) -> PathId:
+    """Returns the id of a path pattern."""
     if path.shape == TEMPLATE:
         return template_id(path.parts)
     return PathId(f"{path.shape}{path.text}")
 
 
 def template_id(parts: Sequence[str]) -> PathId:
+    """Returns the id of the template with these parts."""
     return PathId(f"{TEMPLATE}/{'/'.join(parts)}")
 
 
 def template_parts(path: PathId) -> list[str]:
+    """Returns the parts of a template; "" matches any part."""
     return path[2:].split("/")
 
 
 def path_rank(path: PathId) -> Rank:
-    """As PathPattern.rank."""
+    """Returns the rank, equal to that of PathPattern.rank."""
     if path[0] == str(TEMPLATE):
         return (TEMPLATE, sum(bool(part) for part in template_parts(path)))
     return (int(path[0]), len(path) - 1)
 
 
 def shape_prefix(path: PathId, shape: Shape) -> bytes:
-    """The beginning of the lines of one shape at a path."""
-    return joined((path_field(path), rank_field(shape.rank), names_field(shape)))
+    """Returns the prefix that all lines of one shape at a path have."""
+    return join_fields((path_field(path), rank_field(shape.rank), names_field(shape)))
 
 
-def line_prefix(path: PathId, shape: Shape, wanted: LookUpKey) -> bytes:
-    """A line without the route's name."""
-    kind, tenant, method, values, key = wanted
+def line_prefix(path: PathId, shape: Shape, look_up_key: LookUpKey) -> bytes:
+    """Returns a line without the name of the route."""
+    kind, tenant, method, values, key = look_up_key
     fields = (kind, tenant, method, key)
-    return shape_prefix(path, shape) + joined((*map(escaped, fields), values_field(values)))
+    return shape_prefix(path, shape) + join_fields((*map(escape, fields), values_field(values)))
 
 
-def joined(fields: tuple[str, ...]) -> bytes:
-    return (FIELD.join(fields) + FIELD).encode()
+def join_fields(fields: tuple[str, ...]) -> bytes:
+    """Joins escaped fields, with an end marker behind each."""
+    return (FIELD_END.join(fields) + FIELD_END).encode()
 
 
 def path_field(path: PathId) -> str:
+    """Formats the path field."""
     if path[0] != str(TEMPLATE):
-        return escaped(path)
+        return escape(path)
     return template_prefix(template_parts(path))
 
 
 def template_prefix(parts: Sequence[str]) -> str:
-    """The beginning of the path field of templates that begin with these parts."""
-    return str(TEMPLATE) + "".join(PART + escaped(part) for part in parts)
+    """Returns the beginning of the path field of all templates that begin with these parts."""
+    return str(TEMPLATE) + "".join(PART_START + escape(part) for part in parts)
 
 
 def rank_field(rank: Rank) -> str:
-    return ".".join(str(int(one)) for one in rank)
+    """Formats the field of the rank at the path."""
+    return ".".join(str(int(element)) for element in rank)
 
 
 def names_field(shape: Shape) -> str:
-    """Header names, and which of them may have any value."""
+    """Formats the field of header names, which also marks the headers that match any value."""
     names = zip(shape.header_names, shape.any_value, strict=True)
-    return ITEM.join(f"{escaped(name.decode())}{'*' if free else '='}" for name, free in names)
+    return ITEM_SEPARATOR.join(f"{escape(name.decode())}{'*' if is_any else '='}" for name, is_any in names)
 
 
 def values_field(values: tuple[bytes, ...]) -> str:
-    return ITEM.join(escaped(value.decode()) for value in values)
+    """Formats the field of header values."""
+    return ITEM_SEPARATOR.join(escape(value.decode()) for value in values)
 
 
-def values_of(field: str) -> tuple[bytes, ...]:
-    """What `values_field` was given, where there were any."""
-    return tuple(unescaped(value).encode() for value in field.split(ITEM))
+def parse_values(field: str) -> tuple[bytes, ...]:
+    """Parses a field that `values_field` formatted from at least one value."""
+    return tuple(unescape(value).encode() for value in field.split(ITEM_SEPARATOR))
 
 
-def escaped(text: str) -> str:
-    """Without any control character; different texts stay different, and beginnings stay beginnings."""
+def escape(text: str) -> str:
+    """Escapes all control characters. The result is unique to the text, and the escaped form of a prefix is a
+    prefix of the escaped text."""
     if text.isprintable():
         return text
-    return "".join(one if one.isprintable() else f"{ESCAPED}{ord(one):x}{ESCAPED}" for one in text)
+    return "".join(
+        character if character.isprintable() else f"{ESCAPE_MARK}{ord(character):x}{ESCAPE_MARK}"
+        for character in text
+    )
 
 
-def unescaped(text: str) -> str:
-    return re.sub(f"{ESCAPED}([0-9a-f]+){ESCAPED}", lambda found: chr(int(found[1], 16)), text)
+def unescape(text: str) -> str:
+    """Returns the text that was given to `escape`."""
+    return re.sub(f"{ESCAPE_MARK}([0-9a-f]+){ESCAPE_MARK}", lambda match: chr(int(match[1], 16)), text)
--- a/driftstair/configuration/tenant_table.py
+++ b/driftstair/configuration/tenant_table.py
@@ -1,7 +1,7 @@
-"""Limits of tenants as the figures that requests go by: read when first used, the ones used last kept.
+"""Compiled limits of tenants: each is compiled when it is first used, and the ones compiled last are cached.
 
-At rest a tenant takes some 20 bytes beyond its name; a look-up there takes a few microseconds, and one here a
-tenth of one.
+In the state a tenant takes about 20 bytes beyond its name, and a look-up takes a few microseconds. A look-up
+here takes a tenth of a microsecond.
 """
 
 from __future__ import annotations
@@ -12,50 +12,58 @@
 from driftstair.configuration.resources import ResourceKey, ResourceKind
 from driftstair.configuration.schema import ContentError, TenantLimits, parse_tenant
 
-NAMES_MAX = 4_096  # tenants; clients make up names, so those that have no limit count too: some 0.6 MB
-CONTENTS_MAX = 1_024  # contents that equal ones are looked for among: tenants have few plans
+# Tenants; about 0.6 MB. Tenants without a limit are cached too, and bounded because clients can send any
+# name.
+CACHED_TENANTS_MAX = 4_096
+CACHED_CONTENTS_MAX = 1_024  # contents that are searched for an equal one: tenants have few distinct limits
 
 Figures = TypeVar("Figures")
 
 
 class TenantTable(Generic[Figures]):
+    """Compiled limits of tenants by name."""
+
     def __init__(
-        self, content_of: Callable[[ResourceKey], bytes | None], figures_of: Callable[[TenantLimits], Figures]
+        self,
+        look_up_content: Callable[[ResourceKey], bytes | None],
+        compile_limits: Callable[[TenantLimits], Figures],
     ) -> None:
-        """`content_of`: the content in force of a resource. `figures_of`: what a request goes by."""
-        self._content_of = content_of
-        self._figures_of = figures_of
-        self._by_name: dict[str, Figures | None] = {}  # the one read last at the end
+        """`look_up_content`: returns the content in force of a resource. `compile_limits`: converts limits to
+        the form that requests are checked by."""
+        self._look_up_content = look_up_content
+        self._compile_limits = compile_limits
+        self._by_name: dict[str, Figures | None] = {}  # the one loaded last at the end
         self._by_content: dict[bytes, Figures] = {}
 
     def find(self, name: str) -> Figures | None:
-        """None: no limit."""
+        """Returns the compiled limits of a tenant. None: the tenant has no limit."""
         try:
             return self._by_name[name]
         except KeyError:
-            return self._read(name)
+            return self._load(name)
 
     def on_change(self, name: str) -> None:
-        """The tenant's limit is another one, or none."""
+        """Drops the cached limit of a tenant whose limit was changed or deleted."""
         self._by_name.pop(name, None)
 
-    def on_change_of_all(self) -> None:
+    def on_all_changed(self) -> None:
+        """Drops all cached limits after the whole configuration was replaced."""
         self._by_name.clear()
 
-    def _read(self, name: str) -> Figures | None:
-        content = self._content_of(ResourceKey(ResourceKind.TENANT, name))
-        figures = None if content is None else self._by_content.get(content) or self._compile(content)
-        if len(self._by_name) >= NAMES_MAX:
+    def _load(self, name: str) -> Figures | None:
+        content = self._look_up_content(ResourceKey(ResourceKind.TENANT, name))
+        compiled = None if content is None else self._by_content.get(content) or self._compile(content)
+        if len(self._by_name) >= CACHED_TENANTS_MAX:
             del self._by_name[next(iter(self._by_name))]
-        self._by_name[name] = figures
-        return figures
+        self._by_name[name] = compiled
+        return compiled
 
     def _compile(self, content: bytes) -> Figures | None:
         try:
-            figures = self._figures_of(parse_tenant(content))
+            compiled = self._compile_limits(parse_tenant(content))
         except ContentError:
-            return None  # nothing that was proved
-        if len(self._by_content) >= CONTENTS_MAX:
+            return None  # a content that was never validated
+        if len(self._by_content) >= CACHED_CONTENTS_MAX:
             self._by_content.clear()
-        self._by_content[content] = figures
-        return figures
+        self._by_content[content] = compiled
+        return compiled
--- a/driftstair/node_configuration/application.py
+++ b/driftstair/node_configuration/application.py
@@ -165,7 +165,7 @@
             if collector is None:
                 await self._apply(entry)
             else:
-                for _ in collector.state.applying(entry):
+                for _ in collector.state.apply_in_steps(entry):
                     await self.slices.after_step()
             await self.slices.after_step()
         await self._end_collection()
@@ -228,7 +228,7 @@
         self._distrusted = None
         await self._put_in_force(state.resources(), state.revision, self.current.state.resource)
         log.info("a whole configuration is in force: revision %d", self.current.revision)
-        for _ in state.releasing():
+        for _ in state.release_in_steps():
             await self.slices.after_step()
 
     async def _put_in_force(
@@ -294,7 +294,7 @@
             self._received_revision = self.current.revision
             self._on_turn()
             log.info("revision %d is in force, from the disk", self.current.revision)
-            for _ in state.releasing():
+            for _ in state.release_in_steps():
                 await self.slices.after_step()
         self.disk.start(is_on_disk=loaded is not None)
         self.is_loaded.set()
--- a/driftstair/node_configuration/effects.py
+++ b/driftstair/node_configuration/effects.py
@@ -39,7 +39,7 @@
 
     def on_change(self, name: str) -> None: ...
 
-    def on_change_of_all(self) -> None: ...
+    def on_all_changed(self) -> None: ...
 
 
 class Effects(Protocol):
@@ -90,7 +90,7 @@
 
     def on_replaced(self) -> None:
         for compiled in self._compiled.values():
-            compiled.on_change_of_all()
+            compiled.on_all_changed()
         self._budgets_changed = self._drains_changed = True
 
     def on_watch(self) -> None:
--- a/driftstair/node_configuration/in_force.py
+++ b/driftstair/node_configuration/in_force.py
@@ -123,8 +123,8 @@
 
     def releasing(self) -> Iterator[None]:
         """Gives its memory back in steps, once another one is in force."""
-        yield from self.validator.routes.releasing()
-        yield from self.state.releasing()
+        yield from self.validator.routes.release_in_steps()
+        yield from self.state.release_in_steps()
 
     # Look-ups.
 
@@ -150,19 +150,19 @@
     def applying(self, logged: LoggedChangeSet, on_switch: OnSwitch) -> Generator[None, None, Applied]:
         """The next change set comes into force, or is refused as a whole. Raises RevisionGapError."""
         change_set = logged.change_set
-        assessment = yield from self.validator.assessing(change_set)
+        assessment = yield from self.validator.assess_in_steps(change_set)
         violations = self.given.node_check(change_set) or assessment.violations
         if violations:
             return self._refuse(logged, violations[0])
         keys = tuple(change.key for change in change_set.changes)
-        for _ in self.state.applying(logged):
+        for _ in self.state.apply_in_steps(logged):
             if self._moving is None and self.state.revision == logged.revision:
                 # From this step on all look-ups see the set, as one: its routes aren't in the index yet.
                 self._moving = assessment
                 self._supersede(keys)  # in the same step: a report tells revision, digest and refusals
                 on_switch(keys)
             yield
-        yield from self.validator.taking(assessment)
+        yield from self.validator.apply_assessment_in_steps(assessment)
         self._moving = None
         return Applied(keys, None)
 
@@ -221,10 +221,10 @@
     def _admit(self, resource: Resource) -> Generator[None, None, list[Violation]]:
         """Takes in one resource beside those that were taken in before it, or tells what is wrong with it."""
         change_set = _single(resource.key, resource.content)
-        assessment = yield from self.validator.assessing(change_set)
+        assessment = yield from self.validator.assess_in_steps(change_set)
         violations = self.given.node_check(change_set) or assessment.violations
         if not violations:
-            yield from self.validator.taking(assessment)
+            yield from self.validator.apply_assessment_in_steps(assessment)
             self.state.load((resource,))
         return violations
 
@@ -240,10 +240,10 @@
         self, resource: Resource, refusal: Refusal, kept: KeptContent
     ) -> Generator[None, None, None]:
         """Takes out a resource that is good, but of a set that is refused."""
-        assessment = yield from self.validator.assessing(_single(resource.key, None))
+        assessment = yield from self.validator.assess_in_steps(_single(resource.key, None))
         if assessment.violations:
             return  # others in force need it
-        yield from self.validator.taking(assessment)
+        yield from self.validator.apply_assessment_in_steps(assessment)
         self.state.unload(resource.key)
         yield from self._keep(resource, refusal, kept)
 
--- a/driftstair/node_configuration/loaded_file.py
+++ b/driftstair/node_configuration/loaded_file.py
@@ -43,7 +43,7 @@
 
     def _apply(self, changes: Changes) -> Iterator[None]:
         for logged in changes.change_sets:
-            yield from self._state.applying(logged)
+            yield from self._state.apply_in_steps(logged)
             yield
 
     def _end(self, end: SnapshotEnd) -> None:
--- a/driftstair/node_configuration/reception.py
+++ b/driftstair/node_configuration/reception.py
@@ -10,7 +10,7 @@
     ChangeSet,
     ChangeSetError,
     LoggedChangeSet,
-    checked,
+    normalize_change_set,
 )
 from driftstair.configuration.messages import Changes, MessageError, SnapshotPart
 from driftstair.configuration.resources import CONTENT_BYTES_MAX, NAME_BYTES_MAX, Resource, ResourceKey
@@ -32,9 +32,9 @@
     given = logged.change_set
     changes: dict[ResourceKey, Change] = {}
     try:
-        checked(ChangeSet(given.id))
+        normalize_change_set(ChangeSet(given.id))
         for change in given.changes:
-            changes[change.key] = checked(ChangeSet(given.id, (change,))).changes[0]
+            changes[change.key] = normalize_change_set(ChangeSet(given.id, (change,))).changes[0]
             yield
     except ChangeSetError as problem:
         raise MessageError(f"revision {logged.revision}: {problem}") from None
--- a/driftstair/node_configuration/request_tables.py
+++ b/driftstair/node_configuration/request_tables.py
@@ -6,7 +6,7 @@
 
 from driftstair.configuration.resources import ResourceKey
 from driftstair.configuration.route_table import CompiledRoutes
-from driftstair.configuration.schema import BURST, TenantLimits
+from driftstair.configuration.schema import DEFAULT_BURST_REQUESTS, TenantLimits
 from driftstair.configuration.tenant_table import TenantTable
 from driftstair.limits.compiled_route import RouteRules
 from driftstair.limits.limiting_module import FIRST_ADDED_ROUTE, LimitingModule
@@ -19,7 +19,7 @@
 
 def figures_of(limits: TenantLimits) -> TenantLimit:
     """A tenant's limits as a request goes by them."""
-    burst = BURST if limits.burst is None else limits.burst
+    burst = DEFAULT_BURST_REQUESTS if limits.burst is None else limits.burst
     return TenantLimit(limits.per_s or 0.0, burst if limits.per_s else 0.0, limits.in_flight or 0)
 
 
--- a/tests/configuration/test_documents.py
+++ b/tests/configuration/test_documents.py
@@ -1,4 +1,5 @@
-"""Documents from outside: each bad one is refused with one line that says what and where, and no more."""
+"""Tests of change sets, messages and keys as they are parsed: an invalid document is rejected with one line
+that says what is wrong and where."""
 
 from __future__ import annotations
 
@@ -38,31 +39,35 @@
     Resource,
     ResourceKey,
     ResourceKind,
-    canonical,
+    canonical_json,
 )
 from driftstair.configuration.state import ConfigurationState, RevisionGapError
 
 TENANT = ResourceKind.TENANT
-RAW = msgspec.Raw(b'{"burst":2.0}')
+CONTENT = msgspec.Raw(b'{"burst":2.0}')
 CHANGE: dict[str, Any] = {"kind": "tenant", "name": "acme", "content": {"per_s": 1.0}}
 MESSAGES = [
-    Changes(7, (LoggedChangeSet(8, ChangeSet("a", (Change(TENANT, "acme", RAW), Change(TENANT, "b")), 99)),)),
+    Changes(
+        7, (LoggedChangeSet(8, ChangeSet("a", (Change(TENANT, "acme", CONTENT), Change(TENANT, "b")), 99)),)
+    ),
     Changes(7, ()),
-    SnapshotPart(9, True, False, (Resource(TENANT, "acme", 9, RAW), Resource(TENANT, "b", 3, RAW))),
+    SnapshotPart(9, True, False, (Resource(TENANT, "acme", 9, CONTENT), Resource(TENANT, "b", 3, CONTENT))),
     Freshness(9, 4_000),
 ]
 REPORT = NodeReport("node-1", 17, 9, "00ff00ff00ff00ff", (RefusedChange(8, "route/a", "match: a tie"),))
 
 
 def document(**changes: Any) -> bytes:
+    """A valid change set as a JSON document, with the given top-level keys replaced."""
     return json.dumps({"id": "a", "changes": [CHANGE], **changes}).encode()
 
 
-def refusal(text: bytes) -> ChangeSetError:
-    with pytest.raises(ChangeSetError) as problem:
+def rejection(text: bytes) -> ChangeSetError:
+    """Returns the error with which a document is rejected; its text is one line without a traceback."""
+    with pytest.raises(ChangeSetError) as raised:
         parse_change_set(text)
-    assert "\n" not in str(problem.value) and "Traceback" not in str(problem.value)
-    return problem.value
+    assert "\n" not in str(raised.value) and "Traceback" not in str(raised.value)
+    return raised.value
 
 
 # Change sets.
@@ -78,7 +83,7 @@
 
 
 @pytest.mark.parametrize("content", [b"null", b" null "])
-def test_a_content_null_deletes(content: bytes) -> None:
+def test_a_null_content_deletes_the_resource(content: bytes) -> None:
     text = b'{"id":"a","changes":[{"kind":"tenant","name":"acme","content":' + content + b"}]}"
     assert parse_change_set(text).changes[0].deletes
 
@@ -106,40 +111,40 @@
         (b" " * (CHANGE_SET_BYTES_MAX + 1), "$"),
     ],
 )  # fmt: skip
-def test_what_is_no_change_set_is_refused_with_its_place(text: bytes, where: str) -> None:
-    assert refusal(text).where == where
+def test_an_invalid_change_set_is_rejected_with_the_path_of_the_fault(text: bytes, where: str) -> None:
+    assert rejection(text).where == where
 
 
 @pytest.mark.parametrize("name", ['"\\ud800"', '"a\\ud800b"'])
-def test_a_name_or_content_that_is_no_text_is_refused(name: str) -> None:
-    """Half of a surrogate pair: JSON can write it, UTF-8 can't."""
-    refusal(f'{{"id":"a","changes":[{{"kind":"tenant","name":{name},"content":{{}}}}]}}'.encode())
-    refusal(f'{{"id":"a","changes":[{{"kind":"tenant","name":"a","content":{{"b":{name}}}}}]}}'.encode())
+def test_a_name_or_content_with_an_unpaired_surrogate_is_rejected(name: str) -> None:
+    """JSON can represent one half of a surrogate pair, UTF-8 can't."""
+    rejection(f'{{"id":"a","changes":[{{"kind":"tenant","name":{name},"content":{{}}}}]}}'.encode())
+    rejection(f'{{"id":"a","changes":[{{"kind":"tenant","name":"a","content":{{"b":{name}}}}}]}}'.encode())
 
 
-def test_a_content_that_is_nested_too_deeply_is_refused() -> None:
+def test_a_content_that_is_nested_too_deeply_is_rejected() -> None:
     nested = b'{"a":' * 3_000 + b"1" + b"}" * 3_000
-    refusal(b'{"id":"a","changes":[{"kind":"tenant","name":"a","content":' + nested + b"}]}")
+    rejection(b'{"id":"a","changes":[{"kind":"tenant","name":"a","content":' + nested + b"}]}")
 
 
-def test_each_truncated_change_set_is_refused() -> None:
-    whole = document()
-    parse_change_set(whole)
-    for length in range(len(whole)):
-        refusal(whole[:length])
+def test_each_truncated_change_set_is_rejected() -> None:
+    complete = document()
+    parse_change_set(complete)
+    for length in range(len(complete)):
+        rejection(complete[:length])
 
 
 # Lines of a watch, and reports.
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda one: type(one).__name__)
-def test_a_message_comes_out_as_it_went_in(message: Any) -> None:
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda sample: type(sample).__name__)
+def test_a_message_is_decoded_as_it_was_encoded(message: Any) -> None:
     line = encode(message)
     assert b"\n" not in line
     assert decode_watch_message(line) == message
 
 
-def test_a_report_comes_out_as_it_went_in() -> None:
+def test_a_report_is_decoded_as_it_was_encoded() -> None:
     assert decode_report(encode(REPORT)) == REPORT
 
 
@@ -154,15 +159,15 @@
         b"[" * 100_000, b" " * (LINE_BYTES_MAX + 1),
     ],
 )  # fmt: skip
-def test_what_is_no_message_is_refused_in_one_line(line: bytes) -> None:
+def test_an_invalid_message_is_rejected_with_a_one_line_error(line: bytes) -> None:
     for decode in (decode_watch_message, decode_report):
-        with pytest.raises(MessageError) as problem:
+        with pytest.raises(MessageError) as raised:
             decode(line)
-        assert "\n" not in str(problem.value) and len(str(problem.value)) < 300
+        assert "\n" not in str(raised.value) and len(str(raised.value)) < 300
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda one: type(one).__name__)
-def test_each_truncated_line_is_refused(message: Any) -> None:
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda sample: type(sample).__name__)
+def test_each_truncated_line_is_rejected(message: Any) -> None:
     line = encode(message)
     for length in range(len(line)):
         with pytest.raises(MessageError):
@@ -171,21 +176,19 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.sampled_from(MESSAGES), st.randoms(use_true_random=False))
-def test_a_garbled_line_is_a_message_or_an_error_and_never_anything_else(
-    message: Any, random: Random
-) -> None:
+def test_a_corrupted_line_is_decoded_or_raises_a_message_error(message: Any, random: Random) -> None:
     line = bytearray(encode(message))
     for _ in range(random.randint(1, 4)):
         line[random.randrange(len(line))] = random.randrange(256)
     try:
-        found = decode_watch_message(bytes(line))
+        decoded = decode_watch_message(bytes(line))
     except MessageError:
         return
-    take_in(ConfigurationState(), found)
+    apply_message(ConfigurationState(), decoded)
 
 
-def take_in(state: ConfigurationState, message: Any) -> None:
-    """As a receiver does: what can be decoded is applied, or refused by an error that has a name."""
+def apply_message(state: ConfigurationState, message: Any) -> None:
+    """Applies a decoded message as a receiver does. Only the documented errors may be raised."""
     try:
         if isinstance(message, Changes):
             for logged in message.change_sets:
@@ -197,18 +200,19 @@
         pass
 
 
-def test_a_line_that_comes_twice_or_goes_back_changes_nothing() -> None:
+def test_a_repeated_or_outdated_line_changes_nothing() -> None:
     state = ConfigurationState()
     lines = [
         encode(
             Changes(
-                number, (LoggedChangeSet(number + 1, ChangeSet(f"s{number}", (Change(TENANT, "a", RAW),))),)
+                number,
+                (LoggedChangeSet(number + 1, ChangeSet(f"s{number}", (Change(TENANT, "a", CONTENT),))),),
             )
         )
         for number in range(3)
     ]
     for line in lines:
-        take_in(state, decode_watch_message(line))
+        apply_message(state, decode_watch_message(line))
     before = (state.revision, state.digest, list(state.resources()), state.recent_ids())
     for line in (lines[2], lines[0], lines[1]):
         message = decode_watch_message(line)
@@ -221,17 +225,18 @@
 # Keys.
 
 
-def test_keys_are_written_and_read_and_sort_as_snapshots_list_them() -> None:
+def test_keys_round_trip_as_text_and_sort_in_snapshot_order() -> None:
     keys = [ResourceKey(kind, name) for kind in ResourceKind for name in ("b", "a", "a/b")]
     assert [ResourceKey.parse(str(key)) for key in keys] == keys
-    words = [str(key) for key in sorted(keys, key=ResourceKey.sort_key)]
-    assert words[:4] == ["budget/a", "budget/a/b", "budget/b", "drain/a"]
+    sorted_texts = [str(key) for key in sorted(keys, key=ResourceKey.sort_key)]
+    assert sorted_texts[:4] == ["budget/a", "budget/a/b", "budget/b", "drain/a"]
     for text in ("", "tenant", "tenant/", "planet/a"):
         with pytest.raises(ValueError, match="."):
             ResourceKey.parse(text)
 
 
-def test_a_canonical_content_is_one_text_whatever_order_it_came_in() -> None:
+def test_the_canonical_text_does_not_depend_on_the_order_of_keys() -> None:
     assert (
-        canonical({"b": 1, "a": {"d": "\u00e9", "c": 2.0}}) == '{"a":{"c":2.0,"d":"\u00e9"},"b":1}'.encode()
+        canonical_json({"b": 1, "a": {"d": "\u00e9", "c": 2.0}})
+        == '{"a":{"c":2.0,"d":"\u00e9"},"b":1}'.encode()
     )
--- a/tests/configuration/test_route_index.py
+++ b/tests/configuration/test_route_index.py
@@ -1,4 +1,5 @@
-"""The packed index of routes finds what `limits.routes` finds, while routes come and go."""
+"""Tests of the packed route index, which has to find the same routes as `limits.routes` while routes are
+added and removed."""
 
 from __future__ import annotations
 
@@ -8,12 +9,12 @@
 from hypothesis import strategies as st
 
 from driftstair.configuration.route_index import RouteIndex
-from driftstair.configuration.route_lines import escaped, path_id, path_rank, unescaped
-from driftstair.configuration.sorted_lines import BLOCK_LINES, SortedLines
+from driftstair.configuration.route_lines import escape, path_id, path_rank, unescape
+from driftstair.configuration.sorted_lines import BLOCK_LINES_MAX, SortedLines
 from driftstair.limits.routes import PathPattern, Pattern, RouteQuery, Routes
 from driftstair.service.schema import Match
 
-SOME = st.sampled_from
+sampled_from = st.sampled_from
 PATHS = [
     "/api", "/a*", "/api*", "/a/*", "/a/b*", "/{x}", "/{y}", "/{x}/b", "/a/{y}", "/{x}/{y}", "/a/b", "/*",
     "/a/{y}/c", "/{x}/b/c", "//{x}", "/a\n/*", "/é",
@@ -21,36 +22,42 @@
 MATCHES = st.fixed_dictionaries(
     {},
     optional={
-        "class": SOME([["page"], ["order"], ["page", "order"]]),
-        "tenant": SOME([["acme"], ["acme", "series"], ["tab\tnew\nline"]]),
-        "method": SOME([["GET"], ["POST"], ["GET", "POST"]]),
-        "path": SOME(PATHS),
-        "key": SOME(["v", "video", "a"]),
-        "header": SOME([{"x-app": "tv"}, {"x-app": "*"}, {"x-app": "tv", "x-room": "a\tb"}, {"x-room": "*"}]),
+        "class": sampled_from([["page"], ["order"], ["page", "order"]]),
+        "tenant": sampled_from([["acme"], ["acme", "series"], ["tab\tnew\nline"]]),
+        "method": sampled_from([["GET"], ["POST"], ["GET", "POST"]]),
+        "path": sampled_from(PATHS),
+        "key": sampled_from(["v", "video", "a"]),
+        "header": sampled_from(
+            [{"x-app": "tv"}, {"x-app": "*"}, {"x-app": "tv", "x-room": "a\tb"}, {"x-room": "*"}]
+        ),
     },
 )
 REQUESTS = st.builds(
     RouteQuery,
-    SOME(["page", "order", "cart"]), SOME(["acme", "series", "", "tab\tnew\nline"]), SOME(["GET", "POST"]),
-    SOME(["/api", "/a", "/a/b", "/apix", "/x/b", "/a/c", "/a/x/c", "/q/r/s", "/a\n/x", "/", "", "//b", "/é"]),
-    st.dictionaries(SOME([b"x-app", b"x-room"]), SOME([b"tv", b"a\tb", b"\xff\xfe"])),
-    SOME(["video-7", "audio", ""]),
+    sampled_from(["page", "order", "cart"]), sampled_from(["acme", "series", "", "tab\tnew\nline"]),
+    sampled_from(["GET", "POST"]),
+    sampled_from(
+        ["/api", "/a", "/a/b", "/apix", "/x/b", "/a/c", "/a/x/c", "/q/r/s", "/a\n/x", "/", "", "//b", "/é"]
+    ),
+    st.dictionaries(sampled_from([b"x-app", b"x-room"]), sampled_from([b"tv", b"a\tb", b"\xff\xfe"])),
+    sampled_from(["video-7", "audio", ""]),
 )  # fmt: skip
 
 
-def pattern_of(match: dict[str, Any]) -> Pattern:
+def parse_pattern(match: dict[str, Any]) -> Pattern:
     return Pattern.of(Match.model_validate(match))
 
 
-def best_rank(patterns: list[Pattern], asked: RouteQuery) -> object:
-    return max((one.rank() for one in patterns if one.matches(asked)), default=None)
+def best_rank(patterns: list[Pattern], query: RouteQuery) -> object:
+    return max((pattern.rank() for pattern in patterns if pattern.matches(query)), default=None)
 
 
 @given(
-    st.lists(st.tuples(SOME("abcdefgh"), st.none() | MATCHES), max_size=24), st.lists(REQUESTS, max_size=5)
+    st.lists(st.tuples(sampled_from("abcdefgh"), st.none() | MATCHES), max_size=24),
+    st.lists(REQUESTS, max_size=5),
 )
 @settings(derandomize=True, deadline=None, max_examples=500)
-def test_it_finds_what_the_routes_of_a_file_find(
+def test_the_index_finds_the_same_routes_as_the_index_of_a_file(
     changes: list[tuple[str, dict[str, Any] | None]], requests: list[RouteQuery]
 ) -> None:
     index, routes = RouteIndex(), dict[str, Pattern]()
@@ -58,56 +65,58 @@
         if name in routes:
             index.remove(name, routes.pop(name))
         if match is not None:
-            routes[name] = pattern_of(match)
+            routes[name] = parse_pattern(match)
             index.add(name, routes[name])
-        for asked in requests:  # in between too: nothing that is kept of answers may grow stale
-            found = index.find(asked)
+        # After each change, because cached answers must not become stale.
+        for query in requests:
+            match_found = index.find(query)
             patterns = list(routes.values())
-            assert (found and found.rank) == best_rank(patterns, asked)
-            expected = Routes(patterns).find(asked)
-            assert (found is None) == (expected is None)
-            if found is not None and expected is not None:
-                assert routes[found.name].rank() == patterns[expected].rank()
-                assert routes[found.name].matches(asked)
-            assert index.serves(asked.path) == Routes(patterns).serves(asked.path)
+            assert (match_found and match_found.rank) == best_rank(patterns, query)
+            expected = Routes(patterns).find(query)
+            assert (match_found is None) == (expected is None)
+            if match_found is not None and expected is not None:
+                assert routes[match_found.name].rank() == patterns[expected].rank()
+                assert routes[match_found.name].matches(query)
+            assert index.serves(query.path) == Routes(patterns).serves(query.path)
     for name, pattern in routes.items():
         index.remove(name, pattern)
     assert len(index) == 0 and not index._shapes
 
 
-@given(st.lists(MATCHES, max_size=10), st.sets(SOME("0123456789")), REQUESTS)
+@given(st.lists(MATCHES, max_size=10), st.sets(sampled_from("0123456789")), REQUESTS)
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_masked_routes_are_passed_over(
-    matches: list[dict[str, Any]], masked: set[str], asked: RouteQuery
+def test_excluded_routes_are_ignored(
+    matches: list[dict[str, Any]], excluded: set[str], query: RouteQuery
 ) -> None:
     index, patterns = RouteIndex(), dict[str, Pattern]()
-    taken = set()
+    taken_entries = set()
     for number, match in enumerate(matches):
-        pattern = pattern_of(match)
-        entries = {(path_id(pattern.path), pattern.rank(), one) for one in pattern.look_up_keys()}
-        if not taken & entries:  # as the proof has it: two routes are never found by the same
-            taken |= entries
+        pattern = parse_pattern(match)
+        entries = {(path_id(pattern.path), pattern.rank(), candidate) for candidate in pattern.look_up_keys()}
+        # Validation ensures that no two routes have the same entry.
+        if not taken_entries & entries:
+            taken_entries |= entries
             patterns[str(number)] = pattern
             index.add(str(number), pattern)
-    left = [one for name, one in patterns.items() if name not in masked]
-    found = index.find(asked, masked)
-    assert (found and found.rank) == best_rank(left, asked)
+    remaining_patterns = [candidate for name, candidate in patterns.items() if name not in excluded]
+    match_found = index.find(query, excluded)
+    assert (match_found and match_found.rank) == best_rank(remaining_patterns, query)
 
 
-@given(SOME([path for path in PATHS if "{" in path]), st.lists(SOME(PATHS), unique=True))
+@given(sampled_from([path for path in PATHS if "{" in path]), st.lists(sampled_from(PATHS), unique=True))
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_templates_that_meet_are_found(one: str, others: list[str]) -> None:
+def test_overlapping_templates_are_found(template_path: str, other_paths: list[str]) -> None:
     index = RouteIndex()
-    paths = [PathPattern.parse(path) for path in others]
-    for number, path in enumerate(others):
-        index.add(str(number), pattern_of({"path": path}))
-    template = PathPattern.parse(one)
-    found = {path for path in index.templates_that_meet(path_id(template)) if path is not None}
-    alike = [path for path in paths if path.shape == 2 and path.rank() == template.rank()]
-    assert found == {path_id(path) for path in alike if path.overlaps(template)}
+    paths = [PathPattern.parse(path) for path in other_paths]
+    for number, path in enumerate(other_paths):
+        index.add(str(number), parse_pattern({"path": path}))
+    template = PathPattern.parse(template_path)
+    overlapping = {path for path in index.overlapping_templates(path_id(template)) if path is not None}
+    templates_of_equal_rank = [path for path in paths if path.shape == 2 and path.rank() == template.rank()]
+    assert overlapping == {path_id(path) for path in templates_of_equal_rank if path.overlaps(template)}
 
 
-@given(SOME(PATHS))
+@given(sampled_from(PATHS))
 def test_a_path_id_has_the_rank_of_its_pattern(path: str) -> None:
     pattern = PathPattern.parse(path)
     assert path_rank(path_id(pattern)) == pattern.rank()
@@ -115,52 +124,53 @@
 
 @given(st.text(), st.text())
 @settings(derandomize=True)
-def test_escaped_texts_are_printable_or_marked_and_keep_their_beginnings(one: str, other: str) -> None:
-    assert unescaped(escaped(one)) == one
-    assert escaped(one + other) == escaped(one) + escaped(other)
-    assert not set(escaped(one)) & {"\n", "\t", "\x01", "\x03", "\x04"}
+def test_escaping_is_reversible_and_preserves_prefixes(text: str, suffix: str) -> None:
+    assert unescape(escape(text)) == text
+    assert escape(text + suffix) == escape(text) + escape(suffix)
+    assert not set(escape(text)) & {"\n", "\t", "\x01", "\x03", "\x04"}
 
 
-def test_the_work_of_a_look_up_does_not_grow_with_routes_of_other_services() -> None:
-    """Counted in look-ups of paths and of lines, not in time."""
+def test_the_cost_of_a_look_up_does_not_grow_with_the_routes_of_other_services() -> None:
+    """Counts look-ups of paths instead of measuring time."""
 
-    class Counting(dict[Any, Any]):
-        looks = 0
+    class CountingDict(dict[Any, Any]):
+        look_ups = 0
 
         def __contains__(self, key: object) -> bool:
-            Counting.looks += 1
+            CountingDict.look_ups += 1
             return super().__contains__(key)
 
-    def looks(services: int) -> int:
+    def count_look_ups(services: int) -> int:
         index = RouteIndex()
         for service in range(services):
-            index.add(f"prefix-{service}", pattern_of({"path": f"/service-{service:04d}/api/*"}))
-            index.add(f"exact-{service}", pattern_of({"path": f"/service-{service:04d}/api/version"}))
-            index.add(f"template-{service}", pattern_of({"path": f"/service-{service:04d}/items/{{id}}"}))
-        index._shapes = Counting(index._shapes)
-        Counting.looks = 0
-        found = index.find(RouteQuery("page", "", "GET", "/service-0007/items/9", {}, ""))
-        assert found is not None and found.name == "template-7"
-        return Counting.looks
+            index.add(f"prefix-{service}", parse_pattern({"path": f"/service-{service:04d}/api/*"}))
+            index.add(f"exact-{service}", parse_pattern({"path": f"/service-{service:04d}/api/version"}))
+            index.add(f"template-{service}", parse_pattern({"path": f"/service-{service:04d}/items/{{id}}"}))
+        index._shapes = CountingDict(index._shapes)
+        CountingDict.look_ups = 0
+        match_found = index.find(RouteQuery("page", "", "GET", "/service-0007/items/9", {}, ""))
+        assert match_found is not None and match_found.name == "template-7"
+        return CountingDict.look_ups
 
-    assert looks(10) == looks(3_000) <= 4
+    assert count_look_ups(10) == count_look_ups(3_000) <= 4
 
 
 @given(
-    st.lists(st.tuples(st.booleans(), st.text(SOME("ab/c"), max_size=4)), max_size=60), st.text(SOME("ab/c"))
+    st.lists(st.tuples(st.booleans(), st.text(sampled_from("ab/c"), max_size=4)), max_size=60),
+    st.text(sampled_from("ab/c")),
 )
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_sorted_lines_are_a_sorted_set(changes: list[tuple[bool, str]], prefix: str) -> None:
+def test_sorted_lines_behave_like_a_sorted_set(changes: list[tuple[bool, str]], prefix: str) -> None:
     lines, expected = SortedLines(), set[bytes]()
-    for adds, text in changes:
+    for is_added, text in changes:
         line = text.encode()
-        assert (lines.add(line) if adds else lines.discard(line)) == ((line in expected) is not adds)
-        (expected.add if adds else expected.discard)(line)
-    check(lines, expected, prefix.encode())
+        assert (lines.add(line) if is_added else lines.discard(line)) == ((line in expected) is not is_added)
+        (expected.add if is_added else expected.discard)(line)
+    assert_equals_sorted_set(lines, expected, prefix.encode())
 
 
-def test_sorted_lines_of_many_blocks() -> None:
-    names = [b"%06d" % (number * 7919 % 100_003) for number in range(20 * BLOCK_LINES)]
+def test_sorted_lines_with_many_blocks() -> None:
+    names = [b"%06d" % (number * 7919 % 100_003) for number in range(20 * BLOCK_LINES_MAX)]
     lines, expected = SortedLines(), set(names)
     for name in names:
         lines.add(name)
@@ -168,15 +178,15 @@
         lines.discard(name)
         expected.discard(name)
     for prefix in (b"", b"0", b"05", b"0500", b"099999", b"1", *names[:200]):
-        check(lines, expected, prefix)
+        assert_equals_sorted_set(lines, expected, prefix)
     for name in sorted(expected):
         assert lines.discard(name)
-    assert len(lines) == 0 and lines.first_with(b"") is None
+    assert len(lines) == 0 and lines.first_with_prefix(b"") is None
 
 
-def check(lines: SortedLines, expected: set[bytes], prefix: bytes) -> None:
-    beginning = sorted(line for line in expected if line.startswith(prefix))
+def assert_equals_sorted_set(lines: SortedLines, expected: set[bytes], prefix: bytes) -> None:
+    lines_with_prefix = sorted(line for line in expected if line.startswith(prefix))
     assert len(lines) == len(expected)
-    assert list(lines.all_with(prefix)) == beginning
-    assert lines.first_with(prefix) == (beginning[0] if beginning else None)
-    assert lines.first_from(prefix) == min((line for line in expected if line >= prefix), default=None)
+    assert list(lines.all_with_prefix(prefix)) == lines_with_prefix
+    assert lines.first_with_prefix(prefix) == (lines_with_prefix[0] if lines_with_prefix else None)
+    assert lines.first_at_or_after(prefix) == min((line for line in expected if line >= prefix), default=None)
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -1,4 +1,4 @@
-"""The state that a log of change sets adds up to."""
+"""Tests of the state that results from a log of change sets."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 ROUTE, TENANT, BUDGET = ResourceKind.ROUTE, ResourceKind.TENANT, ResourceKind.BUDGET
 
 
-def put(kind: ResourceKind, name: str, content: bytes = b'{"per_s":1.0}') -> Change:
+def put_change(kind: ResourceKind, name: str, content: bytes = b'{"per_s":1.0}') -> Change:
     return Change(kind, name, msgspec.Raw(content))
 
 
-def logged(revision: int, *changes: Change, id: str = "") -> LoggedChangeSet:
-    return LoggedChangeSet(revision, ChangeSet(id or f"set-{revision}", changes))
+def logged_change_set(revision: int, *changes: Change, change_set_id: str = "") -> LoggedChangeSet:
+    return LoggedChangeSet(revision, ChangeSet(change_set_id or f"set-{revision}", changes))
 
 
-def test_a_change_set_is_in_the_state_with_its_revision() -> None:
+def test_an_applied_change_set_is_in_the_state_with_its_revision() -> None:
     state = ConfigurationState()
-    state.apply(logged(1, put(TENANT, "acme"), put(BUDGET, "retries")))
-    state.apply(logged(2, put(TENANT, "acme", b'{"burst":2.0}'), Change(BUDGET, "retries")))
+    state.apply(logged_change_set(1, put_change(TENANT, "acme"), put_change(BUDGET, "retries")))
+    state.apply(logged_change_set(2, put_change(TENANT, "acme", b'{"burst":2.0}'), Change(BUDGET, "retries")))
     key = ResourceKey(TENANT, "acme")
     assert state.revision == 2 and len(state) == 1
     assert state.content(key) == b'{"burst":2.0}'
@@ -36,110 +36,132 @@
 
 
 @pytest.mark.parametrize("revision", [0, 1, 3, -1])
-def test_a_change_set_that_is_not_the_next_changes_nothing(revision: int) -> None:
+def test_a_change_set_out_of_sequence_changes_nothing(revision: int) -> None:
     state = ConfigurationState()
-    state.apply(logged(1, put(TENANT, "acme")))
+    state.apply(logged_change_set(1, put_change(TENANT, "acme")))
     before = (state.revision, state.digest, list(state.resources()), state.recent_ids())
-    with pytest.raises(RevisionGapError) as problem:
-        state.apply(logged(revision, put(TENANT, "acme", b"{}"), put(TENANT, "other")))
-    assert (problem.value.expected, problem.value.given) == (2, revision)
+    with pytest.raises(RevisionGapError) as raised:
+        state.apply(
+            logged_change_set(revision, put_change(TENANT, "acme", b"{}"), put_change(TENANT, "other"))
+        )
+    assert (raised.value.expected, raised.value.received) == (2, revision)
     assert (state.revision, state.digest, list(state.resources()), state.recent_ids()) == before
 
 
-def test_ids_of_recent_change_sets_are_kept_and_bounded() -> None:
+def test_a_bounded_number_of_recent_change_set_ids_is_kept() -> None:
     state = ConfigurationState()
     for revision in range(1, RECENT_IDS_MAX + 3):
-        state.apply(logged(revision))
+        state.apply(logged_change_set(revision))
     assert state.revision_of("set-1") is None and state.revision_of("set-2") is None
     assert state.revision_of("set-3") == 3
     assert len(state.recent_ids()) == RECENT_IDS_MAX
 
 
-def test_a_restored_state_is_the_one_that_it_was_taken_of() -> None:
+def test_a_restored_state_equals_the_state_of_the_snapshot() -> None:
     state = ConfigurationState()
-    state.apply(logged(1, put(TENANT, "b"), put(ROUTE, "z"), put(BUDGET, "c")))
-    state.apply(logged(2, put(TENANT, "a")))
+    state.apply(
+        logged_change_set(1, put_change(TENANT, "b"), put_change(ROUTE, "z"), put_change(BUDGET, "c"))
+    )
+    state.apply(logged_change_set(2, put_change(TENANT, "a")))
     restored = ConfigurationState.restore(state.revision, state.resources(), state.recent_ids())
     assert (restored.revision, restored.digest) == (state.revision, state.digest)
     assert list(restored.resources()) == list(state.resources())
     assert restored.revision_of("set-1") == 1
 
 
-def test_resources_come_in_the_order_of_their_keys_and_go_on_behind_one() -> None:
+def test_resources_are_listed_in_key_order_and_can_start_behind_a_key() -> None:
     state = ConfigurationState()
-    state.apply(logged(1, put(TENANT, "b"), put(ROUTE, "z"), put(BUDGET, "c"), put(TENANT, "a")))
+    state.apply(
+        logged_change_set(
+            1,
+            put_change(TENANT, "b"),
+            put_change(ROUTE, "z"),
+            put_change(BUDGET, "c"),
+            put_change(TENANT, "a"),
+        )
+    )
     keys = [resource.key for resource in state.resources()]
     assert [str(key) for key in keys] == ["budget/c", "route/z", "tenant/a", "tenant/b"]
-    assert [one.key for one in state.resources(after=keys[1])] == keys[2:]
-    assert [str(one.key) for one in state.resources(after=ResourceKey(ROUTE, "zz"))] == [
+    assert [listed.key for listed in state.resources(after=keys[1])] == keys[2:]
+    assert [str(listed.key) for listed in state.resources(after=ResourceKey(ROUTE, "zz"))] == [
         "tenant/a",
         "tenant/b",
     ]
 
 
-def test_an_expected_revision_that_differs_is_found() -> None:
+def test_first_conflict_finds_a_mismatched_expected_revision() -> None:
     state = ConfigurationState()
-    state.apply(logged(1, put(TENANT, "acme")))
-    right = Change(TENANT, "acme", msgspec.Raw(b"{}"), expected_revision=1)
-    fresh = Change(TENANT, "new", msgspec.Raw(b"{}"), expected_revision=0)
-    wrong = Change(TENANT, "acme", msgspec.Raw(b"{}"), expected_revision=0)
-    assert state.first_conflict(ChangeSet("one", (right, fresh))) is None
-    assert state.first_conflict(ChangeSet("two", (fresh, wrong))) == wrong
+    state.apply(logged_change_set(1, put_change(TENANT, "acme")))
+    matching = Change(TENANT, "acme", msgspec.Raw(b"{}"), expected_revision=1)
+    absent = Change(TENANT, "new", msgspec.Raw(b"{}"), expected_revision=0)
+    mismatched = Change(TENANT, "acme", msgspec.Raw(b"{}"), expected_revision=0)
+    assert state.first_conflict(ChangeSet("one", (matching, absent))) is None
+    assert state.first_conflict(ChangeSet("two", (absent, mismatched))) == mismatched
 
 
-def test_at_each_step_of_an_application_the_state_is_the_old_one_or_the_new_one() -> None:
+def test_after_each_step_of_apply_the_state_is_the_old_or_the_new_one() -> None:
     state = ConfigurationState()
     names = [f"tenant-{number}" for number in range(200)]
-    state.apply(logged(1, *(put(TENANT, name, b'{"burst":1.0}') for name in names)))
-    for number, _ in enumerate(state.applying(logged(2, *(put(TENANT, name, b"{}") for name in names)))):
+    state.apply(logged_change_set(1, *(put_change(TENANT, name, b'{"burst":1.0}') for name in names)))
+    for number, _ in enumerate(
+        state.apply_in_steps(logged_change_set(2, *(put_change(TENANT, name, b"{}") for name in names)))
+    ):
         contents = {state.content(ResourceKey(TENANT, name)) for name in names}
         assert contents == ({b"{}"} if state.revision == 2 else {b'{"burst":1.0}'}), number
     assert state.revision == 2
 
 
-def test_an_application_that_is_left_halfway_is_as_if_it_had_not_begun_or_is_whole() -> None:
+def test_an_abandoned_apply_leaves_the_state_unchanged_or_complete() -> None:
     names = [f"tenant-{number}" for number in range(200)]
-    steps = 0
+    steps_taken = 0
     while True:
-        state, whole = ConfigurationState(), ConfigurationState()
-        first = logged(1, *(put(TENANT, name) for name in names))
-        application = state.applying(first)
-        if sum(1 for _ in zip(range(steps), application, strict=False)) < steps:
+        state, uninterrupted = ConfigurationState(), ConfigurationState()
+        first = logged_change_set(1, *(put_change(TENANT, name) for name in names))
+        steps_of_apply = state.apply_in_steps(first)
+        if sum(1 for _ in zip(range(steps_taken), steps_of_apply, strict=False)) < steps_taken:
             break
-        application.close()
+        steps_of_apply.close()
         if state.revision == 0:
             assert state.digest == 0 and len(state) == 0
             state.apply(first)
-        whole.apply(first)
-        then = logged(2, Change(TENANT, names[7]), put(TENANT, "another"))
-        state.apply(then)
-        whole.apply(then)
-        assert list(state.resources()) == list(whole.resources()) and state.digest == whole.digest
-        steps += 1
-    assert steps > 10
-
-
-def test_a_digest_by_the_change_is_that_of_the_whole() -> None:
+        uninterrupted.apply(first)
+        second = logged_change_set(2, Change(TENANT, names[7]), put_change(TENANT, "another"))
+        state.apply(second)
+        uninterrupted.apply(second)
+        assert (
+            list(state.resources()) == list(uninterrupted.resources())
+            and state.digest == uninterrupted.digest
+        )
+        steps_taken += 1
+    assert steps_taken > 10
+
+
+def test_the_incremental_digest_equals_the_sum_over_all_resources() -> None:
     state, random = ConfigurationState(), Random(7)
     for revision in range(1, 300):
         changes = [
-            Change(TENANT, name) if random.random() < 0.3 else put(TENANT, name, b'{"burst":%d}' % revision)
+            Change(TENANT, name)
+            if random.random() < 0.3
+            else put_change(TENANT, name, b'{"burst":%d}' % revision)
             for name in random.sample("abcdefgh", 3)
         ]
-        state.apply(logged(revision, *changes))
-    hashes = (resource_hash(one.key, one.revision, bytes(one.content)) for one in state.resources())
+        state.apply(logged_change_set(revision, *changes))
+    hashes = (
+        resource_hash(resource.key, resource.revision, bytes(resource.content))
+        for resource in state.resources()
+    )
     assert state.digest == sum(hashes) % (1 << 64)
 
 
 @pytest.mark.parametrize("revision", [-1, 1 << 63])
-def test_a_snapshot_of_no_possible_revision_is_refused(revision: int) -> None:
+def test_a_snapshot_with_an_invalid_revision_is_rejected(revision: int) -> None:
     with pytest.raises(ValueError, match="no revision"):
         ConfigurationState.restore(1, [Resource(TENANT, "acme", revision, msgspec.Raw(b"{}"))])
     with pytest.raises(ValueError, match="no revision"):
         ConfigurationState.restore(revision, [])
 
 
-def test_contents_do_not_keep_the_document_alive_that_they_came_in() -> None:
+def test_contents_do_not_keep_their_source_document_in_memory() -> None:
     line = b'{"kind":"tenant","name":"acme","revision":1,"content":{"burst":1.0}}' + b" " * 10_000
     resource = msgspec.json.decode(line, type=Resource)
     state = ConfigurationState.restore(1, [resource])
--- a/tests/control/control_rig.py
+++ b/tests/control/control_rig.py
@@ -20,14 +20,14 @@
     WatchMessage,
     decode_watch_message,
 )
-from driftstair.configuration.resources import ResourceKind, canonical
+from driftstair.configuration.resources import ResourceKind, canonical_json
 from driftstair.configuration.state import ConfigurationState
 from driftstair.control.http_server import HttpServer, Respond
 
 
 def drain(name: str, reason: int | str = 0, expected: int | None = None) -> Change:
     """A change of a resource that needs no other one."""
-    content = msgspec.Raw(canonical({"reason": f"by {reason}"}))
+    content = msgspec.Raw(canonical_json({"reason": f"by {reason}"}))
     return Change(ResourceKind.DRAIN, name, content, expected)
 
 
--- a/tests/node_configuration/control_server.py
+++ b/tests/node_configuration/control_server.py
@@ -17,7 +17,7 @@
     decode_report,
     encode,
 )
-from driftstair.configuration.resources import Resource, ResourceKind, canonical
+from driftstair.configuration.resources import Resource, ResourceKind, canonical_json
 from driftstair.configuration.state import ConfigurationState
 
 ROUTE, TENANT, BUDGET, DRAIN = (
@@ -28,7 +28,7 @@
 
 def change(kind: ResourceKind, name: str, content: object) -> Change:
     """`content` None deletes."""
-    return Change(kind, name, msgspec.Raw(b"null" if content is None else canonical(content)))
+    return Change(kind, name, msgspec.Raw(b"null" if content is None else canonical_json(content)))
 
 
 class Log:
--- a/tests/node_configuration/harness.py
+++ b/tests/node_configuration/harness.py
@@ -14,7 +14,7 @@
 from driftstair.configuration.assessment import Violation
 from driftstair.configuration.change_sets import ChangeSet
 from driftstair.configuration.resources import ResourceKey, ResourceKind
-from driftstair.configuration.validation import NO_SERVICE
+from driftstair.configuration.validation import EMPTY_SERVICE
 from driftstair.hosts import parse_address
 from driftstair.limits.findings import Platform
 from driftstair.net.system import SOCKET_SYSTEM, System
@@ -83,7 +83,7 @@
 
 
 def given(platform: Platform = PLATFORM) -> Circumstances:
-    return Circumstances(platform, NO_SERVICE, nothing_missing)
+    return Circumstances(platform, EMPTY_SERVICE, nothing_missing)
 
 
 class Harness:
--- a/tests/node_configuration/test_application.py
+++ b/tests/node_configuration/test_application.py
@@ -13,7 +13,7 @@
 
 from driftstair.configuration.change_sets import ChangeSet, LoggedChangeSet
 from driftstair.configuration.messages import LINE_BYTES_MAX, Changes, Freshness, SnapshotPart, encode
-from driftstair.configuration.resources import Resource, canonical
+from driftstair.configuration.resources import Resource, canonical_json
 from driftstair.net.system import SocketSystem
 from driftstair.node_configuration import slices
 from driftstair.node_configuration.application import STALE_MS
@@ -39,12 +39,12 @@
             await until(lambda: server.queries)
             server.say(log.freshness(), log.changes())
             await until(lambda: len(node.effects.changed) == 3)
-            assert node.content(ROUTE, "r") == canonical(route(in_flight=2))
+            assert node.content(ROUTE, "r") == canonical_json(route(in_flight=2))
             assert node.effects.changed == ["route/r", "tenant/acme", "route/r"]
             log.put(change(ROUTE, "r", None), change(TENANT, "acme", TWENTY))
             server.say(log.changes(2))
             await until(lambda: node.in_force.revision == 3)
-            assert node.content(ROUTE, "r") is None and node.content(TENANT, "acme") == canonical(TWENTY)
+            assert node.content(ROUTE, "r") is None and node.content(TENANT, "acme") == canonical_json(TWENTY)
             assert node.digest() == f"{log.state.digest:016x}" and not node.refused()
 
     run(test())
@@ -64,20 +64,20 @@
             await until(lambda: server.queries)
             server.say(log.changes(), log.freshness())
             await until(lambda: node.in_force.revision == 3)
-            assert node.content(ROUTE, "r") == canonical(route())
-            assert node.content(TENANT, "acme") == canonical(TEN)  # of the same set
-            assert node.content(ROUTE, "other") == canonical(route(path="/b"))
+            assert node.content(ROUTE, "r") == canonical_json(route())
+            assert node.content(TENANT, "acme") == canonical_json(TEN)  # of the same set
+            assert node.content(ROUTE, "other") == canonical_json(route(path="/b"))
             assert node.refused() == [2] and node.digest() == f"{log.state.digest:016x}"
             (refused,) = [one.report() for one in node.in_force.refusals.values()]
             assert refused.resource == "route/r" and "elsewhere" in refused.reason
             log.put(change(TENANT, "acme", {"in_flight": 30}))
             server.say(log.changes(3))
             await until(lambda: node.in_force.revision == 4)
-            assert node.content(TENANT, "acme") == canonical({"in_flight": 30}) and node.refused() == [2]
+            assert node.content(TENANT, "acme") == canonical_json({"in_flight": 30}) and node.refused() == [2]
             log.put(change(ROUTE, "r", route(in_flight=7)))
             server.say(log.changes(4), log.freshness())
             await until(lambda: node.in_force.revision == 5)
-            assert node.content(ROUTE, "r") == canonical(route(in_flight=7)) and not node.refused()
+            assert node.content(ROUTE, "r") == canonical_json(route(in_flight=7)) and not node.refused()
             assert node.digest() == f"{log.state.digest:016x}" and len(server.queries) == 1
 
     with caplog.at_level(logging.WARNING):
@@ -96,11 +96,11 @@
             await until(lambda: node.refused() == [2])
             node.application.judge_anew(given(with_class("elsewhere")))
             await until(lambda: not node.refused())
-            assert node.content(ROUTE, "r") == canonical(route("elsewhere"))
+            assert node.content(ROUTE, "r") == canonical_json(route("elsewhere"))
             assert node.digest() == f"{log.state.digest:016x}"
             node.application.judge_anew(given(PLATFORM))
             await until(lambda: node.refused() == [2])
-            assert node.content(ROUTE, "s") == canonical(route(path="/s"))
+            assert node.content(ROUTE, "s") == canonical_json(route(path="/s"))
             assert node.digest() == f"{log.state.digest:016x}"
             log.put(change(TENANT, "acme", TEN))
             server.say(log.changes(2))
@@ -285,7 +285,7 @@
             log.put(change(TENANT, "acme", TWENTY))
             second.say(log.freshness(), log.changes(1))
             await until(lambda: node.in_force.revision == 2)
-            assert node.content(TENANT, "acme") == canonical(TWENTY)
+            assert node.content(TENANT, "acme") == canonical_json(TWENTY)
 
     run(test())
 
@@ -309,7 +309,7 @@
             assert second.queries[0]["from"] == "0"
             second.say(new.freshness(), *new.snapshot())
             await until(lambda: len(one.queries) + len(other.queries) > 2)  # it is no higher revision
-            assert node.content(TENANT, "lost") == canonical(TEN)  # what it has stays in force
+            assert node.content(TENANT, "lost") == canonical_json(TEN)  # what it has stays in force
             server = first if len(first.queries) > 1 else second
             new.put(change(TENANT, "new", TEN))
             server.say(new.freshness(), *new.snapshot())
@@ -335,7 +335,7 @@
             await until(lambda: len(server.queries) == 2)
             server.say(new.changes())
             await until(lambda: node.application.position().revision == 1)
-            assert node.content(TENANT, "acme") == canonical(TEN)
+            assert node.content(TENANT, "acme") == canonical_json(TEN)
             new.put(change(TENANT, "new", TEN))
             server.say(new.changes(1), new.freshness())
             await until(lambda: node.in_force.revision == 2)
--- a/tests/node_configuration/test_in_force.py
+++ b/tests/node_configuration/test_in_force.py
@@ -9,7 +9,7 @@
 from harness import PLATFORM, given, route, with_class
 
 from driftstair.configuration.change_sets import Change, LoggedChangeSet
-from driftstair.configuration.resources import Resource, ResourceKey, canonical
+from driftstair.configuration.resources import Resource, ResourceKey, canonical_json
 from driftstair.configuration.state import RevisionGapError
 from driftstair.limits.limiting_module import FIRST_ADDED_ROUTE
 from driftstair.limits.routes import RouteQuery
@@ -170,7 +170,7 @@
     assert steps >= len(resources)
     assert list(whole.refusals) == [2, 3] and whole.revision == 4
     contents = {str(one.key): bytes(one.content) for one in whole.state.resources()}
-    assert contents["tenant/a"] == canonical(TEN) and contents["route/r"] == canonical(route())
+    assert contents["tenant/a"] == canonical_json(TEN) and contents["route/r"] == canonical_json(route())
     assert "tenant/b" not in contents and "route/s" not in contents and len(contents) == 53
     assert whole.received_digest() == log.state.digest
     assert sorted(map(str, (one.key for one in whole.received_resources()))) == sorted(
--- a/tests/node_configuration/test_persistence.py
+++ b/tests/node_configuration/test_persistence.py
@@ -14,7 +14,7 @@
 
 from driftstair import record_file
 from driftstair.configuration.messages import Changes
-from driftstair.configuration.resources import canonical
+from driftstair.configuration.resources import canonical_json
 from driftstair.node_configuration import disk, persistence
 from driftstair.node_configuration.records import (
     FORMAT,
@@ -82,7 +82,7 @@
         await kept(tmp_path, log)  # from there on, appended
         async with Harness(folder=tmp_path) as node:
             assert node.in_force.revision == 3 and node.digest() == f"{log.state.digest:016x}"
-            assert node.content(TENANT, "t000") == canonical(TWENTY)
+            assert node.content(TENANT, "t000") == canonical_json(TWENTY)
             assert node.content(TENANT, "t002") is None
             assert node.watch.server is None and node.watch._address == DEAD
         async with ControlServer() as server, Harness(server, folder=tmp_path) as node:
@@ -100,8 +100,8 @@
         await kept(tmp_path, log)
         async with Harness(folder=tmp_path) as node:
             assert node.refused() == [3] and node.digest() == f"{log.state.digest:016x}"
-            assert node.content(ROUTE, "r") == canonical(route())
-            assert node.content(TENANT, "t005") == canonical(TEN)
+            assert node.content(ROUTE, "r") == canonical_json(route())
+            assert node.content(TENANT, "t005") == canonical_json(TEN)
             assert node.store is not None
             node.store.rewrite()  # and once more, in a snapshot
             path = node.store.path
@@ -109,9 +109,9 @@
                 lambda: any(isinstance(one, SnapshotEnd) and one.revision == 3 for one in records(path))
             )
         async with Harness(folder=tmp_path) as node:
-            assert node.refused() == [3] and node.content(ROUTE, "r") == canonical(route())
+            assert node.refused() == [3] and node.content(ROUTE, "r") == canonical_json(route())
         async with Harness(folder=tmp_path, platform=with_class("elsewhere")) as node:
-            assert not node.refused() and node.content(ROUTE, "r") == canonical(route("elsewhere"))
+            assert not node.refused() and node.content(ROUTE, "r") == canonical_json(route("elsewhere"))
             assert node.digest() == f"{log.state.digest:016x}"
 
     run(test())
@@ -192,7 +192,7 @@
                 await until(lambda: node.in_force.revision == len(log.entries))
                 before = tries
                 await until(lambda before=before: tries > before + 1)  # type: ignore[misc]
-            assert node.content(TENANT, "t050") == canonical(TWENTY) and store.is_behind
+            assert node.content(TENANT, "t050") == canonical_json(TWENTY) and store.is_behind
             monkeypatch.setattr(record_file, "_write_all", write_all)
             await until(lambda: not store.is_behind)
             lock = store.path.with_suffix(persistence.LOCK_SUFFIX)
