--- a/driftstair/node_configuration/application.py
+++ b/driftstair/node_configuration/application.py
@@ -176,7 +176,7 @@
             if collector is None:
                 await self._apply_change_set(entry)
             else:
-                for _ in collector.state.applying(entry):
+                for _ in collector.state.apply_in_steps(entry):
                     await self.slicer.after_step()
             await self.slicer.after_step()
         await self._finish_collection()
@@ -244,7 +244,7 @@
         self._conflicting_revision = None
         await self._put_in_force(state.resources(), state.revision, self.current.state.resource)
         log.info("a whole configuration is in force: revision %d", self.current.revision)
-        for _ in state.releasing():
+        for _ in state.release_in_steps():
             await self.slicer.after_step()
 
     async def _put_in_force(
@@ -321,7 +321,7 @@
             self._received_revision = self.current.revision
             self._on_turn_end()
             log.info("revision %d is in force, from the disk", self.current.revision)
-            for _ in state.releasing():
+            for _ in state.release_in_steps():
                 await self.slicer.after_step()
         self.disk.start(is_on_disk=loaded is not None)
         self.is_loaded.set()
--- a/driftstair/node_configuration/effects.py
+++ b/driftstair/node_configuration/effects.py
@@ -46,7 +46,7 @@
         """The resource of this name has changed or was deleted."""
         ...
 
-    def on_change_of_all(self) -> None:
+    def on_all_changed(self) -> None:
         """Any of the resources may have changed."""
         ...
 
@@ -106,7 +106,7 @@
     def on_replaced(self) -> None:
         """Updates the compiled tables completely; budgets and drains count as changed."""
         for table in self._tables.values():
-            table.on_change_of_all()
+            table.on_all_changed()
         self._budgets_changed = self._drains_changed = True
 
     def on_watch_started(self) -> None:
--- a/driftstair/node_configuration/in_force.py
+++ b/driftstair/node_configuration/in_force.py
@@ -128,8 +128,8 @@
 
     def release_steps(self) -> Iterator[None]:
         """Frees the memory in steps, once another configuration is in force."""
-        yield from self.validator.routes.releasing()
-        yield from self.state.releasing()
+        yield from self.validator.routes.release_in_steps()
+        yield from self.state.release_in_steps()
 
     # Look-ups.
 
@@ -159,12 +159,12 @@
     ) -> Generator[None, None, AppliedChangeSet]:
         """Puts the next change set in force, or refuses it as a whole. Raises RevisionGapError."""
         change_set = logged.change_set
-        assessment = yield from self.validator.assessing(change_set)
+        assessment = yield from self.validator.assess_in_steps(change_set)
         violations = self.context.node_check(change_set) or assessment.violations
         if violations:
             return self._refuse(logged, violations[0])
         keys = tuple(change.key for change in change_set.changes)
-        for _ in self.state.applying(logged):
+        for _ in self.state.apply_in_steps(logged):
             if self._unindexed is None and self.state.revision == logged.revision:
                 # From this step on, all look-ups see the whole change set, though its routes are not in the
                 # index yet.
@@ -172,7 +172,7 @@
                 self._supersede(keys)  # in the same step, as a report has revision, digest and refusals
                 on_switch(keys)
             yield
-        yield from self.validator.taking(assessment)
+        yield from self.validator.apply_assessment_in_steps(assessment)
         self._unindexed = None
         return AppliedChangeSet(keys, None)
 
@@ -236,10 +236,10 @@
     def _add_if_valid(self, resource: Resource) -> Generator[None, None, list[Violation]]:
         """Adds a resource to those added before; returns the violations if it is invalid."""
         change_set = _single_change(resource.key, resource.content)
-        assessment = yield from self.validator.assessing(change_set)
+        assessment = yield from self.validator.assess_in_steps(change_set)
         violations = self.context.node_check(change_set) or assessment.violations
         if not violations:
-            yield from self.validator.taking(assessment)
+            yield from self.validator.apply_assessment_in_steps(assessment)
             self.state.load((resource,))
         return violations
 
@@ -257,10 +257,10 @@
         self, resource: Resource, refusal: Refusal, previous_resource: PreviousResource
     ) -> Generator[None, None, None]:
         """Removes a valid resource whose change set is refused."""
-        assessment = yield from self.validator.assessing(_single_change(resource.key, None))
+        assessment = yield from self.validator.assess_in_steps(_single_change(resource.key, None))
         if assessment.violations:
             return  # other resources in force depend on it
-        yield from self.validator.taking(assessment)
+        yield from self.validator.apply_assessment_in_steps(assessment)
         self.state.unload(resource.key)
         yield from self._keep_previous(resource, refusal, previous_resource)
 
--- a/driftstair/node_configuration/reception.py
+++ b/driftstair/node_configuration/reception.py
@@ -10,7 +10,7 @@
     ChangeSet,
     ChangeSetError,
     LoggedChangeSet,
-    checked,
+    normalize_change_set,
 )
 from driftstair.configuration.messages import Changes, MessageError, SnapshotPart
 from driftstair.configuration.resources import CONTENT_BYTES_MAX, NAME_BYTES_MAX, Resource, ResourceKey
@@ -32,9 +32,9 @@
     received = logged.change_set
     changes: dict[ResourceKey, Change] = {}
     try:
-        checked(ChangeSet(received.id))
+        normalize_change_set(ChangeSet(received.id))
         for change in received.changes:
-            changes[change.key] = checked(ChangeSet(received.id, (change,))).changes[0]
+            changes[change.key] = normalize_change_set(ChangeSet(received.id, (change,))).changes[0]
             yield
     except ChangeSetError as error:
         raise MessageError(f"revision {logged.revision}: {error}") from None
--- a/tests/node_configuration/harness.py
+++ b/tests/node_configuration/harness.py
@@ -14,7 +14,7 @@
 from driftstair.configuration.assessment import Violation
 from driftstair.configuration.change_sets import ChangeSet
 from driftstair.configuration.resources import ResourceKey, ResourceKind
-from driftstair.configuration.validation import NO_SERVICE
+from driftstair.configuration.validation import EMPTY_SERVICE
 from driftstair.hosts import parse_address
 from driftstair.limits.findings import Platform
 from driftstair.net.system import SOCKET_SYSTEM, System
@@ -85,7 +85,7 @@
 
 def node_context(platform: Platform = PLATFORM) -> NodeContext:
     """The context of a node without a service file."""
-    return NodeContext(platform, NO_SERVICE, no_violations)
+    return NodeContext(platform, EMPTY_SERVICE, no_violations)
 
 
 class NodeHarness:
--- a/tests/node_configuration/test_application.py
+++ b/tests/node_configuration/test_application.py
@@ -13,7 +13,7 @@
 
 from driftstair.configuration.change_sets import ChangeSet, LoggedChangeSet
 from driftstair.configuration.messages import LINE_BYTES_MAX, Changes, Freshness, SnapshotPart, encode
-from driftstair.configuration.resources import Resource, canonical
+from driftstair.configuration.resources import Resource, canonical_json
 from driftstair.net.system import SocketSystem
 from driftstair.node_configuration import slices
 from driftstair.node_configuration.application import LEADER_SILENCE_MAX_MS
@@ -39,12 +39,12 @@
             await until(lambda: server.queries)
             server.send(log.freshness(), log.changes())
             await until(lambda: len(node.effects.applied_keys) == 3)
-            assert node.content(ROUTE, "r") == canonical(route(in_flight=2))
+            assert node.content(ROUTE, "r") == canonical_json(route(in_flight=2))
             assert node.effects.applied_keys == ["route/r", "tenant/acme", "route/r"]
             log.put(change(ROUTE, "r", None), change(TENANT, "acme", IN_FLIGHT_20))
             server.send(log.changes(2))
             await until(lambda: node.in_force.revision == 3)
-            assert node.content(ROUTE, "r") is None and node.content(TENANT, "acme") == canonical(
+            assert node.content(ROUTE, "r") is None and node.content(TENANT, "acme") == canonical_json(
                 IN_FLIGHT_20
             )
             assert node.digest() == f"{log.state.digest:016x}" and not node.refused_revisions()
@@ -67,22 +67,22 @@
             await until(lambda: server.queries)
             server.send(log.changes(), log.freshness())
             await until(lambda: node.in_force.revision == 3)
-            assert node.content(ROUTE, "r") == canonical(route())
-            assert node.content(TENANT, "acme") == canonical(IN_FLIGHT_10)  # of the same change set
-            assert node.content(ROUTE, "other") == canonical(route(path="/b"))
+            assert node.content(ROUTE, "r") == canonical_json(route())
+            assert node.content(TENANT, "acme") == canonical_json(IN_FLIGHT_10)  # of the same change set
+            assert node.content(ROUTE, "other") == canonical_json(route(path="/b"))
             assert node.refused_revisions() == [2] and node.digest() == f"{log.state.digest:016x}"
             (refused,) = [refusal.report() for refusal in node.in_force.refusals.values()]
             assert refused.resource == "route/r" and "elsewhere" in refused.reason
             log.put(change(TENANT, "acme", {"in_flight": 30}))
             server.send(log.changes(3))
             await until(lambda: node.in_force.revision == 4)
-            assert node.content(TENANT, "acme") == canonical(
+            assert node.content(TENANT, "acme") == canonical_json(
                 {"in_flight": 30}
             ) and node.refused_revisions() == [2]
             log.put(change(ROUTE, "r", route(in_flight=7)))
             server.send(log.changes(4), log.freshness())
             await until(lambda: node.in_force.revision == 5)
-            assert node.content(ROUTE, "r") == canonical(route(in_flight=7)) and not node.refused_revisions()
+            assert node.content(ROUTE, "r") == canonical_json(route(in_flight=7)) and not node.refused_revisions()
             assert node.digest() == f"{log.state.digest:016x}" and len(server.queries) == 1
 
     with caplog.at_level(logging.WARNING):
@@ -101,11 +101,11 @@
             await until(lambda: node.refused_revisions() == [2])
             node.applier.revalidate(node_context(with_class("elsewhere")))
             await until(lambda: not node.refused_revisions())
-            assert node.content(ROUTE, "r") == canonical(route("elsewhere"))
+            assert node.content(ROUTE, "r") == canonical_json(route("elsewhere"))
             assert node.digest() == f"{log.state.digest:016x}"
             node.applier.revalidate(node_context(PLATFORM))
             await until(lambda: node.refused_revisions() == [2])
-            assert node.content(ROUTE, "s") == canonical(route(path="/s"))
+            assert node.content(ROUTE, "s") == canonical_json(route(path="/s"))
             assert node.digest() == f"{log.state.digest:016x}"
             log.put(change(TENANT, "acme", IN_FLIGHT_10))
             server.send(log.changes(2))
@@ -302,7 +302,7 @@
             log.put(change(TENANT, "acme", IN_FLIGHT_20))
             second.send(log.freshness(), log.changes(1))
             await until(lambda: node.in_force.revision == 2)
-            assert node.content(TENANT, "acme") == canonical(IN_FLIGHT_20)
+            assert node.content(TENANT, "acme") == canonical_json(IN_FLIGHT_20)
 
     run(test())
 
@@ -331,7 +331,7 @@
             second.send(new_log.freshness(), *new_log.snapshot())
             # The snapshot is rejected, as its revision is not higher, and the configuration stays in force.
             await until(lambda: len(server_a.queries) + len(server_b.queries) > 2)
-            assert node.content(TENANT, "lost") == canonical(IN_FLIGHT_10)
+            assert node.content(TENANT, "lost") == canonical_json(IN_FLIGHT_10)
             server = first if len(first.queries) > 1 else second
             new_log.put(change(TENANT, "new", IN_FLIGHT_10))
             server.send(new_log.freshness(), *new_log.snapshot())
@@ -357,7 +357,7 @@
             await until(lambda: len(server.queries) == 2)
             server.send(new_log.changes())
             await until(lambda: node.applier.position().revision == 1)
-            assert node.content(TENANT, "acme") == canonical(IN_FLIGHT_10)
+            assert node.content(TENANT, "acme") == canonical_json(IN_FLIGHT_10)
             new_log.put(change(TENANT, "new", IN_FLIGHT_10))
             server.send(new_log.changes(1), new_log.freshness())
             await until(lambda: node.in_force.revision == 2)
--- a/tests/node_configuration/test_persistence.py
+++ b/tests/node_configuration/test_persistence.py
@@ -14,7 +14,7 @@
 
 from driftstair import record_file
 from driftstair.configuration.messages import Changes
-from driftstair.configuration.resources import canonical
+from driftstair.configuration.resources import canonical_json
 from driftstair.node_configuration import disk, persistence
 from driftstair.node_configuration.records import (
     FORMAT,
@@ -88,7 +88,7 @@
         await run_node(tmp_path, log)  # appended to the file
         async with NodeHarness(folder=tmp_path) as node:
             assert node.in_force.revision == 3 and node.digest() == f"{log.state.digest:016x}"
-            assert node.content(TENANT, "t000") == canonical(IN_FLIGHT_20)
+            assert node.content(TENANT, "t000") == canonical_json(IN_FLIGHT_20)
             assert node.content(TENANT, "t002") is None
             assert node.watch.server is None and node.watch._address == UNREACHABLE_SERVER
         async with ControlServer() as server, NodeHarness(server, folder=tmp_path) as node:
@@ -106,8 +106,8 @@
         await run_node(tmp_path, log)
         async with NodeHarness(folder=tmp_path) as node:
             assert node.refused_revisions() == [3] and node.digest() == f"{log.state.digest:016x}"
-            assert node.content(ROUTE, "r") == canonical(route())
-            assert node.content(TENANT, "t005") == canonical(IN_FLIGHT_10)
+            assert node.content(ROUTE, "r") == canonical_json(route())
+            assert node.content(TENANT, "t005") == canonical_json(IN_FLIGHT_10)
             assert node.store is not None
             node.store.rewrite()  # the same state again, as a snapshot
             path = node.store.path
@@ -117,9 +117,9 @@
                 )
             )
         async with NodeHarness(folder=tmp_path) as node:
-            assert node.refused_revisions() == [3] and node.content(ROUTE, "r") == canonical(route())
+            assert node.refused_revisions() == [3] and node.content(ROUTE, "r") == canonical_json(route())
         async with NodeHarness(folder=tmp_path, platform=with_class("elsewhere")) as node:
-            assert not node.refused_revisions() and node.content(ROUTE, "r") == canonical(route("elsewhere"))
+            assert not node.refused_revisions() and node.content(ROUTE, "r") == canonical_json(route("elsewhere"))
             assert node.digest() == f"{log.state.digest:016x}"
 
     run(test())
@@ -203,7 +203,7 @@
                 await until(lambda: node.in_force.revision == len(log.entries))
                 count_before = write_count
                 await until(lambda count_before=count_before: write_count > count_before + 1)  # type: ignore[misc]
-            assert node.content(TENANT, "t050") == canonical(IN_FLIGHT_20) and store.is_behind
+            assert node.content(TENANT, "t050") == canonical_json(IN_FLIGHT_20) and store.is_behind
             monkeypatch.setattr(record_file, "_write_all", original_write_all)
             await until(lambda: not store.is_behind)
             lock_file = store.path.with_suffix(persistence.LOCK_SUFFIX)
