--- a/tests/node_configuration/test_application.py
+++ b/tests/node_configuration/test_application.py
@@ -82,7 +82,10 @@
             log.put(change(ROUTE, "r", route(in_flight=7)))
             server.send(log.changes(4), log.freshness())
             await until(lambda: node.in_force.revision == 5)
-            assert node.content(ROUTE, "r") == canonical_json(route(in_flight=7)) and not node.refused_revisions()
+            assert (
+                node.content(ROUTE, "r") == canonical_json(route(in_flight=7))
+                and not node.refused_revisions()
+            )
             assert node.digest() == f"{log.state.digest:016x}" and len(server.queries) == 1
 
     with caplog.at_level(logging.WARNING):
--- a/tests/node_configuration/test_in_force.py
+++ b/tests/node_configuration/test_in_force.py
@@ -174,7 +174,9 @@
     assert steps >= len(resources)
     assert list(whole.refusals) == [2, 3] and whole.revision == 4
     contents = {str(resource.key): bytes(resource.content) for resource in whole.state.resources()}
-    assert contents["tenant/a"] == canonical_json(IN_FLIGHT_10) and contents["route/r"] == canonical_json(route())
+    assert contents["tenant/a"] == canonical_json(IN_FLIGHT_10) and contents["route/r"] == canonical_json(
+        route()
+    )
     assert "tenant/b" not in contents and "route/s" not in contents and len(contents) == 53
     assert whole.received_digest() == log.state.digest
     assert sorted(map(str, (resource.key for resource in whole.received_resources()))) == sorted(
--- a/tests/node_configuration/test_persistence.py
+++ b/tests/node_configuration/test_persistence.py
@@ -119,7 +119,9 @@
         async with NodeHarness(folder=tmp_path) as node:
             assert node.refused_revisions() == [3] and node.content(ROUTE, "r") == canonical_json(route())
         async with NodeHarness(folder=tmp_path, platform=with_class("elsewhere")) as node:
-            assert not node.refused_revisions() and node.content(ROUTE, "r") == canonical_json(route("elsewhere"))
+            assert not node.refused_revisions() and node.content(ROUTE, "r") == canonical_json(
+                route("elsewhere")
+            )
             assert node.digest() == f"{log.state.digest:016x}"
 
     run(test())
