--- a/tests/control/test_record_file.py
+++ b/tests/control/test_record_file.py
@@ -1,4 +1,4 @@
-"""Records on a disk: whatever a crash leaves of the last batch is cut, whatever changed since is an error."""
+"""Record files: a torn last batch is truncated, and any other change of the data is an error."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     return tmp_path / "some.log"
 
 
-def written(path: Path, *batches: list[bytes]) -> bytes:
-    """A file of these batches, as it lies on the disk."""
+def write_batches(path: Path, *batches: list[bytes]) -> bytes:
+    """Appends batches to a file and returns its content."""
     file = RecordFile(path)
     for batch in batches:
         file.append(batch)
@@ -43,7 +43,7 @@
     return path.read_bytes()
 
 
-def test_a_missing_and_an_empty_file_hold_nothing(path: Path) -> None:
+def test_a_missing_file_and_an_empty_file_have_no_records(path: Path) -> None:
     assert read_records(path) == ([], 0, 0)
     path.write_bytes(b"")
     file = RecordFile(path)
@@ -53,8 +53,8 @@
     assert read_records(path).payloads == [b"x"]
 
 
-def test_what_was_appended_is_read_in_order_by_the_next_one(path: Path) -> None:
-    size = len(written(path, FIRST, SECOND))
+def test_appended_records_are_read_in_order(path: Path) -> None:
+    size = len(write_batches(path, FIRST, SECOND))
     file = RecordFile(path)
     assert (file.payloads, file.size, file.cut_bytes) == (FIRST + SECOND, size, 0)
     file.append([b"five"])
@@ -62,72 +62,77 @@
     assert read_records(path).payloads == [*FIRST, *SECOND, b"five"]
 
 
-def test_torn_at_every_byte_leaves_the_whole_records_and_is_cut(path: Path) -> None:
-    data = written(path, FIRST, SECOND)
+def test_a_file_truncated_at_any_byte_keeps_its_complete_records(path: Path) -> None:
+    data = write_batches(path, FIRST, SECOND)
     ends = [0]
     for payload in FIRST + SECOND:
         ends.append(ends[-1] + HEADER_BYTES + len(payload))
     for size in range(len(data) + 1):
-        whole = sum(1 for end in ends[1:] if end <= size)
+        complete = sum(1 for end in ends[1:] if end <= size)
         path.write_bytes(data[:size])
         file = RecordFile(path)
-        assert file.payloads == (FIRST + SECOND)[:whole], size
-        assert (file.size, file.cut_bytes) == (ends[whole], size - ends[whole])
-        assert path.stat().st_size == ends[whole]
+        assert file.payloads == (FIRST + SECOND)[:complete], size
+        assert (file.size, file.cut_bytes) == (ends[complete], size - ends[complete])
+        assert path.stat().st_size == ends[complete]
         file.append([b"next"])
         file.close()
-        assert read_records(path).payloads == [*(FIRST + SECOND)[:whole], b"next"]
+        assert read_records(path).payloads == [*(FIRST + SECOND)[:complete], b"next"]
 
 
-def test_a_bit_that_flipped_in_any_byte_is_corruption_and_changes_nothing(path: Path) -> None:
-    data = written(path, FIRST, SECOND)
-    for place in range(len(data)):
+def test_a_flipped_bit_in_any_byte_is_corruption_and_leaves_the_file_unchanged(path: Path) -> None:
+    data = write_batches(path, FIRST, SECOND)
+    for position in range(len(data)):
         for bit in range(8):
-            wrong = bytearray(data)
-            wrong[place] ^= 1 << bit
-            path.write_bytes(wrong)
+            corrupt = bytearray(data)
+            corrupt[position] ^= 1 << bit
+            path.write_bytes(corrupt)
             with pytest.raises(CorruptRecordError) as problem:
                 RecordFile(path)
-            assert problem.value.offset <= place
+            assert problem.value.offset <= position
             text = str(problem.value)
             assert text.startswith(f"some.log, byte {problem.value.offset}: ") and "\n" not in text
             assert "would do" in text
-            assert path.read_bytes() == wrong
+            assert path.read_bytes() == corrupt
 
 
 def test_a_last_batch_with_an_unwritten_sector_is_torn(path: Path) -> None:
-    """Sectors reach the disk in any order: the size and the end are there, a sector between is zeros."""
-    big = os.urandom(4 * SECTOR_BYTES)
-    first = len(written(path, FIRST))
-    data = written(path, [big, b"behind it in the same batch"])
-    for start in range((first // SECTOR_BYTES + 1) * SECTOR_BYTES, first + len(big), SECTOR_BYTES):
+    """Sectors reach the disk in any order, so the end of the file may be written while a sector before it
+    is zeros."""
+    large_payload = os.urandom(4 * SECTOR_BYTES)
+    first_batch_bytes = len(write_batches(path, FIRST))
+    data = write_batches(path, [large_payload, b"behind it in the same batch"])
+    for start in range(
+        (first_batch_bytes // SECTOR_BYTES + 1) * SECTOR_BYTES,
+        first_batch_bytes + len(large_payload),
+        SECTOR_BYTES,
+    ):
         torn = (data[:start] + bytes(SECTOR_BYTES) + data[start + SECTOR_BYTES :])[: len(data)]
-        assert scan_records(path, torn) == (FIRST, first, len(data) - first)
+        assert scan_records(path, torn) == (FIRST, first_batch_bytes, len(data) - first_batch_bytes)
 
 
 def test_a_sector_of_zeros_before_a_later_batch_is_corruption(path: Path) -> None:
-    big = os.urandom(4 * SECTOR_BYTES)
-    written(path, [big])
-    data = written(path, SECOND)
-    lost = data[:SECTOR_BYTES] + bytes(SECTOR_BYTES) + data[2 * SECTOR_BYTES :]
+    large_payload = os.urandom(4 * SECTOR_BYTES)
+    write_batches(path, [large_payload])
+    data = write_batches(path, SECOND)
+    data_without_sector = data[:SECTOR_BYTES] + bytes(SECTOR_BYTES) + data[2 * SECTOR_BYTES :]
     with pytest.raises(CorruptRecordError):
-        scan_records(path, lost)
-    replace_records(path, [big, b"behind"])
+        scan_records(path, data_without_sector)
+    replace_records(path, [large_payload, b"behind"])
     data = path.read_bytes()
     with pytest.raises(CorruptRecordError):
         scan_records(path, data[:SECTOR_BYTES] + bytes(SECTOR_BYTES) + data[2 * SECTOR_BYTES :])
 
 
-def test_a_payload_that_holds_a_record_is_not_taken_for_one(path: Path) -> None:
-    """Content is the clients': it can't make a torn tail look like corruption, nor the other way round."""
-    inner = encode_batch([b"planted"], 1 << 40)
-    data = written(path, FIRST, [inner + b"-"])
-    assert read_records(path).payloads == [*FIRST, inner + b"-"]
+def test_a_record_within_a_payload_is_not_read_as_a_record(path: Path) -> None:
+    """Clients choose the payloads, which must not make a torn tail look like corruption or vice versa."""
+    embedded_record = encode_batch([b"planted"], 1 << 40)
+    data = write_batches(path, FIRST, [embedded_record + b"-"])
+    assert read_records(path).payloads == [*FIRST, embedded_record + b"-"]
     assert scan_records(path, data[:-1]).payloads == FIRST
 
 
 @pytest.mark.parametrize("payload", [b"", bytes(RECORD_BYTES_MAX + 1)], ids=["empty", "too long"])
-def test_a_record_of_a_wrong_size_is_refused_before_anything_is_written(path: Path, payload: bytes) -> None:
+def test_a_record_of_invalid_size_is_refused_before_anything_is_written(path: Path, payload: bytes) -> None:
     file = RecordFile(path)
     with pytest.raises(ValueError, match="would do"):
         file.append([b"good", payload])
@@ -135,65 +140,65 @@
     assert path.read_bytes() == b""
 
 
-@pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
-@pytest.mark.parametrize("taken", [0, 1, HEADER_BYTES, HEADER_BYTES + 7])
-def test_a_write_that_fails_half_way_leaves_the_file_as_it_was(
-    path: Path, number: int, taken: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("error_number", [errno.ENOSPC, errno.EIO])
+@pytest.mark.parametrize("writable_bytes", [0, 1, HEADER_BYTES, HEADER_BYTES + 7])
+def test_a_partial_write_leaves_the_file_unchanged(
+    path: Path, error_number: int, writable_bytes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = written(path, FIRST)
+    original = write_batches(path, FIRST)
     file = RecordFile(path)
-    pwrite, rest = os.pwrite, taken
-
-    def full(descriptor: int, data: bytes, offset: int) -> int:
-        nonlocal rest
-        if not rest:
-            raise OSError(number, os.strerror(number))
-        size = pwrite(descriptor, data[:rest], offset)
-        rest -= size
+    pwrite, remaining = os.pwrite, writable_bytes
+
+    def failing_pwrite(descriptor: int, data: bytes, offset: int) -> int:
+        nonlocal remaining
+        if not remaining:
+            raise OSError(error_number, os.strerror(error_number))
+        size = pwrite(descriptor, data[:remaining], offset)
+        remaining -= size
         return size
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "pwrite", full)
+        patch.setattr(os, "pwrite", failing_pwrite)
         with pytest.raises(RecordWriteError) as problem:
             file.append(SECOND)
-    assert problem.value.is_full == (number == errno.ENOSPC)
-    assert str(problem.value).startswith(f"some.log, byte {len(before)}: ")
-    assert path.read_bytes() == before
+    assert problem.value.is_full == (error_number == errno.ENOSPC)
+    assert str(problem.value).startswith(f"some.log, byte {len(original)}: ")
+    assert path.read_bytes() == original
     file.append(SECOND)
     file.close()
     assert read_records(path).payloads == FIRST + SECOND
 
 
-def test_a_sync_that_fails_acknowledges_nothing(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    before = written(path, FIRST)
+def test_a_failed_sync_leaves_the_file_unchanged(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    original = write_batches(path, FIRST)
     file = RecordFile(path)
 
-    def broken(descriptor: int) -> None:
+    def failing_fsync(descriptor: int) -> None:
         raise OSError(errno.EIO, "Input/output error")
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "fsync", broken)
+        patch.setattr(os, "fsync", failing_fsync)
         with pytest.raises(RecordWriteError):
             file.append(SECOND)
         with pytest.raises(RecordWriteError):
             file.append(SECOND)
     file.append([b"later"])
     file.close()
-    assert path.read_bytes() == before + encode_batch([b"later"], len(before))
+    assert path.read_bytes() == original + encode_batch([b"later"], len(original))
 
 
-def test_what_could_not_be_cut_at_once_is_cut_before_the_next_write(
+def test_an_incomplete_write_that_could_not_be_truncated_is_truncated_before_the_next_write(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    written(path, FIRST)
+    write_batches(path, FIRST)
     file = RecordFile(path)
 
-    def refuse(*_: object) -> int:
+    def failing_call(*_: object) -> int:
         raise OSError(errno.EIO, "Input/output error")
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "fsync", refuse)
-        patch.setattr(os, "ftruncate", refuse)
+        patch.setattr(os, "fsync", failing_call)
+        patch.setattr(os, "ftruncate", failing_call)
         with pytest.raises(RecordWriteError):
             file.append([bytes(100)])
     file.append([b"short"])
@@ -201,7 +206,7 @@
     assert read_records(path) == ([*FIRST, b"short"], path.stat().st_size, 0)
 
 
-LIMITED = """
+SIZE_LIMIT_PROGRAM = """
 import resource, signal, sys
 from pathlib import Path
 from driftstair.record_file import RecordFile, RecordWriteError
@@ -216,30 +221,34 @@
 """
 
 
-def test_a_real_limit_of_the_size_leaves_the_file_as_it_was(path: Path) -> None:
-    """In a process of its own: the limit can't be raised again."""
+def test_reaching_a_file_size_limit_leaves_the_file_unchanged(path: Path) -> None:
+    """Runs in its own process, since the limit can't be raised again."""
     assert resource.RLIMIT_FSIZE and signal.SIGXFSZ
-    before = written(path, [b"a"])
-    run = subprocess.run(
-        [sys.executable, "-c", LIMITED, str(path)], capture_output=True, text=True, timeout=60, check=True
+    original = write_batches(path, [b"a"])
+    completed = subprocess.run(
+        [sys.executable, "-c", SIZE_LIMIT_PROGRAM, str(path)],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=True,
     )
-    assert run.stdout.split() == ["True", str(len(before))] * 2
-    assert path.read_bytes() == before
-    assert [found.name for found in path.parent.iterdir()] == [path.name]
+    assert completed.stdout.split() == ["True", str(len(original))] * 2
+    assert path.read_bytes() == original
+    assert [entry.name for entry in path.parent.iterdir()] == [path.name]
 
 
-def test_a_replacement_is_there_as_a_whole_or_not_at_all(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_replacement_is_atomic(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = RecordFile(path)
     file.append(FIRST)
 
-    def no_rename(source: object, target: object) -> None:
+    def failing_rename(source: object, target: object) -> None:
         raise OSError(errno.ENOSPC, "No space left on device")
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "rename", no_rename)
+        patch.setattr(os, "rename", failing_rename)
         with pytest.raises(RecordWriteError):
             file.replace(SECOND)
-    assert [found.name for found in path.parent.iterdir()] == [path.name]
+    assert [entry.name for entry in path.parent.iterdir()] == [path.name]
     assert read_records(path).payloads == FIRST
     file.replace(SECOND)
     file.append([b"behind"])
@@ -247,23 +256,23 @@
     assert read_records(path).payloads == [*SECOND, b"behind"]
 
 
-def test_a_replacement_whose_folder_is_not_synced_takes_what_is_appended_later(
+def test_records_are_appended_to_a_replacement_whose_folder_sync_failed(
     path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The old file has no name any more: what went there would be lost."""
+    """The replaced file no longer has a name, so records appended to it would be lost."""
     file = RecordFile(path)
     file.append(FIRST)
     fsync = os.fsync
     calls = []
 
-    def second_fails(descriptor: int) -> None:
+    def fail_on_second_call(descriptor: int) -> None:
         calls.append(descriptor)
         if len(calls) == 2:
             raise OSError(errno.EIO, "Input/output error")
         fsync(descriptor)
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "fsync", second_fails)
+        patch.setattr(os, "fsync", fail_on_second_call)
         with pytest.raises(RecordWriteError):
             file.replace(SECOND)
     file.append([b"behind"])
@@ -271,7 +280,7 @@
     assert read_records(path).payloads == [*SECOND, b"behind"]
 
 
-def test_a_leftover_of_an_earlier_replacement_does_not_matter(path: Path) -> None:
+def test_a_leftover_temporary_file_is_overwritten(path: Path) -> None:
     path.with_name("some.log.new").write_bytes(b"half")
     replace_records(path, FIRST)
     assert read_records(path).payloads == FIRST
