--- a/driftstair/control/storage.py
+++ b/driftstair/control/storage.py
@@ -1,10 +1,10 @@
-"""A control replica's folder: its log, promises and snapshot in one file of records, for one process.
+"""The folder of a control replica: one file of records with its log, promises and snapshot.
 
-    replica.log     the records; replaced as a whole when the log is cut at a snapshot
-    replica.lock    locked by the process that uses the folder (flock, ends with the process)
+    replica.log     the records; replaced as a whole when the log is compacted into a snapshot
+    replica.lock    locked with flock by the only process that uses the folder, until that process ends
 
-The file begins with a FormatRecord. After a replacement a BaseRecord and the snapshot in pieces follow, then
-what a replica appends.
+The file begins with a FormatRecord. In a replaced file a BaseRecord and the snapshot, split into several
+records, follow. After them come the records that the replica has appended.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 from driftstair.record_file import CorruptRecordError, RecordFile
 
 FORMAT_VERSION = 1
-LOG_NAME = "replica.log"
-LOCK_NAME = "replica.lock"
-PIECE_BYTES = 1 << 20  # of JSON in one record of a replacement: far below RECORD_BYTES_MAX with one item more
-ANOTHER_WAY = "with an empty folder the others bring this replica up to date, one replica at a time"
+LOG_FILE_NAME = "replica.log"
+LOCK_FILE_NAME = "replica.lock"
+RECORD_BYTES_TARGET = 1 << 20  # of JSON per record; with one more item still far below RECORD_BYTES_MAX
+RECOVERY_HINT = "with an empty folder the others bring this replica up to date, one replica at a time"
 
 Item = TypeVar("Item")
 
 
 class StorageError(Exception):
-    """The folder can't be used. One line that says what would do."""
+    """The folder can't be used. The text is one line with the remedy."""
 
 
 class FolderBusyError(StorageError):
-    """Another process has it: it may end."""
+    """Another process uses the folder, possibly one that is about to end."""
 
 
 class FormatRecord(msgspec.Struct, frozen=True, tag="format"):
@@ -84,90 +84,91 @@
 
 
 class ReplicaStorage:
-    """Opened by construction, by one process. `replica`: its number; another's folder is refused.
+    """Locks and reads the folder on construction, which raises StorageError and OSError.
 
-    `stored` is what the folder held, `cut_bytes` the rest of a write that was cut off. Raises StorageError,
-    OSError.
+    `replica` is the number of the replica; the folder of another replica is refused. `stored` is the content
+    of the folder, and `cut_bytes` the size of an incomplete write that was removed from the end of the log.
     """
 
     def __init__(self, folder: Path, replica: int | None = None) -> None:
-        self._path = folder / LOG_NAME
+        self._path = folder / LOG_FILE_NAME
         self._replica = replica
-        self._lock = _locked(folder)
+        self._lock_descriptor = _lock_folder(folder)
         try:
             self._file = RecordFile(self._path)
             try:
-                self.stored = self._read(self._file.payloads)
+                self.stored = self._read_records(self._file.payloads)
             except BaseException:
                 self._file.close()
                 raise
         except CorruptRecordError as problem:
-            os.close(self._lock)
+            os.close(self._lock_descriptor)
             raise StorageError(f"{folder}: {problem}") from None
         except BaseException:
-            os.close(self._lock)
+            os.close(self._lock_descriptor)
             raise
         self._has_format = bool(self._file.payloads)
         self._file.payloads = []
         self.cut_bytes = self._file.cut_bytes
 
     def write(self, persist: Persist) -> None:
-        """Written and synced when it returns; may be called in a thread, one at a time. Raises
-        RecordWriteError (`is_full`: space would do): then nothing changed, and it is tried again later."""
+        """Writes and syncs records. May be called in a thread, one call at a time. Raises
+        RecordWriteError, which leaves the file unchanged, so that the caller can retry."""
         first = persist.records[0]
         if isinstance(first, ReplaceRecord):
-            self._file.replace(self._replacement(first.stored))
+            self._file.replace(self._replacement_payloads(first.stored))
         else:
-            payloads = [] if self._has_format else [self._format()]
+            payloads = [] if self._has_format else [self._format_record()]
             payloads += [_encode(record) for record in persist.records]
             self._file.append(payloads)
         self._has_format = True
 
     def close(self) -> None:
-        if self._lock >= 0:
+        """Closes the files and releases the lock."""
+        if self._lock_descriptor >= 0:
             self._file.close()
-            os.close(self._lock)
-            self._lock = -1
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = -1
 
-    def _format(self) -> bytes:
+    def _format_record(self) -> bytes:
         return _encode(FormatRecord(FORMAT_VERSION, self._replica))
 
-    def _replacement(self, stored: StoredLog) -> Iterator[bytes]:
+    def _replacement_payloads(self, stored: StoredLog) -> Iterator[bytes]:
         snapshot = stored.snapshot
         position = None if snapshot is None else snapshot.position
-        yield self._format()
+        yield self._format_record()
         yield _encode(BaseRecord(stored.promised, stored.followed, stored.lease_token, stored.base, position))
         if snapshot is not None:
-            for resources in _pieces(snapshot.resources):
+            for resources in _batches(snapshot.resources):
                 yield _encode(ResourcesRecord(resources))
-            for recent_ids in _pieces(snapshot.recent_ids):
+            for recent_ids in _batches(snapshot.recent_ids):
                 yield _encode(RecentIdsRecord(recent_ids))
         after = stored.base.revision
-        for entries in _pieces(stored.entries):
+        for entries in _batches(stored.entries):
             yield _encode(EntriesRecord(stored.followed, after, entries))
             after = entries[-1].revision
         yield _encode(CommitRecord(stored.committed))
 
-    def _read(self, payloads: list[bytes]) -> StoredLog:
+    def _read_records(self, payloads: list[bytes]) -> StoredLog:
         builder = StoredLogBuilder()
         for index, payload in enumerate(payloads):
             try:
-                self._add(builder, index, _decoder.decode(payload))
+                self._add_record(builder, index, _decoder.decode(payload))
             except (msgspec.DecodeError, StoredLogError) as problem:
-                raise StorageError(f"{self._path}, record {index}: {problem}; {ANOTHER_WAY}") from None
+                raise StorageError(f"{self._path}, record {index}: {problem}; {RECOVERY_HINT}") from None
         try:
             return builder.result()
         except StoredLogError as problem:
-            raise StorageError(f"{self._path}: {problem}; {ANOTHER_WAY}") from None
+            raise StorageError(f"{self._path}: {problem}; {RECOVERY_HINT}") from None
 
-    def _add(self, builder: StoredLogBuilder, index: int, record: DiskRecord) -> None:
+    def _add_record(self, builder: StoredLogBuilder, index: int, record: DiskRecord) -> None:
         if (index == 0) != isinstance(record, FormatRecord):
             raise StoredLogError("a format record stands first, and nowhere else")
         match record:
             case FormatRecord():
                 self._check_format(record)
             case BaseRecord():
-                builder.add(ReplaceRecord(_without_items(record)))
+                builder.add(ReplaceRecord(_without_content(record)))
             case ResourcesRecord(resources=resources):
                 builder.add_resources(resources)
             case RecentIdsRecord(recent_ids=recent_ids):
@@ -175,39 +176,39 @@
             case _:
                 builder.add(record)
 
-    def _check_format(self, found: FormatRecord) -> None:
-        """Raises StorageError."""
-        if found.version != FORMAT_VERSION:
-            raise StorageError(f"{self._path}: format {found.version}; {FORMAT_VERSION} would do")
-        if None not in (found.replica, self._replica) and found.replica != self._replica:
+    def _check_format(self, record: FormatRecord) -> None:
+        """Raises StorageError if the format or the replica differs."""
+        if record.version != FORMAT_VERSION:
+            raise StorageError(f"{self._path}: format {record.version}; {FORMAT_VERSION} would do")
+        if None not in (record.replica, self._replica) and record.replica != self._replica:
             raise StorageError(
-                f"{self._path}: it is replica {found.replica}'s; the folder of {self._replica} would do"
+                f"{self._path}: it is replica {record.replica}'s; the folder of {self._replica} would do"
             )
 
 
-def _without_items(record: BaseRecord) -> StoredLog:
-    """What the pieces behind it are added to."""
+def _without_content(record: BaseRecord) -> StoredLog:
+    """The stored log of a base record, to which the records after it are added."""
     snapshot = None if record.snapshot is None else Snapshot(record.snapshot, ())
     return StoredLog(record.promised, record.followed, record.lease_token, 0, record.base, (), snapshot)
 
 
-def _pieces(items: Iterable[Item]) -> Iterator[tuple[Item, ...]]:
-    """In the same order, each piece about PIECE_BYTES in JSON."""
-    piece: list[Item] = []
+def _batches(items: Iterable[Item]) -> Iterator[tuple[Item, ...]]:
+    """Splits items, in order, into batches of about RECORD_BYTES_TARGET of JSON."""
+    batch: list[Item] = []
     size = 0
     for item in items:
-        piece.append(item)
+        batch.append(item)
         size += len(_encode(item))
-        if size >= PIECE_BYTES:
-            yield tuple(piece)
-            piece, size = [], 0
-    if piece:
-        yield tuple(piece)
+        if size >= RECORD_BYTES_TARGET:
+            yield tuple(batch)
+            batch, size = [], 0
+    if batch:
+        yield tuple(batch)
 
 
-def _locked(folder: Path) -> int:
-    """A descriptor that holds the folder's lock. Raises FolderBusyError, OSError."""
-    descriptor = os.open(folder / LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
+def _lock_folder(folder: Path) -> int:
+    """Locks the folder and returns the descriptor that holds the lock. Raises FolderBusyError, OSError."""
+    descriptor = os.open(folder / LOCK_FILE_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
