--- a/driftstair/control/disk_writer.py
+++ b/driftstair/control/disk_writer.py
@@ -1,7 +1,7 @@
-"""Writes of a replica's disk, in a thread: one at a time, each of all that has come meanwhile.
+"""Writes a replica's records to disk in a thread, one batch at a time.
 
-So a slow sync holds up neither the loop nor more than one turn of acknowledgements. What the disk does not
-take is tried again until it does.
+Each batch holds everything that was queued during the previous write. So a slow sync doesn't block the event
+loop, and delays an acknowledgement by at most one other write. A failed write is retried until it succeeds.
 """
 
 from __future__ import annotations
@@ -18,36 +18,38 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.5  # s between two tries to write what the disk does not take
-LOG_EVERY = 120  # tries between two log lines about it
+RETRY_PAUSE_S = 0.5  # between two attempts at a failed write
+LOG_EVERY_ATTEMPTS = 120  # between two log lines about a failing write
 
 
 class DiskWriter:
-    """`on_persisted` gets the number of the last Persist that is synced, `on_fault` a fault that is not the
-    disk's: nothing is written after it. Owns the storage."""
+    """Owns the storage. `on_persisted` gets the sequence number of the last Persist that is synced.
+    `on_fault` gets the text of an error other than a failed write; nothing is written after it."""
 
     def __init__(
         self, storage: ReplicaStorage, on_persisted: Callable[[int], None], on_fault: Callable[[str], None]
     ) -> None:
         self.storage = storage
-        self.problem = ""  # why the disk takes nothing now
+        self.problem = ""  # why writes fail at present; empty: they succeed
         self._on_persisted = on_persisted
         self._on_fault = on_fault
-        self._waiting: deque[Persist] = deque()
-        self._filled = asyncio.Event()
+        self._queue: deque[Persist] = deque()
+        self._queue_filled = asyncio.Event()
         self._executor = ThreadPoolExecutor(1, "disk")
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Starts writing. Has to be called in a running event loop."""
         self._task = asyncio.get_running_loop().create_task(self._run())
-        self._task.add_done_callback(self._on_end)
+        self._task.add_done_callback(self._on_task_done)
 
     def add(self, persist: Persist) -> None:
-        self._waiting.append(persist)
-        self._filled.set()
+        """Queues records to be written."""
+        self._queue.append(persist)
+        self._queue_filled.set()
 
     def close(self) -> None:
-        """Returns once a write that is under way is over."""
+        """Stops writing. Waits for a write in progress, and drops queued records."""
         if self._task is not None:
             self._task.cancel()
         self._executor.shutdown(wait=True)
@@ -55,45 +57,46 @@
 
     async def _run(self) -> None:
         while True:
-            await self._filled.wait()
-            persist = self._take()
+            await self._queue_filled.wait()
+            persist = self._take_batch()
             await self._write(persist)
             self._on_persisted(persist.sequence)
 
-    def _take(self) -> Persist:
-        """All that waits, as one; what replaces the whole disk stands alone."""
-        sequence, records = self._waiting.popleft()
-        while self._waiting and not _replaces(records) and not _replaces(self._waiting[0].records):
-            sequence, more = self._waiting.popleft()
-            records += more
-        if not self._waiting:
-            self._filled.clear()
+    def _take_batch(self) -> Persist:
+        """All queued records as one Persist; a record that replaces the whole file is in a Persist of its
+        own."""
+        sequence, records = self._queue.popleft()
+        while self._queue and not _has_replacement(records) and not _has_replacement(self._queue[0].records):
+            sequence, next_records = self._queue.popleft()
+            records += next_records
+        if not self._queue:
+            self._queue_filled.clear()
         return Persist(sequence, records)
 
     async def _write(self, persist: Persist) -> None:
         loop = asyncio.get_running_loop()
-        tries = 0
+        attempts = 0
         while True:
             try:
                 await loop.run_in_executor(self._executor, self.storage.write, persist)
             except RecordWriteError as problem:
                 self.problem = str(problem)
-                if tries % LOG_EVERY == 0:
+                if attempts % LOG_EVERY_ATTEMPTS == 0:
                     log.error("%s; serving on without acknowledging changes, and trying again", problem)
-                tries += 1
-                await asyncio.sleep(RETRY_S)
+                attempts += 1
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             if self.problem:
                 log.info("the disk takes changes again")
                 self.problem = ""
             return
 
-    def _on_end(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         problem = None if task.cancelled() else task.exception()
         if problem is not None:
-            log.error("the disk is written to no more", exc_info=problem)
+            log.error("the disk writer failed; nothing more is written", exc_info=problem)
             self._on_fault(f"disk: {problem}")
 
 
-def _replaces(records: tuple[object, ...]) -> bool:
+def _has_replacement(records: tuple[object, ...]) -> bool:
     return any(isinstance(record, ReplaceRecord) for record in records)
--- a/driftstair/control/http_client.py
+++ b/driftstair/control/http_client.py
@@ -1,4 +1,4 @@
-"""A kept connection to another control server: one POST at a time, each with a time limit."""
+"""HTTP client for calls between control servers: one POST at a time on a persistent connection."""
 
 from __future__ import annotations
 
@@ -8,45 +8,48 @@
 from driftstair.control.http import Response
 from driftstair.net.kept_connection import CallError, KeptConnection
 
-DIAL_S_MAX = 2.0  # s until a connection is up; a round trip between regions takes 0.3 s at most
-ANSWER_BYTES_MAX = 64 << 10  # of one answer, its head with it
+DIAL_TIMEOUT_S = 2.0  # a round trip between regions takes 0.3 s at most
+ANSWER_BYTES_MAX = 64 << 10  # of one answer, including its head
 
 
 class HttpClient:
-    """Dials when a request needs it and keeps the connection while answers come."""
+    """Connects when a request needs it, and keeps the connection until a request fails."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
         self._connection: KeptConnection | None = None
 
-    async def post(self, target: str, body: bytes, answer_s_max: float) -> Response:
-        """Raises CallError. One caller at a time."""
+    async def post(self, target: str, body: bytes, timeout_s: float) -> Response:
+        """Posts a body and returns the answer. Only one call may run at a time. Raises CallError."""
         try:
             if self._connection is None or self._connection.is_over:
                 self._connection = await self._dial()
-            async with asyncio.timeout(answer_s_max):
+            async with asyncio.timeout(timeout_s):
                 return Response(*await self._connection.post(target, body))
         except TimeoutError:
             self.close()
-            raise CallError(f"no answer within {answer_s_max:g} s") from None
+            raise CallError(f"no answer within {timeout_s:g} s") from None
         except OSError as problem:
             self.close()
             raise CallError(problem.strerror or str(problem)) from None
-        except BaseException:  # what would come is the answer to a request that nobody waits for
+        except (
+            BaseException
+        ):  # the answer could still arrive, and would be taken for that to the next request
             self.close()
             raise
 
     async def _dial(self) -> KeptConnection:
         loop = asyncio.get_running_loop()
-        make = partial(KeptConnection, self.address, ANSWER_BYTES_MAX)
+        factory = partial(KeptConnection, self.address, ANSWER_BYTES_MAX)
         try:
-            async with asyncio.timeout(DIAL_S_MAX):
-                _, connection = await loop.create_connection(make, *self.address)
+            async with asyncio.timeout(DIAL_TIMEOUT_S):
+                _, connection = await loop.create_connection(factory, *self.address)
         except TimeoutError:
-            raise CallError(f"no connection within {DIAL_S_MAX:g} s") from None
+            raise CallError(f"no connection within {DIAL_TIMEOUT_S:g} s") from None
         return connection
 
     def close(self) -> None:
+        """Closes the connection. The next `post` opens another one."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.close()
--- a/driftstair/control/merge.py
+++ b/driftstair/control/merge.py
@@ -1,4 +1,4 @@
-"""One view of what all control servers say: who is where, who lags. No I/O."""
+"""Merges the statuses of all control servers into one view. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from driftstair.control.status import NodeStatus, RevisionStatus, ServerStatus
 
-RECENT_MAX = 10  # revisions in a view
+RECENT_REVISIONS_MAX = 10  # shown in a view
 
 
 class ServerView(msgspec.Struct, frozen=True):
@@ -42,38 +42,39 @@
 class StatusView(msgspec.Struct, frozen=True):
     """What `driftstair control status` shows."""
 
-    leader: str | None  # the address of whoever most servers take for it
+    leader: str | None  # the address of the server that most servers name as leader
     committed: int
     nodes: int
     servers: tuple[ServerView, ...]
-    revisions: tuple[RevisionView, ...]  # the latest first
-    lagging: tuple[NodeStatus, ...]  # the one behind for longest first
-    refusing: tuple[NodeStatus, ...]  # nodes with refused sets
-    differing: tuple[NodeStatus, ...]  # same revision as a server, another content
+    revisions: tuple[RevisionView, ...]  # newest first
+    lagging: tuple[NodeStatus, ...]  # longest lag first
+    refusing: tuple[NodeStatus, ...]  # nodes that refused change sets
+    differing: tuple[NodeStatus, ...]  # at the same revision as a server, with different content
     forget_after_s: int
 
 
-Answer = tuple[str, ServerStatus | str]  # an address, and its status or why there is none
+ServerAnswer = tuple[str, ServerStatus | str]  # address, and status or the reason why there is none
 
 
-def merge(answers: Sequence[Answer]) -> StatusView:
-    """The latest that any server knows: of nodes by generation and then by the time of the report."""
-    known = [(address, status) for address, status in answers if isinstance(status, ServerStatus)]
-    committed = max((status.log.committed for _, status in known), default=0)
-    nodes = _latest_reports([status for _, status in known])
-    behind = [node for node in nodes if node.revision < committed]
-    revisions = {one.revision: one for _, status in known for one in status.recent}
-    recent = sorted(revisions.values(), key=lambda one: -one.revision)[:RECENT_MAX]
+def merge(answers: Sequence[ServerAnswer]) -> StatusView:
+    """Merges the latest data of all servers. The report of a node with the greatest generation counts, and of
+    those the most recent one."""
+    answered = [(address, status) for address, status in answers if isinstance(status, ServerStatus)]
+    committed = max((status.log.committed for _, status in answered), default=0)
+    nodes = _latest_reports([status for _, status in answered])
+    lagging_nodes = [node for node in nodes if node.revision < committed]
+    revisions = {revision.revision: revision for _, status in answered for revision in status.recent}
+    recent = sorted(revisions.values(), key=lambda revision: -revision.revision)[:RECENT_REVISIONS_MAX]
     return StatusView(
-        leader=_leader(known),
+        leader=_leader(answered),
         committed=committed,
         nodes=len(nodes),
         servers=tuple(_server_view(address, status) for address, status in answers),
-        revisions=tuple(_revision_view(one, nodes) for one in recent),
-        lagging=tuple(sorted(behind, key=lambda node: (-node.behind_ms, node.node))),
+        revisions=tuple(_revision_view(revision, nodes) for revision in recent),
+        lagging=tuple(sorted(lagging_nodes, key=lambda node: (-node.behind_ms, node.node))),
         refusing=tuple(node for node in nodes if node.refused),
         differing=tuple(node for node in nodes if node.differs),
-        forget_after_s=max((status.forget_after_s for _, status in known), default=0),
+        forget_after_s=max((status.forget_after_s for _, status in answered), default=0),
     )
 
 
@@ -81,23 +82,24 @@
     latest: dict[str, NodeStatus] = {}
     for status in statuses:
         for node in status.nodes:
-            known = latest.get(node.node)
-            if known is None or _rank(node) > _rank(known):
+            previous = latest.get(node.node)
+            if previous is None or _recency(node) > _recency(previous):
                 latest[node.node] = node
     return [latest[name] for name in sorted(latest)]
 
 
-def _rank(node: NodeStatus) -> tuple[int, int]:
+def _recency(node: NodeStatus) -> tuple[int, int]:
     return node.generation, -node.heard_ms_ago
 
 
-def _leader(known: Sequence[tuple[str, ServerStatus]]) -> str | None:
-    """As most servers that hear one say; its address, or its number where it was not asked."""
-    votes = [status.leader for _, status in known if status.leader is not None and not status.age_ms]
+def _leader(answered: Sequence[tuple[str, ServerStatus]]) -> str | None:
+    """The leader that most servers in contact with one name: its address, or its number if it did not
+    answer."""
+    votes = [status.leader for _, status in answered if status.leader is not None and not status.age_ms]
     if not votes:
         return None
     number = max(sorted(set(votes)), key=votes.count)
-    return next((address for address, status in known if status.number == number), f"server {number}")
+    return next((address for address, status in answered if status.number == number), f"server {number}")
 
 
 def _server_view(address: str, status: ServerStatus | str) -> ServerView:
@@ -118,9 +120,17 @@
     )
 
 
-def _revision_view(one: RevisionStatus, nodes: Sequence[NodeStatus]) -> RevisionView:
-    reached = [node for node in nodes if node.revision >= one.revision]
-    refused = sum(any(set_.revision == one.revision for set_ in node.refused) for node in reached)
+def _revision_view(revision: RevisionStatus, nodes: Sequence[NodeStatus]) -> RevisionView:
+    reached = [node for node in nodes if node.revision >= revision.revision]
+    refused = sum(
+        any(refused_change.revision == revision.revision for refused_change in node.refused)
+        for node in reached
+    )
     return RevisionView(
-        one.revision, one.change_set_id, one.created_ms, one.changes, len(reached) - refused, refused
+        revision.revision,
+        revision.change_set_id,
+        revision.created_ms,
+        revision.changes,
+        len(reached) - refused,
+        refused,
     )
--- a/driftstair/control/options.py
+++ b/driftstair/control/options.py
@@ -1,44 +1,49 @@
-"""`driftstair control`: its options. What they start is loaded only then."""
+"""The command-line options of `driftstair control`. A command's code is imported only when it runs."""
 
 from __future__ import annotations
 
 import argparse
 from typing import Any
 
-SERVE = "exit status: 0 ended by SIGTERM or SIGINT, 1 it could not go on, 2 a bad file or address"
-PUT = (
+SERVE_EPILOG = "exit status: 0 ended by SIGTERM or SIGINT, 1 it could not go on, 2 a bad file or address"
+PUT_EPILOG = (
     "exit status: 0 committed, 1 refused, 2 a bad file or bad use, "
     "3 no answer in time (put again with the same id)"
 )
-SHOW = "exit status: 0 shown, 2 no server answers or bad use"
+SHOW_EPILOG = "exit status: 0 shown, 2 no server answers or bad use"
 WITHIN_S_MAX = 3_600.0
 
 
 def add(commands: Any) -> None:
+    """Adds the parser of `driftstair control` to the subcommands of `driftstair`."""
     control: argparse.ArgumentParser = commands.add_parser(
         "control", help="serve the configuration, change it, see where it is in force"
     )
-    verbs = control.add_subparsers(title="what", metavar="WHAT", required=True)
-    serve: argparse.ArgumentParser = verbs.add_parser("serve", help="be one control server", epilog=SERVE)
+    subcommands = control.add_subparsers(title="what", metavar="WHAT", required=True)
+    serve: argparse.ArgumentParser = subcommands.add_parser(
+        "serve", help="be one control server", epilog=SERVE_EPILOG
+    )
     serve.add_argument("file", metavar="FILE", help="TOML")
     serve.set_defaults(run=_serve)
-    put = _verb(verbs, "put", "commit a change set", PUT)
+    put = _add_subcommand(subcommands, "put", "commit a change set", PUT_EPILOG)
     put.add_argument("file", metavar="FILE", help="JSON or TOML")
     put.add_argument("--id", default="", metavar="ID", help="of the set: to put it again, or in the file")
     put.add_argument("--within", type=_seconds, default=30.0, metavar="SECONDS", help="(30)")
     put.set_defaults(run=_put)
-    status = _verb(verbs, "status", "revisions, in how many nodes each is in force, and who lags", SHOW)
+    status = _add_subcommand(
+        subcommands, "status", "revisions, in how many nodes each is in force, and who lags", SHOW_EPILOG
+    )
     status.set_defaults(run=_status)
-    log = _verb(verbs, "log", "change sets in order", SHOW)
+    log = _add_subcommand(subcommands, "log", "change sets in order", SHOW_EPILOG)
     log.add_argument("--from", dest="after", type=_revision, default=0, metavar="N", help="those after N (0)")
     log.set_defaults(run=_log)
 
 
-def _verb(verbs: Any, name: str, what: str, epilog: str) -> argparse.ArgumentParser:
-    verb: argparse.ArgumentParser = verbs.add_parser(name, help=what, epilog=epilog)
-    verb.add_argument("--servers", required=True, type=_servers, metavar="HOST:PORT,...")
-    verb.add_argument("--json", action="store_true")
-    return verb
+def _add_subcommand(subcommands: Any, name: str, summary: str, epilog: str) -> argparse.ArgumentParser:
+    parser: argparse.ArgumentParser = subcommands.add_parser(name, help=summary, epilog=epilog)
+    parser.add_argument("--servers", required=True, type=_servers, metavar="HOST:PORT,...")
+    parser.add_argument("--json", action="store_true")
+    return parser
 
 
 def _servers(text: str) -> list[tuple[str, int]]:
@@ -64,25 +69,27 @@
     return revision
 
 
-def _serve(found: argparse.Namespace) -> int:
+def _serve(arguments: argparse.Namespace) -> int:
     from driftstair.control import process
 
-    return process.run(found.file)
+    return process.run(arguments.file)
 
 
-def _put(found: argparse.Namespace) -> int:
+def _put(arguments: argparse.Namespace) -> int:
     from driftstair.control import command
 
-    return command.put(found.servers, found.file, found.id, found.within, found.json)
+    return command.put_change_set(
+        arguments.servers, arguments.file, arguments.id, arguments.within, arguments.json
+    )
 
 
-def _status(found: argparse.Namespace) -> int:
+def _status(arguments: argparse.Namespace) -> int:
     from driftstair.control import command
 
-    return command.status(found.servers, found.json)
+    return command.show_status(arguments.servers, arguments.json)
 
 
-def _log(found: argparse.Namespace) -> int:
+def _log(arguments: argparse.Namespace) -> int:
     from driftstair.control import command
 
-    return command.log(found.servers, found.after, found.json)
+    return command.show_log(arguments.servers, arguments.after, arguments.json)
--- a/driftstair/control/peer_link.py
+++ b/driftstair/control/peer_link.py
@@ -1,7 +1,8 @@
-"""The way of replication messages to one other control server: `POST /replication` on a kept connection.
+"""Sends replication messages to one other control server: `POST /replication` on a persistent connection.
 
-One request is in flight; messages that come meanwhile go with the next one, a line each. A message may be
-lost: its sender repeats what matters, so nothing is sent twice here, and a failure empties the queue.
+One request is in flight at a time. Messages queued in the meantime go into the next request, one per line.
+Messages may be lost, since replication repeats what is needed: after a failure nothing is sent again, and the
+queue is cleared.
 """
 
 from __future__ import annotations
@@ -17,44 +18,46 @@
 
 log = logging.getLogger(__name__)
 
-QUEUE_BYTES_MAX = 8 << 20  # waiting for one server; what is beyond it is lost
-REQUEST_BYTES = 1 << 20  # of messages in one request, unless one message is longer
-ANSWER_S_MAX = 2.0  # s; a server answers before it has synced anything
-PAUSE_FIRST_S, PAUSE_S_MAX = 0.05, 0.5  # s between two tries to reach a server
+QUEUE_BYTES_MAX = 8 << 20  # further messages are dropped
+REQUEST_BYTES_TARGET = 1 << 20  # of messages in one request; exceeded only by a single longer message
+ANSWER_TIMEOUT_S = 2.0  # a server answers before it syncs anything to disk
+RETRY_PAUSE_FIRST_S, RETRY_PAUSE_MAX_S = 0.05, 0.5  # between two attempts to reach a server
 
 
 class PeerLink:
-    """Messages to the server at `address`; `target` names the sender."""
+    """Sends messages to the server at `address`. `target` is the request target, which names the sender."""
 
     def __init__(self, address: tuple[str, int], target: str) -> None:
         self.address = address
-        self.lost = 0  # messages
+        self.lost_messages = 0
         self._target = target
         self._client = HttpClient(address)
         self._queue: deque[bytes] = deque()
         self._queue_bytes = 0
-        self._filled = asyncio.Event()
+        self._queue_filled = asyncio.Event()
         self._idle = asyncio.Event()
         self._idle.set()
-        self._is_reached = True
+        self._is_reachable = True
         seed = Random().getrandbits(64)
-        self._backoff = Backoff(PAUSE_FIRST_S, PAUSE_S_MAX, seed)
+        self._backoff = Backoff(RETRY_PAUSE_FIRST_S, RETRY_PAUSE_MAX_S, seed)
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: bytes) -> None:
+        """Queues a message; drops it if the queue is full."""
         if self._queue_bytes + len(message) > QUEUE_BYTES_MAX and self._queue:
-            self.lost += 1
+            self.lost_messages += 1
             return
         self._queue.append(message)
         self._queue_bytes += len(message)
-        self._filled.set()
+        self._queue_filled.set()
         self._idle.clear()
 
-    async def drained(self) -> None:
-        """Returns once nothing waits to be sent or answered."""
+    async def wait_until_idle(self) -> None:
+        """Returns once no message is queued and no request is in flight."""
         await self._idle.wait()
 
     def close(self) -> None:
+        """Stops sending and closes the connection."""
         self._task.cancel()
         self._client.close()
 
@@ -62,9 +65,9 @@
         while True:
             if not self._queue:
                 self._idle.set()
-            await self._filled.wait()
+            await self._queue_filled.wait()
             try:
-                response = await self._client.post(self._target, self._take(), ANSWER_S_MAX)
+                response = await self._client.post(self._target, self._take_batch(), ANSWER_TIMEOUT_S)
             except CallError as problem:
                 await self._on_failure(str(problem))
                 continue
@@ -72,29 +75,29 @@
                 await self._on_failure(f"status {response.status}: {response.body[:200]!r}")
                 continue
             self._backoff.reset()
-            if not self._is_reached:
+            if not self._is_reachable:
                 log.info("server %s:%d is reached again", *self.address)
-                self._is_reached = True
+                self._is_reachable = True
 
-    def _take(self) -> bytes:
-        """The lines of the next request."""
+    def _take_batch(self) -> bytes:
+        """Removes the messages of the next request from the queue and returns its body."""
         lines: list[bytes] = []
         size = 0
-        while self._queue and (not lines or size + len(self._queue[0]) <= REQUEST_BYTES):
+        while self._queue and (not lines or size + len(self._queue[0]) <= REQUEST_BYTES_TARGET):
             line = self._queue.popleft()
             lines.append(line)
             size += len(line)
         self._queue_bytes -= size
         if not self._queue:
-            self._filled.clear()
+            self._queue_filled.clear()
         return b"\n".join(lines)
 
     async def _on_failure(self, why: str) -> None:
-        if self._is_reached:
+        if self._is_reachable:
             log.warning("server %s:%d is not reached: %s", *self.address, why)
-            self._is_reached = False
-        self.lost += len(self._queue) + 1
+            self._is_reachable = False
+        self.lost_messages += len(self._queue) + 1
         self._queue.clear()
         self._queue_bytes = 0
-        self._filled.clear()
+        self._queue_filled.clear()
         await asyncio.sleep(self._backoff.pause())
--- a/driftstair/control/status.py
+++ b/driftstair/control/status.py
@@ -1,4 +1,4 @@
-"""What control servers say of themselves and of nodes: the documents, and their reading. No I/O."""
+"""The status documents of control servers, and their decoding. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     revision: int
     change_set_id: str
-    created_ms: int  # Unix time, by the clock of the server that took it
+    created_ms: int  # Unix time, by the clock of the server that received it
     changes: int
 
 
@@ -27,37 +27,37 @@
     revision: int
     digest: str
     heard_ms_ago: int
-    behind_ms: int  # since the first revision that it lacks was committed, as far as this server saw; 0: none
-    differs: bool  # the server's state of that revision has another digest
+    behind_ms: int  # since this server saw the first revision committed that the node lacks; 0: lacks none
+    differs: bool  # the digest differs from that of this server at the same revision
     refused: tuple[RefusedChange, ...] = ()
 
 
 class LogStatus(msgspec.Struct, frozen=True):
     """The log of one server."""
 
-    oldest: int  # changes after this revision are in it
+    oldest: int  # the log holds the changes after this revision
     committed: int
-    bytes: int  # on disk, with the snapshot
-    problem: str = ""  # why the disk takes nothing now
+    bytes: int  # on disk, including the snapshot
+    problem: str = ""  # why writes to disk fail at present
 
 
 class ServerStatus(msgspec.Struct, frozen=True):
     """`GET /configuration/status`: one server as it is."""
 
     format: str
-    server: str  # its name
+    server: str  # the name of the server
     number: int
-    count: int  # of all servers
+    count: int  # the number of all servers
     leader: int | None
-    age_ms: int  # since a leader with a majority was heard; 0 while there is one
+    age_ms: int  # since the last contact with a leader that has a majority; 0 while there is one
     digest: str
     resources: int
     log: LogStatus
     watches: int
-    watches_ahead: int  # of nodes at a revision that this server does not know
+    watches_ahead: int  # of nodes at a revision that this server does not have yet
     recent: tuple[RevisionStatus, ...]
     nodes: tuple[NodeStatus, ...]
-    forgotten: int  # nodes, ever, that were not heard of for `forget_after_s`
+    forgotten: int  # nodes since the start that did not report for `forget_after_s`
     forget_after_s: int
 
 
@@ -70,7 +70,7 @@
 
 
 class StatusError(Exception):
-    """An answer that is none of these documents."""
+    """An answer is not a valid status document; the text is the reason."""
 
 
 _status_decoder: msgspec.json.Decoder[ServerStatus] = msgspec.json.Decoder(ServerStatus)
@@ -78,18 +78,18 @@
 
 
 def decode_status(document: bytes) -> ServerStatus:
-    """Raises StatusError."""
+    """Decodes the status of a server. Raises StatusError."""
     try:
-        found = _status_decoder.decode(document)
+        status = _status_decoder.decode(document)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
         raise StatusError(f"gives no status: {problem}") from None
-    if found.format != FORMAT:
-        raise StatusError(f"gives no {FORMAT!r}, but {found.format[:40]!r}")
-    return found
+    if status.format != FORMAT:
+        raise StatusError(f"gives no {FORMAT!r}, but {status.format[:40]!r}")
+    return status
 
 
 def decode_log_page(document: bytes) -> LogPage:
-    """Raises StatusError."""
+    """Decodes a page of the log. Raises StatusError."""
     try:
         return _log_page_decoder.decode(document)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
--- a/driftstair/control/token_bucket.py
+++ b/driftstair/control/token_bucket.py
@@ -1,29 +1,31 @@
-"""A token bucket in bytes: no clock, no I/O."""
+"""A token bucket for bytes. No clock, no I/O."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Earns `bytes_per_s` up to `burst_bytes`. What is sent may put it into debt, which is paid first."""
+    """Refills at `bytes_per_s` up to `burst_bytes`. Spending may leave a negative balance, which has to be
+    refilled before anything else may be sent."""
 
     def __init__(self, bytes_per_s: float, burst_bytes: float, now_s: float) -> None:
         self._bytes_per_s = bytes_per_s
         self._burst_bytes = burst_bytes
         self._tokens = burst_bytes
-        self._at_s = now_s
+        self._updated_s = now_s
 
     def wait_s(self, now_s: float) -> float:
-        """Until something may be sent; 0: now."""
-        self._earn(now_s)
-        if self._tokens > -1.0:  # less than a byte of debt is rounding, and its wait might never end
+        """The time until something may be sent; 0: now."""
+        self._refill(now_s)
+        if self._tokens > -1.0:  # less than a byte is a rounding error, which a wait might never make up
             return 0.0
         return -self._tokens / self._bytes_per_s
 
     def spend(self, now_s: float, size: int) -> None:
-        self._earn(now_s)
+        """Records that `size` bytes are sent."""
+        self._refill(now_s)
         self._tokens -= size
 
-    def _earn(self, now_s: float) -> None:
-        earned = (now_s - self._at_s) * self._bytes_per_s
-        self._tokens = min(self._burst_bytes, self._tokens + earned)
-        self._at_s = now_s
+    def _refill(self, now_s: float) -> None:
+        refill = (now_s - self._updated_s) * self._bytes_per_s
+        self._tokens = min(self._burst_bytes, self._tokens + refill)
+        self._updated_s = now_s
--- a/tests/control/control_rig.py
+++ b/tests/control/control_rig.py
@@ -1,4 +1,4 @@
-"""Parts of a control server in this process, and clients that speak to it over sockets."""
+"""Test support: parts of a control server in this process, and clients that call it over sockets."""
 
 from __future__ import annotations
 
@@ -22,66 +22,76 @@
 )
 from driftstair.configuration.resources import ResourceKind, canonical
 from driftstair.configuration.state import ConfigurationState
-from driftstair.control.http_server import HttpServer, Respond
+from driftstair.control.http_server import HttpServer, RespondFunction
 
 
-def drain(name: str, reason: int | str = 0, expected: int | None = None) -> Change:
-    """A change of a resource that needs no other one."""
+def drain_change(name: str, reason: int | str = 0, expected: int | None = None) -> Change:
+    """A change of a drain, a resource that refers to no other one."""
     content = msgspec.Raw(canonical({"reason": f"by {reason}"}))
     return Change(ResourceKind.DRAIN, name, content, expected)
 
 
 def change_set(number: int, *changes: Change) -> ChangeSet:
-    return ChangeSet(f"set-{number}", changes or (drain(f"s{number}", number),), 1)
+    """A change set with an id made of `number`. Without changes it drains one server."""
+    return ChangeSet(f"set-{number}", changes or (drain_change(f"s{number}", number),), 1)
 
 
 class ScriptedSource:
-    """A log without replicas: what a test commits is committed."""
+    """A log without replicas. What a test commits is committed at once."""
 
     def __init__(self) -> None:
         self.state = ConfigurationState()
         self.oldest = 0
-        self.age = 0
-        self.asked: list[int] = []  # `after` of each reading of entries
-        self._logged: list[LoggedChangeSet] = []
+        self.leader_age_ms = 0
+        self.read_positions: list[int] = []  # the `after` of each call of `entries`
+        self._entries: list[LoggedChangeSet] = []
 
     @property
     def committed(self) -> int:
+        """The last committed revision."""
         return self.state.revision
 
-    def entries(self, after: int, most: int) -> list[LoggedChangeSet]:
+    def entries(self, after: int, count_max: int) -> list[LoggedChangeSet]:
+        """Up to `count_max` change sets after a revision."""
         assert after >= self.oldest
-        self.asked.append(after)
-        return self._logged[after : after + most]
+        self.read_positions.append(after)
+        return self._entries[after : after + count_max]
 
     def age_ms(self) -> int:
-        return self.age
+        """The age that the test has set."""
+        return self.leader_age_ms
 
     def commit(self, count: int = 1, *changes: Change) -> None:
+        """Commits `count` change sets, each with these changes."""
         for _ in range(count):
-            logged = LoggedChangeSet(self.committed + 1, change_set(self.committed + 1, *changes))
-            self._logged.append(logged)
-            self.state.apply(logged)
+            entry = LoggedChangeSet(self.committed + 1, change_set(self.committed + 1, *changes))
+            self._entries.append(entry)
+            self.state.apply(entry)
 
 
 class Answer(NamedTuple):
+    """The answer to a call."""
+
     status: int
     body: bytes
-    is_open: bool  # whether the server keeps the connection
+    is_open: bool  # whether the server keeps the connection open
 
     @property
-    def said(self) -> Any:
+    def document(self) -> Any:
+        """The body, decoded from JSON."""
         return json.loads(self.body)
 
 
-class Served:
-    """An HttpServer on a socket."""
+class RunningHttpServer:
+    """An HttpServer that listens on a loopback port within an `async with` block."""
 
-    def __init__(self, respond: Respond, body_bytes_max: Callable[[str], int] = lambda _: 1_000) -> None:
+    def __init__(
+        self, respond: RespondFunction, body_bytes_max: Callable[[str], int] = lambda _: 1_000
+    ) -> None:
         self.http = HttpServer(respond, body_bytes_max)
         self.address = ("", 0)
 
-    async def __aenter__(self) -> Served:
+    async def __aenter__(self) -> RunningHttpServer:
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self.http.new_connection, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()[:2]
@@ -92,12 +102,13 @@
         self.http.close()
 
 
-async def exchange(address: tuple[str, int], data: bytes, end: bool = False) -> bytes:
-    """What comes until the server closes the connection. `end`: the client's sending ends behind the data."""
+async def exchange(address: tuple[str, int], data: bytes, close_sending: bool = False) -> bytes:
+    """Sends data and returns what the server sends until it closes the connection. `close_sending`: the
+    client closes its sending side after the data."""
     reader, writer = await asyncio.open_connection(*address)
     async with asyncio.timeout(TIMEOUT_S):
         writer.write(data)
-        if end:
+        if close_sending:
             writer.write_eof()
         try:
             return await reader.read()
@@ -107,8 +118,8 @@
             writer.close()
 
 
-async def ask(address: tuple[str, int], method: str, target: str, body: bytes = b"") -> Answer:
-    """One call on a connection of its own."""
+async def call(address: tuple[str, int], method: str, target: str, body: bytes = b"") -> Answer:
+    """Makes one call on a new connection."""
     reader, writer = await asyncio.open_connection(*address, limit=4 << 20)
     head = f"{method} {target} HTTP/1.1\r\nHost: test\r\nContent-Length: {len(body)}\r\n\r\n"
     writer.write(head.encode() + body)
@@ -120,6 +131,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> Answer:
+    """Reads one answer."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
     status = int(head.split(" ")[1])
     lengths = [line.split(": ")[1] for line in head.split("\r\n") if line.startswith("content-length")]
@@ -128,23 +140,23 @@
 
 
 class WatchClient:
-    """A node's watch as a script: it keeps what it is told and checks that it is in order."""
+    """The watch of a node. It stores the lines that it receives and checks their framing."""
 
     def __init__(
-        self, address: tuple[str, int], start: int = 0, query: str = "", limit: int = 4 << 20
+        self, address: tuple[str, int], after_revision: int = 0, query: str = "", limit: int = 4 << 20
     ) -> None:
         self.address = address
-        self.start = start
+        self.after_revision = after_revision
         self.query = query
         self.limit = limit
         self.lines: list[bytes] = []
         self.heartbeats = 0
         self.ended = asyncio.Event()
-        self._arrived = asyncio.Event()
+        self._line_arrived = asyncio.Event()
 
     async def __aenter__(self) -> WatchClient:
         self.reader, self.writer = await asyncio.open_connection(*self.address, limit=self.limit)
-        target = f"/configuration?watch=1&from={self.start}&node=n1{self.query}"
+        target = f"/configuration?watch=1&from={self.after_revision}&node=n1{self.query}"
         self.writer.write(f"GET {target} HTTP/1.1\r\nHost: test\r\n\r\n".encode())
         async with asyncio.timeout(TIMEOUT_S):
             head = await self.reader.readuntil(b"\r\n\r\n")
@@ -162,94 +174,106 @@
                 size = int(await self.reader.readline(), 16)
                 chunk = await self.reader.readexactly(size + 2)
                 assert chunk.endswith(b"\n\r\n")
-                self._take(chunk[:-3])
+                self._add_line(chunk[:-3])
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             self.ended.set()
         finally:
-            self._arrived.set()
+            self._line_arrived.set()
 
-    def _take(self, line: bytes) -> None:
+    def _add_line(self, line: bytes) -> None:
         if line:
             self.lines.append(line)
         else:
             self.heartbeats += 1
-        self._arrived.set()
+        self._line_arrived.set()
 
-    async def until(self, what: Callable[[], object]) -> None:
-        """Wait until it is so, looking each time that something came."""
+    async def wait_until(self, condition: Callable[[], object]) -> None:
+        """Waits until a condition holds, which is checked after each line."""
         async with asyncio.timeout(TIMEOUT_S):
-            while not what():
-                await self._arrived.wait()
-                self._arrived.clear()
+            while not condition():
+                await self._line_arrived.wait()
+                self._line_arrived.clear()
 
     def messages(self) -> list[WatchMessage]:
+        """All messages received."""
         return [decode_watch_message(line) for line in self.lines]
 
     def freshness(self) -> list[Freshness]:
-        return [one for one in self.messages() if isinstance(one, Freshness)]
+        """All `Freshness` messages received."""
+        return [message for message in self.messages() if isinstance(message, Freshness)]
 
     def changes(self) -> list[Changes]:
-        return [one for one in self.messages() if isinstance(one, Changes)]
+        """All `Changes` messages received."""
+        return [message for message in self.messages() if isinstance(message, Changes)]
 
     def parts(self) -> list[SnapshotPart]:
-        return [one for one in self.messages() if isinstance(one, SnapshotPart)]
+        """All `SnapshotPart` messages received."""
+        return [message for message in self.messages() if isinstance(message, SnapshotPart)]
 
     def revisions(self) -> list[int]:
-        return [one.revision for message in self.changes() for one in message.change_sets]
+        """The revisions of all change sets received."""
+        return [entry.revision for message in self.changes() for entry in message.change_sets]
 
     def has_reached(self, revision: int) -> bool:
+        """Whether the change set of `revision` or a later one was received."""
         revisions = self.revisions()
         return bool(revisions) and revisions[-1] >= revision
 
-    def final_state(self) -> dict[str, tuple[int, bytes]]:
-        """Revision and content by key, of what a node would hold that applied all lines."""
-        held: dict[str, tuple[int, bytes]] = {}
+    def applied_state(self) -> dict[str, tuple[int, bytes]]:
+        """The revision and content by key that a node has after applying all lines."""
+        resources: dict[str, tuple[int, bytes]] = {}
         for message in self.messages():
             if isinstance(message, SnapshotPart):
                 if message.first:
-                    held.clear()
-                held |= {str(one.key): (one.revision, bytes(one.content)) for one in message.resources}
+                    resources.clear()
+                resources |= {
+                    str(resource.key): (resource.revision, bytes(resource.content))
+                    for resource in message.resources
+                }
             elif isinstance(message, Changes):
-                for logged in message.change_sets:
-                    for change in logged.change_set.changes:
-                        held.pop(str(change.key), None)
+                for entry in message.change_sets:
+                    for change in entry.change_set.changes:
+                        resources.pop(str(change.key), None)
                         if not change.deletes:
-                            held[str(change.key)] = (logged.revision, bytes(change.content))
-        return held
+                            resources[str(change.key)] = (entry.revision, bytes(change.content))
+        return resources
 
 
 def content_of(state: ConfigurationState) -> dict[str, tuple[int, bytes]]:
-    """In the form of `WatchClient.final_state`."""
-    return {str(one.key): (one.revision, bytes(one.content)) for one in state.resources()}
+    """The content of a state in the form of `WatchClient.applied_state`."""
+    return {str(resource.key): (resource.revision, bytes(resource.content)) for resource in state.resources()}
 
 
-class LogLines(logging.Handler):
-    """Log records of the control server, without their tracebacks."""
+class CapturedLog(logging.Handler):
+    """A log handler that stores the records."""
 
     def __init__(self) -> None:
         super().__init__()
         self.records: list[logging.LogRecord] = []
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Stores a record."""
         self.records.append(record)
 
     def warnings(self) -> list[str]:
-        return [one.getMessage() for one in self.records if one.levelno >= logging.WARNING]
+        """The messages of all warnings and errors."""
+        return [record.getMessage() for record in self.records if record.levelno >= logging.WARNING]
 
     def tracebacks(self) -> list[str]:
-        return [one.getMessage() for one in self.records if one.exc_info]
+        """The messages of all records with a traceback."""
+        return [record.getMessage() for record in self.records if record.exc_info]
 
 
 @contextmanager
-def logged() -> Iterator[LogLines]:
-    """What is logged within, by any part."""
-    lines = LogLines()
+def captured_log() -> Iterator[CapturedLog]:
+    """Captures all log records of the block."""
+    captured = CapturedLog()
     logger = logging.getLogger()
-    logger.addHandler(lines)
+    logger.addHandler(captured)
     level = logger.level
     logger.setLevel(logging.INFO)
     try:
-        yield lines
+        yield captured
     finally:
         logger.setLevel(level)
-        logger.removeHandler(lines)
+        logger.removeHandler(captured)
--- a/tests/control/test_control_command.py
+++ b/tests/control/test_control_command.py
@@ -1,4 +1,4 @@
-"""`driftstair control`: files, exit statuses, and what operators are told."""
+"""The commands of `driftstair control`: files, exit statuses and output."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from driftstair.service.load import ServiceError
 
 ROOT = Path(__file__).parents[2]
-CHANGE = '[[changes]]\nkind = "drain"\nname = "s1"\n[changes.content]\nreason = "disk"\n'
+CHANGE_TOML = '[[changes]]\nkind = "drain"\nname = "s1"\n[changes.content]\nreason = "disk"\n'
 
 
-def _settings(own_folder: Path, **changed: str) -> str:
+def _settings(own_folder: Path, **overrides: str) -> str:
     values = {
         "version": "1",
         "name": '"c0"',
         "listen": '"127.0.0.1:0"',
         "folder": f'"{own_folder}"',
-    } | changed
+    } | overrides
     return "".join(f"{key} = {value}\n" for key, value in values.items() if value)
 
 
 @pytest.fixture(scope="module")
 def server(tmp_path_factory: pytest.TempPathFactory) -> Iterator[str]:
-    """The address of one control server, a process."""
+    """The address of a control server that runs as a process."""
     folder = tmp_path_factory.mktemp("control")
     file = folder / "control.toml"
     file.write_text(_settings(folder))
@@ -43,35 +43,37 @@
         stderr=subprocess.PIPE,
     )  # fmt: skip
     assert process.stderr is not None
-    while not (found := re.search(r"serving on (\S+)", line := process.stderr.readline())):
+    while not (match := re.search(r"serving on (\S+)", line := process.stderr.readline())):
         assert line, "the server ended"
-    yield found[1]
+    yield match[1]
     process.send_signal(signal.SIGTERM)
     assert process.wait(20) == 0
     process.stderr.close()
 
 
-def test_put_status_and_log(server: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_put_status_and_log_of_a_running_server(
+    server: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     file = tmp_path / "change.toml"
-    file.write_text(CHANGE)
+    file.write_text(CHANGE_TOML)
     assert run(["control", "put", str(file), "--servers", server]) == 0
     out, err = capsys.readouterr()
-    found = re.fullmatch(r"(\S+): committed, revision (\d+)\n", out)
-    assert found
-    assert f"change set {found[1]}" in err
+    match = re.fullmatch(r"(\S+): committed, revision (\d+)\n", out)
+    assert match
+    assert f"change set {match[1]}" in err
 
-    assert run(["control", "put", str(file), "--servers", server, "--id", found[1], "--json"]) == 0
-    again = json.loads(capsys.readouterr().out)
-    assert again == {"id": found[1], "revision": int(found[2])}
+    assert run(["control", "put", str(file), "--servers", server, "--id", match[1], "--json"]) == 0
+    repeated = json.loads(capsys.readouterr().out)
+    assert repeated == {"id": match[1], "revision": int(match[2])}
 
-    dead = ports.tcp()
-    servers = f"127.0.0.1:{dead.number},{server}"
+    unused_port = ports.tcp()
+    servers = f"127.0.0.1:{unused_port.number},{server}"
     assert run(["control", "put", str(file), "--servers", servers]) == 0
     capsys.readouterr()
     assert run(["control", "status", "--servers", servers]) == 0
     out = capsys.readouterr().out
     assert f"leader {server}" in out
-    assert f"server 127.0.0.1:{dead.number}: can't be asked: Connection refused" in out
+    assert f"server 127.0.0.1:{unused_port.number}: can't be asked: Connection refused" in out
     assert "in force in 0 of 0" in out
     assert run(["control", "status", "--servers", servers, "--json"]) == 0
     view = json.loads(capsys.readouterr().out)
@@ -79,14 +81,14 @@
 
     assert run(["control", "log", "--servers", servers, "--from", "1"]) == 0
     out = capsys.readouterr().out
-    assert out.splitlines()[0].endswith(f"{found[1]}: drain/s1")
+    assert out.splitlines()[0].endswith(f"{match[1]}: drain/s1")
     assert run(["control", "log", "--servers", server, "--json"]) == 0
     revisions = [json.loads(line)["revision"] for line in capsys.readouterr().out.splitlines()]
     assert revisions == list(range(1, len(revisions) + 1))
-    dead.release()
+    unused_port.release()
 
 
-def test_a_refused_set_tells_each_violation_in_a_line(
+def test_a_refused_set_prints_each_violation_on_a_line(
     server: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "change.json"
@@ -99,100 +101,100 @@
     ]
 
 
-def test_no_server_that_answers(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    dead = ports.tcp()
-    address = f"127.0.0.1:{dead.number}"
+def test_commands_report_that_no_server_answers(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    unused_port = ports.tcp()
+    address = f"127.0.0.1:{unused_port.number}"
     file = tmp_path / "change.toml"
-    file.write_text(CHANGE)
+    file.write_text(CHANGE_TOML)
     assert run(["control", "put", str(file), "--servers", address, "--within", "0.1"]) == 3
     err = capsys.readouterr().err
-    identity = re.search(r"change set (\S+)", err)
-    assert identity
-    assert f"put it again with --id {identity[1]}" in err
+    id_match = re.search(r"change set (\S+)", err)
+    assert id_match
+    assert f"put it again with --id {id_match[1]}" in err
     assert run(["control", "status", "--servers", address]) == 2
     assert run(["control", "log", "--servers", address]) == 2
-    dead.release()
+    unused_port.release()
 
 
-BAD_FILES = {
+INVALID_FILES = {
     "no TOML": ("a b", r":1: the file: no TOML text"),
     "no JSON": ('{"id": \n 7,}', r":2: the file: no JSON text"),
     "an unknown kind": (
         'id = "a"\n[[changes]]\nkind = "moon"\nname = "a"\ncontent = {}\n', r":3: changes\[0\].kind",
     ),
     "no content": ('[[changes]]\nkind = "drain"\nname = "a"\n', r":1: changes\[0\]: has no content"),
-    "two ends": (
+    "deletion and content": (
         '[[changes]]\nkind = "drain"\nname = "a"\ndelete = true\ncontent = {}\n', r":1: changes\[0\]\.delete",
     ),
     "a wrong id": ('id = "a b"\nchanges = []\n', r":1: id: 'a b' is no id"),
-    "twice": (CHANGE + CHANGE, r":6: changes\[1\]: drain/s1 is changed twice"),
+    "a resource twice": (CHANGE_TOML + CHANGE_TOML, r":6: changes\[1\]: drain/s1 is changed twice"),
     "a date": ('[[changes]]\nkind = "drain"\nname = "a"\ncontent = { at = 2026-01-01 }\n', r":1: the file: "),
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("what", BAD_FILES)
-def test_a_bad_file_is_one_line_and_nothing_is_sent(
-    what: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("case", INVALID_FILES)
+def test_an_invalid_change_file_gives_one_error_line_and_nothing_is_sent(
+    case: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    text, line = BAD_FILES[what]
+    text, line = INVALID_FILES[case]
     file = tmp_path / ("change.json" if text.startswith("{") else "change.toml")
     file.write_text(text)
     assert run(["control", "put", str(file), "--servers", "127.0.0.1:1"]) == 2
-    (said,) = capsys.readouterr().err.splitlines()
-    assert re.search(re.escape(str(file)) + line, said), said
+    (error_line,) = capsys.readouterr().err.splitlines()
+    assert re.search(re.escape(str(file)) + line, error_line), error_line
 
 
-def test_a_file_that_is_missing_or_none(tmp_path: Path) -> None:
+def test_a_missing_file_or_a_folder_is_an_error(tmp_path: Path) -> None:
     for path in (tmp_path / "missing", tmp_path):
         with pytest.raises(ChangeFileError, match="can't be read"):
             read_change_file(str(path))
 
 
-def test_a_deletion_and_an_id_of_its_own(tmp_path: Path) -> None:
+def test_a_deletion_is_read_and_each_read_makes_a_new_id(tmp_path: Path) -> None:
     file = tmp_path / "change.toml"
     file.write_text('[[changes]]\nkind = "drain"\nname = "a"\ndelete = true\n')
-    one, other = read_change_file(str(file)), read_change_file(str(file))
-    assert one.changes[0].deletes
-    assert one.id != other.id
-    assert one.id.split("-")[0] == other.id.split("-")[0]
+    first, second = read_change_file(str(file)), read_change_file(str(file))
+    assert first.changes[0].deletes
+    assert first.id != second.id
+    assert first.id.split("-")[0] == second.id.split("-")[0]
     assert read_change_file(str(file), "given").id == "given"
 
 
-BAD_SETTINGS = {
+INVALID_SETTINGS = {
     "an unknown key": ({"folders": '"/"'}, "5: folders: no such key; folder would do"),
     "no listen": ({"listen": ""}, "1: listen: is missing"),
-    "no address": ({"listen": '"here"'}, '3: listen: wants "HOST:PORT"'),
+    "an invalid address": ({"listen": '"here"'}, '3: listen: wants "HOST:PORT"'),
     "another version": ({"version": "2"}, "1: version: "),
     "no folder": ({"folder": '"/nowhere/at/all"'}, "4: folder: '/nowhere/at/all' is no folder"),
     "not among peers": ({"peers": '["127.0.0.1:1", "127.0.0.1:2"]'}, "5: peers: does not have 127.0.0.1:0"),
-    "too many": ({"peers": json.dumps([f"127.0.0.1:{port}" for port in range(1, 9)])}, "5: peers: "),
-    "twice": ({"peers": '["127.0.0.1:1", "127.0.0.1:1"]', "number": "0"}, "5: peers: names an address twice"),
-    "no place": ({"peers": '["127.0.0.1:1", "127.0.0.1:2"]', "number": "5"}, "6: number: 5 is no place"),
+    "too many peers": ({"peers": json.dumps([f"127.0.0.1:{port}" for port in range(1, 9)])}, "5: peers: "),
+    "an address twice": ({"peers": '["127.0.0.1:1", "127.0.0.1:1"]', "number": "0"}, "5: peers: names an address twice"),
+    "number out of range": ({"peers": '["127.0.0.1:1", "127.0.0.1:2"]', "number": "5"}, "6: number: 5 is no place"),
     "no unit": ({"snapshot_rate": "3000"}, "5: snapshot_rate: has no unit"),
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("what", BAD_SETTINGS)
-def test_a_bad_control_file_is_one_line_with_line_key_and_remedy(
-    what: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("case", INVALID_SETTINGS)
+def test_invalid_settings_give_one_error_line_with_line_number_key_and_remedy(
+    case: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    changed, line = BAD_SETTINGS[what]
+    overrides, line = INVALID_SETTINGS[case]
     file = tmp_path / "control.toml"
-    file.write_text(_settings(tmp_path, **changed))
+    file.write_text(_settings(tmp_path, **overrides))
     assert run(["control", "serve", str(file)]) == 2
-    (said,) = capsys.readouterr().err.splitlines()
-    assert said.startswith(f"driftstair: {file}:{line}")
+    (error_line,) = capsys.readouterr().err.splitlines()
+    assert error_line.startswith(f"driftstair: {file}:{line}")
 
 
-def test_all_problems_are_told_at_once(tmp_path: Path) -> None:
+def test_all_problems_are_reported_at_once(tmp_path: Path) -> None:
     file = tmp_path / "control.toml"
     file.write_text(_settings(tmp_path, name='"a b"', listen='"x"', more="1"))
-    with pytest.raises(ServiceError) as found:
+    with pytest.raises(ServiceError) as error:
         read_settings(str(file))
-    assert len(found.value.problems) == 3
+    assert len(error.value.problems) == 3
 
 
-def test_own_place_is_that_of_listen_or_the_number(tmp_path: Path) -> None:
+def test_own_number_is_the_index_of_listen_or_the_given_number(tmp_path: Path) -> None:
     file = tmp_path / "control.toml"
     peers = '["127.0.0.1:1", "127.0.0.1:2"]'
     file.write_text(_settings(tmp_path, listen='"127.0.0.1:2"', peers=peers))
@@ -203,12 +205,12 @@
     assert (read_settings(str(file)).own_number, read_settings(str(file)).count) == (0, 1)
 
 
-def test_a_folder_of_another_process_or_a_broken_log_ends_the_start(
+def test_a_corrupt_log_prevents_the_start(
     tmp_path: Path, server: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "control.toml"
     file.write_text(_settings(tmp_path))
     (tmp_path / "replica.log").write_bytes(b"garbage that is no record of any log" * 10)
     assert run(["control", "serve", str(file)]) == 2
-    (said,) = capsys.readouterr().err.splitlines()
-    assert said.startswith(f"driftstair: {file}: folder: ")
+    (error_line,) = capsys.readouterr().err.splitlines()
+    assert error_line.startswith(f"driftstair: {file}: folder: ")
