--- a/tests/control/test_control_command.py
+++ b/tests/control/test_control_command.py
@@ -168,8 +168,12 @@
     "no folder": ({"folder": '"/nowhere/at/all"'}, "4: folder: '/nowhere/at/all' is no folder"),
     "not among peers": ({"peers": '["127.0.0.1:1", "127.0.0.1:2"]'}, "5: peers: does not have 127.0.0.1:0"),
     "too many peers": ({"peers": json.dumps([f"127.0.0.1:{port}" for port in range(1, 9)])}, "5: peers: "),
-    "an address twice": ({"peers": '["127.0.0.1:1", "127.0.0.1:1"]', "number": "0"}, "5: peers: names an address twice"),
-    "number out of range": ({"peers": '["127.0.0.1:1", "127.0.0.1:2"]', "number": "5"}, "6: number: 5 is no place"),
+    "an address twice": (
+        {"peers": '["127.0.0.1:1", "127.0.0.1:1"]', "number": "0"}, "5: peers: names an address twice",
+    ),
+    "number out of range": (
+        {"peers": '["127.0.0.1:1", "127.0.0.1:2"]', "number": "5"}, "6: number: 5 is no place",
+    ),
     "no unit": ({"snapshot_rate": "3000"}, "5: snapshot_rate: has no unit"),
 }  # fmt: skip
 
