--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -14,13 +14,13 @@
 from random import Random
 from statistics import mean
 
-from driftstair.model.tier.budgets import WAYS, Fleet
-from driftstair.model.tier.world import SECOND
+from driftstair.model.tier.budgets import STRATEGIES, Fleet
+from driftstair.model.tier.world import NS_PER_S
 from driftstair.tier.shared.budget import Spec
 
 FIRST_SEED, SEEDS = 1000, 20
 EACH = 2.0  # tokens a second for each node
-BURST = 5 * SECOND
+BURST = 5 * NS_PER_S
 
 Play = tuple[str, int, int]  # way, nodes, seed
 Row = tuple[float, float, float, float, float]
@@ -34,7 +34,7 @@
     fleet = Fleet(way, count, seed, Spec("b", per_s, BURST), dict.fromkeys(busy, 1.5 * per_s / len(busy)))
     fleet.world.run(15.0)
     before = sum(host.bytes_out for host in fleet.world.hosts)
-    used = fleet.use(20.0)
+    used = fleet.used_fraction(20.0)
     sent = (sum(host.bytes_out for host in fleet.world.hosts) - before) / 20 / count
     fleet.cut(set(random.sample(range(count), count // 2)))
     fleet.world.run(20.0)
@@ -42,15 +42,15 @@
     fleet.world.run(10.0)
     idle = [number for number in range(count) if number not in busy]
     fleet.crash(random.sample(idle, count // 2))
-    return used, fleet.use(5.0), fleet.use(10.0), fleet.most_over(), sent
+    return used, fleet.used_fraction(5.0), fleet.used_fraction(10.0), fleet.max_overspend(), sent
 
 
 def main() -> None:
     counts = [int(word) for word in sys.argv[1:]] or [20, 200]
     with ProcessPoolExecutor(max(1, (os.cpu_count() or 2) // 2)) as pool:
         for count in counts:
-            allowed = EACH * count * BURST / SECOND
-            for way in WAYS:
+            allowed = EACH * count * BURST / NS_PER_S
+            for way in STRATEGIES:
                 rows = list(pool.map(one, [(way, count, FIRST_SEED + seed) for seed in range(SEEDS)]))
                 used, first, later, over, sent = zip(*rows, strict=True)
                 print(
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,13 @@
 
 from driftstair.model.tier.accrual import Accrual
 from driftstair.model.tier.heartbeats import Heartbeats
-from driftstair.model.tier.measure import MakeOf, Tier, detection, rest, swim
+from driftstair.model.tier.measure import (
+    DetectorFactoryBuilder,
+    Tier,
+    measure_detection,
+    measure_idle,
+    swim_factory,
+)
 from driftstair.model.tier.world import Link
 from driftstair.tier import wire
 from driftstair.tier.membership.events import Kind, Message
@@ -34,8 +40,8 @@
 
 FIRST_SEED = 1000
 SLOW = 1.2  # s: a slow member reads each datagram so late
-KINDS: dict[str, MakeOf] = {
-    "swim": swim,
+KINDS: dict[str, DetectorFactoryBuilder] = {
+    "swim": swim_factory,
     "heartbeats": lambda count, seed: lambda host, generation: Heartbeats(host, count),
     "accrual": lambda count, seed: lambda host, generation: Accrual(host, count),
 }
@@ -50,17 +56,18 @@
     tier.world.run(20.0)
     slowed = range(round(slow * count))
     for number in slowed:
-        tier.world.hosts[number].slow = SLOW
+        tier.world.hosts[number].read_delay_s = SLOW
     began = tier.world.now
-    still = rest(tier, seconds)
+    still = measure_idle(tier, seconds)
     sound = set(range(len(slowed), count))
     wrong = len(tier.deaths(began, of=sound))
     watch = 20.0 if loss < 0.3 else 60.0
-    found = detection(tier, count - 1, watch)
+    found = measure_detection(tier, count - 1, watch)
     return {
         "kind": kind, "nodes": count, "loss": loss, "slow": slow, "wrong": wrong,
-        "wrong_of_slow": still.wrong - wrong, "hours": count * seconds / 3600, "bytes_s": still.bytes_s,
-        "datagrams_s": still.datagrams_s, "busiest": still.busiest, "first": found.first, "last": found.last,
+        "wrong_of_slow": still.false_deaths - wrong, "hours": count * seconds / 3600,
+        "bytes_s": still.bytes_s, "datagrams_s": still.datagrams_s, "busiest": still.peak_datagrams_s,
+        "first": found.first, "last": found.last,
     }  # fmt: skip
 
 
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -76,21 +76,23 @@
     the voters ran and heard each other, some silent after a start, the part in which nobody had it."""
     random = Random(seed)
     count = random.choice((3, 5, 7, 9))
-    link = Link(loss=random.choice((0.0, 0.1, 0.3)), duplicate=0.1, high=random.choice((20, 300)) * 1_000_000)
+    link = Link(
+        loss=random.choice((0.0, 0.1, 0.3)), duplicate=0.1, max_delay_ns=random.choice((20, 300)) * 1_000_000
+    )
     fleet = Fleet(count, seed, link=link)
     world, wrong, idle, looked = fleet.world, 0, 0, 0
     apart: set[int] = set()
     for _ in range(40):
         number = random.randrange(count)
         kind = random.randrange(7)
-        if kind == 0 and world.runs(number):
+        if kind == 0 and world.is_running(number):
             fleet.crash(number)
-        elif kind <= 2 and not world.runs(number):
+        elif kind <= 2 and not world.is_running(number):
             fleet.start(number)
         elif kind == 3:
             world.stop(number)
         elif kind <= 5 and world.hosts[number].stopped:
-            world.go_on(number)
+            world.resume(number)
         elif kind == 6:
             apart = set(random.sample(range(count), random.randrange(count // 2 + 1)))
             both = random.random() < 0.5
@@ -103,11 +105,11 @@
             world.run(random.uniform(0.05, 0.6))
             owners = fleet.owners()
             wrong += len(owners) > 1
-            voters = [one for one in range(min(count, 7)) if one not in apart and world.runs(one)
+            voters = [one for one in range(min(count, 7)) if one not in apart and world.is_running(one)
                        and not world.hosts[one].stopped]  # fmt: skip
             if len(voters) > min(count, 7) // 2:
                 looked, idle = looked + 1, idle + (not owners)
-    tokens = [one.token for one in fleet.had]
+    tokens = [one.token for one in fleet.leases]
     wrong += tokens != sorted(set(tokens))
     return len(tokens), wrong, idle / max(1, looked)
 
--- a/driftstair/model/tier/__init__.py
+++ b/driftstair/model/tier/__init__.py
@@ -1,6 +1,6 @@
-"""The tier's datagrams modelled: nodes that judge who lives, links that delay, lose and cut, no sockets.
+"""A model of the tier's datagrams: failure detectors over links that delay, lose and cut, without sockets.
 
-`world` has links, pauses, crashes and restarts; `swim` puts the shipped core into it, `heartbeats` and
-`accrual` two other detectors for comparison, never in the daemon; `measure` says how soon and how wrongly
-each judges.
+`world` has the links, stalls, crashes and restarts. `swim` runs the shipped core in it; `heartbeats` and
+`accrual` are two other detectors for comparison that the daemon never uses. `measure` takes the detection
+times and the false verdicts of each. `budgets` and `ownership` run the shared budgets and the leases.
 """
--- a/driftstair/model/tier/budgets.py
+++ b/driftstair/model/tier/budgets.py
@@ -1,7 +1,7 @@
-"""A budget of the fleet in the modelled tier, beside fixed parts and averages by gossip.
+"""The fleet's budget in the modelled tier, compared with fixed shares and with shares set by gossip.
 
-Who lives is told to all, so late after a crash; each way of sharing is a detector of `world`, so that links,
-stalls and crashes are the same. A node wants tokens as they come, by chance, at its part of the demand.
+All nodes learn of a crash a fixed time after it. Each strategy is a detector of `world`, so that links,
+stalls and crashes are the same for all. A node requests tokens at random times, at the rate of its demand.
 """
 
 from __future__ import annotations
@@ -11,85 +11,89 @@
 from random import Random
 from typing import Any
 
-from driftstair.model.tier.world import NEVER, SECOND, Host, Link, World
+from driftstair.model.tier.world import NEVER, NS_PER_S, Host, Link, World
 from driftstair.tier.shared.budget import Spec
 from driftstair.tier.shared.core import SendItems, SharedState
 
-HEAD = 45  # bytes of a datagram beside its items, about
-GOSSIP = SECOND // 4
+DATAGRAM_HEADER_BYTES = 45  # approximate size without the items
+GOSSIP_PERIOD_NS = NS_PER_S // 4
 
 
 class Lending:
-    """The shipped core. `alive`: the numbers that are held alive by all."""
+    """The shipped core, in which nodes lend their shares. `alive`: the nodes that all nodes hold alive."""
 
     def __init__(
         self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
     ) -> None:
         self.host, self.generation, self.count, self.name = host, generation, count, spec.name
         random = Random(f"{seed}/{host.number}/{generation}")
-        self.core = SharedState((spec,), random, lambda: [one for one in alive if one != host.number])
+        self.core = SharedState(
+            (spec,), random, lambda: [number for number in alive if number != host.number]
+        )
 
     def start(self) -> None:
         self.core.open(self.host.now(), self.host.number, 100 + self.generation, self.count)
 
     def wake(self) -> None:
-        self._do(self.core.wake(self.host.now()))
+        self._execute(self.core.wake(self.host.now()))
 
     def wake_at(self) -> int:
         return self.core.wake_at
 
-    def take(self, datagram: Any) -> None:
-        self._do(self.core.heard(self.host.now(), *datagram))
+    def receive(self, datagram: Any) -> None:
+        self._execute(self.core.heard(self.host.now(), *datagram))
 
     def spend(self) -> bool:
+        """Spends a token, if the node has one."""
         budget = self.core.budgets[self.name]
         if not budget.spend(self.host.now()):
             return False
         budget.spent()
         return True
 
-    def held(self) -> int:
+    def held_shares(self) -> int:
+        """Returns how many shares of the budget the node holds now."""
         return self.core.budgets[self.name].escrow.held(self.host.now())
 
     def dead(self) -> set[int]:
         return set()
 
-    def _do(self, actions: list[Any]) -> None:
+    def _execute(self, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, SendItems):
                 datagram = (self.host.number, 100 + self.generation, action.items)
-                self.host.send(action.to, datagram, HEAD + len(action.items))
+                self.host.send(action.to, datagram, DATAGRAM_HEADER_BYTES + len(action.items))
 
 
 class Fixed:
-    """Each node has its part, and no other."""
+    """Each node has an equal share of the budget and lends none of it."""
 
     def __init__(
         self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
     ) -> None:
         self.host = host
         self._per_s = spec.per_s / count
-        self._most = self._per_s * spec.burst / 1e9
+        self._max_tokens = self._per_s * spec.burst / 1e9
         self._tokens = 0.0
-        self._at = 0
+        self._refilled_at_ns = 0
 
     def start(self) -> None:
-        self._at = self.host.now()
+        self._refilled_at_ns = self.host.now()
 
     def wake(self) -> None: ...
 
     def wake_at(self) -> int:
         return NEVER
 
-    def take(self, datagram: Any) -> None: ...
+    def receive(self, datagram: Any) -> None: ...
 
     def dead(self) -> set[int]:
         return set()
 
     def spend(self) -> bool:
         now = self.host.now()
-        self._tokens = min(self._most, self._tokens + self._per_s * (now - self._at) / 1e9)
-        self._at = now
+        self._tokens = min(self._max_tokens, self._tokens + self._per_s * (now - self._refilled_at_ns) / 1e9)
+        self._refilled_at_ns = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -97,10 +101,10 @@
 
 
 class Gossip(Fixed):
-    """Each tells what it wants, and takes the part of the budget that its own is of all it has heard of. What
-    is not heard of for a while counts as nothing."""
+    """Each node gossips its demand, and takes a share of the budget in proportion to its part of all known
+    demand. Demand that was noted more than `RETENTION_NS` ago counts as none."""
 
-    KEPT = 3 * SECOND
+    RETENTION_NS = 3 * NS_PER_S
 
     def __init__(
         self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
@@ -109,103 +113,113 @@
         self._spec = spec
         self._random = Random(f"{seed}/{host.number}/{generation}")
         self._alive = alive
-        self._wanted = 0.0
-        self._noted = 0
-        self._told: dict[int, tuple[int, float]] = {}  # by node: said when, tokens a second
-        self._next = 0
+        self._demand_per_s = 0.0
+        self._requested_tokens = 0
+        self._demand_by_node: dict[int, tuple[int, float]] = {}  # time in ns, tokens a second
+        self._next_wake_ns = 0
 
     def start(self) -> None:
         super().start()
-        self._next = self.host.now() + GOSSIP
+        self._next_wake_ns = self.host.now() + GOSSIP_PERIOD_NS
 
     def wake_at(self) -> int:
-        return self._next
+        return self._next_wake_ns
 
     def wake(self) -> None:
         now, own = self.host.now(), self.host.number
-        self._next = now + GOSSIP
-        self._wanted += 0.3 * (self._noted * SECOND / GOSSIP - self._wanted)
-        self._noted = 0
-        self._told[own] = now, self._wanted
-        others = [one for one in self._alive if one != own]
-        rows = sorted(self._told.items(), key=lambda one: -one[1][0])[:20]
+        self._next_wake_ns = now + GOSSIP_PERIOD_NS
+        self._demand_per_s += 0.3 * (
+            self._requested_tokens * NS_PER_S / GOSSIP_PERIOD_NS - self._demand_per_s
+        )
+        self._requested_tokens = 0
+        self._demand_by_node[own] = now, self._demand_per_s
+        others = [number for number in self._alive if number != own]
+        rows = sorted(self._demand_by_node.items(), key=lambda row: -row[1][0])[:20]
         for to in self._random.sample(others, min(3, len(others))):
-            self.host.send(to, rows, HEAD + 10 * len(rows))
-        fresh = [rate for at, rate in self._told.values() if at > now - self.KEPT]
-        part = self._wanted / sum(fresh) if sum(fresh) > 0 else 0.0
-        self._per_s = self._spec.per_s * part
-        self._most = max(1.0, self._per_s * self._spec.burst / 1e9)
-
-    def take(self, datagram: Any) -> None:
-        for number, (at, rate) in datagram:
-            if at > self._told.get(number, (-1, 0.0))[0]:
-                self._told[number] = at, rate
+            self.host.send(to, rows, DATAGRAM_HEADER_BYTES + 10 * len(rows))
+        recent_rates = [
+            rate for noted_ns, rate in self._demand_by_node.values() if noted_ns > now - self.RETENTION_NS
+        ]
+        share = self._demand_per_s / sum(recent_rates) if sum(recent_rates) > 0 else 0.0
+        self._per_s = self._spec.per_s * share
+        self._max_tokens = max(1.0, self._per_s * self._spec.burst / 1e9)
+
+    def receive(self, datagram: Any) -> None:
+        for number, (noted_ns, rate) in datagram:
+            if noted_ns > self._demand_by_node.get(number, (-1, 0.0))[0]:
+                self._demand_by_node[number] = noted_ns, rate
 
     def spend(self) -> bool:
-        self._noted += 1
+        self._requested_tokens += 1
         return super().spend()
 
 
-WAYS: dict[str, Callable[..., Any]] = {"lending": Lending, "fixed": Fixed, "gossip": Gossip}
+STRATEGIES: dict[str, Callable[..., Any]] = {"lending": Lending, "fixed": Fixed, "gossip": Gossip}
 
 
 @dataclass(slots=True)
 class Fleet:
-    """`demand`: by node, tokens a second that it wants."""
+    """All nodes and the tokens that they spent. `strategy` is a key of `STRATEGIES`; `demand` has the
+    tokens a second that each node requests."""
 
-    way: str
+    strategy: str
     count: int
     seed: int
     spec: Spec
     demand: dict[int, float]
     link: Link = field(default_factory=Link)
-    late: float = 5.0  # s after a crash until all know
+    detection_delay_s: float = 5.0  # from a crash until all nodes know of it
     world: World = field(init=False)
     alive: set[int] = field(init=False)
-    spent: list[tuple[int, int]] = field(init=False, default_factory=list)  # ns, by whom
+    spent: list[tuple[int, int]] = field(init=False, default_factory=list)  # time in ns, node
 
     def __post_init__(self) -> None:
         self.alive = set(range(self.count))
 
         def make(host: Host, generation: int) -> Any:
-            return WAYS[self.way](host, generation, self.spec, self.count, self.seed, self.alive)
+            return STRATEGIES[self.strategy](host, generation, self.spec, self.count, self.seed, self.alive)
 
         self.world = World(self.count, self.seed, make, self.link)
         for number in range(self.count):
             self.world.start(number)
         for number in self.demand:
-            self._want(number)
+            self._request_token(number)
 
-    def _want(self, number: int) -> None:
+    def _request_token(self, number: int) -> None:
         host, per_s = self.world.hosts[number], self.demand.get(number, 0.0)
         spender: Any = host.detector
         if spender is not None and not host.stopped and spender.spend():
             self.spent.append((self.world.now, number))
         if per_s > 0:
-            self.world.after(self.world.random.expovariate(per_s), self._want, number)
+            self.world.call_later(self.world.random.expovariate(per_s), self._request_token, number)
 
     def crash(self, numbers: list[int]) -> None:
+        """Crashes these nodes, whose demand ends."""
         for number in numbers:
             self.world.crash(number)
             self.demand.pop(number, None)
-            self.world.after(self.late, self.alive.discard, number)
+            self.world.call_later(self.detection_delay_s, self.alive.discard, number)
+
+    def cut(self, nodes: set[int]) -> None:
+        """Separates these nodes from all others, in both directions."""
+        self.world.cut = lambda source, target: (source in nodes) != (target in nodes)
 
-    def cut(self, some: set[int]) -> None:
-        """These reach the others no more, nor the others them."""
-        self.world.cut = lambda source, target: (source in some) != (target in some)
+    def used_fraction(self, seconds: float, rate_per_s: float | None = None) -> float:
+        """Runs for `seconds`, and returns the fraction of the budget that was spent in them.
 
-    def use(self, seconds: float, of: float | None = None) -> float:
-        """The part of the budget that is spent from now on."""
-        began = len(self.spent)
+        `rate_per_s`: tokens a second that count as the whole budget; by default the budget's own rate.
+        """
+        spent_before = len(self.spent)
         self.world.run(seconds)
-        return (len(self.spent) - began) / ((of or self.spec.per_s) * seconds)
+        return (len(self.spent) - spent_before) / ((rate_per_s or self.spec.per_s) * seconds)
 
-    def most_over(self) -> float:
-        """The most by which any window goes over per_s x t: tokens."""
+    def max_overspend(self) -> float:
+        """Returns the most tokens by which any window of length t exceeds per_s x t."""
         per_ns = self.spec.per_s / 1e9
-        least = float("inf")
-        over = 0.0
-        for number, (at, _) in enumerate(self.spent):
-            least = min(least, number - per_ns * at)  # spent before this one
-            over = max(over, number + 1 - per_ns * at - least)
-        return over
+        min_balance = float("inf")
+        overspend = 0.0
+        for index, (time_ns, _) in enumerate(self.spent):
+            # `index` tokens were spent before this one.
+            min_balance = min(min_balance, index - per_ns * time_ns)
+            overspend = max(overspend, index + 1 - per_ns * time_ns - min_balance)
+        return overspend
--- a/driftstair/model/tier/heartbeats.py
+++ b/driftstair/model/tier/heartbeats.py
@@ -1,63 +1,66 @@
-"""All-to-all heartbeats, for comparison: each node tells each other one that it lives, once a period, and
-holds dead whom it has not heard for some periods. Nobody tells anybody of a third."""
+"""All-to-all heartbeats, for comparison.
+
+Each node sends a heartbeat to every other node once a period, and holds a node dead that it has not heard
+from for some periods. Nodes exchange nothing about third nodes.
+"""
 
 from __future__ import annotations
 
-from driftstair.model.tier.world import SECOND, Host
+from driftstair.model.tier.world import NS_PER_S, Host
 from driftstair.tier.membership.members import State
 from driftstair.tier.wire import MAC_BYTES
 
-# bytes: a version, a seal, a number and a generation, as a tier's datagrams have them
-SIZE = 1 + MAC_BYTES + 4 + 5
+# A version, an authentication code, a node number and a generation, as in the tier's datagrams.
+HEARTBEAT_BYTES = 1 + MAC_BYTES + 4 + 5
 
 
 class Heartbeats:
-    """`missed`: periods without a word from a node until it is held dead."""
+    """`missed_periods`: periods without a heartbeat from a node until it is held dead."""
 
-    def __init__(self, host: Host, count: int, period: float = 1.0, missed: float = 3.0) -> None:
+    def __init__(self, host: Host, count: int, period: float = 1.0, missed_periods: float = 3.0) -> None:
         self.host = host
         self._others = [number for number in range(count) if number != host.number]
-        self._period = int(period * SECOND)
-        self._missed = int(missed * self._period)
-        self._next = 0
-        self._held: dict[int, State] = {}
-        self._heard: dict[int, int] = {}  # ns
+        self._period_ns = int(period * NS_PER_S)
+        self._timeout_ns = int(missed_periods * self._period_ns)
+        self._next_wake_ns = 0
+        self._states: dict[int, State] = {}
+        self._last_heard_ns: dict[int, int] = {}
 
     def start(self) -> None:
-        # Each at its own time: drawn by the world, as processes start.
-        self._next = self.host.now() + self.host.world.random.randrange(self._period)
+        # Drawn from the world's generator, so that the nodes' heartbeats are not in phase.
+        self._next_wake_ns = self.host.now() + self.host.world.random.randrange(self._period_ns)
 
     def wake_at(self) -> int:
-        return self._next
+        return self._next_wake_ns
 
     def wake(self) -> None:
         now = self.host.now()
-        self._next = now + self._period
+        self._next_wake_ns = now + self._period_ns
         for number in self._others:
-            self.host.send(number, self.host.number, SIZE)
-        for number, heard in self._heard.items():
-            if self._held[number] is State.ALIVE and self.gone(number, now - heard):
-                self._hold(number, State.DEAD)
+            self.host.send(number, self.host.number, HEARTBEAT_BYTES)
+        for number, heard_ns in self._last_heard_ns.items():
+            if self._states[number] is State.ALIVE and self.is_overdue(number, now - heard_ns):
+                self._set_state(number, State.DEAD)
 
-    def take(self, datagram: int) -> None:
+    def receive(self, datagram: int) -> None:
         now = self.host.now()
-        before = self._heard.get(datagram)
-        self._heard[datagram] = now
-        if before is not None:
-            self.gap(datagram, now - before)
-        if self._held.get(datagram) is not State.ALIVE:
-            self._hold(datagram, State.ALIVE)
+        previous_ns = self._last_heard_ns.get(datagram)
+        self._last_heard_ns[datagram] = now
+        if previous_ns is not None:
+            self.record_gap(datagram, now - previous_ns)
+        if self._states.get(datagram) is not State.ALIVE:
+            self._set_state(datagram, State.ALIVE)
 
-    def _hold(self, number: int, state: State) -> None:
-        self._held[number] = state
-        self.host.held(number, state)
+    def _set_state(self, number: int, state: State) -> None:
+        self._states[number] = state
+        self.host.report_state(number, state)
 
-    def gone(self, number: int, silent: int) -> bool:
-        """Whether ns without a word are too many."""
-        return silent > self._missed
+    def is_overdue(self, number: int, silence_ns: int) -> bool:
+        """Whether a node that has been silent for so long is to be held dead."""
+        return silence_ns > self._timeout_ns
 
-    def gap(self, number: int, ns: int) -> None:
-        """Between two words of a node."""
+    def record_gap(self, number: int, gap_ns: int) -> None:
+        """Called with the time between two consecutive heartbeats of a node."""
 
     def dead(self) -> set[int]:
-        return {number for number, state in self._held.items() if state is State.DEAD}
+        return {number for number, state in self._states.items() if state is State.DEAD}
--- a/driftstair/model/tier/measure.py
+++ b/driftstair/model/tier/measure.py
@@ -1,4 +1,4 @@
-"""How soon and how wrongly a modelled tier judges: plays with one seed, plain figures out."""
+"""Measures the detection times, false deaths and traffic of a modelled tier; each run has one seed."""
 
 from __future__ import annotations
 
@@ -7,140 +7,159 @@
 from typing import NamedTuple, cast
 
 from driftstair.model.tier.swim import Swim
-from driftstair.model.tier.world import SECOND, Detector, Host, Link, World
+from driftstair.model.tier.world import NS_PER_S, Detector, Host, Link, World
 from driftstair.tier.membership.members import State
 
 
-class Change(NamedTuple):
-    """What a node came to hold of a member."""
+class StateChange(NamedTuple):
+    """A change of the state that an observer holds of a member."""
 
     at: int  # ns
     observer: int
     member: int
     state: State
-    told: bool  # else it holds so for itself alone
+    announced: bool  # False: the observer does not tell other nodes
 
 
-MakeOf = Callable[[int, int], Callable[[Host, int], Detector]]
-"""For so many nodes and a seed: how a generation of a node is made."""
+DetectorFactoryBuilder = Callable[[int, int], Callable[[Host, int], Detector]]
+"""Takes the number of nodes and a seed, and returns the factory of their detectors."""
 
 
-def swim(count: int, seed: int, period: float = 1.0) -> Callable[[Host, int], Detector]:
+def swim_factory(count: int, seed: int, period: float = 1.0) -> Callable[[Host, int], Detector]:
+    """Returns the factory of the shipped detector. `period` is in s."""
     return lambda host, generation: Swim(host, generation, count, period, seed)
 
 
 @dataclass(slots=True)
 class Tier:
-    """A modelled tier with what its nodes came to hold."""
+    """A modelled tier, and all state changes that its nodes reported."""
 
     count: int
     seed: int
     link: Link = field(default_factory=Link)
-    make: MakeOf = swim
+    make: DetectorFactoryBuilder = swim_factory
     world: World = field(init=False)
-    events: list[Change] = field(init=False, default_factory=list)
+    events: list[StateChange] = field(init=False, default_factory=list)
 
     def __post_init__(self) -> None:
         self.world = World(self.count, self.seed, self.make(self.count, self.seed), self.link)
-        self.world.note = self._note
+        self.world.on_state_change = self._record_change
 
-    def _note(self, observer: int, member: int, state: State, told: bool) -> None:
-        self.events.append(Change(self.world.now, observer, member, state, told))
+    def _record_change(self, observer: int, member: int, state: State, announced: bool) -> None:
+        self.events.append(StateChange(self.world.now, observer, member, state, announced))
 
     def start(self, within: float = 1.0) -> None:
+        """Starts all nodes, at random times within so many s."""
         for number in range(self.count):
-            self.world.after(within * self.world.random.random(), self.world.start, number)
+            self.world.call_later(within * self.world.random.random(), self.world.start, number)
         self.world.run(within)
 
     def cores(self) -> list[Swim]:
         return [cast(Swim, host.detector) for host in self.world.hosts if host.detector is not None]
 
     def agreed(self) -> bool:
+        """Whether all running nodes hold the same view."""
         views = [node.view() for node in self.cores()]
         return all(view == views[0] for view in views)
 
     def all_alive(self) -> bool:
+        """Whether every running node holds every node alive."""
         ranks = [rank for node in self.cores() for rank in node.view().values()]
         return all(rank is not None and rank[2] == State.ALIVE for rank in ranks)
 
-    def until(self, what: Callable[[], bool], most: float, step: float = 0.05) -> float:
-        """s until something is so; raises AssertionError if that takes longer than `most`."""
-        began = self.world.now
-        while not what():
-            if self.world.now - began > most * SECOND:
-                raise AssertionError(f"not so after {most} s")
+    def run_until(self, condition: Callable[[], bool], max_s: float, step: float = 0.05) -> float:
+        """Runs until the condition holds and returns the s that took.
+
+        Raises AssertionError if that takes longer than `max_s`.
+        """
+        start_ns = self.world.now
+        while not condition():
+            if self.world.now - start_ns > max_s * NS_PER_S:
+                raise AssertionError(f"condition not met after {max_s} s")
             self.world.run(step)
-        return (self.world.now - began) / SECOND
+        return (self.world.now - start_ns) / NS_PER_S
 
-    def join(self, most: float = 60.0) -> float:
-        """s until everyone holds everyone alive."""
-        return self.until(self.all_alive, most)
+    def join(self, max_s: float = 60.0) -> float:
+        """Runs until every node holds every node alive, and returns the s that took."""
+        return self.run_until(self.all_alive, max_s)
 
-    def deaths(self, since: int = 0, of: set[int] | None = None) -> list[Change]:
-        """Who came to hold whom dead, and told it; `of`: only these members, left out: all that run."""
+    def deaths(self, since: int = 0, of: set[int] | None = None) -> list[StateChange]:
+        """Returns the announced deaths of the members `of`; by default of all members that are running."""
         return [
-            one for one in self.events if one.state is State.DEAD and one.told and one.at >= since
-            and (self.world.runs(one.member) if of is None else one.member in of)
+            change for change in self.events
+            if change.state is State.DEAD and change.announced and change.at >= since
+            and (self.world.is_running(change.member) if of is None else change.member in of)
         ]  # fmt: skip
 
-    def suspicions(self, since: int = 0, by: set[int] | None = None) -> list[Change]:
-        """Who came to suspect whom; `by`: only these observers."""
+    def suspicions(self, since: int = 0, by: set[int] | None = None) -> list[StateChange]:
+        """Returns the changes to suspect; `by`: only those of these observers."""
         return [
-            one for one in self.events if one.state is State.SUSPECT and one.at >= since
-            and (by is None or one.observer in by)
+            change for change in self.events if change.state is State.SUSPECT and change.at >= since
+            and (by is None or change.observer in by)
         ]  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
 class Detection:
-    """s from a crash until somebody, half, and all of those that run hold the node dead; inf: not in time."""
+    """Time in s from a crash until the first, half and all of the running nodes hold the crashed node dead.
+
+    inf: not within the observed time.
+    """
 
     first: float
     half: float
     last: float
-    wrong: int  # views that held a node dead which ran
+    false_deaths: int  # changes of a view that held a running node dead
 
 
-def detection(tier: Tier, victim: int, watch: float) -> Detection:
-    """Crashes a node and watches for so many s."""
+def measure_detection(tier: Tier, victim: int, watch_s: float) -> Detection:
+    """Crashes a node and observes the others for `watch_s`."""
     world = tier.world
-    began = world.now
+    start_ns = world.now
     world.crash(victim)
-    world.run(watch)
-    first: dict[int, float] = {}
-    for one in tier.events:
-        if one.at >= began and one.member == victim and one.state is State.DEAD and one.observer != victim:
-            first.setdefault(one.observer, (one.at - began) / SECOND)
-    others = sum(1 for host in world.hosts if host.detector is not None)
-    times = sorted(first.values()) + [float("inf")] * (others - len(first))
-    return Detection(times[0], times[len(times) // 2], times[-1], len(tier.deaths(began)))
+    world.run(watch_s)
+    detected_after_s: dict[int, float] = {}
+    for change in tier.events:
+        if (
+            change.at >= start_ns
+            and change.member == victim
+            and change.state is State.DEAD
+            and change.observer != victim
+        ):
+            detected_after_s.setdefault(change.observer, (change.at - start_ns) / NS_PER_S)
+    observers = sum(1 for host in world.hosts if host.detector is not None)
+    times_s = sorted(detected_after_s.values()) + [float("inf")] * (observers - len(detected_after_s))
+    return Detection(times_s[0], times_s[len(times_s) // 2], times_s[-1], len(tier.deaths(start_ns)))
 
 
 @dataclass(frozen=True, slots=True)
-class Rest:
-    """Of a tier in which nobody crashes."""
+class IdleFigures:
+    """False verdicts and traffic of a tier in which no node crashes."""
 
-    wrong: int  # views that held a node dead which ran
-    suspected: int  # views that suspected one
-    bytes_s: float  # a node
-    datagrams_s: float
-    busiest: int  # datagrams that one node sent in one second, the most
+    false_deaths: int  # changes of a view that held a running node dead
+    suspected: int  # changes of a view to suspect
+    bytes_s: float  # sent by a node, on average
+    datagrams_s: float  # sent by a node, on average
+    peak_datagrams_s: int  # the most datagrams that one node sent in one second
 
 
-def rest(tier: Tier, seconds: int) -> Rest:
+def measure_idle(tier: Tier, seconds: int) -> IdleFigures:
+    """Runs a tier without crashes for so many s."""
     world = tier.world
-    began = world.now
-    sent = sum(host.bytes_out for host in world.hosts)
-    told = sum(host.datagrams_out for host in world.hosts)
-    busiest = 0
+    start_ns = world.now
+    bytes_before = sum(host.bytes_out for host in world.hosts)
+    datagrams_before = sum(host.datagrams_out for host in world.hosts)
+    peak_datagrams_s = 0
     for _ in range(seconds):
-        before = [host.datagrams_out for host in world.hosts]
+        counts_before = [host.datagrams_out for host in world.hosts]
         world.run(1.0)
-        sent_now = [host.datagrams_out - one for host, one in zip(world.hosts, before, strict=True)]
-        busiest = max(busiest, *sent_now)
-    nodes = tier.count * seconds
-    return Rest(
-        len(tier.deaths(began)), len(tier.suspicions(began)),
-        (sum(host.bytes_out for host in world.hosts) - sent) / nodes,
-        (sum(host.datagrams_out for host in world.hosts) - told) / nodes, busiest,
+        sent = [
+            host.datagrams_out - previous for host, previous in zip(world.hosts, counts_before, strict=True)
+        ]
+        peak_datagrams_s = max(peak_datagrams_s, *sent)
+    node_seconds = tier.count * seconds
+    return IdleFigures(
+        len(tier.deaths(start_ns)), len(tier.suspicions(start_ns)),
+        (sum(host.bytes_out for host in world.hosts) - bytes_before) / node_seconds,
+        (sum(host.datagrams_out for host in world.hosts) - datagrams_before) / node_seconds, peak_datagrams_s,
     )  # fmt: skip
--- a/driftstair/model/tier/ownership.py
+++ b/driftstair/model/tier/ownership.py
@@ -1,4 +1,7 @@
-"""Leases in the modelled tier: the shipped core, with who lives told to all some time after a crash."""
+"""The shipped lease core in the modelled tier.
+
+There is no failure detector: all nodes learn of a crash a fixed time after it.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +9,15 @@
 from random import Random
 from typing import Any
 
-from driftstair.model.tier.world import SECOND, Host, Link, World
+from driftstair.model.tier.world import NS_PER_S, Host, Link, World
 from driftstair.tier.ownership.leases import LeaseChange, Leases
 
 
-class Owner:
-    """One generation of a node."""
+class LeaseNode:
+    """One generation of a node, as a detector of the modelled tier."""
 
     def __init__(self, host: Host, generation: int, fleet: Fleet) -> None:
-        self.host, self.generation, self.fleet = host, fleet.generation(), fleet
+        self.host, self.generation, self.fleet = host, fleet.next_generation(), fleet
         random = Random(f"{fleet.seed}/{host.number}/{generation}")
         self.core = Leases(
             fleet.tasks, host.number, self.generation, fleet.count, host.now(), random,
@@ -25,30 +28,30 @@
         self.wake()
 
     def wake(self) -> None:
-        self._do(*self.core.tick(self.host.now()))
+        self._execute(*self.core.tick(self.host.now()))
 
     def wake_at(self) -> int:
         return self.core.wake_at
 
-    def take(self, datagram: Any) -> None:
-        self._do(*self.core.heard(self.host.now(), *datagram))
+    def receive(self, datagram: Any) -> None:
+        self._execute(*self.core.heard(self.host.now(), *datagram))
 
     def leave(self) -> None:
-        self._do(*self.core.leave(self.host.now()))
+        self._execute(*self.core.leave(self.host.now()))
 
     def dead(self) -> set[int]:
         return set()
 
-    def _do(self, letters: list[tuple[int, Any]], changes: list[LeaseChange]) -> None:
-        for to, message in letters:
+    def _execute(self, messages: list[tuple[int, Any]], changes: list[LeaseChange]) -> None:
+        for to, message in messages:
             self.host.send(to, (self.host.number, self.generation, message), 60)
-        for one in changes:
-            self.fleet.changed(self.host, one)
+        for change in changes:
+            self.fleet.record_change(self.host, change)
 
 
 @dataclass(slots=True)
-class Had:
-    """A lease: ns; `end` 0 while it lasts."""
+class LeaseRecord:
+    """A lease that a node held. `begin` and `end` are in ns; `end` is 0 while the lease lasts."""
 
     task: str
     node: int
@@ -59,45 +62,49 @@
 
 @dataclass(slots=True)
 class Fleet:
+    """All nodes, and the leases that they held."""
+
     count: int
     seed: int
     tasks: tuple[str, ...] = ("work",)
     link: Link = field(default_factory=Link)
-    late: float = 4.0  # s after a crash until all know
+    detection_delay_s: float = 4.0  # from a crash until all nodes know of it
     world: World = field(init=False)
     alive: set[int] = field(init=False)
-    had: list[Had] = field(init=False, default_factory=list)
-    _generation: int = field(init=False, default=100)
+    leases: list[LeaseRecord] = field(init=False, default_factory=list)
+    _last_generation: int = field(init=False, default=100)
 
     def __post_init__(self) -> None:
         self.alive = set(range(self.count))
         self.world = World(
-            self.count, self.seed, lambda host, generation: Owner(host, generation, self), self.link
+            self.count, self.seed, lambda host, generation: LeaseNode(host, generation, self), self.link
         )
         for number in range(self.count):
             self.world.start(number)
 
-    def generation(self) -> int:
-        """Of a process that starts now: generations are by the clock."""
-        self._generation += 1
-        return self._generation
+    def next_generation(self) -> int:
+        """Returns the generation of a process that starts now: a later process has a greater one."""
+        self._last_generation += 1
+        return self._last_generation
 
-    def changed(self, host: Host, one: LeaseChange) -> None:
-        if one.was:
-            had = next(had for had in self.had if (had.token, had.task) == (one.was, one.task))
-            had.end = self.world.now
-        if one.token:
-            self.had.append(Had(one.task, host.number, one.token, self.world.now))
+    def record_change(self, host: Host, change: LeaseChange) -> None:
+        if change.was:
+            lease = next(
+                lease for lease in self.leases if (lease.token, lease.task) == (change.was, change.task)
+            )
+            lease.end = self.world.now
+        if change.token:
+            self.leases.append(LeaseRecord(change.task, host.number, change.token, self.world.now))
 
     def crash(self, number: int) -> None:
         self.world.crash(number)
-        for had in self.had:
-            if had.node == number and not had.end:
-                had.end = self.world.now
-        self.world.after(self.late, self._known_dead, number)
+        for lease in self.leases:
+            if lease.node == number and not lease.end:
+                lease.end = self.world.now
+        self.world.call_later(self.detection_delay_s, self._announce_death, number)
 
-    def _known_dead(self, number: int) -> None:
-        if not self.world.runs(number):
+    def _announce_death(self, number: int) -> None:
+        if not self.world.is_running(number):
             self.alive.discard(number)
 
     def start(self, number: int) -> None:
@@ -105,17 +112,17 @@
         self.world.start(number)
 
     def owners(self, task: str = "work") -> list[int]:
-        """Who may act now, by its own clock."""
+        """Returns the nodes that hold the task's lease now, each by its own clock."""
         return [
             host.number for host in self.world.hosts if host.detector is not None
             and host.detector.core.token(self.world.now, task)  # type: ignore[attr-defined]
         ]  # fmt: skip
 
-    def until_owned(self, most: float, task: str = "work") -> float:
-        """s until somebody has it."""
-        began = self.world.now
+    def until_owned(self, max_s: float, task: str = "work") -> float:
+        """Runs until the task has an owner, and returns the s that took."""
+        start_ns = self.world.now
         while not self.owners(task):
-            if self.world.now - began > most * SECOND:
-                raise AssertionError(f"no owner after {most} s")
+            if self.world.now - start_ns > max_s * NS_PER_S:
+                raise AssertionError(f"no owner after {max_s} s")
             self.world.run(0.02)
-        return (self.world.now - began) / SECOND
+        return (self.world.now - start_ns) / NS_PER_S
--- a/tests/tier/test_leases_world.py
+++ b/tests/tier/test_leases_world.py
@@ -8,7 +8,7 @@
 import pytest
 
 from driftstair.model.tier.ownership import Fleet
-from driftstair.model.tier.world import SECOND, Link
+from driftstair.model.tier.world import NS_PER_S, Link
 from driftstair.tier.ownership.leases import (
     MAX_VOTERS,
     TERMS,
@@ -18,7 +18,7 @@
     voter_numbers,
 )
 
-SILENT = TERMS.waited() / SECOND  # s after a start in which the voters say nothing
+SILENT = TERMS.waited() / NS_PER_S  # s after a start in which the voters say nothing
 TASKS = tuple(f"task {number}" for number in range(12))
 
 
@@ -37,7 +37,7 @@
     assert {one[0] for one in owners} > {0} or len({one[0] for one in owners}) > 1
     play.world.run(60.0)
     assert [play.owners(task) for task in TASKS] == owners
-    assert len(play.had) == len(TASKS)  # made longer, never lost
+    assert len(play.leases) == len(TASKS)  # made longer, never lost
 
 
 def test_the_first_in_rank_has_it() -> None:
@@ -54,7 +54,7 @@
     gone = before[TASKS[0]]
     play.crash(gone)
     took = play.until_owned(10.0, TASKS[0])
-    assert took < play.late + TERMS.waited() / SECOND + 1.0
+    assert took < play.detection_delay_s + TERMS.waited() / NS_PER_S + 1.0
     play.world.run(5.0)
     after = {task: play.owners(task)[0] for task in TASKS}
     assert {task for task in TASKS if after[task] != before[task]} == {
@@ -82,11 +82,11 @@
     others = [number for number in range(5) if number != owner]
     apart = {owner, others[0]}
     play.world.cut = lambda source, target: (source in apart) != (target in apart)
-    play.world.run(TERMS.lease / SECOND + 0.1)
+    play.world.run(TERMS.lease / NS_PER_S + 0.1)
     assert owner not in play.owners()
     play.until_owned(8.0)  # by those three
     play.world.cut = lambda source, target: {source, target} != {owner, others[0]}
-    play.world.run(TERMS.lease / SECOND + 0.1)
+    play.world.run(TERMS.lease / NS_PER_S + 0.1)
     assert play.owners() == []
     play.world.cut = lambda source, target: False
     play.until_owned(8.0)
@@ -96,7 +96,7 @@
     play = fleet(5)
     (owner,) = play.owners()
     play.world.cut = lambda source, target: source == owner
-    play.world.run(TERMS.lease / SECOND)
+    play.world.run(TERMS.lease / NS_PER_S)
     assert owner not in play.owners()
     play.until_owned(8.0)
 
@@ -108,19 +108,19 @@
     play.world.run(30.0)
     assert [one for one in play.owners() if one != owner]
     assert owner not in play.owners()  # by its clock, whatever it believes
-    play.world.go_on(owner)
+    play.world.resume(owner)
     play.world.run(5.0)
     assert len(play.owners()) == 1
 
 
 def test_all_restarted_have_an_owner_once_the_longest_lease_is_over_and_its_token_is_greater() -> None:
     play = fleet(5)
-    before = max(one.token for one in play.had)
+    before = max(one.token for one in play.leases)
     for number in range(5):
         play.crash(number)
         play.start(number)
     assert play.until_owned(SILENT + 3.0) > SILENT - 0.1
-    assert play.had[-1].token > before
+    assert play.leases[-1].token > before
 
 
 def test_whatever_befalls_there_is_one_owner_at_most_and_tokens_rise() -> None:
@@ -132,20 +132,20 @@
     random = Random(seed)
     count = random.choice((3, 5, 9))
     late = random.choice((20, 300)) * 1_000_000
-    play = fleet(count, seed, link=Link(loss=0.15, duplicate=0.1, high=late))
+    play = fleet(count, seed, link=Link(loss=0.15, duplicate=0.1, max_delay_ns=late))
     world = play.world
     for _ in range(80):
         number = random.randrange(count)
         apart = set(random.sample(range(count), random.randrange(count)))
         match random.randrange(8):
-            case 0 if world.runs(number):
+            case 0 if world.is_running(number):
                 play.crash(number)
-            case 1 if not world.runs(number):
+            case 1 if not world.is_running(number):
                 play.start(number)
             case 2:
                 world.stop(number)
             case 3 | 4 if world.hosts[number].stopped:
-                world.go_on(number)
+                world.resume(number)
             case 5:
                 world.cut = parted(apart)
             case 6:
@@ -155,7 +155,7 @@
         for _ in range(10):
             world.run(random.uniform(0.02, 0.25))
             assert len(play.owners()) <= 1
-    tokens = [one.token for one in play.had]
+    tokens = [one.token for one in play.leases]
     assert tokens == sorted(set(tokens))
     return len(tokens)
 
@@ -173,7 +173,7 @@
     play = Fleet(9, 3)
     for host in play.world.hosts:
         core: Leases = host.detector.core  # type: ignore[union-attr]
-        core.tasks["work"].since = -10 * SECOND
+        core.tasks["work"].since = -10 * NS_PER_S
         core._living = lambda own=host.number: [own]  # type: ignore[misc]
     play.world.run(SILENT)
     assert play.until_owned(3.0) < 3.0
@@ -214,9 +214,9 @@
             host.detector.wake()  # type: ignore[union-attr]
         play.until_owned(8.0, name)
         for host in play.world.hosts:
-            host.detector._do(*host.detector.core.remove(play.world.now, name))  # type: ignore[union-attr]
+            host.detector._execute(*host.detector.core.remove(play.world.now, name))  # type: ignore[union-attr]
         play.world.run(1.0)
-    tokens = [one.token for one in play.had]
+    tokens = [one.token for one in play.leases]
     assert len(tokens) == 3 and tokens == sorted(set(tokens))
 
 
@@ -224,7 +224,7 @@
     play = fleet(3)
     (owner,) = play.owners()
     core: Leases = play.world.hosts[owner].detector.core  # type: ignore[union-attr]
-    told = play.had[-1].token + (1 << 60)
+    told = play.leases[-1].token + (1 << 60)
     core.floor("work", told)
     core.release(play.world.now, "work")
     play.crash(owner)
@@ -233,5 +233,5 @@
     core.floor("work", told)
     play.alive = {owner, (owner + 1) % 3}
     play.world.run(SILENT + 6.0)
-    (last,) = [one for one in play.had if not one.end]
+    (last,) = [one for one in play.leases if not one.end]
     assert last.node != owner or last.token > told
--- a/tests/tier/test_membership_world.py
+++ b/tests/tier/test_membership_world.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from driftstair.model.tier.measure import Tier, detection, rest
+from driftstair.model.tier.measure import Tier, measure_detection, measure_idle
 from driftstair.model.tier.swim import Swim
-from driftstair.model.tier.world import MS, Detector, Host, Link
+from driftstair.model.tier.world import NS_PER_MS, Detector, Host, Link
 from driftstair.tier.membership.core import Membership
 from driftstair.tier.membership.health import Health
 from driftstair.tier.membership.members import State
@@ -29,16 +29,16 @@
 @pytest.mark.parametrize("count", [2, 3, 7, 40])
 def test_unacquainted_nodes_join_and_agree(count: int) -> None:
     tier = joined_tier(count)
-    tier.until(tier.agreed, 5.0)
+    tier.run_until(tier.agreed, 5.0)
     assert tier.events and not tier.deaths()
 
 
 @pytest.mark.parametrize("count", [2, 3, 7, 40])
 def test_a_crash_is_detected_by_all(count: int) -> None:
     tier = joined_tier(count)
-    found = detection(tier, count - 1, 15.0)
+    found = measure_detection(tier, count - 1, 15.0)
     assert found.last <= (12.0 if count == 2 else 6.0)
-    assert found.wrong == 0
+    assert found.false_deaths == 0
 
 
 def test_a_sole_survivor_presumes_the_others_dead_and_restores_them() -> None:
@@ -46,11 +46,11 @@
     tier = joined_tier(3)
     for number in (1, 2):
         tier.world.crash(number)
-    tier.until(lambda: tier.cores()[0].dead() == {1, 2}, 30.0)
+    tier.run_until(lambda: tier.cores()[0].dead() == {1, 2}, 30.0)
     assert all(one.presumed_dead for one in tier.cores()[0].core.members.values())
     tier.world.start(1)
-    tier.until(lambda: tier.cores()[0].dead() == {2}, 20.0)
-    tier.until(lambda: not tier.cores()[0].core.members[2].presumed_dead, 20.0)
+    tier.run_until(lambda: tier.cores()[0].dead() == {2}, 20.0)
+    tier.run_until(lambda: not tier.cores()[0].core.members[2].presumed_dead, 20.0)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -67,8 +67,8 @@
     assert {one.member for one in tier.deaths()} == chosen
     before = tier.world.now
     for number in chosen:
-        tier.world.go_on(number)
-    assert tier.until(tier.all_alive, 10.0) <= 2.0
+        tier.world.resume(number)
+    assert tier.run_until(tier.all_alive, 10.0) <= 2.0
     tier.world.run(20.0)
     # A resumed node may learn late that other stalled nodes were held dead; a running node never is.
     assert not tier.deaths(before, of=set(range(40)) - chosen)
@@ -83,10 +83,12 @@
     tier.world.run(40.0)
     assert {one.member for one in tier.deaths() if one.observer != 0} == {0}
     assert {one.member for one in tier.deaths() if one.observer == 0} <= {0}
-    assert any(one.observer == 0 and not one.told for one in tier.events) is (direction != "reaches none")
+    assert any(one.observer == 0 and not one.announced for one in tier.events) is (
+        direction != "reaches none"
+    )
     since = tier.world.now
     tier.world.cut = lambda source, target: False
-    tier.until(tier.all_alive, 10.0)
+    tier.run_until(tier.all_alive, 10.0)
     tier.world.run(20.0)
     assert not tier.deaths(since)
 
@@ -109,12 +111,14 @@
     tier.world.crash(3)
     tier.world.run(10.0)
     tier.world.cut = lambda source, target: False
-    tier.until(lambda: all(node.dead() == {3} for node in tier.cores()) and tier.agreed(), 15.0)
+    tier.run_until(lambda: all(node.dead() == {3} for node in tier.cores()) and tier.agreed(), 15.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_30_percent_loss_with_half_a_second_of_delay_causes_no_false_death(seed: int) -> None:
-    tier = Tier(10, seed, Link(low=400 * MS, high=600 * MS, loss=0.3, duplicate=0.1))
+    tier = Tier(
+        10, seed, Link(min_delay_ns=400 * NS_PER_MS, max_delay_ns=600 * NS_PER_MS, loss=0.3, duplicate=0.1)
+    )
     tier.start()
     tier.join(120.0)
     tier.world.run(300.0)
@@ -126,7 +130,7 @@
     before = {node.core.own_number: node.core.own_claim.generation for node in tier.cores()}
     for number in range(20):
         tier.world.crash(number)
-        tier.world.after(tier.world.random.random(), tier.world.start, number)
+        tier.world.call_later(tier.world.random.random(), tier.world.start, number)
     tier.world.run(1.0)
     tier.join(20.0)
     for node in tier.cores():
@@ -163,7 +167,7 @@
 def test_a_slow_node_causes_no_false_death() -> None:
     """It reads each datagram 1.5 s late, so no answer reaches it in time."""
     tier = joined_tier(20)
-    tier.world.hosts[0].slow = 1.5
+    tier.world.hosts[0].read_delay_s = 1.5
     tier.world.run(120.0)
     assert {one.member for one in tier.deaths()} <= {0}
 
@@ -174,9 +178,9 @@
     tier.world.cut = lambda source, target: (source < 30) != (target < 30)
     tier.world.run(20.0)
     tier.world.cut = lambda source, target: False
-    storm = rest(tier, 15)
-    assert storm.busiest <= 60
-    tier.until(tier.all_alive, 30.0)
+    storm = measure_idle(tier, 15)
+    assert storm.peak_datagrams_s <= 60
+    tier.run_until(tier.all_alive, 30.0)
 
 
 # Removing any correction makes detection worse by the same measure on the same seeds.
@@ -199,7 +203,7 @@
 
 def slow_reception(tier: Tier) -> None:
     for number in range(DEGRADED):
-        tier.world.hosts[number].slow = 2.0
+        tier.world.hosts[number].read_delay_s = 2.0
     tier.world.run(90.0)
 
 
@@ -209,7 +213,7 @@
             tier.world.stop(number)
         tier.world.run(stalled_s)
         for number in range(DEGRADED):
-            tier.world.go_on(number)
+            tier.world.resume(number)
         tier.world.run(running_s)
 
 
@@ -291,13 +295,13 @@
         suspicion = tier.cores()[0].core.members[1].suspicion
         return suspicion is not None and len(suspicion.reporters) > 2
 
-    tier.until(suspected, 10.0, step=0.02)
+    tier.run_until(suspected, 10.0, step=0.02)
     tier.world.stop(0)
-    tier.world.go_on(1)
+    tier.world.resume(1)
     tier.world.run(4.5)
     tier.world.hosts[0].inbox.clear()
     since = tier.world.now
-    tier.world.go_on(0)
+    tier.world.resume(0)
     tier.world.run(3.0)
     return sum(1 for one in tier.deaths(since, of={1}) if one.observer == 0)
 
@@ -332,7 +336,7 @@
     tier.world._arrive = deliver_to_both  # type: ignore[method-assign]
     detector.start()
     tier.world._wake_later(rival)
-    tier.until(lambda: first.core.superseded != detector.core.superseded, 60.0)
+    tier.run_until(lambda: first.core.superseded != detector.core.superseded, 60.0)
     tier.world.run(10.0)
     assert first.core.superseded != detector.core.superseded
     survivor = detector if first.core.superseded else first
--- a/tests/tier/test_other_detectors.py
+++ b/tests/tier/test_other_detectors.py
@@ -8,26 +8,26 @@
 
 from driftstair.model.tier.accrual import Accrual
 from driftstair.model.tier.heartbeats import Heartbeats
-from driftstair.model.tier.measure import MakeOf, Tier, detection
+from driftstair.model.tier.measure import DetectorFactoryBuilder, Tier, measure_detection
 from driftstair.model.tier.world import Link
 from driftstair.rehearsal.tier.checks import Bounds, Span, Story, check
 from driftstair.rehearsal.tier.histories import Process, processes
 
 NS_PER_S = 1_000_000_000
-DETECTORS: list[MakeOf] = [
+DETECTORS: list[DetectorFactoryBuilder] = [
     lambda count, seed: lambda host, generation: Heartbeats(host, count),
     lambda count, seed: lambda host, generation: Accrual(host, count),
 ]
 
 
 @pytest.mark.parametrize("make", DETECTORS)
-def test_other_detectors_find_a_crash_and_nothing_else_on_sound_links(make: MakeOf) -> None:
+def test_other_detectors_find_a_crash_and_nothing_else_on_sound_links(make: DetectorFactoryBuilder) -> None:
     tier = Tier(8, 1, make=make)
     tier.start()
     tier.world.run(60.0)
     assert not tier.deaths()
-    found = detection(tier, 7, 20.0)
-    assert found.last < 6.0 and found.wrong == 0
+    found = measure_detection(tier, 7, 20.0)
+    assert found.last < 6.0 and found.false_deaths == 0
 
 
 def test_plain_heartbeats_cause_false_deaths_at_30_percent_loss() -> None:
@@ -49,7 +49,7 @@
     assert isinstance(detector, Accrual)
     even = detector.phi(1, 2 * NS_PER_S)
     for gap in (0.2, 2.0, 0.3, 1.9) * 25:
-        detector.gap(1, int(gap * NS_PER_S))
+        detector.record_gap(1, int(gap * NS_PER_S))
     assert detector.phi(1, 2 * NS_PER_S) < even
     assert detector.phi(1, NS_PER_S) < detector.phi(1, 3 * NS_PER_S)
 
