--- a/driftstair/experiments/runs.py
+++ b/driftstair/experiments/runs.py
@@ -168,7 +168,7 @@
 
 
 def _here(run: Run) -> dict[str, Any]:
-    from driftstair.model.command import play as play_one
+    from driftstair.model.command import run_job as play_one
 
     with changed(run.constants):
         row = play_one((run.scenario, {**dict(run.changes), "seed": run.seed}, run.policy))
--- a/driftstair/model/__init__.py
+++ b/driftstair/model/__init__.py
@@ -1,5 +1,5 @@
-"""A model of the whole fleet: the real decision module, one object a node, before modelled servers.
+"""A model of the whole fleet: the real decision module, one instance a node, in front of modelled servers.
 
-Discrete events on one clock, no sockets, no HTTP, no daemon: what the rehearsal kit plays with 20 nodes this
-plays with a thousand. See docs/design/model.md for what it does not hold.
+A discrete-event simulation with one clock and no sockets, HTTP or daemon. It runs the scenarios of the
+rehearsal kit, which runs 20 nodes, with a thousand. docs/design/model.md lists what the model leaves out.
 """
--- a/driftstair/model/baselines.py
+++ b/driftstair/model/baselines.py
@@ -1,6 +1,7 @@
-"""Published and plain ways to choose a server, behind the module's interface: yardsticks, never a daemon's.
+"""Published and simple load-balancing policies with the decision module's interface, for comparison.
 
-None refuses by itself; each sends once and answers with what came of it.
+No daemon uses them. None refuses a request that a server could take; each sends one attempt for a request and
+answers with its result.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 from lichenspring import interface as api
 from lichenspring.interface import ListKind, ListMode, Result, ServerState
 
-DECAY = 10_000_000_000  # ns: what a response time of that age still counts for is 1/e (peak EWMA, Finagle)
+LATENCY_DECAY_NS = 10_000_000_000  # a latency of this age has the weight 1/e (peak EWMA, Finagle)
 
 
-class Plain:
-    """What all have in common: the list, one attempt for each request, and how many are out."""
+class BasePolicy:
+    """Common to all policies: the server list, one attempt for each request, and the attempts in flight."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.random = Random(seed)
         self.ready: list[api.ServerId] = []
-        self.out: dict[api.ServerId, int] = {}  # requests in flight of this node's own
+        self.in_flight: dict[api.ServerId, int] = {}  # this node's own attempts, by server
         self._settings = settings
         self._entries: dict[api.ServerId, api.Server] = {}
-        self._sent: dict[int, api.ServerId] = {}
-        self._pause = settings.ask_within // 4
+        self._server_by_request: dict[int, api.ServerId] = {}
+        self._list_retry_delay_ns = settings.ask_within // 4
 
     def start(self, now: int) -> list[api.Action]:
         if self._settings.list_mode is ListMode.PUSHED:
@@ -35,104 +36,111 @@
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request):
-            return self._arrive(now, event)
+            return self._on_request(now, event)
         if isinstance(event, api.Outcome):
-            return self._settle(now, event)
+            return self._on_outcome(now, event)
         if isinstance(event, api.ServerList):
-            return self._follow(now, event)
+            return self._on_server_list(now, event)
         return [api.Watch()] if isinstance(event, api.Timer) else []
 
     def pick(self, now: int, request: api.Request) -> api.ServerId:
-        """Of `ready`, which is not empty."""
+        """Chooses one of the servers in `ready`, which is not empty."""
         raise NotImplementedError
 
-    def learn(self, now: int, outcome: api.Outcome) -> None:
-        """An attempt has ended."""
+    def record_outcome(self, now: int, outcome: api.Outcome) -> None:
+        """Called when an attempt has ended."""
 
-    def _arrive(self, now: int, request: api.Request) -> list[api.Action]:
+    def _on_request(self, now: int, request: api.Request) -> list[api.Action]:
         if not self.ready:
             return [api.Refuse(request.id, 0)]
         server = self.pick(now, request)
-        self.out[server] = self.out.get(server, 0) + 1
-        self._sent[request.id] = server
+        self.in_flight[server] = self.in_flight.get(server, 0) + 1
+        self._server_by_request[request.id] = server
         return [api.Send(request.id, server, 0)]
 
-    def _settle(self, now: int, outcome: api.Outcome) -> list[api.Action]:
-        server = self._sent.pop(outcome.request, None)
+    def _on_outcome(self, now: int, outcome: api.Outcome) -> list[api.Action]:
+        server = self._server_by_request.pop(outcome.request, None)
         if server is not None:
-            self.out[server] -= 1
-            self.learn(now, outcome)
+            self.in_flight[server] -= 1
+            self.record_outcome(now, outcome)
         if outcome.closed:
             return []
         if outcome.result in api.NEVER_RAN:
             return [api.Refuse(outcome.request, 0)]
         return [api.Fail(outcome.request)]
 
-    def _follow(self, now: int, update: api.ServerList) -> list[api.Action]:
+    def _on_server_list(self, now: int, update: api.ServerList) -> list[api.Action]:
         if update.kind is ListKind.FAILED:
-            return [api.SetTimer(now + int(self._pause * (0.5 + self.random.random())), 1)]
+            return [api.SetTimer(now + int(self._list_retry_delay_ns * (0.5 + self.random.random())), 1)]
         if update.kind is not ListKind.DELTA:
             self._entries.clear()
         for server in update.servers:
             self._entries[server.id] = server
-        known = sorted(one.id for one in self._entries.values() if one.state is ServerState.READY)
-        self.ready = known
+        ready = sorted(server.id for server in self._entries.values() if server.state is ServerState.READY)
+        self.ready = ready
         return []
 
 
-class AtRandom(Plain):
+class RandomChoice(BasePolicy):
+    """Chooses a server at random."""
+
     def pick(self, now: int, request: api.Request) -> api.ServerId:
         return self.random.choice(self.ready)
 
 
-class RoundRobin(Plain):
-    turn = 0
+class RoundRobin(BasePolicy):
+    """Chooses the servers in turn."""
+
+    counter = 0
 
     def pick(self, now: int, request: api.Request) -> api.ServerId:
-        self.turn += 1
-        return self.ready[self.turn % len(self.ready)]
+        self.counter += 1
+        return self.ready[self.counter % len(self.ready)]
 
 
-class LeastRequests(Plain):
-    """The one with the fewest of this node's own; ties at random."""
+class LeastRequests(BasePolicy):
+    """Chooses the server with the fewest attempts of this node in flight; ties are broken at random."""
 
     def pick(self, now: int, request: api.Request) -> api.ServerId:
         start = self.random.randrange(len(self.ready))
-        return min(self.ready[start:] + self.ready[:start], key=lambda one: self.out.get(one, 0))
+        return min(self.ready[start:] + self.ready[:start], key=lambda server: self.in_flight.get(server, 0))
 
 
-class TwoChoices(Plain):
-    """The less loaded of two drawn at random (Mitzenmacher, 2001)."""
+class TwoChoices(BasePolicy):
+    """Chooses the less loaded of two servers drawn at random (Mitzenmacher, 2001)."""
 
     def pick(self, now: int, request: api.Request) -> api.ServerId:
-        one, other = self.random.choice(self.ready), self.random.choice(self.ready)
-        return one if self.out.get(one, 0) <= self.out.get(other, 0) else other
+        first, second = self.random.choice(self.ready), self.random.choice(self.ready)
+        return first if self.in_flight.get(first, 0) <= self.in_flight.get(second, 0) else second
 
 
-class PeakEwma(Plain):
-    """Of two, the lower response time by the requests in flight: a mean that rises at once and decays slowly
-    (Finagle's)."""
+class PeakEwma(BasePolicy):
+    """Of two servers drawn at random, chooses the one with the lower product of latency and (1 + attempts in
+    flight). The latency is a mean that rises at once and decays slowly, as in Finagle."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self._cost: dict[api.ServerId, tuple[float, int]] = {}
+        self._latency: dict[api.ServerId, tuple[float, int]] = {}
 
-    def learn(self, now: int, outcome: api.Outcome) -> None:
-        took = float(outcome.elapsed)
+    def record_outcome(self, now: int, outcome: api.Outcome) -> None:
+        elapsed_ns = float(outcome.elapsed)
         if outcome.result not in (Result.OK, Result.TIMEOUT):
-            took = max(took, float(self._settings.classes[0].aim))
-        before, at = self._cost.get(outcome.server, (took, now))
-        keep = exp((at - now) / DECAY)
-        self._cost[outcome.server] = (max(took, keep * before + (1.0 - keep) * took), now)
+            elapsed_ns = max(elapsed_ns, float(self._settings.classes[0].aim))
+        previous_ns, updated_at_ns = self._latency.get(outcome.server, (elapsed_ns, now))
+        decay = exp((updated_at_ns - now) / LATENCY_DECAY_NS)
+        self._latency[outcome.server] = (
+            max(elapsed_ns, decay * previous_ns + (1.0 - decay) * elapsed_ns),
+            now,
+        )
 
     def pick(self, now: int, request: api.Request) -> api.ServerId:
-        return min(self.random.choice(self.ready), self.random.choice(self.ready), key=self._load)
+        return min(self.random.choice(self.ready), self.random.choice(self.ready), key=self._cost)
 
-    def _load(self, server: api.ServerId) -> float:
-        return self._cost.get(server, (0.0, 0))[0] * (1 + self.out.get(server, 0))
+    def _cost(self, server: api.ServerId) -> float:
+        return self._latency.get(server, (0.0, 0))[0] * (1 + self.in_flight.get(server, 0))
 
 
 POLICIES: dict[str, Callable[[api.Settings, int], api.DecisionModule]] = {
-    "module": Balancer, "random": AtRandom, "round-robin": RoundRobin, "least-requests": LeastRequests,
+    "module": Balancer, "random": RandomChoice, "round-robin": RoundRobin, "least-requests": LeastRequests,
     "two-choices": TwoChoices, "peak-ewma": PeakEwma,
 }  # fmt: skip
--- a/driftstair/model/clients.py
+++ b/driftstair/model/clients.py
@@ -1,7 +1,8 @@
-"""All clients together, and the front that deals their requests out among the nodes.
+"""All clients, and the front that distributes their requests over the nodes.
 
-Arrivals wait for nobody. A try that brings no answer is tried again after a wait, as often as the scenario's
-clients do; its time counts from the first one. The figures are those of the kit's `fakes.clients`.
+Arrivals are open-loop: they do not depend on answers. A failed try is repeated after a back-off, as often as
+the scenario's clients do; latency and deadline count from the first try. The figures are those of the kit's
+`fakes.clients`.
 """
 
 from __future__ import annotations
@@ -19,73 +20,78 @@
 from driftstair.rehearsal.fakes.workload import Choice, Kind, Workload, zipf
 from lichenspring.subset import splitmix64
 
-NOBODY_ASKS = 50_000_000  # ns until the next look, while the load is none
+IDLE_POLL_NS = 50_000_000  # until the next look at the load, while it is 0
 
 
 class Front:
-    """Deals out requests at random by the nodes' weights, and notices a dead node only after a while."""
+    """Distributes requests at random by the nodes' weights, and detects a dead node only after a delay."""
 
     def __init__(
-        self, nodes: list[Node], weights: list[float], notice: int, clock: Clock, random: Random
+        self, nodes: list[Node], weights: list[float], detection_delay_ns: int, clock: Clock, random: Random
     ) -> None:
         self._nodes = nodes
-        self._sums = list(accumulate(weights))
-        self._gone: dict[str, int] = {}  # held to be gone, by the generation that was noticed
-        self._notice = notice
+        self._cumulative_weights = list(accumulate(weights))
+        self._down_nodes: dict[str, int] = {}  # nodes held to be down: the generation that died
+        self._detection_delay_ns = detection_delay_ns
         self._clock = clock
         self._random = random
 
     def pick(self) -> Node | None:
+        """Draws a node; None if only nodes that are held to be down were drawn."""
         for _ in range(4 * len(self._nodes)):
-            place = bisect_right(self._sums, self._random.random() * self._sums[-1])
-            node = self._nodes[min(place, len(self._nodes) - 1)]
-            if node.name not in self._gone:
+            index = bisect_right(
+                self._cumulative_weights, self._random.random() * self._cumulative_weights[-1]
+            )
+            node = self._nodes[min(index, len(self._nodes) - 1)]
+            if node.name not in self._down_nodes:
                 return node
         return None
 
     def node_dies(self, node: Node) -> None:
-        self._clock.after(self._notice, self._drop, node, node.generation)
+        self._clock.call_later(self._detection_delay_ns, self._mark_down, node, node.generation)
 
     def node_starts(self, node: Node) -> None:
-        self._gone.pop(node.name, None)
+        self._down_nodes.pop(node.name, None)
 
-    def _drop(self, node: Node, generation: int) -> None:
+    def _mark_down(self, node: Node, generation: int) -> None:
         if node.generation == generation:
-            self._gone[node.name] = generation
+            self._down_nodes[node.name] = generation
 
 
-class Ask:
-    """A first try and all that follows it."""
+class ClientRequest:
+    """A request of a client: the first try and all retries."""
 
     __slots__ = (
-        "began", "due", "honours", "key", "key_name", "kind", "number", "open", "phase", "tenant", "tries",
-        "waits", "why", "work",
+        "began_ns", "deadline_ns", "honours_retry_after", "key", "key_name", "kind", "number", "open",
+        "phase", "tenant", "tries", "wait_s", "why", "work",
     )  # fmt: skip
 
-    def __init__(self, number: int, kind: Kind, tenant: int, key: int, phase: str, began: int) -> None:
+    def __init__(self, number: int, kind: Kind, tenant: int, key: int, phase: str, began_ns: int) -> None:
         self.number = number
         self.kind = kind
         self.tenant = tenant
         self.key = splitmix64(key + 1) or 1
         self.key_name = b"%d" % key
         self.phase = phase
-        self.began = began
-        self.due = began + kind.given_up
-        self.honours = True
+        self.began_ns = began_ns
+        self.deadline_ns = began_ns + kind.given_up
+        self.honours_retry_after = True
         self.tries = 0
         self.open = True
-        self.why = account.UNREACHABLE
-        self.work = self.waits = 0.0
+        self.why = account.UNREACHABLE  # how the latest try ended
+        self.work = self.wait_s = 0.0
 
 
 class Clients:
+    """Starts requests at the rate of the load, retries them, and accounts for each result once."""
+
     def __init__(
         self, clock: Clock, front: Front, workload: Workload, figures: ClientFigures, tenants: Choice,
-        tenant_names: list[str], keys: int, key_skew: float, load: Load, ledger: account.Account,
-        way: Callable[[], int], seed: int,
+        tenant_names: list[str], keys: int, key_skew: float, load: Load, results: account.Account,
+        network_delay_ns: Callable[[], int], seed: int,
     ) -> None:  # fmt: skip
-        self.open: dict[int, Ask] = {}
-        self.tries = self.refusals = self.first = 0
+        self.open_requests: dict[int, ClientRequest] = {}
+        self.tries = self.refusals = self.first_tries = 0
         self._clock = clock
         self._front = front
         self._workload = workload
@@ -94,114 +100,146 @@
         self._tenant_names = tenant_names
         self._keys = zipf(keys, key_skew)
         self._load = load
-        self._ledger = ledger
-        self._way = way  # ns, one way between a client and a node
-        # What arrives does not depend on what becomes of it: runs of one seed share arrivals.
-        self._random, self._later = Random(seed), Random(splitmix64(seed))
+        self._results = results
+        self._network_delay_ns = network_delay_ns  # one way between a client and a node
+        # Retries draw from a generator of their own, so that all runs of one seed have the same arrivals.
+        self._random, self._retry_random = Random(seed), Random(splitmix64(seed))
         self._running = False
 
     def start(self) -> None:
         self._running = True
-        self._arrive()
+        self._on_arrival()
 
     def stop(self) -> None:
         self._running = False
 
-    def cut_off(self) -> None:
-        for ask in list(self.open.values()):
-            ask.why = account.CUT_OFF
-            self._close(ask, 0)
+    def close_all(self) -> None:
+        """Closes all open requests as cut off by the end of the run."""
+        for client_request in list(self.open_requests.values()):
+            client_request.why = account.CUT_OFF
+            self._close(client_request, 0)
 
-    def _arrive(self) -> None:
+    def _on_arrival(self) -> None:
         if not self._running:
             return
         rate = self._load.rate(self._clock.now)
         if rate <= 0:
-            self._clock.after(NOBODY_ASKS, self._arrive)
+            self._clock.call_later(IDLE_POLL_NS, self._on_arrival)
             return
-        self._ask()
-        self._clock.after(int(-log(1.0 - self._random.random()) / rate * 1e9), self._arrive)
+        self._start_request()
+        self._clock.call_later(int(-log(1.0 - self._random.random()) / rate * 1e9), self._on_arrival)
 
-    def _ask(self) -> None:
+    def _start_request(self) -> None:
         random = self._random
         kind = self._load.draw(random)
         tenant = self._tenants.draw(random)
         key = self._keys.draw(random)
-        self.first += 1
-        ask = Ask(self.first, kind, tenant, key, self._load.phase, self._clock.now)
-        ask.honours = random.random() < self._figures.honour
+        self.first_tries += 1
+        client_request = ClientRequest(self.first_tries, kind, tenant, key, self._load.phase, self._clock.now)
+        client_request.honours_retry_after = random.random() < self._figures.honour
         task = self._workload.task(b"%016x" % random.getrandbits(64), kind.name.encode())
         assert task is not None
-        ask.work, ask.waits = task.work, task.waits
-        self.open[ask.number] = ask
-        self._try(ask)
+        client_request.work, client_request.wait_s = task.work, task.waits
+        self.open_requests[client_request.number] = client_request
+        self._start_try(client_request)
 
-    def _try(self, ask: Ask) -> None:
-        if not ask.open:
+    def _start_try(self, client_request: ClientRequest) -> None:
+        if not client_request.open:
             return
         now = self._clock.now
-        left = ask.due - now
-        if left <= 0:
-            self._close(ask, 0)
+        remaining_ns = client_request.deadline_ns - now
+        if remaining_ns <= 0:
+            self._close(client_request, 0)
             return
-        ask.tries += 1
+        client_request.tries += 1
         self.tries += 1
         node = self._front.pick()
-        # The last try gets what is left; the ones before leave time for another.
-        last = ask.tries > self._figures.retries
-        patience = left if last else min(left, int(ask.kind.given_up * self._figures.try_share))
+        # The last try gets all the remaining time; an earlier one leaves time for another.
+        is_last = client_request.tries > self._figures.retries
+        patience = (
+            remaining_ns
+            if is_last
+            else min(remaining_ns, int(client_request.kind.given_up * self._figures.try_share))
+        )
         if node is None:
-            self._again(ask, account.UNREACHABLE, 0, ran=False)
+            self._retry(client_request, account.UNREACHABLE, 0, may_have_run=False)
             return
-        self._clock.after(self._way(), self._come, ask, ask.tries, node, now + patience)
+        self._clock.call_later(
+            self._network_delay_ns(),
+            self._deliver,
+            client_request,
+            client_request.tries,
+            node,
+            now + patience,
+        )
 
-    def _come(self, ask: Ask, number: int, node: Node, until: int) -> None:
+    def _deliver(self, client_request: ClientRequest, try_number: int, node: Node, deadline_ns: int) -> None:
         if not node.running:
-            self._again(ask, account.UNREACHABLE, 0, ran=False)
+            self._retry(client_request, account.UNREACHABLE, 0, may_have_run=False)
             return
-        again = number > 1 and self._figures.mark_retries
-        way = self._way()
+        is_retry = try_number > 1 and self._figures.mark_retries
+        delay_ns = self._network_delay_ns()
 
-        def answered(status: int, wait: int) -> None:
-            self._clock.after(way, self._told, ask, number, status, wait)
+        def on_answer(status: int, retry_after_ns: int) -> None:
+            self._clock.call_later(
+                delay_ns, self._on_answer, client_request, try_number, status, retry_after_ns
+            )
 
-        node.take(ask, max(0, until - self._clock.now), again, answered)
+        node.receive(client_request, max(0, deadline_ns - self._clock.now), is_retry, on_answer)
 
-    def _told(self, ask: Ask, number: int, status: int, wait: int) -> None:
-        if not ask.open or number != ask.tries:
+    def _on_answer(
+        self, client_request: ClientRequest, try_number: int, status: int, retry_after_ns: int
+    ) -> None:
+        if not client_request.open or try_number != client_request.tries:
             return
         if status == 200:
-            latency = self._clock.now - ask.began
-            ask.why = account.SERVED if latency <= ask.kind.wanted else account.LATE
-            self._close(ask, latency)
+            latency_ns = self._clock.now - client_request.began_ns
+            client_request.why = account.SERVED if latency_ns <= client_request.kind.wanted else account.LATE
+            self._close(client_request, latency_ns)
         elif status == 503:
             self.refusals += 1
-            self._again(ask, account.REFUSED, wait, ran=False)
+            self._retry(client_request, account.REFUSED, retry_after_ns, may_have_run=False)
         elif status == 504:
-            self._again(ask, account.GAVE_UP, 0, ran=True)
+            self._retry(client_request, account.GAVE_UP, 0, may_have_run=True)
         else:
-            self._again(ask, account.FAILED, 0, ran=True)
+            self._retry(client_request, account.FAILED, 0, may_have_run=True)
 
-    def _again(self, ask: Ask, why: str, wait_asked: int, ran: bool) -> None:
-        ask.why = why
+    def _retry(
+        self, client_request: ClientRequest, why: str, retry_after_ns: int, may_have_run: bool
+    ) -> None:
+        client_request.why = why
         now = self._clock.now
-        if ask.tries > self._figures.retries or (ran and ask.kind.effect == "unsafe"):
-            self._close(ask, 0)
+        if client_request.tries > self._figures.retries or (
+            may_have_run and client_request.kind.effect == "unsafe"
+        ):
+            self._close(client_request, 0)
             return
-        wait = int(self._figures.backoff * 2 ** (ask.tries - 1) * self._later.uniform(0.5, 1.5) * 1e9)
-        if ask.honours:
-            wait = max(wait, wait_asked)
-        if now + wait >= ask.due:
-            self._close(ask, 0)
+        delay_ns = int(
+            self._figures.backoff
+            * 2 ** (client_request.tries - 1)
+            * self._retry_random.uniform(0.5, 1.5)
+            * 1e9
+        )
+        if client_request.honours_retry_after:
+            delay_ns = max(delay_ns, retry_after_ns)
+        if now + delay_ns >= client_request.deadline_ns:
+            self._close(client_request, 0)
             return
-        self._clock.after(wait, self._try, ask)
+        self._clock.call_later(delay_ns, self._start_try, client_request)
 
-    def _close(self, ask: Ask, latency: int) -> None:
-        if not ask.open:
+    def _close(self, client_request: ClientRequest, latency_ns: int) -> None:
+        if not client_request.open:
             return
-        ask.open = False
-        del self.open[ask.number]
-        tenant = self._tenant_names[ask.tenant]
-        self._ledger.close(
-            ask.kind.name, tenant, ask.phase, ask.began, ask.kind.worth, ask.why, latency, ask.tries
+        client_request.open = False
+        del self.open_requests[client_request.number]
+        tenant = self._tenant_names[client_request.tenant]
+        self._results.close(
+            client_request.kind.name,
+            tenant,
+            client_request.phase,
+            client_request.began_ns,
+            client_request.kind.worth,
+            client_request.why,
+            latency_ns,
+            client_request.tries,
         )
--- a/driftstair/model/clock.py
+++ b/driftstair/model/clock.py
@@ -1,4 +1,4 @@
-"""Things that happen, in the order of their times, and then in the order in which they were asked for."""
+"""The event queue of the model, in virtual time."""
 
 from __future__ import annotations
 
@@ -8,27 +8,30 @@
 
 
 class Clock:
-    """A binary heap of what is due. Times are whole ns."""
+    """Calls callbacks in the order of their times; those of the same time in the order of scheduling.
 
-    __slots__ = ("_due", "_number", "now")
+    Times are whole ns. `now` is the current virtual time.
+    """
+
+    __slots__ = ("_queue", "_sequence", "now")
 
     def __init__(self) -> None:
         self.now = 0
-        self._due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._number = 0
-
-    def at(self, when: int, what: Callable[..., None], *args: Any) -> None:
-        """No earlier than now: what is asked for the past happens next."""
-        self._number += 1
-        heappush(self._due, (max(when, self.now), self._number, what, args))
-
-    def after(self, span: int, what: Callable[..., None], *args: Any) -> None:
-        self.at(self.now + span, what, *args)
-
-    def run(self, until: int) -> None:
-        """All that is due by then, and the clock stands there."""
-        due = self._due
-        while due and due[0][0] <= until:
-            self.now, _, what, args = heappop(due)
-            what(*args)
-        self.now = max(self.now, until)
+        self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._sequence = 0
+
+    def call_at(self, time_ns: int, callback: Callable[..., None], *args: Any) -> None:
+        """Schedules a call; a time in the past counts as now."""
+        self._sequence += 1
+        heappush(self._queue, (max(time_ns, self.now), self._sequence, callback, args))
+
+    def call_later(self, delay_ns: int, callback: Callable[..., None], *args: Any) -> None:
+        self.call_at(self.now + delay_ns, callback, *args)
+
+    def run(self, end_ns: int) -> None:
+        """Runs all calls that are due by `end_ns`, and sets the clock to that time."""
+        queue = self._queue
+        while queue and queue[0][0] <= end_ns:
+            self.now, _, callback, args = heappop(queue)
+            callback(*args)
+        self.now = max(self.now, end_ns)
--- a/driftstair/model/command.py
+++ b/driftstair/model/command.py
@@ -1,4 +1,4 @@
-"""`driftstair model`: what its options start."""
+"""The command `driftstair model`."""
 
 from __future__ import annotations
 
@@ -19,37 +19,47 @@
 from driftstair.model.world import ModelError, World
 from driftstair.rehearsal.load import ScenarioError, by_path, load
 
-PLAYED, PUSHED_OVER, BAD_USE = 0, 1, 2
-SHOWN = ("service", "refused", "tries", "attempts", "handshakes", "connections", "rt50_ms", "rt95_ms", "jams")
+EXIT_OK, EXIT_COLD_SERVER_CRASHED, EXIT_USAGE = 0, 1, 2
+TABLE_COLUMNS = (
+    "service",
+    "refused",
+    "tries",
+    "attempts",
+    "handshakes",
+    "connections",
+    "rt50_ms",
+    "rt95_ms",
+    "jams",
+)
 
-Job = tuple[str, dict[str, Any], str]
+Job = tuple[str, dict[str, Any], str]  # scenario, changes to its values by path, policy
 
 
-class UseError(Exception):
-    """Options that don't go together; the text says which."""
+class UsageError(Exception):
+    """An option with a bad value; the text names it."""
 
 
-def play(job: Job) -> dict[str, Any]:
-    """One run: its row, with the figures of each second."""
-    source, changes, policy = job
-    began = time.process_time()
-    world = World(load(source, by_path(changes)), POLICIES[policy])
-    outcome = world.play()
+def run_job(job: Job) -> dict[str, Any]:
+    """Runs one job, and returns its row with the figures of each second."""
+    scenario, changes, policy = job
+    cpu_start_s = time.process_time()
+    world = World(load(scenario, by_path(changes)), POLICIES[policy])
+    outcome = world.run()
     seconds = [
         {
-            "second": number, "in_flight": one.in_flight, "busy": round(one.busy, 3), "jammed": one.jammed,
-            "connections": one.connections, "held_most": one.held_most,
-            **_served(world, number),
+            "second": number, "in_flight": sample.in_flight, "busy": round(sample.busy, 3),
+            "jammed": sample.jammed, "connections": sample.connections, "held_most": sample.held_most,
+            **_request_figures(world, number),
         }
-        for number, one in enumerate(outcome.seconds)
+        for number, sample in enumerate(outcome.seconds)
     ]  # fmt: skip
     return {
-        "seed": world.seed, "policy": policy, **outcome.row(), "cpu_s": round(time.process_time() - began, 2),
-        "seconds": seconds,
+        "seed": world.seed, "policy": policy, **outcome.row(),
+        "cpu_s": round(time.process_time() - cpu_start_s, 2), "seconds": seconds,
     }  # fmt: skip
 
 
-def _served(world: World, number: int) -> dict[str, Any]:
+def _request_figures(world: World, number: int) -> dict[str, Any]:
     second = world.account.seconds.get(number)
     if second is None or not second.worth:
         return {"asked": 0, "service": None}
@@ -57,74 +67,85 @@
 
 
 def run(options: argparse.Namespace) -> int:
+    """Runs a scenario with each seed, writes the rows, and returns the exit status."""
     console = Console() if sys.stdout.isatty() else Console(width=120)
     try:
         if options.policy == "list":
             console.print(", ".join(POLICIES))
-            return PLAYED
+            return EXIT_OK
         if options.policy not in POLICIES:
-            raise UseError(f"--policy {options.policy}: no such policy; there are {', '.join(POLICIES)}")
+            raise UsageError(f"--policy {options.policy}: no such policy; there are {', '.join(POLICIES)}")
         if options.jobs < 0:
-            raise UseError(f"--jobs {options.jobs}: 0 or more")
-        given = {
+            raise UsageError(f"--jobs {options.jobs}: 0 or more")
+        overrides = {
             "nodes.count": options.nodes, "boxes.count": options.boxes, "load.rate": options.rate,
             "seconds": options.seconds,
         }  # fmt: skip
-        changes = {path: value for path, value in given.items() if value is not None}
-        found = load(options.scenario, by_path(changes))  # a bad file or figure is told before any run
-        World(found)
-        seeds = options.seeds or [found.seed]
+        changes = {path: value for path, value in overrides.items() if value is not None}
+        # A bad file or value is reported before any run.
+        scenario = load(options.scenario, by_path(changes))
+        World(scenario)
+        seeds = options.seeds or [scenario.seed]
         jobs = [(options.scenario, {**changes, "seed": seed}, options.policy) for seed in seeds]
-        rows = _all(jobs, options.jobs)
-    except (ScenarioError, ModelError, UseError) as problem:
-        print(f"driftstair: {problem}", file=sys.stderr)
-        return BAD_USE
+        rows = _run_jobs(jobs, options.jobs)
+    except (ScenarioError, ModelError, UsageError) as error:
+        print(f"driftstair: {error}", file=sys.stderr)
+        return EXIT_USAGE
     if options.json:
-        content = json.dumps({"scenario": found.name, "rows": rows}, indent=1) + "\n"
+        content = json.dumps({"scenario": scenario.name, "rows": rows}, indent=1) + "\n"
         if options.json == "-":
             sys.stdout.write(content)
         else:
             try:
                 with open(options.json, "w", encoding="utf-8") as file:
                     file.write(content)
-            except OSError as problem:
-                print(f"driftstair: {options.json}: can't be written: {problem.strerror}", file=sys.stderr)
-                return BAD_USE
+            except OSError as error:
+                print(f"driftstair: {options.json}: can't be written: {error.strerror}", file=sys.stderr)
+                return EXIT_USAGE
     if options.json != "-":
-        _show(rows, options.by_second, console)
-    return PUSHED_OVER if any(row["fallen"] for row in rows) else PLAYED
+        _print_rows(rows, options.by_second, console)
+    return EXIT_COLD_SERVER_CRASHED if any(row["fallen"] for row in rows) else EXIT_OK
 
 
-def _all(jobs: list[Job], at_once: int) -> list[dict[str, Any]]:
-    workers = min(len(jobs), at_once or os.cpu_count() or 1)
+def _run_jobs(jobs: list[Job], max_workers: int) -> list[dict[str, Any]]:
+    workers = min(len(jobs), max_workers or os.cpu_count() or 1)
     if workers == 1:
-        return [play(job) for job in jobs]
+        return [run_job(job) for job in jobs]
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
-        return list(pool.map(play, jobs))
+        return list(pool.map(run_job, jobs))
 
 
-def _show(rows: list[dict[str, Any]], by_second: bool, console: Console) -> None:
+def _print_rows(rows: list[dict[str, Any]], by_second: bool, console: Console) -> None:
     table = Table(box=None, pad_edge=False)
-    for name in ("seed", *SHOWN):
+    for name in ("seed", *TABLE_COLUMNS):
         table.add_column(name, justify="right")
     for row in rows:
-        table.add_row(str(row["seed"]), *(_text(row[name]) for name in SHOWN))
+        table.add_row(str(row["seed"]), *(_format_value(row[name]) for name in TABLE_COLUMNS))
     if len(rows) > 1:
-        known = {name: [row[name] for row in rows if row[name] is not None] for name in SHOWN}
-        table.add_row("mean", *(_text(mean(known[name]) if known[name] else None) for name in SHOWN))
-        table.add_row("sd", *(_text(stdev(known[name]) if len(known[name]) > 1 else None) for name in SHOWN))
+        values = {name: [row[name] for row in rows if row[name] is not None] for name in TABLE_COLUMNS}
+        table.add_row(
+            "mean", *(_format_value(mean(values[name]) if values[name] else None) for name in TABLE_COLUMNS)
+        )
+        table.add_row(
+            "sd",
+            *(
+                _format_value(stdev(values[name]) if len(values[name]) > 1 else None)
+                for name in TABLE_COLUMNS
+            ),
+        )
     console.print(table)
     for row in rows if by_second else ():
         console.print(f"seed {row['seed']}")
-        for one in row["seconds"]:
+        for sample in row["seconds"]:
             console.print(
-                f"{one['second']:>4} s  asked {one['asked']:>6}  service {_text(one['service']):>6}  "
-                f"busy {one['busy']:.2f}  held {one['in_flight']:>6} (most {one['held_most']})  "
-                f"jammed {one['jammed']:>4}  connections {one['connections']}"
+                f"{sample['second']:>4} s  asked {sample['asked']:>6}  "
+                f"service {_format_value(sample['service']):>6}  "
+                f"busy {sample['busy']:.2f}  held {sample['in_flight']:>6} (most {sample['held_most']})  "
+                f"jammed {sample['jammed']:>4}  connections {sample['connections']}"
             )
 
 
-def _text(value: float | None) -> str:
+def _format_value(value: float | None) -> str:
     if value is None:
         return "-"
     return f"{value:.3g}" if isinstance(value, float) else str(value)
--- a/driftstair/model/node.py
+++ b/driftstair/model/node.py
@@ -1,6 +1,7 @@
-"""One node: the decision module, and round it the connections and timers that the daemon keeps for it.
+"""A modelled node: the decision module, and the connections and timers that the daemon keeps for it.
 
-The same events in and actions out as in `driftstair/net/node.py`. Not held: parsing, its own CPU, bodies.
+The module gets the same events and returns the same actions as in `driftstair/net/node.py`. Parsing, bodies
+and the node's own CPU time are not modelled.
 """
 
 from __future__ import annotations
@@ -15,46 +16,56 @@
 from lichenspring.interface import ListKind, Result
 
 if TYPE_CHECKING:
-    from driftstair.model.clients import Ask
+    from driftstair.model.clients import ClientRequest
 
-TRANSIT = 5_000_000  # ns, as the daemon's: a final answer sets out so much before the client's deadline
-IDLE_PART = 0.9  # of the servers' idle limit, likewise
+# As in the daemon: a final answer is sent this long before the client's deadline.
+RESPONSE_TRANSIT_NS = 5_000_000
+# As in the daemon: the fraction of the servers' idle limit after which a connection is closed.
+IDLE_CLOSE_FRACTION = 0.9
 
 
-class Surroundings(Protocol):
-    """What a node meets."""
+class Environment(Protocol):
+    """What a node needs of the world around it."""
 
     clock: Clock
     settings: api.Settings
-    dial_timeout: int  # ns
-    dial_trips: float  # there and back, before a request can be sent
-    descriptors: int
-    handshakes: int
+    dial_timeout_ns: int
+    connect_round_trips: float  # before a request can be sent on a new connection
+    max_sockets: int  # to servers, for each node
+    handshakes: int  # connections opened by all nodes
 
-    def inside(self) -> int:
-        """ns, one way between a node and a server."""
+    def internal_delay_ns(self) -> int:
+        """Draws the one-way network delay between a node and a server, in ns."""
 
     def watch(self, node: Node) -> None: ...
 
-    def server(self, server: api.ServerId) -> Server | None: ...
+    def find_server(self, server: api.ServerId) -> Server | None: ...
 
 
 class Request:
-    """One try of a client, at the node that took it."""
+    """One try of a client, at the node that received it."""
 
-    __slots__ = ("answered", "ask", "closed", "deadline", "number", "out", "sent")
+    __slots__ = ("answer_callback", "client_request", "closed", "deadline", "number", "pending", "sent")
 
-    def __init__(self, number: int, ask: Ask, deadline: int, answered: Callable[[int, int], None]) -> None:
+    def __init__(
+        self,
+        number: int,
+        client_request: ClientRequest,
+        deadline: int,
+        answer_callback: Callable[[int, int], None],
+    ) -> None:
         self.number = number
-        self.ask = ask
+        self.client_request = client_request
         self.deadline = deadline
-        self.answered = answered  # with the status, and for how long to stay away
+        self.answer_callback = answer_callback  # called with the status and the retry-after in ns
         self.closed = False
         self.sent = 0
-        self.out: dict[int, Attempt] = {}
+        self.pending: dict[int, Attempt] = {}
 
 
 class Attempt:
+    """One attempt of a node to get a request answered by a server."""
+
     __slots__ = (
         "connected", "done", "generation", "index", "node", "request", "sent_at", "server", "written",
     )  # fmt: skip
@@ -69,30 +80,40 @@
         self.done: bool = False
         self.connected = self.written = False
 
-    def answered(self, result: Result, report: tuple[float, ...]) -> None:
-        """The server has; the word is on its way."""
-        self.node.clock.after(self.node.world.inside(), self.node.ended, self, result, report)
+    def on_response(self, result: Result, report: tuple[float, ...]) -> None:
+        """The server sends its answer, which reaches the node after the network delay."""
+        self.node.clock.call_later(
+            self.node.world.internal_delay_ns(), self.node.end_attempt, self, result, report
+        )
 
-    def lost(self, result: Result) -> None:
-        self.node.clock.after(self.node.world.inside(), self.node.ended, self, result, ())
+    def on_connection_lost(self, result: Result) -> None:
+        """The connection breaks at the server, which the node sees after the network delay."""
+        self.node.clock.call_later(
+            self.node.world.internal_delay_ns(), self.node.end_attempt, self, result, ()
+        )
 
 
 class Node:
-    def __init__(self, name: str, world: Surroundings) -> None:
+    """A node, running or not. A restart is the same node with a new generation."""
+
+    def __init__(self, name: str, world: Environment) -> None:
         self.name = name
         self.world = world
         self.clock = world.clock
         self.running = False
         self.generation = 0
-        self.known: dict[api.ServerId, api.Server] = {}  # outlives a restart, and may be old
-        self.sockets = self.taken = self.refused = self.attempts = 0
-        self.open: dict[int, Request] = {}
+        # Kept over a restart, so it may be out of date.
+        self.known_servers: dict[api.ServerId, api.Server] = {}
+        self.sockets = self.received = self.refused = self.attempts = 0
+        self.open_requests: dict[int, Request] = {}
         self.module: api.DecisionModule
-        self._idle: dict[api.ServerId, list[int]] = {}  # since when each idle connection is, by server
-        self._generations: dict[api.ServerId, int] = {}  # of the server's process, that they lead to
+        # By server: the time in ns since which each connection is idle.
+        self._idle_connections: dict[api.ServerId, list[int]] = {}
+        # The generations of the server processes that the idle connections lead to.
+        self._server_generations: dict[api.ServerId, int] = {}
         self._events: deque[api.Event] = deque()
-        self._telling = False
-        self._numbers = 0
+        self._handling = False
+        self._last_number = 0
 
     # Start and stop.
 
@@ -100,43 +121,44 @@
         self.running = True
         self.generation += 1
         self.module = module
-        self.open = {}
-        self._idle, self._generations = {}, {}
+        self.open_requests = {}
+        self._idle_connections, self._server_generations = {}, {}
         self.sockets = 0
         self._events.clear()
-        self._act_on(module.start(self.clock.now))
-        self.listed(ListKind.CACHED, tuple(self.known.values()))
-        self.clock.after(1_000_000_000, self._sweep, self.generation)
+        self._execute(module.start(self.clock.now))
+        self.on_server_list(ListKind.CACHED, tuple(self.known_servers.values()))
+        self.clock.call_later(1_000_000_000, self._close_expired_connections, self.generation)
 
     def stop(self) -> None:
-        """Killed: what it held is cut, and its connections are gone."""
+        """Kills the process: its open requests are lost, and its connections close."""
         self.running = False
         self.generation += 1
-        for request in list(self.open.values()):
-            for attempt in request.out.values():
-                self._leave(attempt)
+        for request in list(self.open_requests.values()):
+            for attempt in request.pending.values():
+                self._abandon_attempt(attempt)
             if not request.closed:
                 request.closed = True
-                request.answered(0, 0)
-        for identity, idle in self._idle.items():
+                request.answer_callback(0, 0)
+        for server_id, idle in self._idle_connections.items():
             for _ in idle:
-                self._hang_up(identity)
-        self.open, self._idle = {}, {}
+                self._close_connection(server_id)
+        self.open_requests, self._idle_connections = {}, {}
 
     # The module.
 
-    def tell(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
+        """Passes an event to the module and executes the actions that it returns."""
         self._events.append(event)
-        if self._telling:
-            return  # no event comes in the midst of another one's actions
-        self._telling = True
+        if self._handling:
+            return  # an event waits until all actions of the one before it are done
+        self._handling = True
         try:
             while self._events:
-                self._act_on(self.module.handle(self.clock.now, self._events.popleft()))
+                self._execute(self.module.handle(self.clock.now, self._events.popleft()))
         finally:
-            self._telling = False
+            self._handling = False
 
-    def _act_on(self, actions: list[api.Action]) -> None:
+    def _execute(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.Send):
                 self._send(action)
@@ -146,131 +168,155 @@
             elif isinstance(action, api.Fail):
                 self._answer(action.request, 502, 0)
             elif isinstance(action, api.SetTimer):
-                self.clock.at(action.at, self._wake, self.generation, action.token)
+                self.clock.call_at(action.at, self._on_timer, self.generation, action.token)
             elif isinstance(action, api.CloseIdleConnections):
-                for _ in self._idle.pop(action.server, ()):
-                    self._hang_up(action.server)
+                for _ in self._idle_connections.pop(action.server, ()):
+                    self._close_connection(action.server)
             else:
                 self.world.watch(self)
 
-    def _wake(self, generation: int, token: int) -> None:
+    def _on_timer(self, generation: int, token: int) -> None:
         if generation == self.generation:
-            self.tell(api.Timer(token))
+            self.handle_event(api.Timer(token))
 
-    def listed(self, kind: ListKind, servers: tuple[api.Server, ...]) -> None:
+    def on_server_list(self, kind: ListKind, servers: tuple[api.Server, ...]) -> None:
+        """Takes an answer of the server list, and passes it to the module."""
         if kind is ListKind.FULL:
-            self.known = {}
+            self.known_servers = {}
         for server in servers:
             if server.state is api.ServerState.GONE:
-                self.known.pop(server.id, None)
+                self.known_servers.pop(server.id, None)
             else:
-                self.known[server.id] = server
-        self.tell(api.ServerList(kind, servers))
+                self.known_servers[server.id] = server
+        self.handle_event(api.ServerList(kind, servers))
 
     # Requests.
 
-    def take(self, ask: Ask, patience: int, again: bool, answered: Callable[[int, int], None]) -> None:
-        self._numbers += 1
-        self.taken += 1
+    def receive(
+        self,
+        client_request: ClientRequest,
+        patience: int,
+        is_retry: bool,
+        answer_callback: Callable[[int, int], None],
+    ) -> None:
+        """Takes a request of a client. `patience`: the ns until the client gives up."""
+        self._last_number += 1
+        self.received += 1
         now = self.clock.now
-        request = Request(self._numbers, ask, now + patience, answered)
-        left = patience - TRANSIT
-        if left <= 0:
-            answered(504, 0)
+        request = Request(self._last_number, client_request, now + patience, answer_callback)
+        remaining_ns = patience - RESPONSE_TRANSIT_NS
+        if remaining_ns <= 0:
+            answer_callback(504, 0)
             return
-        self.open[request.number] = request
-        self.clock.at(request.deadline, self._overdue, self.generation, request)
-        self.tell(api.Request(request.number, left, ask.kind.index, ask.tenant, ask.key, again))
+        self.open_requests[request.number] = request
+        self.clock.call_at(request.deadline, self._on_deadline, self.generation, request)
+        self.handle_event(
+            api.Request(
+                request.number,
+                remaining_ns,
+                client_request.kind.index,
+                client_request.tenant,
+                client_request.key,
+                is_retry,
+            )
+        )
 
-    def _overdue(self, generation: int, request: Request) -> None:
+    def _on_deadline(self, generation: int, request: Request) -> None:
         if generation == self.generation and not request.closed:
             self._finish(request, 504, 0)
-            self.tell(api.ClientGone(request.number))
-            for attempt in list(request.out.values()):
-                self.ended(attempt, Result.CANCELLED, ())
+            self.handle_event(api.ClientGone(request.number))
+            for attempt in list(request.pending.values()):
+                self.end_attempt(attempt, Result.CANCELLED, ())
 
-    def _answer(self, number: int, status: int, wait: int) -> None:
-        request = self.open.get(number)
+    def _answer(self, number: int, status: int, retry_after: int) -> None:
+        request = self.open_requests.get(number)
         if request is not None and not request.closed:
-            self._finish(request, status, wait)
+            self._finish(request, status, retry_after)
 
-    def _finish(self, request: Request, status: int, wait: int) -> None:
+    def _finish(self, request: Request, status: int, retry_after: int) -> None:
         request.closed = True
-        if not request.out:
-            self.open.pop(request.number, None)
-        request.answered(status, wait)
+        if not request.pending:
+            self.open_requests.pop(request.number, None)
+        request.answer_callback(status, retry_after)
 
     # Attempts.
 
     def _send(self, action: api.Send) -> None:
-        request = self.open.get(action.request)
-        server = self.world.server(action.server)
+        request = self.open_requests.get(action.request)
+        server = self.world.find_server(action.server)
         index = request.sent if request is not None else 0
         if request is None or request.closed or server is None or index >= self.world.settings.max_attempts:
             closed = request is None or request.closed
-            self.tell(api.Outcome(action.request, closed, Result.NOT_SENT, 0, action.server, index, ()))
+            self.handle_event(
+                api.Outcome(action.request, closed, Result.NOT_SENT, 0, action.server, index, ())
+            )
             return
         request.sent += 1
         self.attempts += 1
         now, world = self.clock.now, self.world
         attempt = Attempt(self, request, index, server)
-        request.out[index] = attempt
-        latest = request.deadline - TRANSIT
+        request.pending[index] = attempt
+        latest = request.deadline - RESPONSE_TRANSIT_NS
         expires = min(latest, now + action.time_out) if action.time_out else latest
-        idle = self._idle.get(action.server)
+        idle = self._idle_connections.get(action.server)
         if idle:
             idle.pop()
             attempt.connected = attempt.written = True
-            self.clock.after(world.inside(), server.arrive, attempt)
-        elif self.sockets >= world.descriptors:
-            self.ended(attempt, Result.NOT_SENT, ())
+            self.clock.call_later(world.internal_delay_ns(), server.arrive, attempt)
+        elif self.sockets >= world.max_sockets:
+            self.end_attempt(attempt, Result.NOT_SENT, ())
             return
         else:
-            trips = int(2 * world.dial_trips * world.inside())
-            self.clock.after(trips, self._dialed, attempt)
-            self.clock.at(min(expires, now + world.dial_timeout), self._expire, attempt, True)
-        self.clock.at(expires, self._expire, attempt, False)
+            connect_ns = int(2 * world.connect_round_trips * world.internal_delay_ns())
+            self.clock.call_later(connect_ns, self._on_connected, attempt)
+            self.clock.call_at(min(expires, now + world.dial_timeout_ns), self._on_timeout, attempt, True)
+        self.clock.call_at(expires, self._on_timeout, attempt, False)
 
-    def _dialed(self, attempt: Attempt) -> None:
+    def _on_connected(self, attempt: Attempt) -> None:
         server = attempt.server
         if attempt.done or server.vanished:
             return
         if not server.running:
-            self.ended(attempt, Result.CONNECT_FAILED, ())
+            self.end_attempt(attempt, Result.CONNECT_FAILED, ())
             return
         attempt.connected = attempt.written = True
         attempt.generation = server.generation
         self.sockets += 1
         self.world.handshakes += 1
         server.accept()
-        self.clock.after(self.world.inside(), server.arrive, attempt)
-
-    def _expire(self, attempt: Attempt, dialing: bool) -> None:
-        if not attempt.done and not (dialing and attempt.connected):
-            self.ended(attempt, Result.TIMEOUT if attempt.written else Result.CONNECT_FAILED, ())
-
-    def ended(self, attempt: Attempt, result: Result, report: tuple[float, ...]) -> None:
-        if attempt.done or not self.running or self.open.get(attempt.request.number) is not attempt.request:
+        self.clock.call_later(self.world.internal_delay_ns(), server.arrive, attempt)
+
+    def _on_timeout(self, attempt: Attempt, connecting: bool) -> None:
+        if not attempt.done and not (connecting and attempt.connected):
+            self.end_attempt(attempt, Result.TIMEOUT if attempt.written else Result.CONNECT_FAILED, ())
+
+    def end_attempt(self, attempt: Attempt, result: Result, report: tuple[float, ...]) -> None:
+        """Records the result of an attempt, and tells the module of it."""
+        if (
+            attempt.done
+            or not self.running
+            or self.open_requests.get(attempt.request.number) is not attempt.request
+        ):
             return
         attempt.done = True
         request, server = attempt.request, attempt.server
         now = self.clock.now
-        del request.out[attempt.index]
+        del request.pending[attempt.index]
         if result in (Result.OK, Result.ERROR, Result.FULL) and attempt.connected:
             if attempt.generation == server.generation:
-                if self._generations.get(server.id) != server.generation:
-                    self._generations[server.id] = server.generation
-                    self._idle[server.id] = []
-                self._idle.setdefault(server.id, []).append(now)
+                if self._server_generations.get(server.id) != server.generation:
+                    self._server_generations[server.id] = server.generation
+                    self._idle_connections[server.id] = []
+                self._idle_connections.setdefault(server.id, []).append(now)
             else:
                 self.sockets -= 1
         else:
-            self._leave(attempt)
+            self._abandon_attempt(attempt)
         if result is Result.OK and not request.closed:
             self._finish(request, 200, 0)
-        if request.closed and not request.out:
-            self.open.pop(request.number, None)
-        self.tell(
+        if request.closed and not request.pending:
+            self.open_requests.pop(request.number, None)
+        self.handle_event(
             api.Outcome(
                 request.number,
                 request.closed,
@@ -284,29 +330,30 @@
 
     # Connections.
 
-    def _leave(self, attempt: Attempt) -> None:
+    def _abandon_attempt(self, attempt: Attempt) -> None:
         attempt.done = True
         if attempt.connected:
             self.sockets -= 1
-            attempt.server.hang_up(attempt.generation)
-        attempt.server.forsake(attempt)
+            attempt.server.close_connection(attempt.generation)
+        attempt.server.abandon(attempt)
 
-    def _hang_up(self, identity: api.ServerId) -> None:
+    def _close_connection(self, server_id: api.ServerId) -> None:
         self.sockets -= 1
-        server = self.world.server(identity)
+        server = self.world.find_server(server_id)
         if server is not None:
-            server.hang_up(self._generations.get(identity, -1))
+            server.close_connection(self._server_generations.get(server_id, -1))
 
     def server_died(self, server: Server) -> None:
-        self.sockets -= len(self._idle.pop(server.id, ()))
+        """Drops the idle connections to a server whose process has ended."""
+        self.sockets -= len(self._idle_connections.pop(server.id, ()))
 
-    def _sweep(self, generation: int) -> None:
-        """Connections that have rested too long are closed."""
+    def _close_expired_connections(self, generation: int) -> None:
+        """Closes connections that have been idle for too long."""
         if generation != self.generation:
             return
-        before = self.clock.now - int(IDLE_PART * self.world.settings.idle_close)
-        for identity, idle in self._idle.items():
-            while idle and idle[0] <= before:
+        cutoff_ns = self.clock.now - int(IDLE_CLOSE_FRACTION * self.world.settings.idle_close)
+        for server_id, idle in self._idle_connections.items():
+            while idle and idle[0] <= cutoff_ns:
                 del idle[0]
-                self._hang_up(identity)
-        self.clock.after(1_000_000_000, self._sweep, generation)
+                self._close_connection(server_id)
+        self.clock.call_later(1_000_000_000, self._close_expired_connections, generation)
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -1,7 +1,7 @@
-"""What nodes of the model tell one another: the shipped cores of the tier, in datagrams as they are encoded.
+"""The tier between the modelled nodes: the shipped cores, with datagrams in their real encoding.
 
-Between two nodes a datagram takes the network's way, and meets the faults of the scenario's links. What the
-daemon adds (sockets, folders, operators) is left out; what it decides is the same code.
+A datagram between two nodes takes the network's delay and is subject to the faults of the scenario's links.
+What the daemon adds (sockets, folders, operators) is not modelled; the code that decides is the same.
 """
 
 from __future__ import annotations
@@ -23,98 +23,107 @@
 from lichenspring.interface import DecisionModule
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
+    """What the tier needs of the world around it."""
+
     clock: Clock
     seed: int
 
-    def inside(self) -> int:
-        """ns, one way between two nodes."""
+    def internal_delay_ns(self) -> int:
+        """Draws the one-way network delay between two nodes, in ns."""
 
 
 class Peers:
-    """All nodes of a tier; `names` by number."""
+    """All nodes of a tier. `node_names` are in the order of the nodes' numbers."""
 
-    def __init__(self, of: kit.Tier, names: list[str], world: Surroundings, stage: TierStage) -> None:
-        self.of = of
+    def __init__(
+        self, tier_settings: kit.Tier, node_names: list[str], world: Environment, stage: TierStage
+    ) -> None:
+        self.tier_settings = tier_settings
         self.world = world
-        self.names = names
+        self.node_names = node_names
         self.stage = stage
         self.codec = Codec(KEY)
-        self.bytes = self.datagrams = 0  # sent
-        self.living: dict[int, Peer] = {}
-        self._generations = dict.fromkeys(range(len(names)), 0)
+        self.bytes_sent = self.datagrams_sent = 0  # by all nodes
+        self.running_peers: dict[int, Peer] = {}
+        self._generations = dict.fromkeys(range(len(node_names)), 0)
 
     def start(self, name: str, module: DecisionModule) -> DecisionModule:
-        """A new process of that node, with what it is told by the others round its module."""
-        number = self.names.index(name)
+        """Starts a new process of the node.
+
+        Returns the module, wrapped in what the other nodes share if the tier shares evidence.
+        """
+        number = self.node_names.index(name)
         self._generations[number] += 1
         peer = Peer(self, number, 100 + self._generations[number])
-        self.living[number] = peer
+        self.running_peers[number] = peer
         peer.start()
         return module if peer.sharing is None else peer.sharing.wrap_module(module)
 
     def stop(self, name: str) -> None:
-        """Killed."""
-        peer = self.living.pop(self.names.index(name), None)
+        """Kills the node's process."""
+        peer = self.running_peers.pop(self.node_names.index(name), None)
         if peer is not None:
             peer.running = False
 
-    def carry(self, source: int, target: int, data: bytes) -> None:
-        self.datagrams += 1
-        self.bytes += len(data)
-        for late, what in self.stage.links.pass_on(source, target, data):
-            wait = self.world.inside() + int(late * 1e9)
-            self.world.clock.after(wait, self._arrive, source, target, what)
+    def send_datagram(self, source: int, target: int, data: bytes) -> None:
+        """Sends a datagram over a link, whose faults may drop, delay, change or repeat it."""
+        self.datagrams_sent += 1
+        self.bytes_sent += len(data)
+        for delay_s, datagram in self.stage.links.pass_on(source, target, data):
+            delay_ns = self.world.internal_delay_ns() + int(delay_s * 1e9)
+            self.world.clock.call_later(delay_ns, self._deliver, source, target, datagram)
 
-    def _arrive(self, source: int, target: int, data: bytes) -> None:
-        peer = self.living.get(target)
+    def _deliver(self, source: int, target: int, data: bytes) -> None:
+        peer = self.running_peers.get(target)
         if peer is not None:
-            peer.came(source, data)
+            peer.receive(source, data)
 
 
 class Peer:
-    """One process."""
+    """One process of a node."""
 
     def __init__(self, peers: Peers, number: int, generation: int) -> None:
         self.running = True
         self._peers, self._number, self._generation = peers, number, generation
         self._clock = peers.world.clock
-        self._due = NEVER  # what the clock has been asked for
+        self._timer_at_ns = NEVER  # time of the next timer on the clock
         self.zone = 0
-        shares = peers.of.judge
+        shares_evidence = peers.tier_settings.judge
         random = random_for(peers.world.seed, "peer", str(number), str(generation))
-        supports = wire.SUPPORTS_MEMBERSHIP | (wire.SUPPORTS_SHARED if shares else 0)
+        supports = wire.SUPPORTS_MEMBERSHIP | (wire.SUPPORTS_SHARED if shares_evidence else 0)
         self.core = Membership(
-            number, len(peers.names), generation, Traits(self.zone, wire.VERSION, supports),
-            int(peers.of.period_ms * 1e6), Random(random.random()), wire.MAX_CLAIMS_BYTES, wire.claim_size,
+            number, len(peers.node_names), generation, Traits(self.zone, wire.VERSION, supports),
+            int(peers.tier_settings.period_ms * 1e6), Random(random.random()), wire.MAX_CLAIMS_BYTES,
+            wire.claim_size,
         )  # fmt: skip
         self.sharing: Sharing | None = None
-        if shares:
+        if shares_evidence:
             self.sharing = Sharing(
-                (), Random(random.random()), lambda: self._clock.now, self._sharers, self._carry,
-                _unwritten, EvidenceSettings(self.zone, self._sound, self._zones),
+                (), Random(random.random()), lambda: self._clock.now, self._sharing_members, self._send_items,
+                _discard_event, EvidenceSettings(self.zone, self._is_sound, self._zones),
             )  # fmt: skip
 
     def start(self) -> None:
         if self.sharing is not None:
-            self.sharing.open(self._number, self._generation, len(self._peers.names))
-        self._tell(api.Start())
+            self.sharing.open(self._number, self._generation, len(self._peers.node_names))
+        self._handle(api.Start())
 
-    def came(self, source: int, data: bytes) -> None:
+    def receive(self, source: int, data: bytes) -> None:
         try:
             message = self._peers.codec.decode(data)
         except InvalidDatagram:
             return
         if message.sender_claim.number == source:
-            self._tell(api.Received(message))
+            self._handle(api.Received(message))
 
-    def _carry(self, to: int, items: bytes) -> None:
-        self._tell(api.SendPayload(to, items))
+    def _send_items(self, to: int, items: bytes) -> None:
+        self._handle(api.SendPayload(to, items))
 
-    def _tell(self, event: api.Event) -> None:
+    def _handle(self, event: api.Event) -> None:
         for action in self.core.handle(self._clock.now, event):
             if isinstance(action, api.Send):
-                self._peers.carry(
+                self._peers.send_datagram(
                     self._number, action.message.recipient, self._peers.codec.encode(action.message)
                 )
             elif isinstance(action, api.PayloadReceived) and self.sharing is not None:
@@ -124,40 +133,40 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        wanted = self.core.wake_at
+        wake_at_ns = self.core.wake_at
         if self.sharing is not None:
-            wanted = min(wanted, self.sharing.core.wake_at)
-        if wanted < self._due:
-            self._due = wanted
-            self._clock.at(wanted, self._wake, wanted)
-
-    def _wake(self, due: int) -> None:
-        if not self.running or due != self._due:
-            return  # another wish came before it
-        self._due = NEVER
+            wake_at_ns = min(wake_at_ns, self.sharing.core.wake_at)
+        if wake_at_ns < self._timer_at_ns:
+            self._timer_at_ns = wake_at_ns
+            self._clock.call_at(wake_at_ns, self._wake, wake_at_ns)
+
+    def _wake(self, wake_at_ns: int) -> None:
+        if not self.running or wake_at_ns != self._timer_at_ns:
+            return  # superseded by an earlier timer
+        self._timer_at_ns = NEVER
         if self.sharing is not None:
             self.sharing.wake()
         if self._clock.now >= self.core.wake_at:
-            self._tell(api.Wake())
+            self._handle(api.Wake())
         else:
             self._set_timer()
 
-    # What the shared state asks.
+    # Callbacks of the shared state.
 
-    def _sharers(self) -> list[int]:
+    def _sharing_members(self) -> list[int]:
         return [
             number
-            for number, one in self.core.live_claims().items()
-            if one.traits.supports & wire.SUPPORTS_SHARED
+            for number, claim in self.core.live_claims().items()
+            if claim.traits.supports & wire.SUPPORTS_SHARED
         ]
 
-    def _sound(self) -> bool:
+    def _is_sound(self) -> bool:
         return not self.core.is_isolated() and self.core.health.score < DEGRADED_HEALTH_SCORE
 
     def _zones(self) -> dict[int, int]:
-        known = self.core.live_claims().items()
-        return {self._number: self.zone} | {number: one.traits.zone for number, one in known}
+        claims = self.core.live_claims().items()
+        return {self._number: self.zone} | {number: claim.traits.zone for number, claim in claims}
 
 
-def _unwritten(event: str, **fields: Any) -> None:
-    """The model keeps no histories."""
+def _discard_event(event: str, **fields: Any) -> None:
+    """Discards an event for the node's history: the model keeps none."""
--- a/driftstair/model/server.py
+++ b/driftstair/model/server.py
@@ -1,7 +1,7 @@
-"""One server: the rehearsal kit's engine, and round it its connections, its faults and what ends it.
+"""A modelled server: the rehearsal kit's engine, with connections, faults, and the overload of a cold server.
 
-Reused from the kit: `fakes.engine` (cores, queue, warmth, key memory, jams) and `cold` (what pushes a cold
-one over). Left out: HTTP, and the bytes of a body.
+Reused from the kit are `fakes.engine` (cores, queue, warm-up, key memory, jams) and `cold` (the load at which
+a cold server crashes). HTTP and the bytes of a body are not modelled.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 if TYPE_CHECKING:
     from driftstair.model.node import Attempt
 
-SECOND = 1_000_000_000
+NS_PER_S = 1_000_000_000
 
 
 class Server:
-    """What a process at one name is. A restart is the same server with a new generation."""
+    """The server at one name. A restart is the same server with a new generation."""
 
     def __init__(
         self, name: str, number: int, kind: BoxKind, kind_index: int, figures: Figures, clock: Clock,
-        rule: ColdRule, seed: int,
+        cold_rule: ColdRule, seed: int,
     ) -> None:  # fmt: skip
         self.name = name
         self.id: ServerId = blake2b(name.encode(), digest_size=8).digest()
@@ -37,146 +37,153 @@
         self.kind_index = kind_index
         self.figures = figures
         self.answer_faults: dict[object, tuple[float, float, float]] = {}
-        self.started = -1  # ns; below 0: long before the run
-        self.running = self.draining = self.fallen = False
+        self.started = -1  # ns; below 0: it started long before the run
+        self.running = self.draining = self.crashed_cold = False
         self.vanished = False
         self.generation = 0
-        self.open = 0  # connections
-        self.place = self  # what a fault cuts off
-        self.handled = self.turned_away = 0
-        self.tries_while_bad = 0  # attempts that came while a fault made answers fail
+        self.open_connections = 0
+        self.place = self  # what the kit's faults cut off from the network
+        self.completed = self.rejected = 0
+        self.attempts_while_faulty = 0  # attempts that arrived while a fault made answers fail
         self.engine: Engine
         self._clock = clock
-        self._rule = rule
+        self._cold_rule = cold_rule
         self._random = Random(seed)
-        self._budget: ColdBudget | None = None
-        self._armed = inf
-        self._held: dict[Attempt, Job] = {}
+        self._cold_budget: ColdBudget | None = None
+        self._wake_at_s = inf
+        self._jobs: dict[Attempt, Job] = {}
 
     def start(self, cold: bool) -> None:
         now = self._clock.now
-        self.running, self.draining, self.fallen = True, False, False
+        self.running, self.draining, self.crashed_cold = True, False, False
         self.generation += 1
         self.started = now if cold else -1
-        self.open = 0
+        self.open_connections = 0
         self.engine = Engine(self.figures, now / 1e9, cold, self._random)
         cold_time = int(self.figures.cold_time * 1e9)
-        self._budget = None
+        self._cold_budget = None
         if cold and cold_time:
             share, capacity = self.figures.cold_share, self.figures.capacity
-            self._budget = ColdBudget(self._rule, now, capacity, share, cold_time)
-        self._armed = inf
-        self._rearm()
+            self._cold_budget = ColdBudget(self._cold_rule, now, capacity, share, cold_time)
+        self._wake_at_s = inf
+        self._schedule_wake()
 
     def stop(self) -> None:
-        """Its process is gone: what it held is reset."""
+        """Ends the process: the connections of its requests are reset."""
         if not self.running:
             return
         self.running = False
         self.generation += 1
-        held, self._held = self._held, {}
-        for attempt in held:
-            attempt.lost(Result.RESET)
+        jobs, self._jobs = self._jobs, {}
+        for attempt in jobs:
+            attempt.on_connection_lost(Result.RESET)
 
     def vanish(self) -> None:
+        """Cuts the server off: nothing reaches it, and it answers nothing."""
         self.vanished = True
 
     def come_back(self) -> None:
+        """Ends the cut."""
         self.vanished = False
 
     def drain(self) -> None:
+        """Begins to reject new requests."""
         self.draining = True
 
     def set_slow(self, factor: float) -> None:
         if self.running:
             self.engine.set_slow(self._clock.now / 1e9, factor)
-            self._rearm()
+            self._schedule_wake()
 
     # Connections.
 
     def accept(self) -> None:
-        self.open += 1
-        self.engine.connections = self.open
+        """A node opens a connection; its handshake costs CPU time."""
+        self.open_connections += 1
+        self.engine.connections = self.open_connections
         self.engine.burden(self._clock.now / 1e9, self.kind.handshake)
-        self._rearm()
+        self._schedule_wake()
 
-    def hang_up(self, generation: int) -> None:
+    def close_connection(self, generation: int) -> None:
         if generation == self.generation and self.running:
-            self.open -= 1
-            self.engine.connections = self.open
+            self.open_connections -= 1
+            self.engine.connections = self.open_connections
 
     # Requests.
 
     def arrive(self, attempt: Attempt) -> None:
-        """The last byte of a request has come."""
+        """The last byte of a request has arrived."""
         if not self.running or attempt.generation != self.generation:
-            attempt.lost(Result.RESET)
+            attempt.on_connection_lost(Result.RESET)
             return
         if attempt.done or self.vanished:
             return
         now = self._clock.now
-        self.tries_while_bad += bool(self.answer_faults)
-        ask = attempt.request.ask
-        work = self.engine.estimate(ask.work, ask.key_name, now / 1e9)
-        if self._budget is not None and not self._budget.arrive(now, work, attempt.node.name):
-            self.fallen = True
+        self.attempts_while_faulty += bool(self.answer_faults)
+        client_request = attempt.request.client_request
+        work = self.engine.estimate(client_request.work, client_request.key_name, now / 1e9)
+        if self._cold_budget is not None and not self._cold_budget.arrive(now, work, attempt.node.name):
+            self.crashed_cold = True
             self.stop()
-            attempt.lost(Result.RESET)
+            attempt.on_connection_lost(Result.RESET)
             return
         job = None
-        if self.open <= self.figures.connections_most and not self.draining:
-            job = self.engine.arrive(now / 1e9, attempt, work, ask.waits, ask.key_name)
+        if self.open_connections <= self.figures.connections_most and not self.draining:
+            job = self.engine.arrive(now / 1e9, attempt, work, client_request.wait_s, client_request.key_name)
         if job is None:
-            self.turned_away += 1
-            attempt.answered(Result.FULL, self._report(now))
+            self.rejected += 1
+            attempt.on_response(Result.FULL, self._report(now))
         else:
-            self._held[attempt] = job
-        self._rearm()
+            self._jobs[attempt] = job
+        self._schedule_wake()
 
-    def forsake(self, attempt: Attempt) -> None:
-        """Nobody waits for it any more: it is dropped if it has not begun."""
-        job = self._held.pop(attempt, None)
+    def abandon(self, attempt: Attempt) -> None:
+        """The node no longer waits for the answer: the job is dropped if it has not started."""
+        job = self._jobs.pop(attempt, None)
         if job is not None and self.kind.drops_waiting:
             self.engine.cancel(self._clock.now / 1e9, job)
-            self._rearm()
+            self._schedule_wake()
 
     def _report(self, now: int) -> tuple[float, ...]:
         busy, waiting = self.engine.report(now / 1e9)
         return busy, float(waiting)
 
-    # The engine's time.
+    # The engine's virtual time.
 
-    def _rearm(self) -> None:
-        due = self.engine.due()
-        if due < self._armed:  # an earlier look does no harm
-            self._armed = due
-            self._clock.at(max(self._clock.now + 1, int(due * 1e9) + 1), self._look, self.generation, due)
+    def _schedule_wake(self) -> None:
+        wake_at_s = self.engine.due()
+        if wake_at_s < self._wake_at_s:  # waking too early is harmless
+            self._wake_at_s = wake_at_s
+            self._clock.call_at(
+                max(self._clock.now + 1, int(wake_at_s * 1e9) + 1), self._on_wake, self.generation, wake_at_s
+            )
 
-    def _look(self, generation: int, due: float) -> None:
-        if generation == self.generation and due == self._armed:
-            self._armed = inf
-            self.catch_up()
+    def _on_wake(self, generation: int, wake_at_s: float) -> None:
+        if generation == self.generation and wake_at_s == self._wake_at_s:
+            self._wake_at_s = inf
+            self.advance()
 
-    def catch_up(self) -> None:
+    def advance(self) -> None:
+        """Advances the engine to the current time, and answers the requests that are done."""
         now = self._clock.now
         self.engine.advance_to(now / 1e9)
         for job in self.engine.take_done():
             self._finish(now, job)
-        self._rearm()
+        self._schedule_wake()
 
     def _finish(self, now: int, job: Job) -> None:
         attempt: Attempt = job.name  # type: ignore[assignment]
-        self.handled += 1
-        if self._held.pop(attempt, None) is None or self.vanished:
-            return  # nobody waits for it; the work was done all the same
-        errors, resets, swallowed = self.kind.error_share, 0.0, 0.0
+        self.completed += 1
+        if self._jobs.pop(attempt, None) is None or self.vanished:
+            return  # no node waits for the answer, but the work was done
+        errors, resets, dropped = self.kind.error_share, 0.0, 0.0
         for fault in self.answer_faults.values():
-            errors, resets, swallowed = max(errors, fault[0]), max(resets, fault[1]), max(swallowed, fault[2])
+            errors, resets, dropped = max(errors, fault[0]), max(resets, fault[1]), max(dropped, fault[2])
         if errors and self._random.random() < errors:
-            attempt.answered(Result.ERROR, self._report(now))
+            attempt.on_response(Result.ERROR, self._report(now))
             return
-        chance = self._random.random() if resets or swallowed else 1.0
-        if chance < resets:
-            attempt.lost(Result.RESET)
-        elif chance >= resets + swallowed:
-            attempt.answered(Result.OK, self._report(now))
+        draw = self._random.random() if resets or dropped else 1.0
+        if draw < resets:
+            attempt.on_connection_lost(Result.RESET)
+        elif draw >= resets + dropped:
+            attempt.on_response(Result.OK, self._report(now))
