--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -19,10 +19,10 @@
 from statistics import median
 
 from driftstair.ledger.book import Book
-from driftstair.ledger.entries import Word
+from driftstair.ledger.entries import UsageWord
 from driftstair.ledger.periods import Calendar
-from driftstair.ledger.reconcile import chained, joined
-from driftstair.ledger.segments import Store, lines, segments
+from driftstair.ledger.reconcile import join_copies, read_copy
+from driftstair.ledger.segments import Store, read_lines, segment_paths
 
 NOON = 1_771_070_400_000
 TENANTS = [f"tenant-{number:02}" for number in range(20)]
@@ -83,11 +83,11 @@
 
 def commits(count: int) -> list[bytes]:
     book, made = Book("n0", Calendar("UTC")), []
-    book.written(book.begin(NOON, 20))
+    book.encode_and_confirm(book.begin(NOON, 20))
     for step in range(count):
         for tenant in TENANTS:
-            book.count(NOON + step, tenant, Word.SERVED)
-        made.append(book.written(book.commit(NOON + step)))
+            book.count(NOON + step, tenant, UsageWord.SERVED)
+        made.append(book.encode_and_confirm(book.commit(NOON + step)))
     return made
 
 
@@ -96,7 +96,7 @@
     book = Book("n0", Calendar("UTC"))
     began = time.perf_counter()
     for step in range(count):
-        book.count(NOON + step, TENANTS[step % 20], Word.SERVED)
+        book.count(NOON + step, TENANTS[step % 20], UsageWord.SERVED)
     return (time.perf_counter() - began) / count * 1e6
 
 
@@ -127,14 +127,14 @@
             entries = len(made) * len(TENANTS)
             print(f"{name:20} {middle:12.0f} {last:8.0f} {middle / first:9.2f} {size / entries:15.0f}")
             if name == "segments":
-                whole = [line for path in segments(folder, "n0") for line in lines(path)]
+                whole = [line for path in segment_paths(folder, "n0") for line in read_lines(path)]
     header = Book("n0", Calendar("UTC"))
-    whole.insert(0, header.written(header.begin(NOON, 20)))
+    whole.insert(0, header.encode_and_confirm(header.begin(NOON, 20)))
     began = time.perf_counter()
-    copies = [chained(whole) for _ in range(21)]
+    copies = [read_copy(whole) for _ in range(21)]
     read = time.perf_counter() - began
     assert copies[0].finding is None
-    joined(copies)
+    join_copies(copies)
     both = time.perf_counter() - began
     print(f"21 ledgers of {len(whole)} entries: read {read:.2f} s, joined {both - read:.2f} s")
     return 0
--- a/benchmarks/scale/billing.py
+++ b/benchmarks/scale/billing.py
@@ -19,19 +19,19 @@
 def measure(size: int, folder: Path) -> dict[str, float]:
     """Commits in which `size` tenants had a request each."""
     from driftstair.ledger.book import Book
-    from driftstair.ledger.entries import Word
+    from driftstair.ledger.entries import UsageWord
     from driftstair.ledger.periods import Calendar
 
     book = Book("n0", Calendar("UTC"))
-    book.written(book.begin(NOON, 20))
+    book.encode_and_confirm(book.begin(NOON, 20))
     tenants = [documents.tenant_name(number) for number in range(size)]
     written = 0
 
     def commit(turn: int) -> None:
         nonlocal written
         for tenant in tenants:
-            book.count(NOON + turn, tenant, Word.SERVED)
-        written += len(book.written(book.commit(NOON + turn)))
+            book.count(NOON + turn, tenant, UsageWord.SERVED)
+        written += len(book.encode_and_confirm(book.commit(NOON + turn)))
 
     each = cpu_each(commit, COMMITS)
     _, step = measured(lambda: commit(COMMITS))
@@ -43,18 +43,18 @@
 def prepare_ledger(size: int, folder: Path) -> None:
     """A ledger of about `size` entries, as a node leaves it behind."""
     from driftstair.ledger.book import Book
-    from driftstair.ledger.entries import Word
+    from driftstair.ledger.entries import UsageWord
     from driftstair.ledger.periods import Calendar
     from driftstair.ledger.segments import Store
 
     store = Store(folder, "n0")
     store.open()
     book = Book("n0", Calendar("UTC"))
-    store.append(book.written(book.begin(NOON, 20)), False)
+    store.append(book.encode_and_confirm(book.begin(NOON, 20)), False)
     for turn in range(max(1, size // COMMITTED)):
         for tenant in range(COMMITTED):
-            book.count(NOON + turn, documents.tenant_name(tenant), Word.SERVED)
-        store.append(book.written(book.commit(NOON + turn)), False)
+            book.count(NOON + turn, documents.tenant_name(tenant), UsageWord.SERVED)
+        store.append(book.encode_and_confirm(book.commit(NOON + turn)), False)
     store.close()
 
 
@@ -72,23 +72,23 @@
 def measure_join(size: int, folder: Path) -> dict[str, float]:
     """Reading and joining `size` ledgers of 200 entries each."""
     from driftstair.ledger.book import Book
-    from driftstair.ledger.entries import Word
+    from driftstair.ledger.entries import UsageWord
     from driftstair.ledger.periods import Calendar
-    from driftstair.ledger.reconcile import chained, joined
+    from driftstair.ledger.reconcile import join_copies, read_copy
 
     def lines(node: int) -> list[bytes]:
         book = Book(f"n{node}", Calendar("UTC"))
-        text = book.written(book.begin(NOON, 20))
+        text = book.encode_and_confirm(book.begin(NOON, 20))
         for turn in range(10):
             for tenant in range(20):
-                book.count(NOON + turn, documents.tenant_name(tenant), Word.SERVED)
-            text += book.written(book.commit(NOON + turn))
+                book.count(NOON + turn, documents.tenant_name(tenant), UsageWord.SERVED)
+            text += book.encode_and_confirm(book.commit(NOON + turn))
         return text.splitlines(keepends=True)
 
     ledgers = [lines(node) for node in range(size)]
-    copies, reading = measured(lambda: [chained(one) for one in ledgers])
+    copies, reading = measured(lambda: [read_copy(one) for one in ledgers])
     assert all(one.finding is None for one in copies)
-    _, joining = measured(lambda: joined(copies))
+    _, joining = measured(lambda: join_copies(copies))
     return {
         "read_cpu_s": reading.cpu_s, "join_cpu_s": joining.cpu_s,
         "kept_mb": reading.kept_mb + joining.kept_mb,
--- a/driftstair/ledger/__init__.py
+++ b/driftstair/ledger/__init__.py
@@ -1,8 +1,9 @@
-"""A billing ledger per tenant: what each used, in entries that are chained, corrected and joined, never
-changed.
+"""Billing ledgers: each node records its tenants' usage in hash-chained entries that are never modified.
 
-`entries` are the lines and their chain, `periods` what a period is, `book` counts one node's use and words
-its entries, `reconcile` joins several nodes' ledgers, `export` delivers them; none of these does I/O.
-`segments` stores, `command` is what an operator has. Design: docs/design/ledger.md.
-Nothing here is imported unless a ledger is kept.
+`entries` defines the lines and their hash chain, `periods` the billing periods. `book` counts one node's
+usage and builds its entries, `reconcile` joins the ledgers of several nodes, and `export` delivers them to
+the billing side. None of these modules does I/O. `segments` stores ledgers in files, `carrier` exports them
+over TCP, `keeper` connects a ledger to the daemon, and `command` holds the operator's commands.
+
+Design: docs/design/ledger.md. Nothing in this package is imported unless a ledger is kept.
 """
--- a/driftstair/ledger/carrier.py
+++ b/driftstair/ledger/carrier.py
@@ -1,7 +1,7 @@
-"""The export's messages as lines of JSON over TCP, and a ledger's segments as the exporter reads them.
+"""The transport of the export: messages as lines of JSON over TCP, and the exporter's reader of a ledger.
 
-One message is one line. A connection that ends, a line that can't be read and a collector that is away are
-all the same: what is not acknowledged goes again, on a new connection, after the exporter's own pause.
+Each message is one line. A closed connection, an invalid line and an absent collector are handled alike:
+unacknowledged lines are sent again on a new connection, after the exporter's own pause.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from driftstair.ledger.entries import DIGEST, FIRST, LINE_MOST
+from driftstair.ledger.entries import DIGEST_BYTES, INITIAL_DIGEST, MAX_LINE_BYTES
 from driftstair.ledger.export import (
-    BATCH,
+    MAX_BATCH_LINES,
     Claim,
     Exporter,
     Hello,
-    Lines,
+    LineSource,
     Message,
     Offer,
     Older,
     Refused,
     Taken,
 )
-from driftstair.ledger.segments import segments
+from driftstair.ledger.segments import segment_paths
 
-MESSAGE_MOST = BATCH * (LINE_MOST + 16) * 2  # bytes: quotes are escaped
-MARK_EVERY = 256  # lines between two places that are remembered
-NAMES: dict[str, type[Any]] = {
+MAX_MESSAGE_BYTES = MAX_BATCH_LINES * (MAX_LINE_BYTES + 16) * 2  # quotes are escaped
+INDEX_INTERVAL_LINES = 256  # between two indexed lines
+MESSAGE_CLASSES: dict[str, type[Any]] = {
     "hello": Hello, "claim": Claim, "offer": Offer, "taken": Taken, "refused": Refused, "older": Older,
 }  # fmt: skip
-TYPES: dict[str, dict[str, type]] = {
+FIELD_TYPES: dict[str, dict[str, type]] = {
     "hello": {"node": str, "session": int},
     "claim": {"node": str, "session": int, "token": int},
     "older": {"node": str, "session": int, "token": int},
@@ -46,11 +46,12 @@
 
 
 class MessageError(ValueError):
-    """A line that is no message."""
+    """A line that is not a valid message."""
 
 
-def worded(message: Message) -> bytes:
-    name = next(name for name, kind in NAMES.items() if isinstance(message, kind))
+def encode_message(message: Message) -> bytes:
+    """Returns a message as one line of JSON with its newline."""
+    name = next(name for name, message_class in MESSAGE_CLASSES.items() if isinstance(message, message_class))
     fields = message._asdict()
     if isinstance(message, Offer):
         fields["lines"] = [line.decode("ascii") for line in message.lines]
@@ -59,97 +60,107 @@
     return json.dumps({"is": name, **fields}, separators=(",", ":")).encode() + b"\n"
 
 
-def read(line: bytes) -> Message:
-    """Raises MessageError."""
+def decode_message(line: bytes) -> Message:
+    """Returns the message of a line. Raises MessageError."""
     try:
-        told = json.loads(line)
-        name = told.pop("is")
-        wanted = TYPES[name]
-        if told.keys() != wanted.keys() or any(type(told[key]) is not kind for key, kind in wanted.items()):
+        fields = json.loads(line)
+        name = fields.pop("is")
+        field_types = FIELD_TYPES[name]
+        if fields.keys() != field_types.keys() or any(
+            type(fields[key]) is not field_type for key, field_type in field_types.items()
+        ):
             raise ValueError
         if name == "offer":
-            told["lines"] = tuple(one.encode("ascii") for one in told["lines"])
+            fields["lines"] = tuple(text.encode("ascii") for text in fields["lines"])
         elif name == "taken":
-            told["digest"] = bytes.fromhex(told["digest"])
-        message: Message = NAMES[name](**told)
+            fields["digest"] = bytes.fromhex(fields["digest"])
+        message: Message = MESSAGE_CLASSES[name](**fields)
         return message
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
         raise MessageError(f"no message: {line[:60]!r}") from None
 
 
-class _Mark(NamedTuple):
+class _IndexEntry(NamedTuple):
+    """The segment and offset at which a line begins."""
+
     number: int  # of the line that begins there
     path: Path
     offset: int
 
 
-class Segments:
-    """One node's ledger, read while its daemon may go on writing it. Remembers where each 256th line begins:
-    a million entries cost some 4,000 places. A line that is not whole yet is not there yet."""
+class LedgerReader:
+    """Reads one node's ledger while its daemon may continue to write it. An index holds the position of every
+    256th line, some 4,000 positions for a million entries. A line that is not complete yet is treated as
+    absent."""
 
     def __init__(self, folder: Path, node: str) -> None:
-        """Raises StoreError where a segment is missing."""
+        """Raises StoreError if a segment is missing."""
         self._folder = folder
         self._node = node
-        self._marks: list[_Mark] = []
-        self._last = 0  # number of the last line that was seen
-        self._end = (0, 0)  # which segment, and where in it, the next one begins
-        segments(folder, node)
-
-    def lines(self) -> Lines:
-        return Lines(self.read, self.digest)
-
-    def read(self, first: int, most: int) -> list[bytes]:
-        """Without their ends. Raises StoreError, OSError."""
-        if first + most > self._last:
-            self._look()
-        found = []
-        for number, line in self._from(first):
-            if number >= first + most:
+        self._index: list[_IndexEntry] = []
+        self._last_number = 0  # number of the last indexed line
+        self._read_position = (0, 0)  # index of the segment and offset in it at which the next line begins
+        segment_paths(folder, node)
+
+    def source(self) -> LineSource:
+        """Returns this ledger as an exporter reads it."""
+        return LineSource(self.read, self.digest)
+
+    def read(self, first: int, max_lines: int) -> list[bytes]:
+        """Returns at most `max_lines` lines from number `first` on, without their newlines. Raises
+        StoreError, OSError."""
+        if first + max_lines > self._last_number:
+            self._index_new_lines()
+        selected = []
+        for number, line in self._lines_from(first):
+            if number >= first + max_lines:
                 break
-            found.append(line)
-        return found
+            selected.append(line)
+        return selected
 
     def digest(self, number: int) -> bytes | None:
+        """Returns the digest of the line with a number, and None if there is no such line."""
         if number == 0:
-            return FIRST
+            return INITIAL_DIGEST
         lines = self.read(number, 1)
         with suppress(ValueError):
             if lines:
-                return bytes.fromhex(lines[0][: 2 * DIGEST].decode("ascii"))
+                return bytes.fromhex(lines[0][: 2 * DIGEST_BYTES].decode("ascii"))
         return None
 
-    def _look(self) -> None:
-        """What has been written since."""
-        place, offset = self._end
-        paths = segments(self._folder, self._node)
-        for index, path in enumerate(paths[place:], place):
-            if index > place:
+    def _index_new_lines(self) -> None:
+        """Indexes the lines that were written since the last call."""
+        current, offset = self._read_position
+        paths = segment_paths(self._folder, self._node)
+        for path_index, path in enumerate(paths[current:], current):
+            if path_index > current:
                 offset = 0
-            for line in _whole(path, offset):
-                self._last += 1
-                if self._last % MARK_EVERY == 1:
-                    self._marks.append(_Mark(self._last, path, offset))
+            for line in _complete_lines(path, offset):
+                self._last_number += 1
+                if self._last_number % INDEX_INTERVAL_LINES == 1:
+                    self._index.append(_IndexEntry(self._last_number, path, offset))
                 offset += len(line) + 1
-            self._end = index, offset
+            self._read_position = path_index, offset
 
-    def _from(self, first: int) -> Iterator[tuple[int, bytes]]:
-        place = bisect_right(self._marks, first, key=lambda mark: mark.number) - 1
-        if place < 0 or first > self._last:
+    def _lines_from(self, first: int) -> Iterator[tuple[int, bytes]]:
+        """Yields indexed lines with their numbers, from number `first` on."""
+        position = bisect_right(self._index, first, key=lambda entry: entry.number) - 1
+        if position < 0 or first > self._last_number:
             return
-        number, path, offset = self._marks[place]
-        paths = segments(self._folder, self._node)
-        for one in paths[paths.index(path) :]:
-            for line in _whole(one, offset):
+        number, path, offset = self._index[position]
+        paths = segment_paths(self._folder, self._node)
+        for segment in paths[paths.index(path) :]:
+            for line in _complete_lines(segment, offset):
                 if number >= first:
                     yield number, line
                 number += 1
-                if number > self._last:
+                if number > self._last_number:
                     return
             offset = 0
 
 
-def _whole(path: Path, offset: int) -> Iterator[bytes]:
+def _complete_lines(path: Path, offset: int) -> Iterator[bytes]:
+    """Yields the complete lines of a file from an offset on, without their newlines."""
     with open(path, "rb") as file:
         file.seek(offset)
         for line in file:
@@ -158,52 +169,53 @@
             yield line[:-1]
 
 
-async def carry(
-    exporter: Exporter, address: tuple[str, int], give_up: float, follow: bool = False,
+async def export_ledger(
+    exporter: Exporter, address: tuple[str, int], give_up_s: float, follow: bool = False,
     clock: Callable[[], float] = time.monotonic,
 ) -> str:  # fmt: skip
-    """Exports until all is in the books (`follow`: and goes on with what comes). Why it ended without that,
-    or empty. `give_up`: s without anything new acknowledged."""
-    heard, known, why = clock(), exporter.acknowledged, "nobody answers"
-    while not exporter.stopped:
-        if exporter.acknowledged > known:
-            heard, known = clock(), exporter.acknowledged
+    """Exports until the collector has stored the whole ledger; with `follow`, continues with new lines.
+    Returns the reason if it ended before that, else an empty text. Ends after `give_up_s` seconds without a
+    new acknowledgement."""
+    last_progress, last_acknowledged, reason = clock(), exporter.acknowledged, "nobody answers"
+    while not exporter.stop_reason:
+        if exporter.acknowledged > last_acknowledged:
+            last_progress, last_acknowledged = clock(), exporter.acknowledged
         if exporter.is_done():
             if not follow:
                 return ""
-            heard = clock()
-        elif clock() - heard > give_up:
-            return why
+            last_progress = clock()
+        elif clock() - last_progress > give_up_s:
+            return reason
         try:
-            why = await _connection(exporter, address, heard + give_up, follow, clock) or why
+            reason = await _connection(exporter, address, last_progress + give_up_s, follow, clock) or reason
         except (OSError, MessageError, asyncio.IncompleteReadError, asyncio.LimitOverrunError) as problem:
-            why = str(problem) or "the connection ended"
-        await asyncio.sleep(max(0.05, min(1.0, exporter.wakes / 1000 - clock())))
-    return exporter.stopped
+            reason = str(problem) or "the connection ended"
+        await asyncio.sleep(max(0.05, min(1.0, exporter.next_poll_ms / 1000 - clock())))
+    return exporter.stop_reason
 
 
 async def _connection(
     exporter: Exporter, address: tuple[str, int], until: float, follow: bool, clock: Callable[[], float]
 ) -> str:
-    """One connection's life; why the collector refused, if it did."""
-    why = ""
+    """Exports over one connection. Returns the collector's reason if it refused, else an empty text."""
+    reason = ""
     async with asyncio.timeout(5.0):
-        reader, writer = await asyncio.open_connection(*address, limit=MESSAGE_MOST)
+        reader, writer = await asyncio.open_connection(*address, limit=MAX_MESSAGE_BYTES)
     try:
-        while not exporter.stopped and (follow or not exporter.is_done()) and clock() < until:
+        while not exporter.stop_reason and (follow or not exporter.is_done()) and clock() < until:
             for message in exporter.poll(int(clock() * 1000)):
-                writer.write(worded(message))
+                writer.write(encode_message(message))
             await writer.drain()
             try:
-                async with asyncio.timeout(max(0.05, min(1.0, exporter.wakes / 1000 - clock()))):
+                async with asyncio.timeout(max(0.05, min(1.0, exporter.next_poll_ms / 1000 - clock()))):
                     line = await reader.readuntil(b"\n")
             except TimeoutError:
                 continue
-            answer = read(line)
+            answer = decode_message(line)
             if isinstance(answer, Refused):
-                why = answer.why
+                reason = answer.why
             for message in exporter.receive(int(clock() * 1000), answer):
-                writer.write(worded(message))
+                writer.write(encode_message(message))
     finally:
         writer.close()
-    return why
+    return reason
--- a/driftstair/ledger/command.py
+++ b/driftstair/ledger/command.py
@@ -1,4 +1,5 @@
-"""`driftstair ledger verify|show|reconcile|correct|close`, on folders of segments."""
+"""`driftstair ledger`: verifies, shows, joins, exports, corrects and closes ledgers in folders of
+segments."""
 
 from __future__ import annotations
 
@@ -12,148 +13,173 @@
 
 from driftstair.files import FileError, parse_text, read_text
 from driftstair.ledger.book import Book
-from driftstair.ledger.entries import Entry, EntryError, Word
+from driftstair.ledger.entries import Entry, EntryError, UsageWord
 from driftstair.ledger.periods import Calendar, Period, PeriodError
-from driftstair.ledger.reconcile import Account, Copy, Joined, Total, against, chained, joined
-from driftstair.ledger.segments import Store, StoreError, lines, segments
-
-FINE, FOUND, UNREADABLE = 0, 1, 2
+from driftstair.ledger.reconcile import (
+    Account,
+    JoinedLedgers,
+    LedgerCopy,
+    Total,
+    compare_with_served,
+    join_copies,
+    read_copy,
+)
+from driftstair.ledger.segments import Store, StoreError, read_lines, segment_paths
+
+EXIT_OK, EXIT_FINDINGS, EXIT_UNREADABLE = 0, 1, 2
 FORMAT = "driftstair.ledger/1"
-SEGMENT = re.compile(r"(.+)-\d{8}\.ledger", re.ASCII)
-UNSEEN = re.compile(r"[^\x20-\x7e\u00a1-\uffff]|[\u200b-\u200f\u202a-\u202e\u2066-\u2069]")
+SEGMENT_NAME = re.compile(r"(.+)-\d{8}\.ledger", re.ASCII)
+UNPRINTABLE = re.compile(r"[^\x20-\x7e\u00a1-\uffff]|[\u200b-\u200f\u202a-\u202e\u2066-\u2069]")
 
 
 def run(options: argparse.Namespace) -> int:
+    """Runs a subcommand and returns the exit status."""
     try:
         if options.what in ("correct", "close"):
-            return _write(options)
+            return _run_writing(options)
         if options.what == "export":
-            return _export(options)
-        return _read(options)
+            return _run_export(options)
+        return _run_reading(options)
     except (StoreError, PeriodError, EntryError, OSError) as problem:
         print(f"driftstair: {problem}", file=sys.stderr)
-        return UNREADABLE
+        return EXIT_UNREADABLE
 
 
-def _shown(text: str) -> str:
-    """Tenants are what clients said: nothing of it may move a terminal's cursor."""
-    return UNSEEN.sub("?", text)
+def _clean(text: str) -> str:
+    """Replaces control characters. Tenants are texts that clients sent, and nothing in them may control the
+    terminal."""
+    return UNPRINTABLE.sub("?", text)
 
 
-def copies(folder: str) -> Iterator[Copy]:
-    """One for each node whose segments lie there. Raises StoreError where none do; OSError."""
-    place = Path(folder)
-    if not place.is_dir():
+def read_copies(folder: str) -> Iterator[LedgerCopy]:
+    """Yields a copy for each node with segments in the folder. Raises OSError, and StoreError if there are
+    none."""
+    folder_path = Path(folder)
+    if not folder_path.is_dir():
         raise StoreError(f"{folder} is no folder; the one that holds NODE-00000001.ledger would do")
-    nodes = sorted({found[1] for path in place.iterdir() if (found := SEGMENT.fullmatch(path.name))})
+    nodes = sorted(
+        {match[1] for path in folder_path.iterdir() if (match := SEGMENT_NAME.fullmatch(path.name))}
+    )
     if not nodes:
         raise StoreError(f"{folder} holds no NODE-00000001.ledger")
     for node in nodes:
-        paths = segments(place, node)
-        yield chained(line for path in paths for line in lines(path))._replace(node=node)
+        paths = segment_paths(folder_path, node)
+        yield read_copy(line for path in paths for line in read_lines(path))._replace(node=node)
 
 
-def _read(options: argparse.Namespace) -> int:
+def _run_reading(options: argparse.Namespace) -> int:
+    """Runs `verify`, `show` or `reconcile`, which only read ledgers."""
     if getattr(options, "period", ""):
         Period.parse(options.period)
     if options.what == "verify":
-        return _verify(options)
-    books = joined(copy for folder in options.folders for copy in copies(folder))
+        return _run_verify(options)
+    ledgers = join_copies(copy for folder in options.folders for copy in read_copies(folder))
     rows = [
         (account, total)
-        for account, total in sorted(books.totals.items())
+        for account, total in sorted(ledgers.totals.items())
         if options.period in ("", account.period) and options.tenant in ("", account.tenant)
     ]
-    seen = seen_of(options.served) if getattr(options, "served", "") else None
-    beyond = {} if seen is None else against(books, seen)
+    served = read_served_report(options.served) if getattr(options, "served", "") else None
+    differences = {} if served is None else compare_with_served(ledgers, served)
     if options.json:
-        document = _document(books, rows)
-        if seen is not None:
-            document["beyond"] = [{**account._asdict(), "by": by} for account, by in beyond.items()]
+        document = _json_document(ledgers, rows)
+        if served is not None:
+            document["beyond"] = [
+                {**account._asdict(), "by": difference} for account, difference in differences.items()
+            ]
         json.dump(document, sys.stdout, indent=1)
         print()
     else:
-        _tell(books, rows, findings=options.what == "reconcile")
-        for account, by in beyond.items():
-            more = "more" if by > 0 else "less"
-            name = f"{account.period} {_shown(account.tenant)} {account.word}"
-            print(f"{name}: the books say {abs(by)} {more} than the report")
-        if seen is not None and not beyond:
-            print(f"all {len(seen)} accounts of the report are as the books say")
-    return FOUND if books.findings or beyond else FINE
-
-
-def seen_of(file: str) -> dict[Account, int]:
-    """What someone else saw, by rows: `{"totals": [{"period", "tenant", "word", "count"}, ...]}`.
-    Raises StoreError, PeriodError."""
+        _print_report(ledgers, rows, findings=options.what == "reconcile")
+        for account, difference in differences.items():
+            direction = "more" if difference > 0 else "less"
+            name = f"{account.period} {_clean(account.tenant)} {account.word}"
+            print(f"{name}: the books say {abs(difference)} {direction} than the report")
+        if served is not None and not differences:
+            print(f"all {len(served)} accounts of the report are as the books say")
+    return EXIT_FINDINGS if ledgers.findings or differences else EXIT_OK
+
+
+def read_served_report(file: str) -> dict[Account, int]:
+    """Reads a report of the usage that another party observed: `{"totals": [{"period", "tenant", "word",
+    "count"}, ...]}`. Raises StoreError, PeriodError."""
     try:
         tree = parse_text(read_text(file), json.loads)
         rows = tree["totals"]
-        seen = {Account(row["period"], row["tenant"], row["word"]): row["count"] for row in rows}
+        served = {Account(row["period"], row["tenant"], row["word"]): row["count"] for row in rows}
     except FileError as problem:
         raise StoreError(f"{file}: {problem}") from None
     except (ValueError, KeyError, TypeError):
         why = 'is no report; {"totals": [{"period": "2026-02", ...}]} would do'
         raise StoreError(f"{file}: {why}") from None
-    for place, (account, count) in enumerate(seen.items()):
+    for index, (account, count) in enumerate(served.items()):
         texts = all(isinstance(text, str) for text in account)
         if not texts or isinstance(count, bool) or not isinstance(count, int) or count < 0:
-            raise StoreError(f"{file}: totals[{place}]: wants period, tenant and word as text, count from 0")
+            raise StoreError(f"{file}: totals[{index}]: wants period, tenant and word as text, count from 0")
         Period.parse(account.period)
-    if len(seen) != len(rows):
+    if len(served) != len(rows):
         raise StoreError(f"{file}: two rows are of one period, tenant and word")
-    return {account: count for account, count in seen.items() if count}
+    return {account: count for account, count in served.items() if count}
 
 
-def _verify(options: argparse.Namespace) -> int:
-    status, found = FINE, []
+def _run_verify(options: argparse.Namespace) -> int:
+    """Checks the chain of each ledger in the folders."""
+    status, results = EXIT_OK, []
     for folder in options.folders:
-        for copy in copies(folder):
-            last = copy.entries[-1][0].number if copy.entries else 0
+        for copy in read_copies(folder):
+            last_number = copy.entries[-1][0].number if copy.entries else 0
             problem = "" if copy.finding is None else copy.finding.text
-            status = FOUND if problem else status
-            found.append({"folder": folder, "node": copy.node, "entries": last, "problem": problem})
+            status = EXIT_FINDINGS if problem else status
+            results.append({"folder": folder, "node": copy.node, "entries": last_number, "problem": problem})
             if not options.json:
-                print(f"{folder}: {copy.node}: {last} entries stand" + (f"; {problem}" if problem else ""))
+                print(
+                    f"{folder}: {copy.node}: {last_number} entries stand"
+                    + (f"; {problem}" if problem else "")
+                )
     if options.json:
-        json.dump({"format": FORMAT, "ledgers": found}, sys.stdout, indent=1)
+        json.dump({"format": FORMAT, "ledgers": results}, sys.stdout, indent=1)
         print()
     return status
 
 
-def _document(books: Joined, rows: list[tuple[Account, Total]]) -> dict[str, object]:
+def _json_document(ledgers: JoinedLedgers, rows: list[tuple[Account, Total]]) -> dict[str, object]:
+    """Returns totals and findings as they are printed with `--json`."""
     return {
         "format": FORMAT,
         "totals": [
             {**account._asdict(), "proven": total.proven, "bounded": total.bounded,
-             "corrected": total.corrected, "sure": books.is_proven(account.period)}
+             "corrected": total.corrected, "sure": ledgers.is_proven(account.period)}
             for account, total in rows
         ],
-        "findings": [finding._asdict() for finding in books.findings],
-        "doubles": books.doubles,
+        "findings": [finding._asdict() for finding in ledgers.findings],
+        "doubles": ledgers.repeats,
     }  # fmt: skip
 
 
-def _tell(books: Joined, rows: list[tuple[Account, Total]], findings: bool) -> None:
+def _print_report(joined: JoinedLedgers, rows: list[tuple[Account, Total]], findings: bool) -> None:
+    """Prints totals and, for `reconcile`, findings."""
     print(f"{'period':8} {'tenant':24} {'word':8} {'proven':>12} {'bounded':>9} {'corrected':>9}")
     for account, total in rows:
-        mark = "" if books.is_proven(account.period) else "  a finding touches this period"
+        remark = "" if joined.is_proven(account.period) else "  a finding touches this period"
         print(
-            f"{account.period:8} {_shown(account.tenant)[:24]:24} {account.word:8} {total.proven:12} "
-            f"{total.bounded:9} {total.corrected:9}{mark}"
+            f"{account.period:8} {_clean(account.tenant)[:24]:24} {account.word:8} {total.proven:12} "
+            f"{total.bounded:9} {total.corrected:9}{remark}"
         )
     if findings:
-        for finding in books.findings:
-            print(f"{finding.what}: {_shown(finding.node)}, entry {finding.number}: {_shown(finding.text)}")
-        print(f"{len(books.heads)} nodes, {len(books.findings)} findings, {books.doubles} entries came twice")
+        for finding in joined.findings:
+            print(f"{finding.what}: {_clean(finding.node)}, entry {finding.number}: {_clean(finding.text)}")
+        print(
+            f"{len(joined.heads)} nodes, {len(joined.findings)} findings, {joined.repeats} entries came twice"
+        )
 
 
-def _export(options: argparse.Namespace) -> int:
+def _run_export(options: argparse.Namespace) -> int:
+    """Runs `export`."""
     import asyncio
     import secrets
 
     from driftstair.hosts import ListError, parse_address
-    from driftstair.ledger.carrier import Segments, carry
+    from driftstair.ledger.carrier import LedgerReader, export_ledger
     from driftstair.ledger.export import Exporter
 
     try:
@@ -161,47 +187,48 @@
     except ListError:
         raise StoreError(f"--to {options.to[:60]!r} is no address; 10.0.0.9:7000 would do") from None
     folder = Path(options.folder)
-    if not folder.is_dir() or not segments(folder, options.node):
+    if not folder.is_dir() or not segment_paths(folder, options.node):
         raise StoreError(f"{options.folder} holds no ledger of {options.node[:60]!r}")
     session = secrets.randbits(52)
-    exporter = Exporter(options.node, Segments(folder, options.node).lines(), session, session)
+    exporter = Exporter(options.node, LedgerReader(folder, options.node).source(), session, session)
     try:
-        why = asyncio.run(carry(exporter, address, options.give_up, options.follow))
+        reason = asyncio.run(export_ledger(exporter, address, options.give_up, options.follow))
     except KeyboardInterrupt:
-        why = "stopped by hand"
+        reason = "stopped by hand"
     print(f"{options.node}: entries up to {max(0, exporter.acknowledged)} are in the books", flush=True)
-    if why:
-        print(f"driftstair: the export ended: {why}", file=sys.stderr)
-    return FOUND if why else FINE
+    if reason:
+        print(f"driftstair: the export ended: {reason}", file=sys.stderr)
+    return EXIT_FINDINGS if reason else EXIT_OK
 
 
-def _write(options: argparse.Namespace) -> int:
-    """A life of its own in the node's ledger: what a hand wrote stands between a begin and an end."""
+def _run_writing(options: argparse.Namespace) -> int:
+    """Runs `correct` or `close`. The entries form a run of their own in the node's ledger, between a begin
+    and an end."""
     calendar, period = Calendar(options.zone), Period.parse(options.period)
-    words = {word.value: word for word in Word}
+    words = {word.value: word for word in UsageWord}
     if options.what == "correct" and options.word not in words:
         raise EntryError(f"--word {options.word[:40]!r}: one of {', '.join(words)} would do")
     folder = Path(options.folder)
-    if not folder.is_dir() or not segments(folder, options.node):
+    if not folder.is_dir() or not segment_paths(folder, options.node):
         raise StoreError(f"{options.folder} holds no ledger of {options.node[:60]!r}")
     store = Store(folder, options.node)
     opened = store.open()
     try:
-        now = time.time_ns() // 1_000_000
+        now_ms = time.time_ns() // 1_000_000
         book = Book(options.node, calendar, opened.head)
-        data = book.written(book.begin(now, 0, opened.cut))
+        data = book.encode_and_confirm(book.begin(now_ms, 0, opened.truncated_lines))
         entries: list[Entry]
         if options.what == "close":
-            entries = book.close(now, period)
+            entries = book.close(now_ms, period)
         else:
             entries = book.correct(
-                now, period, options.tenant, words[options.word], options.count, options.author,
+                now_ms, period, options.tenant, words[options.word], options.count, options.author,
                 options.reason, options.reference,
             )  # fmt: skip
-        data += book.written(entries)
-        data += book.written(book.end(now))
+        data += book.encode_and_confirm(entries)
+        data += book.encode_and_confirm(book.end(now_ms))
         store.append(data, sync=True)
     finally:
         store.close()
     print(f"entry {entries[-1].number} of {options.node}, for {entries[-1].period}")
-    return FINE
+    return EXIT_OK
--- a/driftstair/ledger/keeper.py
+++ b/driftstair/ledger/keeper.py
@@ -1,10 +1,11 @@
-"""One daemon's ledger: what becomes of its clients' requests, counted on the loop's turn and written off it.
-
-All counts since the last commit are written together (group commit), by one thread, while the loop goes on;
-they stand until the write has returned. What can't be written, since the disk is full or gone, or another
-process of this node still holds the ledger (an upgrade), is counted on and written later: service does not
-wait for it. Lost with a killed process is what was counted since the last commit, and the next life says
-since when (`gap`).
+"""One daemon's ledger: counts the outcomes of its clients' requests and writes them without blocking the
+loop.
+
+All counts since the last commit are written together (group commit) by one thread, while the event loop
+continues. The counts remain in memory until the write has returned. If they can't be written, because the
+disk is full or has failed or because another process of this node still holds the ledger (during an upgrade),
+counting continues and they are written later: serving does not wait for the ledger. A killed process loses
+the counts since its last commit, and the next run records since when (`gap`).
 """
 
 from __future__ import annotations
@@ -18,169 +19,183 @@
 from typing import Any, Protocol
 
 from driftstair.ledger.book import Book
-from driftstair.ledger.entries import Word
+from driftstair.ledger.entries import UsageWord
 from driftstair.ledger.periods import Calendar
-from driftstair.ledger.segments import Busy, Store
+from driftstair.ledger.segments import Store, StoreBusyError
 
 log = logging.getLogger(__name__)
 
-MS = 1_000_000  # ns
-CLOSE_PAUSE = 0.01  # s between two tries at the last commit
-CLOSE_TRIES = 20  # of it: the process has 0.3 s left at the least before it may be killed
-REFUSED = (429, 503)
-FULL = (errno.ENOSPC, errno.EDQUOT)
+NS_PER_MS = 1_000_000
+CLOSE_RETRY_PAUSE_S = 0.01  # between two attempts at the last commit
+MAX_CLOSE_ATTEMPTS = 20  # the process has at least 0.3 s left before it may be killed
+REFUSED_STATUSES = (429, 503)
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
-Aside = Callable[[Callable[[], None]], Awaitable[None]]
-"""Does something that waits for a disk, off the loop's turn."""
+RunBlocking = Callable[[Callable[[], None]], Awaitable[None]]
+"""Runs a blocking disk operation without blocking the event loop."""
 
 
 class Client(Protocol):
+    """A client that is to be answered."""
+
     def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: Any) -> None: ...
 
 
-class Counted:
-    """Stands before a client: the first end that its request comes to is counted, and no other."""
+class CountedRequest:
+    """Wraps a client and counts the outcome of its request; outcomes after the first are ignored."""
 
     __slots__ = ("_aim", "_arrived", "_began", "_client", "_ended", "_keeper", "tenant")
 
-    def __init__(self, keeper: Keeper, client: Client, tenant: str, aim: int) -> None:
+    def __init__(self, keeper: LedgerKeeper, client: Client, tenant: str, aim_ns: int) -> None:
         self._keeper = keeper
         self._client = client
-        self._arrived = keeper.now()
-        self._began = keeper.monotonic()
-        self._aim = aim
+        self._arrived = keeper.now_ms()
+        self._began = keeper.monotonic_ns()
+        self._aim = aim_ns
         self._ended = False
         self.tenant = tenant
 
     def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: Any) -> None:
+        """Counts the outcome that the status means, and answers the client."""
         if status == 200:
-            in_time = self._keeper.monotonic() - self._began <= self._aim
-            self._end(Word.SERVED if in_time else Word.LATE)
+            in_time = self._keeper.monotonic_ns() - self._began <= self._aim
+            self._count_outcome(UsageWord.SERVED if in_time else UsageWord.LATE)
         else:
-            self._end(Word.REFUSED if status in REFUSED else Word.FAILED)
+            self._count_outcome(UsageWord.REFUSED if status in REFUSED_STATUSES else UsageWord.FAILED)
         self._client.answer(status, headers, body)
 
-    def gone(self) -> None:
-        """The client left before it had an answer."""
-        self._end(Word.GONE)
+    def record_client_left(self) -> None:
+        """Counts a client that closed its connection before it was answered."""
+        self._count_outcome(UsageWord.GONE)
 
-    def copied(self) -> None:
-        """A second attempt set out beside the first."""
-        self.count(Word.COPY)
+    def record_copy(self) -> None:
+        """Counts a second attempt that was started while the first was still open."""
+        self.count(UsageWord.COPY)
 
-    def count(self, word: Word) -> None:
+    def count(self, word: UsageWord) -> None:
+        """Counts a word for this request."""
         self._keeper.book.count(self._arrived, self.tenant, word)
 
-    def _end(self, word: Word) -> None:
+    def _count_outcome(self, word: UsageWord) -> None:
+        """Counts the request's outcome, if none was counted before."""
         if not self._ended:
             self._ended = True
             self.count(word)
 
 
-class Keeper:
+class LedgerKeeper:
+    """Counts the requests of one daemon and commits the counts to its ledger."""
+
     def __init__(
-        self, node: str, store: Store, calendar: Calendar, uncertainty: int, sync: bool,
-        clock: Callable[[], int], aside: Aside, monotonic: Callable[[], int] = time.monotonic_ns,
+        self, node: str, store: Store, calendar: Calendar, clock_error_ms: int, sync: bool,
+        clock_ns: Callable[[], int], run_blocking: RunBlocking,
+        monotonic_ns: Callable[[], int] = time.monotonic_ns,
     ) -> None:  # fmt: skip
-        """`uncertainty`: ms that the clock may be off; `sync`: what is committed survives the machine too;
-        `clock`: Unix time in ns; `monotonic`: ns of a clock that never steps, which durations go by."""
+        """`clock_error_ms`: the largest error of the clock; `sync`: whether commits survive a crash of the
+        machine; `clock_ns`: Unix time in ns; `monotonic_ns`: a clock in ns that never steps, used for
+        durations."""
         self.book = Book(node, calendar)
         self._store = store
-        self._uncertainty = uncertainty
+        self._clock_error_ms = clock_error_ms
         self._sync = sync
-        self._clock = clock
-        self.monotonic = monotonic
-        self._aside = aside
-        self._open = False
-        self._ended = False  # the word that this life ended is written
-        self._trouble = ""  # the last one that was logged
-
-    def now(self) -> int:
-        """Unix time in ms."""
-        return self._clock() // MS
-
-    def follow(self, client: Client, tenant: str, aim: int, resubmitted: bool) -> Counted:
-        """A request has come. `aim` in ns."""
-        counted = Counted(self, client, tenant, aim)
+        self._clock = clock_ns
+        self.monotonic_ns = monotonic_ns
+        self._run_blocking = run_blocking
+        self._is_open = False
+        self._end_written = False  # the end of this run is written
+        self._last_warning = ""  # the last warning that was logged
+
+    def now_ms(self) -> int:
+        """Returns Unix time in ms."""
+        return self._clock() // NS_PER_MS
+
+    def track_request(self, client: Client, tenant: str, aim_ns: int, resubmitted: bool) -> CountedRequest:
+        """Returns a wrapper that counts the request of a client. A resubmitted request is counted as a retry
+        too."""
+        record = CountedRequest(self, client, tenant, aim_ns)
         if resubmitted:
-            counted.count(Word.RETRY)
-        return counted
+            record.count(UsageWord.RETRY)
+        return record
 
     def open(self) -> None:
-        """Raises StoreError for a ledger that can't be trusted or kept there, OSError; one that another
-        process of this node still writes, and a disk that is full, are waited for."""
+        """Opens the ledger and begins a run. Raises StoreError if the ledger is not trustworthy or can't be
+        kept there, and OSError. If another process of this node still writes the ledger, or if the disk is
+        full, it is opened at a later commit."""
         try:
             opened = self._store.open()
-        except Busy as problem:
+        except StoreBusyError as problem:
             self._warn(str(problem))
             return
         self.book.head = opened.head
         try:
-            self._append(self.book.begin(self.now(), self._uncertainty, opened.cut))
+            self._append(self.book.begin(self.now_ms(), self._clock_error_ms, opened.truncated_lines))
         except OSError as problem:
             self._store.close()
-            if problem.errno not in FULL:
+            if problem.errno not in DISK_FULL_ERRNOS:
                 raise
-            # Guards against a node that can't be restarted on the evening on which the disk is full.
-            self._warn(f"the ledger can't be begun, and is counted on: {problem}")
+            # A node must be able to restart while the disk is full.
+            self._warn(f"the ledger can't be started yet; usage is counted in memory: {problem}")
             return
-        self._open = True
+        self._is_open = True
 
     def _append(self, entries: list[Any]) -> None:
-        lines, head = self.book.worded(entries)
+        """Writes entries and confirms them to the book."""
+        lines, head = self.book.encode(entries)
         self._store.append(lines, self._sync)
-        self.book.settle(entries, head)
+        self.book.confirm(entries, head)
 
     async def commit(self) -> None:
-        """One at a time. Whatever is wrong with the disk, service goes on and the counts stand."""
+        """Writes all counts; calls must not overlap. Disk errors are logged, and the counts remain in
+        memory."""
         try:
-            if not self._open:
-                self.open()  # rare: on the loop's turn
-            entries = self.book.commit(self.now()) if self._open else []
+            if not self._is_open:
+                self.open()  # rare, so it may block the loop
+            entries = self.book.commit(self.now_ms()) if self._is_open else []
             if entries:
-                lines, head = self.book.worded(entries)
-                await self._aside(lambda: self._store.append(lines, self._sync))
-                self.book.settle(entries, head)
-                self._trouble = ""
+                lines, head = self.book.encode(entries)
+                await self._run_blocking(lambda: self._store.append(lines, self._sync))
+                self.book.confirm(entries, head)
+                self._last_warning = ""
         except Exception as problem:
-            self._warn(f"what was used can't be written, and is counted on: {problem}")
+            self._warn(f"usage can't be written; it remains counted in memory: {problem}")
 
-    async def run(self, every: float, ended: asyncio.Event) -> None:
-        """Commits, once in so many s, until all is answered; then the word that this life ended in order."""
+    async def run(self, interval_s: float, ended: asyncio.Event) -> None:
+        """Commits at an interval until `ended` is set, then records that this run ended in order."""
         while not ended.is_set():
             with suppress(TimeoutError):
-                await asyncio.wait_for(ended.wait(), every)
+                await asyncio.wait_for(ended.wait(), interval_s)
             if not ended.is_set():
                 await self.commit()
-        for _ in range(CLOSE_TRIES - 1):
+        for _ in range(MAX_CLOSE_ATTEMPTS - 1):
             if self._write_end() is None:
                 break
-            await asyncio.sleep(CLOSE_PAUSE)
+            await asyncio.sleep(CLOSE_RETRY_PAUSE_S)
         self.close()
 
     def close(self) -> None:
-        """The last commit and the end, if they are not written yet. No commit may be under way."""
+        """Writes the last commit and the end, if they are not written yet. No commit may be in progress."""
         problem = self._write_end()
         if problem is not None:
-            log.error("the ledger ends without its last counts: %s", problem)
+            log.error("the ledger was closed without its last counts: %s", problem)
         self._store.close()
 
     def _write_end(self) -> Exception | None:
-        """What was wrong; None: it is written, now or before."""
+        """Returns the error, and None if the end is written, now or earlier."""
         try:
-            if self._ended:
+            if self._end_written:
                 return None
-            if not self._open:
+            if not self._is_open:
                 self.open()
-            if not self._open:
-                return OSError(self._trouble)
-            self._append(self.book.end(self.now()))
-            self._ended = True
+            if not self._is_open:
+                return OSError(self._last_warning)
+            self._append(self.book.end(self.now_ms()))
+            self._end_written = True
         except Exception as problem:
             return problem
         return None
 
     def _warn(self, text: str) -> None:
-        if text != self._trouble:  # not at every commit of an evening
-            self._trouble = text
+        """Logs a warning, unless it repeats the last one: a lasting fault would be logged at every commit."""
+        if text != self._last_warning:
+            self._last_warning = text
             log.warning("%s", text)
--- a/driftstair/ledger/periods.py
+++ b/driftstair/ledger/periods.py
@@ -1,8 +1,8 @@
-"""Billing periods: calendar months of one zone, by the time at which a request arrived.
+"""Billing periods: calendar months of one time zone; a request belongs to the period in which it arrived.
 
-Times are whole milliseconds, Unix time: a leap second is a part of the one before, as POSIX has it, so it
-belongs to the month that ends. The zone's rules come from the system's or the `tzdata` package's database,
-by `zoneinfo`.
+Times are whole milliseconds of Unix time. As in POSIX, a leap second repeats the second before it, so it
+belongs to the month that ends. The zone's rules come from the system's time zone database or from the
+`tzdata` package, by `zoneinfo`.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from typing import NamedTuple
 from zoneinfo import ZoneInfo, ZoneInfoNotFoundError
 
-WRITTEN = re.compile(r"(\d{4})-(0[1-9]|1[0-2])", re.ASCII)
-KEPT = 64  # bounds of months that are remembered
+PERIOD_PATTERN = re.compile(r"(\d{4})-(0[1-9]|1[0-2])", re.ASCII)
+MAX_CACHED_BOUNDARIES = 64  # month starts
 
 
 class PeriodError(ValueError):
-    """No period, or no zone; the text names it."""
+    """An invalid period, time zone or time; the text names it."""
 
 
 class Period(NamedTuple):
-    """A month; sorts by time. Written as 2026-02."""
+    """A calendar month, ordered by time and written as 2026-02."""
 
     year: int
     month: int
@@ -32,63 +32,71 @@
 
     @classmethod
     def parse(cls, text: str) -> Period:
-        found = WRITTEN.fullmatch(text)
-        if found is None or not 1 <= int(found[1]) <= 9998:
+        """Raises PeriodError. Excludes year 9999, whose last month has no next one."""
+        match = PERIOD_PATTERN.fullmatch(text)
+        if match is None or not 1 <= int(match[1]) <= 9998:
             raise PeriodError(f"no period: {text[:40]!r}; one is written as 2026-02")
-        return cls(int(found[1]), int(found[2]))
+        return cls(int(match[1]), int(match[2]))
 
     def next(self) -> Period:
+        """Returns the month after this one."""
         return Period(self.year + self.month // 12, self.month % 12 + 1)
 
 
 class Calendar:
-    """Which period a time belongs to, in one zone."""
+    """Maps times to billing periods in one time zone."""
 
     def __init__(self, zone: str) -> None:
         try:
             self.zone = ZoneInfo(zone)
-        except (ZoneInfoNotFoundError, ValueError, OSError):  # a folder of the database is an OSError
+        except (ZoneInfoNotFoundError, ValueError, OSError):  # OSError: a folder of the database
             raise PeriodError(f"no time zone: {zone[:60]!r}; one is named as Africa/Kigali or UTC") from None
-        self._starts: list[int] = []  # of months in order, with their periods beside them
+        self._starts: list[int] = []  # cached month starts in order; `_periods` holds their periods
         self._periods: list[Period] = []
 
     def start(self, period: Period) -> int:
-        """The first millisecond of a period. Where midnight does not exist, since clocks were set forward
-        at it, the month begins with the first moment that does; where it comes twice, with the first."""
+        """Returns the first millisecond of a period. If clocks are set forward at midnight, so that it does
+        not exist, the month begins with the first moment that does. If midnight occurs twice, the month
+        begins with the first one."""
         local = datetime(period.year, period.month, 1, tzinfo=self.zone)
         return int(local.astimezone(UTC).timestamp() * 1000)
 
-    def period(self, at: int) -> Period:
-        """Of a time in ms. Raises PeriodError for one that no calendar holds."""
-        place = bisect_right(self._starts, at) - 1
-        if 0 <= place < len(self._starts) - 1 and self._periods[place + 1] == self._periods[place].next():
-            return self._periods[place]
+    def period(self, time_ms: int) -> Period:
+        """Returns the period that contains a time. Raises PeriodError for a time that no calendar
+        represents."""
+        index = bisect_right(self._starts, time_ms) - 1
+        if 0 <= index < len(self._starts) - 1 and self._periods[index + 1] == self._periods[index].next():
+            return self._periods[index]
         try:
-            local = datetime.fromtimestamp(at / 1000, self.zone)
+            local = datetime.fromtimestamp(time_ms / 1000, self.zone)
         except (OverflowError, ValueError, OSError):
-            raise PeriodError(f"no time of a calendar: {at} ms") from None
-        found = Period(local.year, local.month)
-        # Rounding to microseconds, and clocks set back over a boundary: the start decides.
-        if at < self.start(found):
-            found = self.period_before(found)
-        elif at >= self.start(found.next()):
-            found = found.next()
-        self._remember(found)
-        return found
+            raise PeriodError(f"no time of a calendar: {time_ms} ms") from None
+        period = Period(local.year, local.month)
+        # Rounding to microseconds, or clocks set back over a month's boundary, can give a neighboring month.
+        # The start of the period decides.
+        if time_ms < self.start(period):
+            period = self.period_before(period)
+        elif time_ms >= self.start(period.next()):
+            period = period.next()
+        self._cache_boundaries(period)
+        return period
 
     def period_before(self, period: Period) -> Period:
+        """Returns the month before a period."""
         return Period(period.year - (period.month == 1), (period.month - 2) % 12 + 1)
 
-    def _remember(self, period: Period) -> None:
-        if len(self._starts) > KEPT:  # times from all over: whoever sends them costs no memory
+    def _cache_boundaries(self, period: Period) -> None:
+        """Caches the start of a period and of the next one."""
+        if len(self._starts) > MAX_CACHED_BOUNDARIES:  # bounds the memory, whatever times clients send
             self._starts, self._periods = [], []
-        for one in (period, period.next()):
-            at = self.start(one)
-            place = bisect_right(self._starts, at)
-            if place == 0 or self._starts[place - 1] != at:
-                self._starts.insert(place, at)
-                self._periods.insert(place, one)
-
-    def is_near_bound(self, at: int, uncertainty: int) -> bool:
-        """Whether a clock that may be off by so many ms could have put it into another period."""
-        return self.period(at - uncertainty) != self.period(at + uncertainty)
+        for starting in (period, period.next()):
+            start_ms = self.start(starting)
+            index = bisect_right(self._starts, start_ms)
+            if index == 0 or self._starts[index - 1] != start_ms:
+                self._starts.insert(index, start_ms)
+                self._periods.insert(index, starting)
+
+    def is_near_boundary(self, time_ms: int, clock_error_ms: int) -> bool:
+        """Whether a clock with an error of up to `clock_error_ms` could have put the time into another
+        period."""
+        return self.period(time_ms - clock_error_ms) != self.period(time_ms + clock_error_ms)
--- a/driftstair/ledger/reconcile.py
+++ b/driftstair/ledger/reconcile.py
@@ -1,8 +1,7 @@
-"""Several nodes' ledgers, and several copies of one, joined: what is proven, what is missing, what
-contradicts.
+"""Joins the ledgers of several nodes, and several copies of one ledger, and reports gaps and contradictions.
 
-Pure: copies come as lines. Entries are named by node and number, so a repeat of one is harmless, whatever
-copy or message it came by.
+This module does no I/O: copies are given as lines. Entries are identified by node and number, so an entry
+that appears in several copies is counted once.
 """
 
 from __future__ import annotations
@@ -17,15 +16,17 @@
 
 
 class Finding(NamedTuple):
-    """What is wrong with a node's books, and from which number on."""
+    """A problem in a node's ledger, and the number of the first entry that it concerns."""
 
     node: str
-    what: str  # fork, torn, open, lost, skew
+    what: str  # fork, torn, open, lost or skew
     number: int
     text: str
 
 
 class Account(NamedTuple):
+    """The key of a total: one word of one tenant in one period."""
+
     period: str
     tenant: str
     word: str
@@ -33,89 +34,100 @@
 
 @dataclass(slots=True)
 class Total:
-    proven: int = 0  # in chains that are whole from their first line on
-    bounded: int = 0  # in the longer branch of a fork, or behind a gap: at least one book says so
-    corrected: int = 0  # of these, by corrections
+    """The usage of one account."""
+
+    proven: int = 0  # in chains that are intact from their first line on
+    bounded: int = 0  # in the longer branch of a fork: at least one copy records it
+    corrected: int = 0  # the part of both that is due to corrections
 
 
 @dataclass(slots=True)
-class Joined:
+class JoinedLedgers:
+    """The result of joining ledgers."""
+
     totals: dict[Account, Total] = field(default_factory=lambda: defaultdict(Total))
     findings: list[Finding] = field(default_factory=list)
-    doubles: int = 0  # entries that came more than once, all alike
-    doubtful: set[str] = field(default_factory=set)  # periods that a finding may touch
-    heads: dict[str, Head] = field(default_factory=dict)  # of each node, up to where it is proven
+    repeats: int = 0  # entries that another copy repeats unchanged
+    doubtful_periods: set[str] = field(default_factory=set)  # periods that a finding may concern
+    heads: dict[str, Head] = field(default_factory=dict)  # by node: the end of its proven entries
 
     def is_proven(self, period: str) -> bool:
-        return period not in self.doubtful
+        """Whether no finding concerns the period."""
+        return period not in self.doubtful_periods
 
 
-class Copy(NamedTuple):
-    """One copy of a node's ledger, as far as its chain holds."""
+class LedgerCopy(NamedTuple):
+    """One copy of a node's ledger, up to the first line that breaks its chain."""
 
     node: str
     entries: list[tuple[Entry, bytes]]  # with their digests
     finding: Finding | None
 
 
-def chained(lines: Iterable[bytes]) -> Copy:
-    """Reads a copy up to the first line that does not fit; what stands behind that proves nothing."""
+def read_copy(lines: Iterable[bytes]) -> LedgerCopy:
+    """Reads a copy up to the first line that does not follow; the lines after it prove nothing."""
     head, node = Head(), ""
     entries: list[tuple[Entry, bytes]] = []
-    for place, whole in enumerate(lines, 1):
+    for line_number, encoded in enumerate(lines, 1):
         try:
-            entry, behind = head.follow(whole.removesuffix(b"\n"))
+            entry, next_head = head.read_next(encoded.removesuffix(b"\n"))
             if node and entry.node != node:
                 raise EntryError(f"an entry of {entry.node} in the ledger of {node}")
         except EntryError as problem:
-            return Copy(node, entries, Finding(node, "torn", place, f"line {place}: {problem}"))
-        head, node = behind, entry.node
+            return LedgerCopy(
+                node, entries, Finding(node, "torn", line_number, f"line {line_number}: {problem}")
+            )
+        head, node = next_head, entry.node
         entries.append((entry, head.digest))
-    return Copy(node, entries, None)
+    return LedgerCopy(node, entries, None)
 
 
-def joined(copies: Iterable[Copy], skew: int = 1000) -> Joined:
-    """`skew`: ms that a node's time may run back between two entries before it is told."""
-    result = Joined()
-    by_node: defaultdict[str, list[Copy]] = defaultdict(list)
+def join_copies(copies: Iterable[LedgerCopy], max_skew_ms: int = 1000) -> JoinedLedgers:
+    """Joins copies of any number of nodes. A node's clock may run back by `max_skew_ms` between two entries
+    before that is reported."""
+    result = JoinedLedgers()
+    by_node: defaultdict[str, list[LedgerCopy]] = defaultdict(list)
     for copy in copies:
         if copy.entries:
             by_node[copy.node].append(copy)
         elif copy.finding is not None:
             result.findings.append(copy.finding)
     for node in sorted(by_node):
-        _join_node(result, node, by_node[node], skew)
+        _join_node(result, node, by_node[node], max_skew_ms)
     return result
 
 
-def _join_node(result: Joined, node: str, copies: list[Copy], skew: int) -> None:
-    """The longest copy is the book; each other one has to be a first part of it."""
+def _join_node(result: JoinedLedgers, node: str, copies: list[LedgerCopy], max_skew_ms: int) -> None:
+    """Joins the copies of one node. The longest copy counts, and each other one has to be a prefix of it."""
     copies = sorted(copies, key=lambda copy: (-len(copy.entries), copy.entries[-1][1]))
-    book = copies[0]
-    proven = len(book.entries)
+    longest = copies[0]
+    proven_entries = len(longest.entries)
     for other in copies[1:]:
-        # A chain: where the last digest of the shorter one stands in the longer, all before it does too.
-        same = _common(book.entries, other.entries)
-        result.doubles += same
-        if same < len(other.entries):
-            proven = min(proven, same)
-            number = other.entries[same][0].number
+        # In a chain, equal digests of one entry imply that all earlier entries are equal too.
+        common = _common_prefix_length(longest.entries, other.entries)
+        result.repeats += common
+        if common < len(other.entries):
+            proven_entries = min(proven_entries, common)
+            number = other.entries[common][0].number
             text = f"two entries of number {number}: two processes wrote it, or an old copy was restored"
             result.findings.append(Finding(node, "fork", number, text))
-            # From the other branch's time on nothing is sure; whichever is right, these are the periods.
-            result.doubtful.update(entry.period for entry, _ in other.entries[same:] if entry.period)
+            # From the fork on, either branch may be the right one. These periods are affected.
+            result.doubtful_periods.update(
+                entry.period for entry, _ in other.entries[common:] if entry.period
+            )
     for copy in copies:
-        # A copy that breaks off where another goes on hides nothing.
-        if copy.finding is not None and len(copy.entries) == len(book.entries):
+        # A damaged copy hides nothing if another copy continues beyond the damage.
+        if copy.finding is not None and len(copy.entries) == len(longest.entries):
             result.findings.append(copy.finding._replace(node=node))
-            result.doubtful.add(_newest_period(book.entries))
+            result.doubtful_periods.add(_newest_period(longest.entries))
             break
-    _add(result, node, book.entries, proven)
-    _look_at(result, node, book.entries, skew)
+    _add_entries(result, node, longest.entries, proven_entries)
+    _check_sequence(result, node, longest.entries, max_skew_ms)
 
 
-def _common(longer: list[tuple[Entry, bytes]], shorter: list[tuple[Entry, bytes]]) -> int:
-    """How many entries two chains share: a search for the last one, as all before it are shared too."""
+def _common_prefix_length(longer: list[tuple[Entry, bytes]], shorter: list[tuple[Entry, bytes]]) -> int:
+    """Returns the number of leading entries that two chains share. Equal digests imply that all earlier
+    entries are equal too, so a binary search finds the last shared one."""
     low, high = 0, min(len(longer), len(shorter))
     while low < high:
         middle = (low + high + 1) // 2
@@ -126,17 +138,21 @@
     return low
 
 
-def _add(result: Joined, node: str, entries: list[tuple[Entry, bytes]], proven: int) -> None:
+def _add_entries(
+    result: JoinedLedgers, node: str, entries: list[tuple[Entry, bytes]], proven_entries: int
+) -> None:
+    """Adds the usage of a node's entries to the totals. Entries after the first `proven_entries` are not
+    proven."""
     head = Head()
-    for place, (entry, digest) in enumerate(entries):
-        if place < proven:
-            head = head.after(entry, digest)
+    for index, (entry, digest) in enumerate(entries):
+        if index < proven_entries:
+            head = head.advance(entry, digest)
         elif entry.period:
-            result.doubtful.add(entry.period)
+            result.doubtful_periods.add(entry.period)
         if entry.kind not in (Kind.USE, Kind.CORRECTION):
             continue
         total = result.totals[Account(entry.period, entry.tenant, entry.word)]
-        if place < proven:
+        if index < proven_entries:
             total.proven += entry.quantity
         else:
             total.bounded += entry.quantity
@@ -145,35 +161,39 @@
     result.heads[node] = head
 
 
-def _look_at(result: Joined, node: str, entries: list[tuple[Entry, bytes]], skew: int) -> None:
-    """Lives that did not end in order, and clocks that ran back."""
-    newest, latest = "", 0
+def _check_sequence(
+    result: JoinedLedgers, node: str, entries: list[tuple[Entry, bytes]], max_skew_ms: int
+) -> None:
+    """Reports runs that did not end in order and clocks that ran back."""
+    newest_period, latest_ms = "", 0
     for entry, _ in entries:
-        if entry.at < latest - skew:
-            text = f"its clock ran back by {latest - entry.at} ms"
+        if entry.at < latest_ms - max_skew_ms:
+            text = f"its clock ran back by {latest_ms - entry.at} ms"
             result.findings.append(Finding(node, "skew", entry.number, text))
-            latest = entry.at  # told once
-        latest = max(latest, entry.at)
+            latest_ms = entry.at  # reported once
+        latest_ms = max(latest_ms, entry.at)
         if entry.kind is Kind.GAP:
             text = f"use since {entry.since} may be missing; {entry.quantity} lines were not whole"
             result.findings.append(Finding(node, "lost", entry.number, text))
-            result.doubtful.add(newest)
-        newest = max(newest, entry.period)
+            result.doubtful_periods.add(newest_period)
+        newest_period = max(newest_period, entry.period)
     if entries and entries[-1][0].kind is not Kind.END:
         last = entries[-1][0]
         text = f"no end stands behind entry {last.number}: what came after it is in no book"
         result.findings.append(Finding(node, "open", last.number, text))
-        result.doubtful.add(newest)
-    result.doubtful.discard("")
+        result.doubtful_periods.add(newest_period)
+    result.doubtful_periods.discard("")
 
 
 def _newest_period(entries: list[tuple[Entry, bytes]]) -> str:
+    """Returns the newest period of the entries, or an empty text."""
     return max((entry.period for entry, _ in entries), default="")
 
 
-def against(joined_books: Joined, served: Mapping[Account, int]) -> dict[Account, int]:
-    """What the books say beyond what was seen, by account; below 0 where they say less. Empty: they agree."""
-    said = Counter({account: total.proven + total.bounded for account, total in joined_books.totals.items()})
-    accounts = sorted({*said, *served})
-    differences = {account: said[account] - served.get(account, 0) for account in accounts}
-    return {account: by for account, by in differences.items() if by}
+def compare_with_served(ledgers: JoinedLedgers, served: Mapping[Account, int]) -> dict[Account, int]:
+    """Returns how much more usage the ledgers record than was observed, by account; the difference is
+    negative if they record less. Accounts that agree are left out."""
+    recorded = Counter({account: total.proven + total.bounded for account, total in ledgers.totals.items()})
+    accounts = sorted({*recorded, *served})
+    differences = {account: recorded[account] - served.get(account, 0) for account in accounts}
+    return {account: difference for account, difference in differences.items() if difference}
--- a/driftstair/ledger/segments.py
+++ b/driftstair/ledger/segments.py
@@ -1,14 +1,15 @@
-"""Where a node's ledger lies: append-only files of lines, in a folder that outlives the process.
+"""Stores a node's ledger: append-only files of lines, in a folder that outlives the process.
 
     n3-00000001.ledger, n3-00000002.ledger, ...
 
-A segment is full at `SEGMENT` bytes; the next one's chain goes on from it, so a file that is missing shows.
-What a write leaves half done, a full disk or a killed process, is cut off again: by the writer if it lives,
-else by the next one that opens the folder, which says how many lines it cut. One process writes at a time:
-flock(2) on a file beside them, which ends with the process.
+When an append would make a segment larger than its maximum size, a new segment continues its chain, so a
+missing file is detected. An incomplete write, after a full disk or a killed process, is truncated: by the
+writer if it still runs, else by the next process that opens the folder, which reports how many lines it
+truncated. Only one process writes at a time. It holds a lock (flock(2)) on a file beside the segments, which
+ends with the process.
 
-Durability: a line that `append` has returned for survives the process; with `sync` it survives the machine
-too (fsync of the segment, and of the folder where the segment is new).
+Durability: a line for which `append` has returned survives a crash of the process. With `sync` it also
+survives a crash of the machine (fsync of the segment, and of the folder if the segment is new).
 """
 
 from __future__ import annotations
@@ -22,106 +23,117 @@
 from typing import NamedTuple
 
 from driftstair.ledger.book import Head
-from driftstair.ledger.entries import LINE_MOST, EntryError
+from driftstair.ledger.entries import MAX_LINE_BYTES, EntryError
 
-SEGMENT = 8 << 20  # bytes
-READ = 1 << 20  # bytes
-NODE = re.compile(r"[A-Za-z0-9][A-Za-z0-9._]{0,60}", re.ASCII)
+MAX_SEGMENT_BYTES = 8 << 20
+READ_CHUNK_BYTES = 1 << 20
+NODE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._]{0,60}", re.ASCII)
 
 
 class StoreError(Exception):
-    """The ledger can't be kept there, or can't be trusted; the text says what would do."""
+    """The ledger can't be kept in the folder or is not trustworthy; the text says what would help."""
 
 
-class Busy(StoreError):
-    """Another process writes it: it may end."""
+class StoreBusyError(StoreError):
+    """Another process writes the ledger; it may end, so that a later attempt succeeds."""
 
 
-class Opened(NamedTuple):
+class OpenedStore(NamedTuple):
+    """What was found when a ledger was opened for writing."""
+
     head: Head
-    cut: int  # lines at the end that were not whole
+    truncated_lines: int  # incomplete lines at the end
 
 
 class Store:
-    """One node's segments, open for writing. `write` and `sync` are seams for tests."""
+    """One node's segments, opened for writing. Tests replace `write` and `sync` to inject faults."""
 
     def __init__(
-        self, folder: Path, node: str, segment: int = SEGMENT,
+        self, folder: Path, node: str, max_segment_bytes: int = MAX_SEGMENT_BYTES,
         write: Callable[[int, bytes], int] = os.write, sync: Callable[[int], None] = os.fsync,
     ) -> None:  # fmt: skip
-        if not NODE.fullmatch(node):
+        if not NODE_NAME.fullmatch(node):
             raise StoreError(f"no name for files: {node[:60]!r}; letters, digits and dots would do")
         self._folder = folder
         self._node = node
-        self._segment = segment
+        self._max_segment_bytes = max_segment_bytes
         self._write = write
         self._sync = sync
         self._file = -1
         self._size = 0
         self._lock = -1
 
-    def open(self) -> Opened:
-        """Raises StoreError, also where another process writes; OSError."""
+    def open(self) -> OpenedStore:
+        """Locks and reads the ledger. Raises StoreError, also if another process writes it (StoreBusyError),
+        and OSError."""
         self._lock = os.open(self._folder / f"{self._node}.lock", os.O_RDWR | os.O_CREAT, 0o644)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             self.close()
-            raise Busy(f"another process writes the ledger of {self._node} in {self._folder}") from None
+            raise StoreBusyError(
+                f"another process writes the ledger of {self._node} in {self._folder}"
+            ) from None
         try:
-            return self._opened()
+            return self._read_ledger()
         except BaseException:
             self.close()
             raise
 
-    def _opened(self) -> Opened:
-        head, cut, paths = Head(), 0, segments(self._folder, self._node)
-        for place, path in enumerate(paths):
-            whole = 0
-            for line in lines(path):
+    def _read_ledger(self) -> OpenedStore:
+        """Follows the chain through all segments, truncates an incomplete last line and opens the last
+        segment."""
+        head, truncated_lines, paths = Head(), 0, segment_paths(self._folder, self._node)
+        for index, path in enumerate(paths):
+            valid_bytes = 0
+            for line in read_lines(path):
                 try:
                     if not line.endswith(b"\n"):
                         raise EntryError("a line without its end")
-                    _, head = head.follow(line.removesuffix(b"\n"))
+                    _, head = head.read_next(line.removesuffix(b"\n"))
                 except EntryError as problem:
-                    if place + 1 < len(paths) or not _is_torn(path, whole):
-                        # What was written and kept has changed since: cutting it off would hide that.
-                        text = f"{path.name}, byte {whole}: {problem}; keep the folder and begin a new one"
+                    if index + 1 < len(paths) or not _is_torn(path, valid_bytes):
+                        # A stored line was modified later; truncating it would hide that.
+                        text = (
+                            f"{path.name}, byte {valid_bytes}: {problem}; keep the folder and begin a new one"
+                        )
                         raise StoreError(text) from None
-                    cut += 1
+                    truncated_lines += 1
                     break
-                whole += len(line)
-        number = _number(paths[-1]) if paths else 1
-        self._take(number)
-        if cut:
-            os.ftruncate(self._file, whole)
+                valid_bytes += len(line)
+        number = _segment_number(paths[-1]) if paths else 1
+        self._open_segment(number)
+        if truncated_lines:
+            os.ftruncate(self._file, valid_bytes)
             self._sync(self._file)
         self._size = os.fstat(self._file).st_size
-        return Opened(head, cut)
+        return OpenedStore(head, truncated_lines)
 
-    def _take(self, number: int) -> None:
+    def _open_segment(self, number: int) -> None:
+        """Opens a segment for appending, and creates it if necessary."""
         path = self._folder / f"{self._node}-{number:08}.ledger"
-        new = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
         if self._file >= 0:
             os.close(self._file)
-        self._file, self._size, self._at = new, 0, number
+        self._file, self._size, self._current_number = descriptor, 0, number
 
     def append(self, data: bytes, sync: bool = False) -> None:
-        """All of it or nothing. Raises OSError: the disk is full, or gone."""
-        if self._size and self._size + len(data) > self._segment:
+        """Appends all of the data or none of it. Raises OSError if the disk is full or fails."""
+        if self._size and self._size + len(data) > self._max_segment_bytes:
             if sync:
                 self._sync(self._file)
-            self._take(self._at + 1)
+            self._open_segment(self._current_number + 1)
             if sync:
                 self._sync_folder()
         try:
-            rest = memoryview(data)
-            while rest:
-                rest = rest[self._write(self._file, bytes(rest)) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[self._write(self._file, bytes(remaining)) :]
             if sync:
                 self._sync(self._file)
         except OSError:
-            # A half line would be taken for the end of the ledger, and all behind it for nothing.
+            # An incomplete line would be read as the end of the ledger, and all lines after it would be
+            # ignored.
             with suppress(OSError):
                 os.ftruncate(self._file, self._size)
             raise
@@ -135,42 +147,46 @@
             os.close(folder)
 
     def close(self) -> None:
+        """Closes the segment and releases the lock."""
         for descriptor in (self._file, self._lock):
             if descriptor >= 0:
                 os.close(descriptor)
         self._file = self._lock = -1
 
 
-def _is_torn(path: Path, whole: int) -> bool:
-    """Whether what stands behind the last whole line is a line that was begun, not one that changed."""
+def _is_torn(path: Path, valid_bytes: int) -> bool:
+    """Whether the bytes after the last valid line are an incomplete line, and not a complete line that was
+    modified."""
     with open(path, "rb") as file:
-        file.seek(whole)
-        return b"\n" not in file.read(2 * LINE_MOST)
+        file.seek(valid_bytes)
+        return b"\n" not in file.read(2 * MAX_LINE_BYTES)
 
 
-def _number(path: Path) -> int:
+def _segment_number(path: Path) -> int:
+    """Returns the number in a segment's file name."""
     return int(path.stem.rpartition("-")[2])
 
 
-def segments(folder: Path, node: str) -> list[Path]:
-    """In order. Raises StoreError where one is missing."""
-    form = re.compile(re.escape(node) + r"-\d{8}\.ledger", re.ASCII)
-    paths = sorted(path for path in folder.iterdir() if form.fullmatch(path.name))
+def segment_paths(folder: Path, node: str) -> list[Path]:
+    """Returns a node's segments in order. Raises StoreError if one is missing."""
+    name_pattern = re.compile(re.escape(node) + r"-\d{8}\.ledger", re.ASCII)
+    paths = sorted(path for path in folder.iterdir() if name_pattern.fullmatch(path.name))
     for number, path in enumerate(paths, 1):
-        if _number(path) != number:
+        if _segment_number(path) != number:
             raise StoreError(f"{node}-{number:08}.ledger is missing from {folder}")
     return paths
 
 
-def lines(path: Path) -> Iterator[bytes]:
-    """With their ends; one without an end comes as it is, cut at the longest that a line can be."""
+def read_lines(path: Path) -> Iterator[bytes]:
+    """Yields a file's lines with their newlines. A last line without one is yielded as it is, limited to
+    twice the maximum line length."""
     rest = b""
     with open(path, "rb") as file:
-        while piece := file.read(READ):
-            *whole, rest = (rest + piece).split(b"\n")
-            for line in whole:
+        while chunk := file.read(READ_CHUNK_BYTES):
+            *complete_lines, rest = (rest + chunk).split(b"\n")
+            for line in complete_lines:
                 yield line + b"\n"
-            if len(rest) > 2 * LINE_MOST:
+            if len(rest) > 2 * MAX_LINE_BYTES:
                 break
     if rest:
-        yield rest[: 2 * LINE_MOST]
+        yield rest[: 2 * MAX_LINE_BYTES]
--- a/driftstair/net/in_flight.py
+++ b/driftstair/net/in_flight.py
@@ -12,7 +12,7 @@
 from lichenspring.interface import Result
 
 if TYPE_CHECKING:
-    from driftstair.ledger.keeper import Counted
+    from driftstair.ledger.keeper import CountedRequest
     from driftstair.limits.routes import RouteQuery
     from driftstair.node_configuration.tenant_limits import TenantUsage
 
@@ -55,5 +55,5 @@
     may_have_run: bool = False  # by the attempts that have ended
     last_result: Result = Result.NOT_SENT  # of the attempt that ended most recently
     attempts_out: dict[int, Attempt] = field(default_factory=dict)
-    ledger_record: Counted | None = None  # if a ledger is kept
+    ledger_record: CountedRequest | None = None  # if a ledger is kept
     tenant: TenantUsage | None = None  # counts the tenant's requests in flight, if tenants have limits
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -32,7 +32,7 @@
 from lichenspring.interface import NEVER_RAN, Result
 
 if TYPE_CHECKING:
-    from driftstair.ledger.keeper import Keeper
+    from driftstair.ledger.keeper import LedgerKeeper
     from driftstair.limits.request_table import RequestTable
     from driftstair.node_configuration.tenant_limits import TenantLimiter
     from driftstair.observability.observer import Observer
@@ -58,7 +58,7 @@
         limits: RequestTable | None = None, server_overrides: ServerOverrides | None = None,
     ) -> None:  # fmt: skip
         self.limits = limits  # of the service file's routes
-        self.ledger: Keeper | None = None
+        self.ledger: LedgerKeeper | None = None
         self.tenants: TenantLimiter | None = None  # from the configuration
         self.metrics = Metrics()
         self.guard = RequestGuard(self._note_violation)
@@ -207,7 +207,7 @@
         request = InFlightRequest(self._last_number, parsed)
         if self.ledger is not None and parsed.query is not None:
             aim = self._config.settings.classes[parsed.class_index].aim
-            parsed.client = request.ledger_record = self.ledger.follow(
+            parsed.client = request.ledger_record = self.ledger.track_request(
                 parsed.client, parsed.query.tenant, aim, parsed.resubmitted
             )
         now = self._now()
@@ -281,7 +281,7 @@
         if request is None or request.answered:
             return
         if request.ledger_record is not None:
-            request.ledger_record.gone()
+            request.ledger_record.record_client_left()
         if self.observer is not None:
             self.observer.request_abandoned(number)
         self.guard.mark_abandoned(number)
@@ -387,7 +387,7 @@
             )
             return
         if request.attempts_out and request.ledger_record is not None:
-            request.ledger_record.copied()
+            request.ledger_record.record_copy()
         now = self._now()
         # For a stream, as if its last byte had arrived now; the attempt is timed from the write of that byte.
         deadline = now + request.parsed.patience if isinstance(body, Stream) else request.parsed.deadline
--- a/driftstair/rehearsal/fakes/billing.py
+++ b/driftstair/rehearsal/fakes/billing.py
@@ -14,10 +14,10 @@
 from pathlib import Path
 
 from driftstair.ledger.book import Head
-from driftstair.ledger.carrier import MESSAGE_MOST, MessageError, read, worded
+from driftstair.ledger.carrier import MAX_MESSAGE_BYTES, MessageError, decode_message, encode_message
 from driftstair.ledger.entries import Entry
-from driftstair.ledger.export import LEASE, Collector
-from driftstair.ledger.segments import lines
+from driftstair.ledger.export import SESSION_LEASE_MS, Collector
+from driftstair.ledger.segments import read_lines
 
 
 class Books:
@@ -28,10 +28,10 @@
         self.heads: dict[str, Head] = {}
         for path in sorted(folder.glob("*-00000001.ledger")):
             head, whole = Head(), 0
-            for line in lines(path):
+            for line in read_lines(path):
                 if not line.endswith(b"\n"):
                     break
-                _, head = head.follow(line[:-1])
+                _, head = head.read_next(line[:-1])
                 whole += len(line)
             os.truncate(path, whole)
             self.heads[path.name.removesuffix("-00000001.ledger")] = head
@@ -55,23 +55,23 @@
             os.fsync(file.fileno())
 
 
-async def serve(folder: Path, port: int = 0, lease: int = LEASE) -> None:
+async def serve(folder: Path, port: int = 0, lease: int = SESSION_LEASE_MS) -> None:
     books = Books(folder)
     collector = Collector(books.keep, books.heads, lease, books.tokens, books.claimed)
 
     async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                message = read(await reader.readuntil(b"\n"))
+                message = decode_message(await reader.readuntil(b"\n"))
                 for answer in collector.receive(time.monotonic_ns() // 1_000_000, message):
-                    writer.write(worded(answer))
+                    writer.write(encode_message(answer))
                 await writer.drain()
         except (OSError, MessageError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
             pass
         finally:
             writer.close()
 
-    server = await asyncio.start_server(talk, "127.0.0.1", port, limit=MESSAGE_MOST)
+    server = await asyncio.start_server(talk, "127.0.0.1", port, limit=MAX_MESSAGE_BYTES)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 
--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -17,7 +17,7 @@
 from driftstair.settings import Config
 
 if TYPE_CHECKING:
-    from driftstair.ledger.keeper import Keeper
+    from driftstair.ledger.keeper import LedgerKeeper
     from driftstair.net.system import System
     from driftstair.node_configuration.service import NodeConfiguration
     from driftstair.observability.event_log import EventLog
@@ -186,14 +186,14 @@
         event_log = EventLog(config.name, level, system.monotonic_ns, system.time_ns, handler)
         return event_log, events.metrics_every / 1e9
 
-    def open_ledger(self, config: Config, system: System) -> tuple[Keeper, float] | None:
+    def open_ledger(self, config: Config, system: System) -> tuple[LedgerKeeper, float] | None:
         """The ledger that the file enables, opened, and the interval between commits in seconds. Raises
         ServiceError if it cannot be opened."""
         loaded = self.load()
         ledger = loaded.service.ledger
         if ledger is None:
             return None
-        from driftstair.ledger.keeper import Keeper
+        from driftstair.ledger.keeper import LedgerKeeper
         from driftstair.ledger.periods import Calendar, PeriodError
         from driftstair.ledger.segments import Store, StoreError
 
@@ -205,7 +205,7 @@
             folder = Path(ledger.folder)
             if not folder.is_dir():
                 raise StoreError(f"{ledger.folder} is no folder; one that outlives the process would do")
-            keeper = Keeper(
+            keeper = LedgerKeeper(
                 config.name, Store(folder, config.name), calendar, ledger.clock_off // 1_000_000,
                 ledger.survives == "machine", system.time_ns, system.run_blocking, system.monotonic_ns,
             )  # fmt: skip
--- a/driftstair/tier/collector.py
+++ b/driftstair/tier/collector.py
@@ -14,7 +14,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from driftstair.ledger.carrier import Segments, carry
+from driftstair.ledger.carrier import LedgerReader, export_ledger
 from driftstair.ledger.export import Exporter
 from driftstair.ledger.segments import StoreError
 
@@ -66,7 +66,7 @@
 
     async def close(self) -> None:
         if self._exporter is not None:
-            self._exporter.stopped = "the process ends"
+            self._exporter.stop_reason = "the process ends"
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -85,20 +85,20 @@
         size = sum(path.stat().st_size for path in self._folder.glob(f"{node}-*.ledger"))
         if self._brought.get(node) == size or not is_unlocked(self._folder, node):
             return
-        exporter = Exporter(node, Segments(self._folder, node).lines(), token, token, token)
+        exporter = Exporter(node, LedgerReader(self._folder, node).source(), token, token, token)
         ended: list[str] = []
         self._exporter = exporter
         working = asyncio.ensure_future(
-            self._aside(lambda: ended.append(asyncio.run(carry(exporter, self._address, GIVE_UP))))
+            self._aside(lambda: ended.append(asyncio.run(export_ledger(exporter, self._address, GIVE_UP))))
         )
         while not working.done():
             await asyncio.wait((working,), timeout=0.1)
-            if self._token() != token and not exporter.stopped:
-                exporter.stopped = "its lease is over"  # what is done so far the next need not do
+            if self._token() != token and not exporter.stop_reason:
+                exporter.stop_reason = "its lease is over"  # what is done so far the next need not do
         working.result()
         self._exporter = None
-        if exporter.older:
-            self._floor(exporter.older)
+        if exporter.superseding_token:
+            self._floor(exporter.superseding_token)
             self._write("refused", task=TASK, token=token)
         elif not ended[0]:
             self._brought[node] = size
--- a/tests/ledger/test_export.py
+++ b/tests/ledger/test_export.py
@@ -1,4 +1,4 @@
-"""Export under loss, repeats, reordering and kills at every step: each entry once in the books."""
+"""Tests that the export stores each entry once under loss, duplicates, reordering and kills at every step."""
 
 from __future__ import annotations
 
@@ -6,198 +6,225 @@
 from random import Random
 
 import pytest
-from test_ledger_core import life
+from test_ledger_core import build_ledger
 
 from driftstair.ledger.book import Head
-from driftstair.ledger.entries import FIRST, Entry
-from driftstair.ledger.export import LEASE, Collector, Exporter, Hello, Lines, Message, Offer, Refused, Taken
-from driftstair.ledger.reconcile import Account, against, chained, joined
-
-
-def of(lines: list[bytes]) -> Lines:
-    digests = [FIRST, *(digest for _, digest in chained(lines).entries)]
-    return Lines(
-        lambda first, most: lines[first - 1 : first - 1 + most],
+from driftstair.ledger.entries import INITIAL_DIGEST, Entry
+from driftstair.ledger.export import (
+    SESSION_LEASE_MS,
+    Collector,
+    Exporter,
+    Hello,
+    LineSource,
+    Message,
+    Offer,
+    Refused,
+    Taken,
+)
+from driftstair.ledger.reconcile import Account, compare_with_served, join_copies, read_copy
+
+
+def line_source(lines: list[bytes]) -> LineSource:
+    """Returns lines as an exporter reads them."""
+    digests = [INITIAL_DIGEST, *(digest for _, digest in read_copy(lines).entries)]
+    return LineSource(
+        lambda first, max_lines: lines[first - 1 : first - 1 + max_lines],
         lambda number: digests[number] if 0 <= number < len(digests) else None,
     )
 
 
-class Billing:
-    """The books, which outlive a collector's process."""
+class BillingSide:
+    """The stored ledgers, which outlive a collector's process."""
 
     def __init__(self) -> None:
-        self.kept: dict[str, list[bytes]] = {}
-        self.full = False
-        self.collector = Collector(self.keep, {})
+        self.stored: dict[str, list[bytes]] = {}
+        self.disk_full = False
+        self.collector = Collector(self.store, {})
 
-    def keep(self, node: str, entries: list[Entry], lines: object) -> None:
-        if self.full:
+    def store(self, node: str, entries: list[Entry], lines: object) -> None:
+        if self.disk_full:
             raise OSError("no space")
         assert isinstance(lines, tuple) and len(lines) == len(entries)
-        self.kept.setdefault(node, []).extend(lines)
+        self.stored.setdefault(node, []).extend(lines)
 
     def restart(self) -> None:
+        """Replaces the collector by a new one that knows only what was stored."""
         heads = {}
-        for node, lines in self.kept.items():
+        for node, lines in self.stored.items():
             head = Head()
-            for entry, digest in chained(lines).entries:
-                head = head.after(entry, digest)
+            for entry, digest in read_copy(lines).entries:
+                head = head.advance(entry, digest)
             heads[node] = head
-        self.collector = Collector(self.keep, heads)
+        self.collector = Collector(self.store, heads)
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_a_network_that_loses_repeats_and_reorders(seed: int) -> None:
-    """And exporters and collectors that are killed: fifty seeds, totals exact in each."""
-    chance, billing, served = Random(seed), Billing(), Counter[Account]()
-    ledgers, exporters = {}, {}
+def test_totals_are_exact_over_a_network_that_loses_duplicates_and_reorders(seed: int) -> None:
+    """Exporters and collectors are also killed at random."""
+    random, billing, served = Random(seed), BillingSide(), Counter[Account]()
+    sources, exporters = {}, {}
     for number in range(3):
-        lines, own = life(f"n{number}", seed=seed * 10 + number, requests=150)
-        served += own
-        ledgers[f"n{number}"] = of(lines)
+        lines, node_served = build_ledger(f"n{number}", seed=seed * 10 + number, requests=150)
+        served += node_served
+        sources[f"n{number}"] = line_source(lines)
     sessions = iter(range(1, 10_000))
-    for node, lines in ledgers.items():
+    for node, lines in sources.items():
         exporters[node] = Exporter(node, lines, next(sessions), seed)
-    now, on_the_way = 0, []  # (due, to the collector, message)
+    now_ms, in_transit = 0, []  # (arrival ms, to the collector, message)
     for _ in range(4000):
         if all(exporter.is_done() for exporter in exporters.values()):
             break
-        now += 100
+        now_ms += 100
         for node, exporter in exporters.items():
-            if chance.random() < 0.004:
-                exporters[node] = exporter = Exporter(node, ledgers[node], next(sessions), seed)
-            on_the_way += _sent(chance, now, True, exporter.poll(now))
-        if chance.random() < 0.004:
+            if random.random() < 0.004:
+                exporters[node] = exporter = Exporter(node, sources[node], next(sessions), seed)
+            in_transit += _send_unreliably(random, now_ms, True, exporter.poll(now_ms))
+        if random.random() < 0.004:
             billing.restart()
-        due = [one for one in on_the_way if one[0] <= now]
-        on_the_way = [one for one in on_the_way if one[0] > now]
-        chance.shuffle(due)
-        for _, up, message in due:
-            if up:
-                on_the_way += _sent(chance, now, False, billing.collector.receive(now, message))
+        arriving = [transmission for transmission in in_transit if transmission[0] <= now_ms]
+        in_transit = [transmission for transmission in in_transit if transmission[0] > now_ms]
+        random.shuffle(arriving)
+        for _, to_collector, message in arriving:
+            if to_collector:
+                in_transit += _send_unreliably(
+                    random, now_ms, False, billing.collector.receive(now_ms, message)
+                )
             else:
-                on_the_way += _sent(chance, now, True, exporters[message.node].receive(now, message))
-    assert all(exporter.is_done() and not exporter.stopped for exporter in exporters.values())
-    books = joined([chained(lines) for lines in billing.kept.values()])
-    assert not against(books, served) and not books.findings
-
-
-def _sent(chance: Random, now: int, up: bool, messages: list[Message]) -> list[tuple[int, bool, Message]]:
-    on_the_way = []
+                in_transit += _send_unreliably(
+                    random, now_ms, True, exporters[message.node].receive(now_ms, message)
+                )
+    assert all(exporter.is_done() and not exporter.stop_reason for exporter in exporters.values())
+    ledgers = join_copies([read_copy(lines) for lines in billing.stored.values()])
+    assert not compare_with_served(ledgers, served) and not ledgers.findings
+
+
+def _send_unreliably(
+    random: Random, now_ms: int, to_collector: bool, messages: list[Message]
+) -> list[tuple[int, bool, Message]]:
+    """Returns zero to three copies of each message, with random arrival times."""
+    in_transit = []
     for message in messages:
-        for _ in range(chance.choice((0, 1, 1, 1, 2, 3))):
-            on_the_way.append((now + chance.randrange(0, 1500), up, message))
-    return on_the_way
+        for _ in range(random.choice((0, 1, 1, 1, 2, 3))):
+            in_transit.append((now_ms + random.randrange(0, 1500), to_collector, message))
+    return in_transit
 
 
-def exchange(exporter: Exporter, billing: Billing, now: int, steps: int) -> int:
-    """So many messages, one after the other, none lost; how many there were."""
-    waiting: list[tuple[bool, Message]] = [(True, one) for one in exporter.poll(now)]
+def exchange_messages(exporter: Exporter, billing: BillingSide, now_ms: int, max_messages: int) -> int:
+    """Delivers at most `max_messages` messages in order and without loss; returns how many there were."""
+    pending: list[tuple[bool, Message]] = [(True, message) for message in exporter.poll(now_ms)]
     count = 0
-    while waiting and count < steps:
-        up, message = waiting.pop(0)
-        answers = billing.collector.receive(now, message) if up else exporter.receive(now, message)
-        waiting += [(not up, one) for one in answers]
+    while pending and count < max_messages:
+        to_collector, message = pending.pop(0)
+        answers = (
+            billing.collector.receive(now_ms, message) if to_collector else exporter.receive(now_ms, message)
+        )
+        pending += [(not to_collector, message) for message in answers]
         count += 1
     return count
 
 
-def test_an_exporter_killed_after_each_message_goes_on_where_the_books_stand() -> None:
-    lines, served = life(requests=2000)
-    steps = exchange(Exporter("n0", of(lines), 1, 1), Billing(), 0, 1 << 30)
-    assert steps > 6
-    for killed in range(steps + 1):
-        billing = Billing()
-        exchange(Exporter("n0", of(lines), 1, 1), billing, 0, killed)
-        second = Exporter("n0", of(lines), 2, 1)
-        exchange(second, billing, LEASE + 1, 1 << 30)
-        assert second.is_done() and billing.kept["n0"] == lines
-    assert not against(joined([chained(billing.kept["n0"])]), served)
+def test_new_exporter_continues_after_a_kill_at_any_message() -> None:
+    lines, served = build_ledger(requests=2000)
+    total_messages = exchange_messages(Exporter("n0", line_source(lines), 1, 1), BillingSide(), 0, 1 << 30)
+    assert total_messages > 6
+    for delivered_messages in range(total_messages + 1):
+        billing = BillingSide()
+        exchange_messages(Exporter("n0", line_source(lines), 1, 1), billing, 0, delivered_messages)
+        second = Exporter("n0", line_source(lines), 2, 1)
+        exchange_messages(second, billing, SESSION_LEASE_MS + 1, 1 << 30)
+        assert second.is_done() and billing.stored["n0"] == lines
+    assert not compare_with_served(join_copies([read_copy(billing.stored["n0"])]), served)
 
 
-def test_a_second_exporter_is_refused_while_the_first_is_at_work() -> None:
-    lines, _ = life()
-    billing = Billing()
-    exchange(Exporter("n0", of(lines), 1, 1), billing, 0, 2)
+def test_second_exporter_is_refused_while_the_first_is_active() -> None:
+    lines, _ = build_ledger()
+    billing = BillingSide()
+    exchange_messages(Exporter("n0", line_source(lines), 1, 1), billing, 0, 2)
     (answer,) = billing.collector.receive(1000, Hello("n0", 2))
     assert isinstance(answer, Refused) and not answer.final
     (answer,) = billing.collector.receive(1000, Offer("n0", 2, 1, tuple(lines)))
-    assert isinstance(answer, Refused) and not billing.kept
-    (answer,) = billing.collector.receive(LEASE + 1000, Hello("n0", 2))
+    assert isinstance(answer, Refused) and not billing.stored
+    (answer,) = billing.collector.receive(SESSION_LEASE_MS + 1000, Hello("n0", 2))
     assert isinstance(answer, Taken)
-    (answer,) = billing.collector.receive(LEASE + 1000, Offer("n0", 1, 1, tuple(lines)))  # the first is late
-    assert isinstance(answer, Refused) and not billing.kept
+    (answer,) = billing.collector.receive(SESSION_LEASE_MS + 1000, Offer("n0", 1, 1, tuple(lines)))  # late
+    assert isinstance(answer, Refused) and not billing.stored
 
 
-def test_a_restored_old_copy_stops_its_export() -> None:
-    lines, _ = life()
-    billing = Billing()
-    exchange(Exporter("n0", of(lines), 1, 1), billing, 0, 1 << 30)
-    other, _ = life(seed=2)
-    for ledger in (other, lines[:5]):  # went on otherwise; or holds less than the books
-        late = Exporter("n0", of(ledger), 2, 1)
+def test_export_of_a_restored_old_copy_stops() -> None:
+    lines, _ = build_ledger()
+    billing = BillingSide()
+    exchange_messages(Exporter("n0", line_source(lines), 1, 1), billing, 0, 1 << 30)
+    other, _ = build_ledger(seed=2)
+    for ledger in (other, lines[:5]):  # has other entries, or fewer than the collector
+        exporter = Exporter("n0", line_source(ledger), 2, 1)
         billing.restart()
-        exchange(late, billing, LEASE + 1, 1 << 30)
-        assert "another entry" in late.stopped and not late.poll(1 << 40)
-    assert billing.kept["n0"] == lines
+        exchange_messages(exporter, billing, SESSION_LEASE_MS + 1, 1 << 30)
+        assert "another entry" in exporter.stop_reason and not exporter.poll(1 << 40)
+    assert billing.stored["n0"] == lines
 
 
-def test_what_could_not_be_kept_is_not_acknowledged() -> None:
-    lines, _ = life()
-    billing = Billing()
-    exporter = Exporter("n0", of(lines), 1, 1)
-    exchange(exporter, billing, 0, 2)
-    billing.full = True
+def test_entries_that_could_not_be_stored_are_not_acknowledged() -> None:
+    lines, _ = build_ledger()
+    billing = BillingSide()
+    exporter = Exporter("n0", line_source(lines), 1, 1)
+    exchange_messages(exporter, billing, 0, 2)
+    billing.disk_full = True
     with pytest.raises(OSError):
         billing.collector.receive(0, Offer("n0", 1, 1, tuple(lines)))
     assert billing.collector.head("n0") == Head()
-    billing.full = False
-    exchange(exporter, billing, 1 << 20, 1 << 30)
-    assert billing.kept["n0"] == lines
+    billing.disk_full = False
+    exchange_messages(exporter, billing, 1 << 20, 1 << 30)
+    assert billing.stored["n0"] == lines
 
 
-@pytest.mark.parametrize("spoilt", [b"", b"x", b"0" * 32 + b" {}", b"\xff" * 5000])
-def test_a_spoilt_offer_is_refused_and_leaves_nothing(spoilt: bytes) -> None:
-    lines, _ = life()
-    billing = Billing()
+@pytest.mark.parametrize("invalid_line", [b"", b"x", b"0" * 32 + b" {}", b"\xff" * 5000])
+def test_invalid_offer_is_refused_and_stores_nothing(invalid_line: bytes) -> None:
+    lines, _ = build_ledger()
+    billing = BillingSide()
     billing.collector.receive(0, Hello("n0", 1))
-    (answer,) = billing.collector.receive(0, Offer("n0", 1, 1, (*lines[:3], spoilt)))
-    assert isinstance(answer, Refused) and answer.final and not billing.kept
+    (answer,) = billing.collector.receive(0, Offer("n0", 1, 1, (*lines[:3], invalid_line)))
+    assert isinstance(answer, Refused) and answer.final and not billing.stored
     (answer,) = billing.collector.receive(0, Offer("n1", 1, 1, tuple(lines)))
     assert isinstance(answer, Refused)
 
 
-def test_pauses_double_and_are_spread_by_the_seed() -> None:
-    lines, _ = life()
-    waits = []
+def test_retry_pauses_double_and_are_spread_by_the_seed() -> None:
+    lines, _ = build_ledger()
+    pauses_by_seed = []
     for seed in range(40):
-        exporter = Exporter("n0", of(lines), 1, seed)
-        now, own = 0, []
+        exporter = Exporter("n0", line_source(lines), 1, seed)
+        now_ms, pauses = 0, []
         for _ in range(9):
-            assert exporter.poll(now)
-            own.append(exporter.wakes - now)
-            now = exporter.wakes
-        waits.append(own)
-    assert len({own[3] for own in waits}) > 30
-    assert max(own[0] for own in waits) <= 500
-    assert min(own[8] for own in waits) >= 16_000
-    assert max(own[8] for own in waits) <= 32_000
-
-
-def test_an_exporter_goes_on_with_a_collector_that_was_restarted() -> None:
-    """A new life of the collector knows no session: it turned every offer away, for ever, until the exporter
-    was restarted as well."""
-    lines, _ = life("n0", seed=4, requests=300)
-    billing, exporter = Billing(), Exporter("n0", of(lines), 1, 1)
-    now = 0
+            assert exporter.poll(now_ms)
+            pauses.append(exporter.next_poll_ms - now_ms)
+            now_ms = exporter.next_poll_ms
+        pauses_by_seed.append(pauses)
+    assert len({pauses[3] for pauses in pauses_by_seed}) > 30
+    assert max(pauses[0] for pauses in pauses_by_seed) <= 500
+    assert min(pauses[8] for pauses in pauses_by_seed) >= 16_000
+    assert max(pauses[8] for pauses in pauses_by_seed) <= 32_000
+
+
+def test_exporter_continues_with_a_restarted_collector() -> None:
+    """A restarted collector knows no session and refuses every offer. An exporter that did not say hello
+    again was refused until its own restart."""
+    lines, _ = build_ledger("n0", seed=4, requests=300)
+    billing, exporter = BillingSide(), Exporter("n0", line_source(lines), 1, 1)
+    now_ms = 0
     for turn in range(400):
-        now += 100
+        now_ms += 100
         if turn == 1:
             billing.restart()
-        messages = exporter.poll(now)
+        messages = exporter.poll(now_ms)
         while messages:
-            answers = [answer for one in messages for answer in billing.collector.receive(now, one)]
-            messages = [] if turn == 0 else [more for one in answers for more in exporter.receive(now, one)]
-            if turn == 0:  # the hello is answered, and then the collector dies
-                exporter.receive(now, answers[0])
-    assert exporter.is_done() and billing.kept["n0"] == lines
+            answers = [
+                answer for message in messages for answer in billing.collector.receive(now_ms, message)
+            ]
+            messages = (
+                []
+                if turn == 0
+                else [reply for message in answers for reply in exporter.receive(now_ms, message)]
+            )
+            if turn == 0:  # the hello is answered, then the collector restarts
+                exporter.receive(now_ms, answers[0])
+    assert exporter.is_done() and billing.stored["n0"] == lines
--- a/tests/ledger/test_keeper.py
+++ b/tests/ledger/test_keeper.py
@@ -1,4 +1,4 @@
-"""A daemon that keeps its ledger: what clients saw is what the book says, however its life ends."""
+"""Tests a daemon that keeps a ledger: it records what clients saw, however the process ends."""
 
 from __future__ import annotations
 
@@ -20,26 +20,27 @@
 from test_process import Program, program
 
 from benchmarks.soak.shim import Options, build, environment
-from driftstair.ledger.command import copies
-from driftstair.ledger.entries import Kind, Word
-from driftstair.ledger.keeper import Keeper
+from driftstair.ledger.command import read_copies
+from driftstair.ledger.entries import Kind, UsageWord
+from driftstair.ledger.keeper import LedgerKeeper
 from driftstair.ledger.periods import Calendar
-from driftstair.ledger.reconcile import joined
+from driftstair.ledger.reconcile import join_copies
 from driftstair.ledger.segments import Store
 
-errs = sends(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
-NOON = 1_800_000_000_000  # ms, Unix time
+respond_500 = sends(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
+NOON_MS = 1_800_000_000_000  # of Unix time
 
 
-async def inline(what: Callable[[], None]) -> None:
-    what()
+async def run_inline(operation: Callable[[], None]) -> None:
+    """Runs a blocking operation at once."""
+    operation()
 
 
 class Clock:
-    """A wall clock that a test sets, and the one beside it that only moves on."""
+    """A wall clock that tests set, and a monotonic clock beside it."""
 
     def __init__(self) -> None:
-        self.ns = NOON * 1_000_000
+        self.ns = NOON_MS * 1_000_000
         self._monotonic = 0
 
     def __call__(self) -> int:
@@ -48,13 +49,14 @@
     def monotonic(self) -> int:
         return self._monotonic
 
-    def passes(self, span: int) -> None:
-        self.ns += span
-        self._monotonic += span
+    def advance(self, duration_ns: int) -> None:
+        """Advances both clocks."""
+        self.ns += duration_ns
+        self._monotonic += duration_ns
 
 
-class Asked:
-    """A client: what it was answered."""
+class RecordingClient:
+    """A client that records the statuses of its answers."""
 
     def __init__(self) -> None:
         self.statuses: list[int] = []
@@ -63,155 +65,164 @@
         self.statuses.append(status)
 
 
-def keeper(folder: Path, clock: Clock, **seams: Any) -> Keeper:
-    store = Store(folder, "n0", **seams)
-    found = Keeper("n0", store, Calendar("UTC"), 50, False, clock, inline, clock.monotonic)
-    found.open()
-    return found
+def open_keeper(folder: Path, clock: Clock, **store_options: Any) -> LedgerKeeper:
+    """Opens a ledger in a folder."""
+    store = Store(folder, "n0", **store_options)
+    keeper = LedgerKeeper("n0", store, Calendar("UTC"), 50, False, clock, run_inline, clock.monotonic)
+    keeper.open()
+    return keeper
 
 
-def totals(folder: Path) -> Counter[tuple[str, str]]:
-    books = joined(copies(str(folder)))
-    return Counter({(one.tenant, one.word): total.proven for one, total in books.totals.items()})
+def proven_totals(folder: Path) -> Counter[tuple[str, str]]:
+    """Returns the proven usage by tenant and word."""
+    ledgers = join_copies(read_copies(str(folder)))
+    return Counter(
+        {(account.tenant, account.word): total.proven for account, total in ledgers.totals.items()}
+    )
 
 
-def test_each_end_has_its_word_and_only_the_first_counts(tmp_path: Path) -> None:
+def test_each_outcome_has_its_word_and_only_the_first_counts(tmp_path: Path) -> None:
     clock = Clock()
-    ledger = keeper(tmp_path, clock)
-    aim = 500_000_000
+    ledger = open_keeper(tmp_path, clock)
+    aim_ns = 500_000_000
 
-    def one(tenant: str = "live", again: bool = False) -> Any:
-        return ledger.follow(Asked(), tenant, aim, again)
+    def track(tenant: str = "live", resubmitted: bool = False) -> Any:
+        return ledger.track_request(RecordingClient(), tenant, aim_ns, resubmitted)
 
-    one().answer(200, [], b"")
-    late = one()
-    clock.passes(aim + 1_000_000)
+    track().answer(200, [], b"")
+    late = track()
+    clock.advance(aim_ns + 1_000_000)
     late.answer(200, [], b"")
     for code in (503, 429, 504, 400):
-        one().answer(code, [], b"")
-    left = one(again=True)
-    left.gone()
-    left.answer(504, [], b"")  # the node closes what is over: no second end
-    one("").copied()
+        track().answer(code, [], b"")
+    abandoned = track(resubmitted=True)
+    abandoned.record_client_left()
+    abandoned.answer(504, [], b"")  # the node also answers the abandoned request: no second outcome
+    track("").record_copy()
     ledger.close()
-    assert totals(tmp_path) == {
+    assert proven_totals(tmp_path) == {
         ("live", "served"): 1, ("live", "late"): 1, ("live", "refused"): 2, ("live", "failed"): 2,
         ("live", "gone"): 1, ("live", "retry"): 1, ("(none)", "copy"): 1,
     }  # fmt: skip
 
 
-def test_what_comes_while_a_commit_is_written_is_not_lost(tmp_path: Path) -> None:
-    ledger = keeper(tmp_path, Clock())
-    began, may_end = asyncio.Event(), asyncio.Event()
+def test_request_counted_during_a_commit_is_not_lost(tmp_path: Path) -> None:
+    ledger = open_keeper(tmp_path, Clock())
+    write_began, write_may_end = asyncio.Event(), asyncio.Event()
 
-    async def slow(what: Callable[[], None]) -> None:
-        began.set()
-        await may_end.wait()
-        what()
+    async def run_delayed(operation: Callable[[], None]) -> None:
+        write_began.set()
+        await write_may_end.wait()
+        operation()
 
-    ledger._aside = slow
+    ledger._run_blocking = run_delayed
 
     async def test() -> None:
-        ledger.follow(Asked(), "a", 1, False).answer(503, [], b"")
+        ledger.track_request(RecordingClient(), "a", 1, False).answer(503, [], b"")
         commit = asyncio.create_task(ledger.commit())
-        await began.wait()
-        ledger.follow(Asked(), "a", 1, False).answer(503, [], b"")
-        may_end.set()
+        await write_began.wait()
+        ledger.track_request(RecordingClient(), "a", 1, False).answer(503, [], b"")
+        write_may_end.set()
         await commit
         ledger.close()
 
     run(test())
-    assert totals(tmp_path) == {("a", "refused"): 2}
+    assert proven_totals(tmp_path) == {("a", "refused"): 2}
 
 
-def on_a_disk(folder: Path, turns: int, full: range) -> None:
-    """A life of so many commits, one count each; at first and in some turns the disk may be full."""
-    turn = 0
+def count_with_a_full_disk(folder: Path, commits: int, full_during: range) -> None:
+    """Makes a number of commits with one count each, while the disk is full during some of them, and checks
+    the totals."""
+    commit = 0
 
     def write(file: int, data: bytes) -> int:
-        if turn in full:
+        if commit in full_during:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         return os.write(file, data)
 
-    ledger = keeper(folder, Clock(), write=write)
+    ledger = open_keeper(folder, Clock(), write=write)
 
     async def test() -> None:
-        nonlocal turn
-        for turn in range(turns):  # noqa: B007 - the disk goes by it
-            ledger.follow(Asked(), "a", 1, False).answer(503, [], b"")
+        nonlocal commit
+        for commit in range(commits):  # noqa: B007 - read by write()
+            ledger.track_request(RecordingClient(), "a", 1, False).answer(503, [], b"")
             await ledger.commit()
 
     run(test())
     ledger.close()
-    assert totals(folder) == {("a", "refused"): turns}
+    assert proven_totals(folder) == {("a", "refused"): commits}
 
 
-def test_a_full_disk_costs_no_count_and_one_line(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    on_a_disk(tmp_path, 10, full=range(2, 7))
-    assert sum("can't be written" in one.message for one in caplog.records) == 1
+def test_full_disk_loses_no_count_and_is_logged_once(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    count_with_a_full_disk(tmp_path, 10, full_during=range(2, 7))
+    assert sum("can't be written" in record.message for record in caplog.records) == 1
 
 
-def test_a_node_starts_while_the_disk_is_full(tmp_path: Path) -> None:
-    on_a_disk(tmp_path, 4, full=range(2))
-    assert not joined(copies(str(tmp_path))).findings
+def test_node_starts_while_the_disk_is_full(tmp_path: Path) -> None:
+    count_with_a_full_disk(tmp_path, 4, full_during=range(2))
+    assert not join_copies(read_copies(str(tmp_path))).findings
 
 
-def test_a_second_process_of_the_node_waits_for_the_first(tmp_path: Path) -> None:
-    """In an upgrade both serve for a while, and one writes."""
+def test_second_process_of_a_node_writes_after_the_first_closes(tmp_path: Path) -> None:
+    """During an upgrade both processes serve for a while, and one writes the ledger."""
     clock = Clock()
-    old, new = keeper(tmp_path, clock), keeper(tmp_path, clock)
+    old, new = open_keeper(tmp_path, clock), open_keeper(tmp_path, clock)
 
     async def test() -> None:
         for ledger in (new, old):
-            ledger.follow(Asked(), "a", 1, False).answer(503, [], b"")
+            ledger.track_request(RecordingClient(), "a", 1, False).answer(503, [], b"")
             await ledger.commit()
         old.close()
-        new.follow(Asked(), "a", 1, False).answer(503, [], b"")
+        new.track_request(RecordingClient(), "a", 1, False).answer(503, [], b"")
         await new.commit()
         new.close()
 
     run(test())
-    assert totals(tmp_path) == {("a", "refused"): 3}
-    assert not joined(copies(str(tmp_path))).findings
+    assert proven_totals(tmp_path) == {("a", "refused"): 3}
+    assert not join_copies(read_copies(str(tmp_path))).findings
 
 
-def service_file(place: Path, kept: Path, **changes: str) -> str:
-    keys = {"folder": str(kept), "commit": "20ms"} | changes
-    lines = ["version = 1", "[ledger]", *(f'{key} = "{value}"' for key, value in keys.items())]
-    path = place / "service.toml"
+def service_file(parent: Path, ledger_folder: Path, **changes: str) -> str:
+    """Writes a service file that enables the ledger."""
+    settings = {"folder": str(ledger_folder), "commit": "20ms"} | changes
+    lines = ["version = 1", "[ledger]", *(f'{key} = "{value}"' for key, value in settings.items())]
+    path = parent / "service.toml"
     path.write_text("\n".join(lines))
     return str(path)
 
 
-async def asks(node: Program, **headers: str) -> int:
+async def send_request(node: Program, **headers: str) -> int:
+    """Sends one request and returns the status of its answer."""
     client = await node.client()
     message = await client.ask(request(**headers))
     client.writer.close()
     return status(message)
 
 
-@pytest.mark.parametrize("step", [-3600, 3600])
-def test_a_step_of_the_wall_clock_makes_no_answer_late(step: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize("step_s", [-3600, 3600])
+def test_step_of_the_wall_clock_does_not_change_which_answers_are_late(step_s: int, tmp_path: Path) -> None:
     clock = Clock()
-    ledger = keeper(tmp_path, clock)
-    aim = 500_000_000
-    in_time, late = (ledger.follow(Asked(), "live", aim, False) for _ in range(2))
-    clock.ns += step * 1_000_000_000
+    ledger = open_keeper(tmp_path, clock)
+    aim_ns = 500_000_000
+    in_time, late = (ledger.track_request(RecordingClient(), "live", aim_ns, False) for _ in range(2))
+    clock.ns += step_s * 1_000_000_000
     in_time.answer(200, [], b"")
-    clock.passes(aim + 1_000_000)
+    clock.advance(aim_ns + 1_000_000)
     late.answer(200, [], b"")
     ledger.close()
-    assert totals(tmp_path) == {("live", "served"): 1, ("live", "late"): 1}
+    assert proven_totals(tmp_path) == {("live", "served"): 1, ("live", "late"): 1}
 
 
-def test_a_disk_that_fails_for_a_while_costs_no_count(tmp_path: Path) -> None:
-    """A whole daemon whose writes and syncs fail with ENOSPC and EIO, or are left half done, three in ten."""
-    kept = tmp_path / "kept"
-    kept.mkdir()
-    failing = environment(build(tmp_path), Options(seed=3, after=0.5, disk=0.3))
-    env = {**os.environ, **failing, "TMPDIR": str(tmp_path)}
-    env["DRIFTSTAIR_SERVICE"] = service_file(tmp_path, kept)
-    seen: Counter[tuple[str, str]] = Counter()
+def test_intermittent_disk_failures_lose_no_count(tmp_path: Path) -> None:
+    """Three in ten writes and syncs of a daemon fail with ENOSPC or EIO, or are incomplete."""
+    ledger_folder = tmp_path / "kept"
+    ledger_folder.mkdir()
+    fault_environment = environment(build(tmp_path), Options(seed=3, after=0.5, disk=0.3))
+    env = {**os.environ, **fault_environment, "TMPDIR": str(tmp_path)}
+    env["DRIFTSTAIR_SERVICE"] = service_file(tmp_path, ledger_folder)
+    observed: Counter[tuple[str, str]] = Counter()
 
     async def test() -> None:
         async with Server("s-1") as server, program(configuration(server), tmp_path, env=env) as node:
@@ -219,83 +230,88 @@
             for number in range(300):
                 tenant = f"t{number % 3}"
                 assert status(await client.ask(request(X_Tenant=tenant))) == 200
-                seen[tenant, "served"] += 1
+                observed[tenant, "served"] += 1
                 await asyncio.sleep(0.005)
-            await until(lambda: totals(kept) == seen)
+            await until(lambda: proven_totals(ledger_folder) == observed)
             node.process.send_signal(signal.SIGTERM)
             assert await node.process.wait() == 0
 
     run(test())
-    assert totals(kept) == seen
-    assert not [one for one in joined(copies(str(kept))).findings if one.what != "cut"]
+    assert proven_totals(ledger_folder) == observed
+    assert not [
+        finding for finding in join_copies(read_copies(str(ledger_folder))).findings if finding.what != "cut"
+    ]
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-def test_a_disk_that_fails_as_the_process_ends_costs_neither_the_last_counts_nor_the_end(
+def test_disk_failure_at_shutdown_loses_neither_the_last_counts_nor_the_end(
     error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It fails for a moment: what was taken on is owed until the process is over."""
+    """A short disk failure must not end the daemon before its last counts are written."""
 
     async def test() -> None:
-        ledger = keeper(tmp_path, Clock())
+        ledger = open_keeper(tmp_path, Clock())
         append, failures = ledger._store.append, [OSError(error, os.strerror(error))] * 3
 
-        def failing(lines: bytes, sync: bool) -> None:
+        def append_after_failures(lines: bytes, sync: bool) -> None:
             if failures:
                 raise failures.pop()
             append(lines, sync)
 
-        monkeypatch.setattr(ledger._store, "append", failing)
-        ledger.follow(Asked(), "live", 500_000_000, False).answer(200, [], b"")
+        monkeypatch.setattr(ledger._store, "append", append_after_failures)
+        ledger.track_request(RecordingClient(), "live", 500_000_000, False).answer(200, [], b"")
         ended = asyncio.Event()
         ended.set()
         await ledger.run(60.0, ended)
 
     asyncio.run(test())
-    assert totals(tmp_path) == {("live", "served"): 1}
-    assert not joined(copies(str(tmp_path))).findings
+    assert proven_totals(tmp_path) == {("live", "served"): 1}
+    assert not join_copies(read_copies(str(tmp_path))).findings
 
 
-@pytest.mark.parametrize("ends", [signal.SIGTERM, signal.SIGKILL])
-def test_a_daemons_book_says_what_clients_saw_however_it_ends(tmp_path: Path, ends: signal.Signals) -> None:
-    kept = tmp_path / "kept"
-    kept.mkdir()
-    env = {**os.environ, "TMPDIR": str(tmp_path), "DRIFTSTAIR_SERVICE": service_file(tmp_path, kept)}
-    seen: Counter[tuple[str, str]] = Counter()
+@pytest.mark.parametrize("end_signal", [signal.SIGTERM, signal.SIGKILL])
+def test_ledger_equals_what_clients_saw_however_the_daemon_ends(
+    tmp_path: Path, end_signal: signal.Signals
+) -> None:
+    ledger_folder = tmp_path / "kept"
+    ledger_folder.mkdir()
+    env = {**os.environ, "TMPDIR": str(tmp_path), "DRIFTSTAIR_SERVICE": service_file(tmp_path, ledger_folder)}
+    observed: Counter[tuple[str, str]] = Counter()
 
-    async def life(count: int, how: signal.Signals) -> None:
+    async def run_daemon(requests: int, signal_number: signal.Signals) -> None:
         async with Server("s-1") as box, program(configuration(box), tmp_path, env=env) as node:
-            for number in range(count):
-                box.script = errs if number % 5 == 4 else serves
+            for number in range(requests):
+                box.script = respond_500 if number % 5 == 4 else serves
                 tenant = f"t{number % 3}"
-                code = await asks(node, X_Tenant=tenant)
+                code = await send_request(node, X_Tenant=tenant)
                 word = "served" if code == 200 else "refused" if code == 503 else "failed"
-                seen[tenant, word] += 1
+                observed[tenant, word] += 1
             box.script = silent
-            before = len(box.seen)
+            requests_before = len(box.seen)
             client = await node.client()
             client.writer.write(request(X_Tenant="t9"))
-            await until(lambda: len(box.seen) > before)
-            # It leaves before its answer. Only to end its sending would not do: it may wait.
+            await until(lambda: len(box.seen) > requests_before)
+            # The client resets its connection before the answer. Closing only its sending side is not enough,
+            # as it may still wait for an answer.
             reset = struct.pack("ii", 1, 0)
             client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset)
             client.writer.close()
-            seen["t9", "gone"] += 1
-            await until(lambda: totals(kept) == seen)  # a commit or two
-            node.process.send_signal(how)
+            observed["t9", "gone"] += 1
+            await until(lambda: proven_totals(ledger_folder) == observed)  # within a commit or two
+            node.process.send_signal(signal_number)
             await node.process.wait()
 
     async def test() -> None:
-        await life(15, ends)
-        await life(6, signal.SIGTERM)
+        await run_daemon(15, end_signal)
+        await run_daemon(6, signal.SIGTERM)
 
     run(test())
-    assert totals(kept) == seen
-    entries = [entry for copy in copies(str(kept)) for entry, *_ in copy.entries]
-    gaps = [one for one in entries if one.kind is Kind.GAP]
-    assert len(gaps) == (ends is signal.SIGKILL)  # the next life says that the last one may have lost some
-    found = {one.what for one in joined(copies(str(kept))).findings}
-    assert ("lost" in found) == (ends is signal.SIGKILL)
+    assert proven_totals(ledger_folder) == observed
+    entries = [entry for copy in read_copies(str(ledger_folder)) for entry, *_ in copy.entries]
+    gaps = [entry for entry in entries if entry.kind is Kind.GAP]
+    assert len(gaps) == (end_signal is signal.SIGKILL)  # the next run records the possible loss
+    found = {finding.what for finding in join_copies(read_copies(str(ledger_folder))).findings}
+    assert ("lost" in found) == (end_signal is signal.SIGKILL)
 
 
 @pytest.mark.parametrize(
@@ -307,7 +323,7 @@
         ({"survives": "fire"}, "ledger.survives:"),
     ],
 )
-def test_a_ledger_that_cant_be_kept_is_one_line_and_exit_2(
+def test_ledger_that_cannot_be_kept_is_one_line_and_exit_status_2(
     tmp_path: Path, changes: dict[str, str], line: str
 ) -> None:
     async def test() -> None:
@@ -319,20 +335,20 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "driftstair", env=env, stderr=asyncio.subprocess.PIPE
             )
-            said = (await process.communicate())[1].decode()
+            stderr = (await process.communicate())[1].decode()
             assert process.returncode == 2
-            (one,) = [text for text in said.splitlines() if text.startswith("driftstair:")]
-            assert line in one
+            (message,) = [text for text in stderr.splitlines() if text.startswith("driftstair:")]
+            assert line in message
 
     run(test())
 
 
-def test_a_ledger_that_changed_is_not_gone_on_with(tmp_path: Path) -> None:
-    ledger = keeper(tmp_path, Clock())
-    ledger.follow(Asked(), "a", 1, False).answer(503, [], b"")
+def test_modified_ledger_is_not_continued(tmp_path: Path) -> None:
+    ledger = open_keeper(tmp_path, Clock())
+    ledger.track_request(RecordingClient(), "a", 1, False).answer(503, [], b"")
     ledger.close()
     (path,) = tmp_path.glob("*.ledger")
     path.write_bytes(path.read_bytes().replace(b'"refused"', b'"refusef"'))
     with pytest.raises(Exception, match="keep the folder and begin a new one"):
-        keeper(tmp_path, Clock())
-    assert Word.REFUSED.value not in path.read_text()
+        open_keeper(tmp_path, Clock())
+    assert UsageWord.REFUSED.value not in path.read_text()
--- a/tests/ledger/test_segments.py
+++ b/tests/ledger/test_segments.py
@@ -1,4 +1,4 @@
-"""The ledger's files: what a crash, a full disk or another hand leaves of them."""
+"""Tests a ledger's files after crashes, full disks and outside modification."""
 
 from __future__ import annotations
 
@@ -7,177 +7,182 @@
 from pathlib import Path
 
 import pytest
-from test_ledger_core import NOON
+from test_ledger_core import NOON_MS
 
 from driftstair.ledger.book import Book
-from driftstair.ledger.entries import Kind, Word
+from driftstair.ledger.entries import Kind, UsageWord
 from driftstair.ledger.periods import Calendar
-from driftstair.ledger.reconcile import chained, joined
-from driftstair.ledger.segments import Store, StoreError, lines, segments
+from driftstair.ledger.reconcile import join_copies, read_copy
+from driftstair.ledger.segments import Store, StoreError, read_lines, segment_paths
 
-UTC = Calendar("UTC")
+UTC_CALENDAR = Calendar("UTC")
 
 
-def keep(store: Store, book: Book, count: int, step: int = 0) -> None:
-    """So many requests in one commit, kept as a daemon would."""
+def write_commit(store: Store, book: Book, count: int, step: int = 0) -> None:
+    """Writes `count` requests in one commit, as a daemon does."""
     for _ in range(count):
-        book.count(NOON + step, "live", Word.SERVED)
-    entries = book.commit(NOON + step)
-    data, head = book.worded(entries)
+        book.count(NOON_MS + step, "live", UsageWord.SERVED)
+    entries = book.commit(NOON_MS + step)
+    data, head = book.encode(entries)
     store.append(data)
-    book.settle(entries, head)
+    book.confirm(entries, head)
 
 
-def begun(folder: Path, segment: int = 1 << 20) -> tuple[Store, Book]:
-    store = Store(folder, "n0", segment)
+def open_ledger(folder: Path, max_segment_bytes: int = 1 << 20) -> tuple[Store, Book]:
+    """Opens a ledger and begins a run."""
+    store = Store(folder, "n0", max_segment_bytes)
     opened = store.open()
-    book = Book("n0", UTC, opened.head)
-    store.append(book.written(book.begin(NOON, 20, opened.cut)))
+    book = Book("n0", UTC_CALENDAR, opened.head)
+    store.append(book.encode_and_confirm(book.begin(NOON_MS, 20, opened.truncated_lines)))
     return store, book
 
 
-def kept(folder: Path) -> list[bytes]:
-    return [line for path in segments(folder, "n0") for line in lines(path)]
+def read_ledger(folder: Path) -> list[bytes]:
+    """Returns the lines of all segments."""
+    return [line for path in segment_paths(folder, "n0") for line in read_lines(path)]
 
 
-def served(folder: Path) -> int:
-    return sum(entry.quantity for entry, _ in chained(kept(folder)).entries if entry.kind is Kind.USE)
+def served_total(folder: Path) -> int:
+    """Returns the total of all usage entries."""
+    return sum(
+        entry.quantity for entry, _ in read_copy(read_ledger(folder)).entries if entry.kind is Kind.USE
+    )
 
 
-def test_a_ledger_goes_on_over_segments_and_lives(tmp_path: Path) -> None:
+def test_chain_continues_over_segments_and_runs(tmp_path: Path) -> None:
     for _ in range(3):
-        store, book = begun(tmp_path, segment=400)
+        store, book = open_ledger(tmp_path, max_segment_bytes=400)
         for step in range(5):
-            keep(store, book, 7, step)
-        store.append(book.written(book.end(NOON + 9)))
+            write_commit(store, book, 7, step)
+        store.append(book.encode_and_confirm(book.end(NOON_MS + 9)))
         store.close()
-    assert len(segments(tmp_path, "n0")) > 3
-    books = joined([chained(kept(tmp_path))])
-    assert served(tmp_path) == 3 * 5 * 7 and not books.findings
-
-
-def test_a_write_cut_at_every_byte_is_cut_off_and_counted(tmp_path: Path) -> None:
-    """A process killed in the midst of an append, whatever part of it got out."""
-    store, book = begun(tmp_path)
-    keep(store, book, 3)
-    (path,) = segments(tmp_path, "n0")
-    before = path.stat().st_size
-    keep(store, book, 4, 1)
+    assert len(segment_paths(tmp_path, "n0")) > 3
+    ledgers = join_copies([read_copy(read_ledger(tmp_path))])
+    assert served_total(tmp_path) == 3 * 5 * 7 and not ledgers.findings
+
+
+def test_incomplete_append_is_truncated_and_recorded_at_every_length(tmp_path: Path) -> None:
+    """A process killed during an append may leave any prefix of it."""
+    store, book = open_ledger(tmp_path)
+    write_commit(store, book, 3)
+    (path,) = segment_paths(tmp_path, "n0")
+    stored_bytes = path.stat().st_size
+    write_commit(store, book, 4, 1)
     store.close()
-    whole = path.read_bytes()
-    for size in range(before, len(whole)):
-        path.write_bytes(whole[:size])
+    data = path.read_bytes()
+    for size in range(stored_bytes, len(data)):
+        path.write_bytes(data[:size])
         store = Store(tmp_path, "n0")
         opened = store.open()
         store.close()
-        assert opened.cut == (size > before) and opened.head.number == 2
-        assert path.stat().st_size == before
-    path.write_bytes(whole[:-5])
-    store, book = begun(tmp_path)
+        assert opened.truncated_lines == (size > stored_bytes) and opened.head.number == 2
+        assert path.stat().st_size == stored_bytes
+    path.write_bytes(data[:-5])
+    store, book = open_ledger(tmp_path)
     store.close()
-    gap = chained(kept(tmp_path)).entries[-1][0]
-    assert (gap.kind, gap.quantity) == (Kind.GAP, 1) and served(tmp_path) == 3
+    gap = read_copy(read_ledger(tmp_path)).entries[-1][0]
+    assert (gap.kind, gap.quantity) == (Kind.GAP, 1) and served_total(tmp_path) == 3
 
 
-@pytest.mark.parametrize("room", [0, 1, 40, 119])
-def test_a_full_disk_loses_no_count(tmp_path: Path, room: int) -> None:
-    """Service goes on: what could not be written is counted on, and written once there is room."""
-    full = [False]
+@pytest.mark.parametrize("free_bytes", [0, 1, 40, 119])
+def test_full_disk_loses_no_count(tmp_path: Path, free_bytes: int) -> None:
+    """Counts that can't be written remain in memory and are written once there is space."""
+    disk_full = [False]
 
     def write(file: int, data: bytes) -> int:
-        if full[0]:
-            if room and len(data) > room:
-                return os.write(file, data[:room])  # a short write, and then none
+        if disk_full[0]:
+            if free_bytes and len(data) > free_bytes:
+                return os.write(file, data[:free_bytes])  # a short write, after which the disk is full
             raise OSError(errno.ENOSPC, "no space")
         return os.write(file, data)
 
-    def stuffed(file: int, data: bytes) -> int:
-        if full[0] and len(data) <= room:
+    def write_or_fail(file: int, data: bytes) -> int:
+        if disk_full[0] and len(data) <= free_bytes:
             raise OSError(errno.ENOSPC, "no space")
         return write(file, data)
 
-    store = Store(tmp_path, "n0", write=stuffed)
-    book = Book("n0", UTC, store.open().head)
-    store.append(book.written(book.begin(NOON, 20)))
-    keep(store, book, 3)
-    full[0] = True
-    size = segments(tmp_path, "n0")[0].stat().st_size
+    store = Store(tmp_path, "n0", write=write_or_fail)
+    book = Book("n0", UTC_CALENDAR, store.open().head)
+    store.append(book.encode_and_confirm(book.begin(NOON_MS, 20)))
+    write_commit(store, book, 3)
+    disk_full[0] = True
+    size = segment_paths(tmp_path, "n0")[0].stat().st_size
     for step in range(1, 4):
         with pytest.raises(OSError):
-            keep(store, book, 5, step)
-        assert segments(tmp_path, "n0")[0].stat().st_size == size
-    full[0] = False
-    keep(store, book, 1, 4)
-    store.append(book.written(book.end(NOON + 9)))
+            write_commit(store, book, 5, step)
+        assert segment_paths(tmp_path, "n0")[0].stat().st_size == size
+    disk_full[0] = False
+    write_commit(store, book, 1, 4)
+    store.append(book.encode_and_confirm(book.end(NOON_MS + 9)))
     store.close()
-    assert served(tmp_path) == 3 + 3 * 5 + 1
-    assert not joined([chained(kept(tmp_path))]).findings
+    assert served_total(tmp_path) == 3 + 3 * 5 + 1
+    assert not join_copies([read_copy(read_ledger(tmp_path))]).findings
 
 
-def test_a_process_killed_between_two_segments_leaves_an_empty_one(tmp_path: Path) -> None:
-    store, book = begun(tmp_path)
-    keep(store, book, 3)
+def test_empty_new_segment_after_a_kill_is_continued(tmp_path: Path) -> None:
+    store, book = open_ledger(tmp_path)
+    write_commit(store, book, 3)
     store.close()
     (tmp_path / "n0-00000002.ledger").touch()
-    store, book = begun(tmp_path)
-    keep(store, book, 4)
+    store, book = open_ledger(tmp_path)
+    write_commit(store, book, 4)
     store.close()
-    assert served(tmp_path) == 7 and chained(kept(tmp_path)).finding is None
+    assert served_total(tmp_path) == 7 and read_copy(read_ledger(tmp_path)).finding is None
 
 
-def test_what_was_kept_and_changed_is_not_cut_off(tmp_path: Path) -> None:
-    """A changed line in the midst is no torn end: opening must not hide it."""
-    store, book = begun(tmp_path)
+def test_modified_line_is_reported_and_not_truncated(tmp_path: Path) -> None:
+    """A modified line in the middle is not an incomplete end: opening the ledger must not hide it."""
+    store, book = open_ledger(tmp_path)
     for step in range(3):
-        keep(store, book, 2, step)
+        write_commit(store, book, 2, step)
     store.close()
-    (path,) = segments(tmp_path, "n0")
-    whole = path.read_bytes()
-    for place in (40, len(whole) // 2, len(whole) - 10):
-        changed = bytearray(whole)
-        changed[place] ^= 1
-        path.write_bytes(changed)
+    (path,) = segment_paths(tmp_path, "n0")
+    data = path.read_bytes()
+    for index in (40, len(data) // 2, len(data) - 10):
+        modified = bytearray(data)
+        modified[index] ^= 1
+        path.write_bytes(modified)
         with pytest.raises(StoreError, match="byte"):
             Store(tmp_path, "n0").open()
-        assert path.read_bytes() == changed
+        assert path.read_bytes() == modified
 
 
-def test_a_segment_that_is_missing_is_named(tmp_path: Path) -> None:
-    store, book = begun(tmp_path, segment=200)
+def test_missing_segment_is_reported(tmp_path: Path) -> None:
+    store, book = open_ledger(tmp_path, max_segment_bytes=200)
     for step in range(4):
-        keep(store, book, 2, step)
+        write_commit(store, book, 2, step)
     store.close()
     (tmp_path / "n0-00000002.ledger").unlink()
     with pytest.raises(StoreError, match=r"n0-00000002.ledger is missing"):
         Store(tmp_path, "n0").open()
 
 
-def test_a_second_writer_is_refused_until_the_first_is_gone(tmp_path: Path) -> None:
-    store, _ = begun(tmp_path)
+def test_second_writer_is_refused_until_the_first_closes(tmp_path: Path) -> None:
+    store, _ = open_ledger(tmp_path)
     with pytest.raises(StoreError, match="another process"):
         Store(tmp_path, "n0").open()
     store.close()
-    again = Store(tmp_path, "n0")
-    assert again.open().head.number == 1
-    again.close()
+    second = Store(tmp_path, "n0")
+    assert second.open().head.number == 1
+    second.close()
 
 
 @pytest.mark.parametrize("name", ["", "../n0", "a/b", "n 0", "n" * 80, "-n", ".lock"])
-def test_a_name_that_is_no_name_of_files_is_refused(tmp_path: Path, name: str) -> None:
+def test_node_name_that_is_unsafe_in_file_names_is_refused(tmp_path: Path, name: str) -> None:
     with pytest.raises(StoreError, match="no name for files"):
         Store(tmp_path, name)
 
 
-def test_the_ledgers_of_two_nodes_share_a_folder(tmp_path: Path) -> None:
-    store, book = begun(tmp_path)
+def test_ledgers_of_two_nodes_share_a_folder(tmp_path: Path) -> None:
+    store, book = open_ledger(tmp_path)
     other = Store(tmp_path, "n0.b")
     assert other.open().head.number == 0
-    keep(store, book, 2)
-    assert len(segments(tmp_path, "n0")) == 1
+    write_commit(store, book, 2)
+    assert len(segment_paths(tmp_path, "n0")) == 1
     store.close()
     other.close()
 
 
-def test_a_file_without_end_of_lines_is_not_read_whole(tmp_path: Path) -> None:
+def test_file_without_newlines_is_not_read_completely(tmp_path: Path) -> None:
     (tmp_path / "n0-00000001.ledger").write_bytes(b"x" * (4 << 20))
-    assert [len(line) for line in lines(tmp_path / "n0-00000001.ledger")] == [8192]
+    assert [len(line) for line in read_lines(tmp_path / "n0-00000001.ledger")] == [8192]
