--- a/driftstair/experiments/__init__.py
+++ b/driftstair/experiments/__init__.py
@@ -1,5 +1,6 @@
-"""Experiments on the model of the fleet: what is varied, each run kept, and differences with intervals.
+"""Experiments on the model of the fleet: which inputs vary, all runs, and differences with intervals.
 
-`design` reads a file of ours and makes the runs; `runs` plays them; `store` keeps a row for each, so that
-none is played again after a kill; `statistics` judges pairs of runs with one seed; `command` shows them.
+`design` reads an experiment's file and lists its runs, `runs` executes them, and `store` saves each result,
+so that no run is repeated after a kill. `statistics` compares pairs of runs with the same seed, `report`
+summarizes the results, and `command` prints them.
 """
--- a/driftstair/experiments/design.py
+++ b/driftstair/experiments/design.py
@@ -1,6 +1,6 @@
-"""What an experiment varies: scenarios x seeds x factors, and the runs that come of it.
+"""The design of an experiment, scenarios x seeds x factors, and the runs that result from it.
 
-Runs of one scenario and seed share their arrivals, so they are compared as pairs.
+Runs of the same scenario and seed have the same arrivals, so they are compared as pairs.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 from driftstair.model.world import ModelError, World
 from driftstair.rehearsal.load import ScenarioError, by_path, load
 
-FORMAT = 1
-RUNS_MOST = 100_000
-POLICY, CONSTANT, BUILD = "policy", "constant:", "build"
+FORMAT_VERSION = 1
+MAX_RUNS = 100_000
+POLICY_KEY, CONSTANT_PREFIX, BUILD_KEY = "policy", "constant:", "build"
 ROOT = Path(__file__).resolve().parents[2]
-REVISION = r"[0-9A-Za-z][0-9A-Za-z._/~^-]{0,80}|"
-SOURCES = ("lichenspring", "driftstair/model", "driftstair/rehearsal", "driftstair/tier")
+REVISION_PATTERN = r"[0-9A-Za-z][0-9A-Za-z._/~^-]{0,80}|"
+SOURCE_FOLDERS = ("lichenspring", "driftstair/model", "driftstair/rehearsal", "driftstair/tier")
 
 Value = bool | int | float | str
-Word = Annotated[str, Field(min_length=1, max_length=80)]
+ShortText = Annotated[str, Field(min_length=1, max_length=80)]
 
 
 class DesignError(Exception):
-    """A file that is no experiment: one line with the file, the key, the value and what would do."""
+    """An invalid experiment file. The text is one line with the file, the key, the value and what would be
+    valid."""
 
 
 class _Table(BaseModel):
@@ -51,50 +52,57 @@
     as `nodes.count`; or `constant:MODULE.NAME`, of the decision module. The first value is what the others
     are compared with."""
 
-    key: Word
+    key: ShortText
     values: Annotated[tuple[Value, ...], Field(min_length=1, max_length=50)]
-    name: Word | None = None
+    name: ShortText | None = None
 
     @property
     def label(self) -> str:
-        return self.name or (self.key.rpartition(".")[2] if self.key.startswith(CONSTANT) else self.key)
+        return self.name or (
+            self.key.rpartition(".")[2] if self.key.startswith(CONSTANT_PREFIX) else self.key
+        )
 
 
 class Design(_Table):
-    version: Annotated[int, Field(strict=True, ge=FORMAT, le=FORMAT)]
+    version: Annotated[int, Field(strict=True, ge=FORMAT_VERSION, le=FORMAT_VERSION)]
     name: Annotated[str, Field(pattern=r"^[0-9A-Za-z][0-9A-Za-z._-]{0,63}$")]
-    scenarios: Annotated[tuple[Word, ...], Field(min_length=1, max_length=50)]
+    scenarios: Annotated[tuple[ShortText, ...], Field(min_length=1, max_length=50)]
     seeds: Seeds = Seeds()
-    set: dict[str, Any] = Field(default={})  # keys of all scenarios, by their paths
+    set: dict[str, Any] = Field(default={})  # settings of all scenarios, by their paths
     factor: Annotated[tuple[Factor, ...], Field(max_length=8)] = ()
-    measures: Annotated[tuple[Word, ...], Field(min_length=1, max_length=20)] = ("service", "refused", "jams")
-    level: Annotated[float, Field(gt=0.5, lt=1.0)] = 0.95  # of the intervals
+    measures: Annotated[tuple[ShortText, ...], Field(min_length=1, max_length=20)] = (
+        "service",
+        "refused",
+        "jams",
+    )
+    level: Annotated[float, Field(gt=0.5, lt=1.0)] = 0.95  # confidence level of the intervals
 
 
 @dataclass(frozen=True)
 class Run:
-    """One play. `chosen`: the values of the factors, by their labels."""
+    """One run of the model. `factor_values` are the values of the factors, by their labels."""
 
     scenario: str
     seed: int
     changes: tuple[tuple[str, Any], ...]
     policy: str
     constants: tuple[tuple[str, Any], ...]
-    build: str  # a revision; empty: the sources as they are
-    chosen: tuple[tuple[str, Value], ...]
-    sources: str  # of what decides it beside all this
+    build: str  # a revision; empty: the current sources
+    factor_values: tuple[tuple[str, Value], ...]
+    sources_hash: str  # of the sources that the run executes
 
     @cached_property
     def hash(self) -> str:
-        told = [
-            FORMAT, self.scenario, self.seed, self.changes, self.policy, self.constants, self.build,
-            "" if self.build else self.sources,
+        """Identifies the run by everything that determines its result."""
+        inputs = [
+            FORMAT_VERSION, self.scenario, self.seed, self.changes, self.policy, self.constants, self.build,
+            "" if self.build else self.sources_hash,
         ]  # fmt: skip
-        return hashlib.blake2b(json.dumps(told).encode(), digest_size=12).hexdigest()
+        return hashlib.blake2b(json.dumps(inputs).encode(), digest_size=12).hexdigest()
 
 
-def read(path: str) -> Design:
-    """Raises DesignError."""
+def read_design(path: str) -> Design:
+    """Reads an experiment's file. Raises DesignError."""
     try:
         tree = parse_text(read_text(path), tomllib.loads)
     except FileError as problem:
@@ -104,100 +112,108 @@
     try:
         design = Design.model_validate(tree)
     except ValidationError as problem:
-        first = problem.errors()[0]
-        place = ".".join(map(str, first["loc"])) or "the file"
-        shown = f", not {first['input']!r:.60}" if not isinstance(first["input"], dict) else ""
-        raise DesignError(f"{path}: {place}: {first['msg'].lower()}{shown}") from None
-    _check(design, path)
+        error = problem.errors()[0]
+        location = ".".join(map(str, error["loc"])) or "the file"
+        given = f", not {error['input']!r:.60}" if not isinstance(error["input"], dict) else ""
+        raise DesignError(f"{path}: {location}: {error['msg'].lower()}{given}") from None
+    _check_design(design, path)
     return design
 
 
-def _check(design: Design, path: str) -> None:
+def _check_design(design: Design, path: str) -> None:
+    """Raises DesignError if the design has invalid values or too many runs."""
     labels = [factor.label for factor in design.factor]
     if len(set(labels)) < len(labels):
         raise DesignError(f"{path}: factor: two are named alike; names of their own would do")
-    number = len(design.scenarios) * design.seeds.count
+    run_count = len(design.scenarios) * design.seeds.count
     for index, factor in enumerate(design.factor):
-        where = f"{path}: factor.{index}"
-        number *= len(factor.values)
+        location = f"{path}: factor.{index}"
+        run_count *= len(factor.values)
         if len(set(map(repr, factor.values))) < len(factor.values):
-            raise DesignError(f"{where}.values: one of {list(factor.values)} stands twice")
-        if factor.key == POLICY:
+            raise DesignError(f"{location}.values: one of {list(factor.values)} stands twice")
+        if factor.key == POLICY_KEY:
             for value in factor.values:
                 if value not in POLICIES:
-                    raise DesignError(f"{where}.values: no policy {value!r}; there are {', '.join(POLICIES)}")
-        elif factor.key == BUILD:
+                    raise DesignError(
+                        f"{location}.values: no policy {value!r}; there are {', '.join(POLICIES)}"
+                    )
+        elif factor.key == BUILD_KEY:
             for value in factor.values:
-                if not isinstance(value, str) or not re.fullmatch(REVISION, value):
+                if not isinstance(value, str) or not re.fullmatch(REVISION_PATTERN, value):
                     why = f'{value!r} is no revision; "" is the sources as they are'
-                    raise DesignError(f"{where}.values: {why}")
-        elif factor.key.startswith(CONSTANT):
+                    raise DesignError(f"{location}.values: {why}")
+        elif factor.key.startswith(CONSTANT_PREFIX):
             for value in factor.values:
-                _constant(factor.key, value, where)
-    if number > RUNS_MOST:
-        raise DesignError(f"{path}: {number} runs; {RUNS_MOST} at most")
+                _check_constant(factor.key, value, location)
+    if run_count > MAX_RUNS:
+        raise DesignError(f"{path}: {run_count} runs; {MAX_RUNS} at most")
     keys = {factor.key for factor in design.factor}
-    if BUILD in keys and any(key.startswith(CONSTANT) for key in keys):
+    if BUILD_KEY in keys and any(key.startswith(CONSTANT_PREFIX) for key in keys):
         raise DesignError(f"{path}: factor: builds and constants at once; an experiment for each would do")
-    sources = sources_of()
+    sources_hash = hash_sources()
     for scenario in design.scenarios:
-        for chosen in product(*(factor.values for factor in design.factor)):
-            run = _run(design, scenario, design.seeds.first, chosen, sources)
+        for factor_values in product(*(factor.values for factor in design.factor)):
+            run = _build_run(design, scenario, design.seeds.first, factor_values, sources_hash)
             try:
-                found = load(scenario, by_path(dict(run.changes)))
+                scenario_settings = load(scenario, by_path(dict(run.changes)))
                 if not run.build:
-                    World(found)
+                    World(scenario_settings)
             except (ScenarioError, ModelError) as problem:
                 raise DesignError(f"{path}: {problem}") from None
 
 
-def _constant(key: str, value: Value, where: str) -> None:
-    """Raises DesignError for one that is not there or of another kind."""
-    from driftstair.experiments.runs import constant
+def _check_constant(key: str, value: Value, location: str) -> None:
+    """Raises DesignError if the constant does not exist or has another type."""
+    from driftstair.experiments.runs import read_constant
 
     try:
-        held = constant(key.removeprefix(CONSTANT))
+        current = read_constant(key.removeprefix(CONSTANT_PREFIX))
     except AttributeError as problem:
-        raise DesignError(f"{where}.key: {problem}") from None
-    if isinstance(value, bool | str) or isinstance(held, bool) or not isinstance(held, int | float):
-        raise DesignError(f"{where}.values: {value!r} in the place of {held!r}; numbers would do")
+        raise DesignError(f"{location}.key: {problem}") from None
+    if isinstance(value, bool | str) or isinstance(current, bool) or not isinstance(current, int | float):
+        raise DesignError(f"{location}.values: {value!r} in the place of {current!r}; numbers would do")
 
 
-def runs(design: Design) -> list[Run]:
-    """All of them, seeds first: so pairs are complete early."""
-    sources = sources_of()
+def list_runs(design: Design) -> list[Run]:
+    """Lists all runs, ordered by seed so that complete pairs are available early."""
+    sources_hash = hash_sources()
     return [
-        _run(design, scenario, seed, chosen, sources)
+        _build_run(design, scenario, seed, factor_values, sources_hash)
         for seed in range(design.seeds.first, design.seeds.first + design.seeds.count)
         for scenario in design.scenarios
-        for chosen in product(*(factor.values for factor in design.factor))
+        for factor_values in product(*(factor.values for factor in design.factor))
     ]
 
 
-def _run(design: Design, scenario: str, seed: int, chosen: tuple[Value, ...], sources: str) -> Run:
+def _build_run(
+    design: Design, scenario: str, seed: int, factor_values: tuple[Value, ...], sources_hash: str
+) -> Run:
+    """Returns the run of a scenario with a seed and values of the factors."""
     changes, policy, build = dict(design.set), "module", ""
     constants: dict[str, Any] = {}
-    for factor, value in zip(design.factor, chosen, strict=True):
-        if factor.key == POLICY:
+    for factor, value in zip(design.factor, factor_values, strict=True):
+        if factor.key == POLICY_KEY:
             policy = str(value)
-        elif factor.key == BUILD:
+        elif factor.key == BUILD_KEY:
             build = str(value)
-        elif factor.key.startswith(CONSTANT):
-            constants[factor.key.removeprefix(CONSTANT)] = value
+        elif factor.key.startswith(CONSTANT_PREFIX):
+            constants[factor.key.removeprefix(CONSTANT_PREFIX)] = value
         else:
             changes[factor.key] = value
-    labels = tuple((factor.label, value) for factor, value in zip(design.factor, chosen, strict=True))
+    labelled_values = tuple(
+        (factor.label, value) for factor, value in zip(design.factor, factor_values, strict=True)
+    )
     return Run(
         scenario, seed, tuple(sorted(changes.items())), policy, tuple(sorted(constants.items())), build,
-        labels, sources,
+        labelled_values, sources_hash,
     )  # fmt: skip
 
 
-def sources_of() -> str:
-    """A hash of all files that a run without a build is played by."""
-    found = hashlib.blake2b(digest_size=8)
-    for name in SOURCES:
+def hash_sources() -> str:
+    """Returns a hash of all files that determine the result of a run without a build."""
+    digest = hashlib.blake2b(digest_size=8)
+    for name in SOURCE_FOLDERS:
         for file in sorted((ROOT / name).rglob("*")):
             if file.suffix in (".py", ".toml"):
-                found.update(file.relative_to(ROOT).as_posix().encode() + b"\0" + file.read_bytes())
-    return found.hexdigest()
+                digest.update(file.relative_to(ROOT).as_posix().encode() + b"\0" + file.read_bytes())
+    return digest.hexdigest()
--- a/driftstair/experiments/runs.py
+++ b/driftstair/experiments/runs.py
@@ -1,4 +1,4 @@
-"""Plays runs, each in a process that others share, and hands over what came of them."""
+"""Executes runs in a pool of processes and returns their results."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 from driftstair.experiments.design import ROOT, Run
 
-BUILD_WITHIN = 3600.0  # s for one run of another build
-PLACES = ("lichenspring",)
-RENAMED = {
+BUILD_TIMEOUT_S = 3600.0  # for one run of another build
+CONSTANT_MODULES = ("lichenspring",)
+RENAMED_CONSTANTS = {
     "lichenspring.adapter.RESUBMITTED": "lichenspring.adapter.RESUBMITTED_BIT",
     "lichenspring.balance.AGAIN_SOON": "lichenspring.balance.WATCH_REOPEN_DELAY_NS",
     "lichenspring.balance.ANSWERED_LATELY": "lichenspring.balance.ANSWERED_LATELY_NS",
@@ -113,71 +113,81 @@
     "lichenspring.subset.ROUND": "lichenspring.subset.NODES_PER_ROUND",
     "lichenspring.wire._TEXT_MOST": "lichenspring.wire._TEXT_MAX_BYTES",
 }
-"""Experiment files may name a renamed constant by its old path."""
+"""New paths of renamed constants, by their old paths, which experiment files may still use."""
 
 
-class Played(NamedTuple):
+class RunResult(NamedTuple):
+    """The result of a run: its outcome, or the problem that ended it."""
+
     run: Run
     outcome: dict[str, Any] | None
     problem: str | None
     cpu_s: float
 
 
-def constant(path: str) -> Any:
-    """Of the decision module, by `MODULE.NAME`. Raises AttributeError, with what would do."""
-    module, _, name = RENAMED.get(path, path).rpartition(".")
-    if not module.startswith(PLACES):
+def read_constant(path: str) -> Any:
+    """Returns the value of a constant of the decision module, given as `MODULE.NAME`. Raises AttributeError
+    with the known names."""
+    module, _, name = RENAMED_CONSTANTS.get(path, path).rpartition(".")
+    if not module.startswith(CONSTANT_MODULES):
         raise AttributeError(f"{path}: a constant of the decision module (lichenspring.MODULE.NAME) would do")
     try:
-        found = importlib.import_module(module)
+        module_object = importlib.import_module(module)
     except ImportError:
         raise AttributeError(f"{path}: there is no module {module}") from None
-    if not name.isupper() or not hasattr(found, name):
-        known = ", ".join(one for one in vars(found) if one.isupper())
+    if not name.isupper() or not hasattr(module_object, name):
+        known = ", ".join(known_name for known_name in vars(module_object) if known_name.isupper())
         raise AttributeError(f"{path}: no such constant; there are {known or 'none'}")
-    return getattr(found, name)
+    return getattr(module_object, name)
 
 
 @contextmanager
-def changed(constants: tuple[tuple[str, Any], ...]) -> Iterator[None]:
-    """While it lasts. What other modules have taken by name changes there as well."""
-    undo: list[tuple[Any, str, Any]] = []
+def override_constants(constants: tuple[tuple[str, Any], ...]) -> Iterator[None]:
+    """Overrides constants within its context, also in the modules that imported them by name."""
+    originals: list[tuple[Any, str, Any]] = []
     try:
         for path, value in constants:
-            before = constant(path)
-            home, _, name = RENAMED.get(path, path).rpartition(".")
-            for module in [one for key, one in sys.modules.items() if key.startswith(PLACES)]:
-                # The same object under the same name: it was imported from there.
-                if module.__name__ == home or getattr(module, name, None) is before:
-                    undo.append((module, name, getattr(module, name)))
+            original = read_constant(path)
+            defining_module, _, name = RENAMED_CONSTANTS.get(path, path).rpartition(".")
+            for module in [
+                module
+                for module_name, module in sys.modules.items()
+                if module_name.startswith(CONSTANT_MODULES)
+            ]:
+                # A module that imported the constant has the same object under the same name.
+                if module.__name__ == defining_module or getattr(module, name, None) is original:
+                    originals.append((module, name, getattr(module, name)))
                     setattr(module, name, value)
         yield
     finally:
-        for module, name, value in reversed(undo):
+        for module, name, value in reversed(originals):
             setattr(module, name, value)
 
 
-def play(run: Run) -> Played:
-    """Whatever goes wrong in it is told with it, and the experiment goes on."""
-    began = time.process_time()
+def execute(run: Run) -> RunResult:
+    """Executes a run. An exception becomes a part of its result, so that the experiment continues."""
+    began_s = time.process_time()
     try:
-        outcome = _elsewhere(run) if run.build else _here(run)
+        outcome = _execute_build(run) if run.build else _execute_in_process(run)
     except Exception as problem:
-        return Played(run, None, f"{type(problem).__name__}: {problem}"[:500], time.process_time() - began)
-    return Played(run, outcome, None, outcome.get("cpu_s", time.process_time() - began))
+        return RunResult(
+            run, None, f"{type(problem).__name__}: {problem}"[:500], time.process_time() - began_s
+        )
+    return RunResult(run, outcome, None, outcome.get("cpu_s", time.process_time() - began_s))
 
 
-def _here(run: Run) -> dict[str, Any]:
-    from driftstair.model.command import play as play_one
+def _execute_in_process(run: Run) -> dict[str, Any]:
+    """Executes a run with the current sources."""
+    from driftstair.model.command import play as play_model
 
-    with changed(run.constants):
-        row = play_one((run.scenario, {**dict(run.changes), "seed": run.seed}, run.policy))
+    with override_constants(run.constants):
+        row = play_model((run.scenario, {**dict(run.changes), "seed": run.seed}, run.policy))
     del row["seconds"]
     return row
 
 
-def _elsewhere(run: Run) -> dict[str, Any]:
-    """By the sources of another revision, and this one's scenario."""
+def _execute_build(run: Run) -> dict[str, Any]:
+    """Executes a run with the sources of another revision, and with the current version of its scenario."""
     import tomli_w
 
     from driftstair.rehearsal.load import by_path, resolved
@@ -186,57 +196,57 @@
     with tempfile.TemporaryDirectory() as folder:
         scenario = Path(folder) / "scenario.toml"
         scenario.write_text(tomli_w.dumps(tree), encoding="utf-8")
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "driftstair", "model", str(scenario), "--policy", run.policy,
              "--json", "-"],
-            cwd=sources(run.build), capture_output=True, text=True, timeout=BUILD_WITHIN, check=False,
-            env={**os.environ, "PYTHONPATH": str(sources(run.build))},
+            cwd=checkout_build(run.build), capture_output=True, text=True, timeout=BUILD_TIMEOUT_S,
+            check=False, env={**os.environ, "PYTHONPATH": str(checkout_build(run.build))},
         )  # fmt: skip
-    if done.returncode not in (0, 1):
-        why = done.stderr[-300:].strip()
-        raise RuntimeError(f"the build {run.build} ended with {done.returncode}: {why}")
-    row: dict[str, Any] = json.loads(done.stdout)["rows"][0]
+    if process.returncode not in (0, 1):
+        stderr_tail = process.stderr[-300:].strip()
+        raise RuntimeError(f"the build {run.build} ended with {process.returncode}: {stderr_tail}")
+    row: dict[str, Any] = json.loads(process.stdout)["rows"][0]
     del row["seconds"]
     return row
 
 
-def sources(build: str) -> Path:
-    """A folder with the files of a revision; made once for each."""
-    found = subprocess.run(
+def checkout_build(build: str) -> Path:
+    """Returns a folder with the files of a revision; it is created once for each."""
+    process = subprocess.run(
         ["git", "rev-parse", "--verify", "--quiet", f"{build}^{{commit}}"], cwd=ROOT, capture_output=True,
         text=True, check=False,
     )  # fmt: skip
-    revision = found.stdout.strip()
+    revision = process.stdout.strip()
     if not revision:
         raise ValueError(f"{build!r} is no revision here")
     folder = Path(tempfile.gettempdir()) / f"driftstair-build-{os.getuid()}-{revision[:16]}"
     if not folder.exists():
-        with tempfile.TemporaryDirectory(dir=tempfile.gettempdir()) as making:
-            new = Path(making) / "new"
+        with tempfile.TemporaryDirectory(dir=tempfile.gettempdir()) as staging:
+            new = Path(staging) / "new"
             new.mkdir()
             archive = subprocess.run(["git", "archive", revision], cwd=ROOT, capture_output=True, check=True)
-            packed = Path(making) / "archive.tar"
-            packed.write_bytes(archive.stdout)
-            with tarfile.open(packed) as tar:
+            archive_path = Path(staging) / "archive.tar"
+            archive_path.write_bytes(archive.stdout)
+            with tarfile.open(archive_path) as tar:
                 tar.extractall(new, filter="data")
             try:
                 new.rename(folder)
             except OSError:
-                if not folder.exists():  # else another process was sooner
+                if not folder.exists():  # another process created it first
                     raise
     return folder
 
 
-def play_all(runs: list[Run], workers: int) -> Iterator[Played]:
-    """As they end."""
+def execute_all(runs: list[Run], workers: int) -> Iterator[RunResult]:
+    """Yields the results of all runs as they finish."""
     if workers == 1 or len(runs) < 2:
-        yield from map(play, runs)
+        yield from map(execute, runs)
         return
     with ProcessPoolExecutor(min(workers, len(runs)), mp_context=get_context("spawn")) as pool:
-        waiting = [pool.submit(play, run) for run in runs]
+        pending = [pool.submit(execute, run) for run in runs]
         try:
-            for one in as_completed(waiting):
-                yield one.result()
+            for future in as_completed(pending):
+                yield future.result()
         finally:
-            for one in waiting:
-                one.cancel()
+            for future in pending:
+                future.cancel()
--- a/driftstair/experiments/statistics.py
+++ b/driftstair/experiments/statistics.py
@@ -1,9 +1,10 @@
-"""Differences between runs that share a scenario and a seed, with intervals, and what they allow to say.
+"""Compares runs that share a scenario and a seed: mean differences with intervals, and which conclusions they
+allow.
 
-Intervals are bootstrapped (BCa, Efron 1987; percentile where its acceleration is not defined), tests are by
-permuting signs, and the p-values of one report are corrected for their number by Holm's way (1979). Both are
-scipy's; weighed against statsmodels, which brings a table library with it. "no difference seen" is an answer:
-it says that the interval of this many pairs holds 0, and how wide it is.
+Intervals are bootstrapped (BCa, Efron 1987; percentile if its acceleration is undefined). Tests permute
+signs, and the p-values of a report are corrected for the number of comparisons by Holm's method (1979). scipy
+computes intervals and tests; statsmodels was not chosen because it depends on a library for tables. "no
+difference seen" is a result: the interval for this number of pairs contains 0, and its width is reported.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
 from scipy import stats
 
 RESAMPLES = 9999
-PAIRS_LEAST = 6  # with fewer no p is under 0.05
+MIN_PAIRS = 6  # fewer pairs can't give a p-value below 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Of `value` from `base` by one measure: the mean of the pairs' differences, its interval, and p by
-    permutation, before and after correction for all that the report compares."""
+    """The difference of `value` from `base` in one measure: the mean of the pairs' differences, its
+    interval, and the p-value of a permutation test before and after the correction for all comparisons of
+    the report."""
 
     scenario: str
     measure: str
@@ -38,55 +40,60 @@
     high: float
     p: float
     corrected: float
-    comparisons: int = 1  # that it was corrected for
+    comparisons: int = 1  # number of comparisons that p was corrected for
 
     def verdict(self, level: float) -> str:
-        # The least p that so many pairs can have is 2 / 2^pairs, and that is corrected as well.
-        least = max(PAIRS_LEAST, ceil(log2(2 * self.comparisons / (1.0 - level))))
-        if self.pairs < least:
-            return f"too few pairs ({self.pairs} of {least} at least)"
+        """Returns the conclusion at a confidence level."""
+        # The least p-value of n pairs is 2 / 2^n, and it is corrected for the number of comparisons as well.
+        min_pairs = max(MIN_PAIRS, ceil(log2(2 * self.comparisons / (1.0 - level))))
+        if self.pairs < min_pairs:
+            return f"too few pairs ({self.pairs} of {min_pairs} at least)"
         if self.corrected > 1.0 - level:
             return "no difference seen"
         return "more" if self.mean > 0 else "less"
 
 
-def difference(
+def compare_pairs(
     scenario: str, measure: str, base: str, value: str, pairs: Sequence[tuple[float, float]], level: float,
     seed: int = 1,
 ) -> Difference:  # fmt: skip
-    """`pairs`: what the base gave, and what the value gave, by one seed each."""
-    apart = np.array([after - before for before, after in pairs], dtype=float)
-    before, after = mean(one for one, _ in pairs), mean(one for _, one in pairs)
-    found = float(apart.mean())
-    if len(pairs) < PAIRS_LEAST or not apart.any():
+    """Compares pairs of the base's and the value's result for the same seed."""
+    differences = np.array([after - before for before, after in pairs], dtype=float)
+    before, after = mean(first for first, _ in pairs), mean(second for _, second in pairs)
+    mean_difference = float(differences.mean())
+    if len(pairs) < MIN_PAIRS or not differences.any():
         p = 1.0
-        low = high = found
-    elif (apart == apart[0]).all():
-        low = high = found
+        low = high = mean_difference
+    elif (differences == differences[0]).all():
+        low = high = mean_difference
         p = 2.0 / 2 ** len(pairs)
     else:
-        low, high = _interval(apart, level, seed)
-        p = _p(apart, seed)
-    return Difference(scenario, measure, base, value, len(pairs), before, after, found, low, high, p, p)
+        low, high = _interval(differences, level, seed)
+        p = _p_value(differences, seed)
+    return Difference(
+        scenario, measure, base, value, len(pairs), before, after, mean_difference, low, high, p, p
+    )
 
 
-def _interval(apart: NDArray[np.float64], level: float, seed: int) -> tuple[float, float]:
+def _interval(differences: NDArray[np.float64], level: float, seed: int) -> tuple[float, float]:
+    """Returns the confidence interval of the mean difference."""
     for method in ("BCa", "percentile"):
         with np.errstate(all="ignore"):
-            found = stats.bootstrap(
-                (apart,), np.mean, confidence_level=level, n_resamples=RESAMPLES, method=method,
+            interval = stats.bootstrap(
+                (differences,), np.mean, confidence_level=level, n_resamples=RESAMPLES, method=method,
                 rng=np.random.default_rng(seed),
             ).confidence_interval  # fmt: skip
-        if np.isfinite(found.low) and np.isfinite(found.high):
+        if np.isfinite(interval.low) and np.isfinite(interval.high):
             break
-    return float(found.low), float(found.high)
+    return float(interval.low), float(interval.high)
 
 
-def _p(apart: NDArray[np.float64], seed: int) -> float:
-    """All changes of sign where they are few, else so many drawn ones."""
+def _p_value(differences: NDArray[np.float64], seed: int) -> float:
+    """Returns the p-value of a sign permutation test. All permutations are used if there are few, else a
+    random sample."""
     return float(
         stats.permutation_test(
-            (apart,),
+            (differences,),
             np.mean,
             permutation_type="samples",
             n_resamples=RESAMPLES,
@@ -95,15 +102,15 @@
     )
 
 
-def corrected(found: list[Difference]) -> list[Difference]:
-    """The same with p-values for all of them together."""
-    order = sorted(range(len(found)), key=lambda index: found[index].p)
-    out, least = list(found), 0.0
+def correct_p_values(compared: list[Difference]) -> list[Difference]:
+    """Returns the differences with p-values that are corrected for all of them."""
+    order = sorted(range(len(compared)), key=lambda index: compared[index].p)
+    result, largest_p = list(compared), 0.0
     for rank, index in enumerate(order):
-        least = max(least, min(1.0, found[index].p * (len(found) - rank)))
-        one = found[index]
-        out[index] = Difference(
-            one.scenario, one.measure, one.base, one.value, one.pairs, one.before, one.after, one.mean,
-            one.low, one.high, one.p, least, len(found),
+        largest_p = max(largest_p, min(1.0, compared[index].p * (len(compared) - rank)))
+        raw = compared[index]
+        result[index] = Difference(
+            raw.scenario, raw.measure, raw.base, raw.value, raw.pairs, raw.before, raw.after, raw.mean,
+            raw.low, raw.high, raw.p, largest_p, len(compared),
         )  # fmt: skip
-    return out
+    return result
