--- a/tests/ledger/test_keeper.py
+++ b/tests/ledger/test_keeper.py
@@ -310,8 +310,8 @@
     entries = [entry for copy in read_copies(str(ledger_folder)) for entry, *_ in copy.entries]
     gaps = [entry for entry in entries if entry.kind is Kind.GAP]
     assert len(gaps) == (end_signal is signal.SIGKILL)  # the next run records the possible loss
-    found = {finding.what for finding in join_copies(read_copies(str(ledger_folder))).findings}
-    assert ("lost" in found) == (end_signal is signal.SIGKILL)
+    reported = {finding.what for finding in join_copies(read_copies(str(ledger_folder))).findings}
+    assert ("lost" in reported) == (end_signal is signal.SIGKILL)
 
 
 @pytest.mark.parametrize(
