--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -20,7 +20,7 @@
 from driftstair.tier.ownership.leases import TERMS
 
 FIRST_SEED = 1000
-SETTLED = TERMS.waited() / 1e9 + 4.0
+SETTLED = TERMS.voter_lease_ns() / 1e9 + 4.0
 
 
 def settled(count: int, seed: int, tasks: tuple[str, ...] = ("work",), link: Link | None = None) -> Fleet:
--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -45,20 +45,21 @@
 def measure_controller(size: int, folder: Path) -> dict[str, float]:
     """A controller in office: its first polls, a request for a permit once all have answered, its memory."""
     from driftstair.tier.ownership.disruption_controller import DisruptionController
-    from driftstair.tier.ownership.permits import Ask, PollReply, Rules
+    from driftstair.tier.ownership.permits import PollReply, RequestPermit, Rules
 
     living = {number: (1, number % 8) for number in range(size)}
     controller = DisruptionController(Rules(AT_ONCE, PERMIT_TERM), 0, size, lambda: living)
-    controller.lead(1, 7)
+    controller.set_token(1, 7)
     polls, first = measured(lambda: controller.tick(2))
 
     def answers() -> None:
         for number in living:
-            controller.heard(3, number, 1, PollReply(7, 0, 0, 0))
+            controller.on_message(3, number, 1, PollReply(7, 0, 0, 0))
 
     _, answering = measured(answers)
     asking = median_each(
-        lambda turn: controller.heard(4 + turn, turn % size, 1, Ask(turn + 1, 0, 4 + turn)), ASKS
+        lambda turn: controller.on_message(4 + turn, turn % size, 1, RequestPermit(turn + 1, 0, 4 + turn)),
+        ASKS,
     )
     ticking = median_each(lambda turn: controller.tick(50 + turn), ASKS)
     return {
--- a/driftstair/control/replication/election.py
+++ b/driftstair/control/replication/election.py
@@ -65,9 +65,9 @@
             now_ns,
             random,
             self._alive_replicas,
-            kept=replica.lease_token,
+            persisted_token=replica.lease_token,
         )
-        self._leases.floor(LEADERSHIP_TASK, replica.promised_token)
+        self._leases.raise_token_floor(LEADERSHIP_TASK, replica.promised_token)
 
     @property
     def wake_at_ns(self) -> int:
@@ -89,12 +89,14 @@
         """Handles a message of the lease. Unreadable ones are ignored, since the lease protocol retries."""
         self._now_ns = now_ns
         try:
-            if not message.item or message.item[0] not in wire.KINDS:
+            if not message.item or message.item[0] not in wire.LEASE_MESSAGES:
                 return ElectionResult()
             lease_message = wire.decode(message.item)
         except InvalidItem:
             return ElectionResult()
-        return self._to_result(now_ns, *self._leases.heard(now_ns, sender, message.generation, lease_message))
+        return self._to_result(
+            now_ns, *self._leases.on_message(now_ns, sender, message.generation, lease_message)
+        )
 
     def on_persisted(self, now_ns: int, sequence: int) -> ElectionResult:
         """Continues with a token once the write that stores it is synced."""
@@ -112,7 +114,7 @@
 
     def set_token_floor(self, token: int) -> None:
         """Makes the next token higher than this one."""
-        self._leases.floor(LEADERSHIP_TASK, token)
+        self._leases.raise_token_floor(LEADERSHIP_TASK, token)
 
     def release(self, now_ns: int, successor: int | None) -> ElectionResult:
         """Releases the lease; `successor` may take it first."""
--- a/driftstair/model/tier/ownership.py
+++ b/driftstair/model/tier/ownership.py
@@ -31,7 +31,7 @@
         return self.core.wake_at
 
     def take(self, datagram: Any) -> None:
-        self._do(*self.core.heard(self.host.now(), *datagram))
+        self._do(*self.core.on_message(self.host.now(), *datagram))
 
     def leave(self) -> None:
         self._do(*self.core.leave(self.host.now()))
@@ -83,8 +83,8 @@
         return self._generation
 
     def changed(self, host: Host, one: LeaseChange) -> None:
-        if one.was:
-            had = next(had for had in self.had if (had.token, had.task) == (one.was, one.task))
+        if one.previous_token:
+            had = next(had for had in self.had if (had.token, had.task) == (one.previous_token, one.task))
             had.end = self.world.now
         if one.token:
             self.had.append(Had(one.task, host.number, one.token, self.world.now))
--- a/driftstair/tier/ownership/__init__.py
+++ b/driftstair/tier/ownership/__init__.py
@@ -1,5 +1,6 @@
-"""One owner at a time for work on behalf of the fleet, each part a core without clock, socket or chance.
+"""Leases on fleet-wide tasks: each task has at most one owner at a time.
 
-`acceptor` is one of the voters that decide, `proposer` whoever wants a lease; `leases` is both, for
-all tasks of one process; `messages` is what they say.
+Every module here is a pure state machine without a clock, a socket or a source of randomness. `acceptor` is
+one of the voters that decide on leases, and `proposer` is a node that wants a lease. `leases` combines both
+roles for all tasks of one process, and `messages` defines what they send to each other.
 """
--- a/driftstair/tier/ownership/disruption_controller.py
+++ b/driftstair/tier/ownership/disruption_controller.py
@@ -1,10 +1,11 @@
-"""The disruption controller: whoever has the lease on permits, and gives them.
+"""The disruption controller: the owner of the lease on permits, which grants them.
 
-At most `at_once` nodes are out at a time, and all of one zone. What a disruption controller before it has
-given it does not know; so until a node has answered its poll, that node counts as out, for as long as a
-permit can last. The state is thus with those whom it is about: nothing has to be kept when the owner changes,
-and a node that says nothing holds the others back, never the other way round. Counted out are also nodes that
-are not alive, for a permit's term from when they were last: who is dead need not be waited for any longer.
+At most `at_once` nodes are out at a time, and all of them are in one zone. A controller does not know which
+permits its predecessor has granted. Therefore every node counts as out until it has answered the controller's
+poll, for as long as a permit can last. The nodes themselves thus hold the state about them, so nothing has to
+be stored for a change of controller, and a node that does not answer delays the others but never allows too
+many to be out. Nodes that are not alive also count as out, for the term of a permit from when they were last
+alive; a node that has been dead for longer need not be waited for.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from driftstair.tier.ownership.messages import outlasting
+from driftstair.tier.ownership.messages import drift_adjusted_ns
 from driftstair.tier.ownership.permits import (
-    ASK_EVERY,
-    Ask,
+    REQUEST_INTERVAL_NS,
     OutgoingMessages,
     Permit,
     Poll,
     PollReply,
+    RequestPermit,
     ReturnConfirmed,
     ReturnPermit,
     Rules,
@@ -27,221 +28,292 @@
     WaitReason,
 )
 
-POLL_EVERY = 10_000_000_000  # ns between two polls of a node that has answered
-POLL_AGAIN = 500_000_000  # ns between two polls of one that has not
-FORGOTTEN = 3 * ASK_EVERY  # ns after its last ask, when a wish is none any more
+POLL_INTERVAL_NS = 10_000_000_000  # between two polls of a node that has answered
+POLL_RETRY_NS = 500_000_000  # between two polls of a node that has not answered
+REQUEST_EXPIRY_NS = 3 * REQUEST_INTERVAL_NS  # a request that is not repeated for this long is dropped
 LiveNodes = dict[int, tuple[int, int]]
-"""By number: the generation and the zone of nodes that are held alive, this one's own among them."""
+"""By number: the generation and the zone of each node that is considered alive, this one among them."""
 
 
 @dataclass(slots=True)
-class Given:
+class GrantedPermit:
+    """The controller's record of a permit."""
+
     generation: int
     seq: int
     kind: int
-    until: int  # ns, by the disruption controller's clock
-    at: int = 0  # by the holder's clock; 0: an earlier disruption controller has given it
+    until_ns: int  # by the controller's clock
+    asked_at_ns: int = 0  # by the holder's clock; 0 if an earlier controller granted the permit
 
 
 @dataclass(slots=True)
-class Wish:
+class PendingRequest:
+    """A request that is not granted yet."""
+
     generation: int
     seq: int
     kind: int
-    at: int  # by the asker's clock
-    since: int
-    heard: int
+    asked_at_ns: int  # by the requesting node's clock
+    first_received_at_ns: int
+    last_received_at_ns: int
 
 
 class DisruptionController:
-    """`count` nodes; `living` as membership has it, which may be wrong: it decides whom to ask, and whom to
-    count out besides those that the polls tell of."""
+    """Grants permits while its process has the lease.
+
+    `node_count` is the number of nodes. `live_nodes` is the membership's view, which may be wrong: it decides
+    which nodes are polled, and which count as out in addition to those that the polls report.
+    """
 
-    def __init__(self, rules: Rules, own: int, count: int, living: Callable[[], LiveNodes]) -> None:
+    def __init__(
+        self, rules: Rules, own_number: int, node_count: int, live_nodes: Callable[[], LiveNodes]
+    ) -> None:
         self.rules = rules
-        self.given: dict[int, Given] = {}
-        self._own, self._count = own, count
-        self._living = living
+        self.granted: dict[int, GrantedPermit] = {}
+        self._own_number, self._node_count = own_number, node_count
+        self._live_nodes = live_nodes
         self._token = 0
-        self._since = 0  # of its office
-        self._answered: dict[int, int] = {}  # by number: the generation that has answered the poll
-        # The generation that has said that it holds nothing of an older disruption controller.
-        self._cleared: dict[int, int] = {}
-        self._polled: dict[int, int] = {}  # when
-        self._seen: dict[int, int] = {}  # when a node was last held alive
-        self._zones: dict[int, int] = {}  # of all that it ever held alive
-        self._wishes: dict[int, Wish] = {}
-        self._turn = -1  # the zone that is out, or was last
-        self._turn_since = 0
-
-    # Its office.
-
-    def lead(self, now: int, token: int) -> None:
-        """The token of its lease from now on; 0: it has none."""
+        self._leading_since_ns = 0
+        self._answered_generations: dict[int, int] = {}  # by number: the generation that answered the poll
+        # By number: the generation that reported to have no permit of an older controller.
+        self._cleared_generations: dict[int, int] = {}
+        self._polled_at_ns: dict[int, int] = {}
+        self._last_alive_ns: dict[int, int] = {}  # when a node was last considered alive
+        self._zones: dict[int, int] = {}  # of all nodes that were ever considered alive
+        self._requests: dict[int, PendingRequest] = {}
+        self._turn_zone = -1  # the zone whose nodes are out, or were last
+        self._turn_since_ns = 0
+
+    # The lease.
+
+    def set_token(self, now: int, token: int) -> None:
+        """Sets the token of this process's lease from now on; 0 if it has none. A change clears the
+        records."""
         if token == self._token:
             return
-        self._token, self._since = token, now
-        for table in (self.given, self._answered, self._cleared, self._polled, self._seen, self._wishes):
+        self._token, self._leading_since_ns = token, now
+        for table in (
+            self.granted,
+            self._answered_generations,
+            self._cleared_generations,
+            self._polled_at_ns,
+            self._last_alive_ns,
+            self._requests,
+        ):
             table.clear()
 
     def tick(self, now: int) -> OutgoingMessages:
-        """Polls, and permits that can be given now."""
+        """Polls that are due, and permits that can be granted now."""
         if not self._token:
             return []
-        living = self._look(now)
-        letters: OutgoingMessages = []
-        for number, (generation, _) in living.items():
-            wait = POLL_EVERY if self._answered.get(number) == generation else POLL_AGAIN
-            if now - self._polled.get(number, -wait) >= wait:
-                self._polled[number] = now
-                letters.append((number, Poll(self._token)))
-        for number in [one for one, wish in self._wishes.items() if now - wish.heard > FORGOTTEN]:
-            del self._wishes[number]
-        return letters + self._give(now, living)
-
-    def _look(self, now: int) -> LiveNodes:
-        living = self._living()
-        for number, (generation, zone) in living.items():
-            self._seen[number], self._zones[number] = now, zone
-            # Guards against a wish of the generation before, which nobody waits for.
-            if number in self._wishes and self._wishes[number].generation != generation:
-                del self._wishes[number]
-        for number in [one for one, given in self.given.items() if now >= given.until]:
-            del self.given[number]
-        return living
-
-    def heard(
-        self, now: int, sender: int, generation: int, message: PollReply | Ask | ReturnPermit
+        live_nodes = self._refresh(now)
+        outgoing: OutgoingMessages = []
+        for number, (generation, _) in live_nodes.items():
+            interval_ns = (
+                POLL_INTERVAL_NS if self._answered_generations.get(number) == generation else POLL_RETRY_NS
+            )
+            if now - self._polled_at_ns.get(number, -interval_ns) >= interval_ns:
+                self._polled_at_ns[number] = now
+                outgoing.append((number, Poll(self._token)))
+        for number in [
+            node
+            for node, request in self._requests.items()
+            if now - request.last_received_at_ns > REQUEST_EXPIRY_NS
+        ]:
+            del self._requests[number]
+        return outgoing + self._grant_permits(now, live_nodes)
+
+    def _refresh(self, now: int) -> LiveNodes:
+        """Updates the records from the membership, drops permits that have ended, and returns the living
+        nodes."""
+        live_nodes = self._live_nodes()
+        for number, (generation, zone) in live_nodes.items():
+            self._last_alive_ns[number], self._zones[number] = now, zone
+            # A request of the previous generation has no process that waits for it.
+            if number in self._requests and self._requests[number].generation != generation:
+                del self._requests[number]
+        for number in [node for node, granted in self.granted.items() if now >= granted.until_ns]:
+            del self.granted[number]
+        return live_nodes
+
+    def on_message(
+        self, now: int, sender: int, generation: int, message: PollReply | RequestPermit | ReturnPermit
     ) -> OutgoingMessages:
+        """Handles a message of a node."""
         if not self._token:
             return []
-        living = self._look(now)
+        live_nodes = self._refresh(now)
         match message:
-            case PollReply(token, seq, kind, left):
+            case PollReply(token, seq, kind, remaining_ns):
                 if token != self._token:
                     return []
-                self._told(now, sender, generation, seq, kind, left)
-                return self._give(now, living)
-            case Ask():
-                return self._asked(now, living, sender, generation, message)
+                self._on_poll_reply(now, sender, generation, seq, kind, remaining_ns)
+                return self._grant_permits(now, live_nodes)
+            case RequestPermit():
+                return self._on_request(now, live_nodes, sender, generation, message)
             case ReturnPermit(seq):
-                wish, given = self._wishes.get(sender), self.given.get(sender)
-                if wish is not None and (wish.generation, wish.seq) == (generation, seq):
-                    del self._wishes[sender]
-                if given is not None and (given.generation, given.seq) == (generation, seq):
-                    del self.given[sender]
-                    self._cleared[sender] = generation
-                return [(sender, ReturnConfirmed(generation, seq)), *self._give(now, living)]
+                request, granted = self._requests.get(sender), self.granted.get(sender)
+                if request is not None and (request.generation, request.seq) == (generation, seq):
+                    del self._requests[sender]
+                if granted is not None and (granted.generation, granted.seq) == (generation, seq):
+                    del self.granted[sender]
+                    self._cleared_generations[sender] = generation
+                return [
+                    (sender, ReturnConfirmed(generation, seq)),
+                    *self._grant_permits(now, live_nodes),
+                ]
         return []
 
-    def _told(self, now: int, sender: int, generation: int, seq: int, kind: int, left: int) -> None:
-        """What a node holds, by its own word. A later generation has nothing of the one before it."""
-        if generation < self._answered.get(sender, 0):
+    def _on_poll_reply(
+        self, now: int, sender: int, generation: int, seq: int, kind: int, remaining_ns: int
+    ) -> None:
+        """Records which permit a node reports to hold. A later generation holds none of an earlier one's."""
+        if generation < self._answered_generations.get(sender, 0):
             return
-        known = self.given.get(sender)
-        if known is not None and known.generation < generation:
-            del self.given[sender]
-            known = None
-        self._answered[sender] = generation
+        granted = self.granted.get(sender)
+        if granted is not None and granted.generation < generation:
+            del self.granted[sender]
+            granted = None
+        self._answered_generations[sender] = generation
         if not seq:
-            # It takes none of an older disruption controller since it heard the poll, so there is none from
-            # here on.
-            self._cleared[sender] = generation
-            if known is not None and not known.at:
-                del self.given[sender]
-        elif known is None and self._cleared.get(sender) != generation:
-            lasts = min(self.rules.waited(), outlasting(left, self.rules.drift))
-            self.given[sender] = Given(generation, seq, kind, now + lasts)
-
-    def _asked(
-        self, now: int, living: LiveNodes, sender: int, generation: int, asked: Ask
+            # The node takes no permit of an older controller once it has received the poll, so it will have
+            # none from here on.
+            self._cleared_generations[sender] = generation
+            if granted is not None and not granted.asked_at_ns:
+                del self.granted[sender]
+        elif granted is None and self._cleared_generations.get(sender) != generation:
+            duration_ns = min(
+                self.rules.controller_term_ns(), drift_adjusted_ns(remaining_ns, self.rules.drift)
+            )
+            self.granted[sender] = GrantedPermit(generation, seq, kind, now + duration_ns)
+
+    def _on_request(
+        self, now: int, live_nodes: LiveNodes, sender: int, generation: int, message: RequestPermit
     ) -> OutgoingMessages:
-        if generation < self._answered.get(sender, 0) or sender not in living:
+        if generation < self._answered_generations.get(sender, 0) or sender not in live_nodes:
             return []
-        given = self.given.get(sender)
-        if given is not None and given.generation == generation:
-            if asked.seq == given.seq and given.at:
-                # Its permit was lost on the way: the same again, no longer than it was.
-                return [(sender, Permit(self._token, generation, asked.seq, given.at, self.rules.term))]
-            if asked.seq <= given.seq:
+        granted = self.granted.get(sender)
+        if granted is not None and granted.generation == generation:
+            if message.seq == granted.seq and granted.asked_at_ns:
+                # The permit was lost on the way. It is sent again with its original time, so it does not
+                # last longer.
+                return [
+                    (
+                        sender,
+                        Permit(self._token, generation, message.seq, granted.asked_at_ns, self.rules.term_ns),
+                    )
+                ]
+            if message.seq <= granted.seq:
                 return []
-            del self.given[sender]  # it holds one at most: what it had is given back
-        wish = self._wishes.get(sender)
-        if wish is not None and wish.generation == generation and asked.seq < wish.seq:
+            # A node holds at most one permit, so a new request implies that it has returned the last one.
+            del self.granted[sender]
+        request = self._requests.get(sender)
+        if request is not None and request.generation == generation and message.seq < request.seq:
             return []
-        if wish is None or (wish.generation, wish.seq) != (generation, asked.seq):
-            wish = self._wishes[sender] = Wish(generation, asked.seq, asked.kind, asked.at, now, now)
-        wish.at, wish.heard = asked.at, now
-        letters = self._give(now, living)
-        if sender in self._wishes:
-            why, before = self._refusal(now, living, sender)
-            letters.append((sender, Wait(self._token, generation, asked.seq, int(why), before)))
-        return letters
-
-    # Who is out.
-
-    def out(self, now: int) -> dict[int, int]:
-        """Who counts as out, and the zone; -1: nobody knows."""
-        return self._out(now, self._living())
-
-    def _out(self, now: int, living: LiveNodes) -> dict[int, int]:
-        out = {number: self._zones.get(number, -1) for number in self.given}
-        for number in range(self._count):
-            # Nothing that was given before its office, or held by a node since gone, lasts any longer.
-            if now - self._since >= self.rules.waited() and (
-                number in living or now - self._seen.get(number, self._since) >= self.rules.waited()
+        if request is None or (request.generation, request.seq) != (generation, message.seq):
+            request = self._requests[sender] = PendingRequest(
+                generation, message.seq, message.kind, message.asked_at_ns, now, now
+            )
+        request.asked_at_ns, request.last_received_at_ns = message.asked_at_ns, now
+        outgoing = self._grant_permits(now, live_nodes)
+        if sender in self._requests:
+            reason, nodes_ahead = self._reason_and_position(now, live_nodes, sender)
+            outgoing.append((sender, Wait(self._token, generation, message.seq, int(reason), nodes_ahead)))
+        return outgoing
+
+    # Which nodes are out.
+
+    def nodes_out(self, now: int) -> dict[int, int]:
+        """The nodes that count as out, with their zones; -1 stands for an unknown zone."""
+        return self._nodes_out(now, self._live_nodes())
+
+    def _nodes_out(self, now: int, live_nodes: LiveNodes) -> dict[int, int]:
+        out = {number: self._zones.get(number, -1) for number in self.granted}
+        for number in range(self._node_count):
+            # By then, each permit that an earlier controller granted, or that a node held when it was last
+            # alive, has ended.
+            if now - self._leading_since_ns >= self.rules.controller_term_ns() and (
+                number in live_nodes
+                or now - self._last_alive_ns.get(number, self._leading_since_ns)
+                >= self.rules.controller_term_ns()
             ):
                 continue
-            generation = living[number][0] if number in living else -1
-            if self._answered.get(number) != generation:
+            generation = live_nodes[number][0] if number in live_nodes else -1
+            if self._answered_generations.get(number) != generation:
                 out.setdefault(number, self._zones.get(number, -1))
         return out
 
-    def waiting(self, now: int) -> list[int]:
-        """Those that want to be out, the next one first."""
-        return self._order(self.out(now))
+    def waiting_nodes(self, now: int) -> list[int]:
+        """The nodes whose requests are pending, in the order in which they are to be granted."""
+        return self._grant_order(self.nodes_out(now))
 
-    # Who is next.
+    # Which node is next.
 
-    def _order(self, out: dict[int, int]) -> list[int]:
-        """By when they began to ask; but those of the zone whose turn it is that asked before the turn began
-        go first, so that they can be out together and nobody waits for ever."""
+    def _grant_order(self, out: dict[int, int]) -> list[int]:
+        """The pending requests in the order in which they were first received. Requests from the zone whose
+        turn it is come first if they were received before the turn began: nodes of one zone can then be out
+        together, and no node waits forever."""
 
         def rank(number: int) -> tuple[bool, int, int]:
-            since = self._wishes[number].since
-            first = bool(out) and self._zones.get(number) == self._turn and since <= self._turn_since
-            return not first, since, number
+            received_at_ns = self._requests[number].first_received_at_ns
+            has_turn = (
+                bool(out)
+                and self._zones.get(number) == self._turn_zone
+                and received_at_ns <= self._turn_since_ns
+            )
+            return not has_turn, received_at_ns, number
 
-        return sorted(self._wishes, key=rank)
+        return sorted(self._requests, key=rank)
 
-    def _refused(self, living: LiveNodes, out: dict[int, int], number: int) -> WaitReason | None:
-        others = {one: zone for one, zone in out.items() if one != number}
-        if self._answered.get(number) != living[number][0]:
+    def _wait_reason(self, live_nodes: LiveNodes, out: dict[int, int], number: int) -> WaitReason | None:
+        """Why the node may not be out now; None if it may."""
+        others = {node: zone for node, zone in out.items() if node != number}
+        if self._answered_generations.get(number) != live_nodes[number][0]:
             return WaitReason.POLLING
         zone = self._zones[number]
         if len(others) >= self.rules.at_once:
-            unknown = any(one in living and self._answered.get(one) != living[one][0] for one in others)
-            return WaitReason.POLLING if unknown else WaitReason.OUT
-        return WaitReason.ZONE if any(one != zone for one in others.values()) else None
-
-    def _refusal(self, now: int, living: LiveNodes, number: int) -> tuple[WaitReason, int]:
-        out = self._out(now, living)
-        before = self._order(out).index(number)
-        return self._refused(living, out, number) or WaitReason.TURN, before
-
-    def _give(self, now: int, living: LiveNodes) -> OutgoingMessages:
-        letters: OutgoingMessages = []
-        while self._wishes:
-            out = self._out(now, living)
-            number = self._order(out)[0]
-            if number not in living or self._refused(living, out, number) is not None:
+            has_unpolled = any(
+                node in live_nodes and self._answered_generations.get(node) != live_nodes[node][0]
+                for node in others
+            )
+            return WaitReason.POLLING if has_unpolled else WaitReason.OUT
+        return WaitReason.ZONE if any(other != zone for other in others.values()) else None
+
+    def _reason_and_position(self, now: int, live_nodes: LiveNodes, number: int) -> tuple[WaitReason, int]:
+        """Why a node waits, and how many nodes come before it."""
+        out = self._nodes_out(now, live_nodes)
+        nodes_ahead = self._grant_order(out).index(number)
+        return self._wait_reason(live_nodes, out, number) or WaitReason.TURN, nodes_ahead
+
+    def _grant_permits(self, now: int, live_nodes: LiveNodes) -> OutgoingMessages:
+        """Grants requests in order, until the first that has to wait."""
+        outgoing: OutgoingMessages = []
+        while self._requests:
+            out = self._nodes_out(now, live_nodes)
+            number = self._grant_order(out)[0]
+            if number not in live_nodes or self._wait_reason(live_nodes, out, number) is not None:
                 break
-            wish = self._wishes.pop(number)
+            request = self._requests.pop(number)
             zone = self._zones[number]
-            if not out or zone != self._turn:
-                self._turn, self._turn_since = zone, now
-            self.given[number] = Given(
-                wish.generation, wish.seq, wish.kind, now + self.rules.waited(), wish.at
+            if not out or zone != self._turn_zone:
+                self._turn_zone, self._turn_since_ns = zone, now
+            self.granted[number] = GrantedPermit(
+                request.generation,
+                request.seq,
+                request.kind,
+                now + self.rules.controller_term_ns(),
+                request.asked_at_ns,
+            )
+            outgoing.append(
+                (
+                    number,
+                    Permit(
+                        self._token,
+                        request.generation,
+                        request.seq,
+                        request.asked_at_ns,
+                        self.rules.term_ns,
+                    ),
+                )
             )
-            letters.append((number, Permit(self._token, wish.generation, wish.seq, wish.at, self.rules.term)))
-        return letters
+        return outgoing
--- a/driftstair/tier/ownership/leases.py
+++ b/driftstair/tier/ownership/leases.py
@@ -1,8 +1,9 @@
-"""All tasks of one process: its part as a voter, and the leases that it wants or holds. Times are ns.
+"""The leases of one process for all tasks: its role as a voter, and the leases that it wants or holds. Times
+are in ns.
 
-Who should have a task is told by rendezvous hashing over the living: the first in rank asks at once, a few
-others wait longer by rank, so that rivals are rare and a crash moves only what its node held. Whoever has a
-lease keeps it while it lives; rank decides no more than who asks first.
+Rendezvous hashing over the living nodes ranks the candidates for a task. The first in rank asks at once and a
+few others ask later by their rank, so that rivals are rare and a crash moves only the tasks of the crashed
+node. An owner keeps its lease while it lives; the rank only decides who asks first.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from driftstair.tier.ownership.acceptor import Acceptor, Running
+from driftstair.tier.ownership.acceptor import Acceptor, RunningLease
 from driftstair.tier.ownership.messages import (
     Accepted,
     Message,
@@ -29,193 +30,222 @@
 
 MAX_VOTERS = 7
 TERMS = Terms()
-STAGGER = 700_000_000  # ns that each further rank waits before it asks
-RANKS_MOST = 4
-PERSIST_RETRY_NS = 1_000_000_000  # ns after a write that failed
+RANK_DELAY_NS = 700_000_000  # each further rank waits this much longer before it asks for a lease
+MAX_RANKS = 4
+PERSIST_RETRY_NS = 1_000_000_000  # after a failed write
 NEVER = 1 << 62
 
 
 class LeaseChange(NamedTuple):
-    """This process has a lease from now on, or (`token` 0) has it no more."""
+    """This process has a lease on `task` from now on, or, with `token` 0, no longer has one.
+
+    `ended_at_ns` is since when the process has had no lease, where it has lost one.
+    """
 
     task: str
     token: int
-    was: int
-    over: int  # ns: since when it has it no more
+    previous_token: int
+    ended_at_ns: int
 
 
 @dataclass(slots=True)
 class Task:
+    """A task as this process sees it."""
+
     name: str
     key: int
     proposer: Proposer
-    since: int  # ns: since when nobody is known to have it
+    free_since_ns: int  # since when no owner is known
     rank: int = 0
-    had: int = 0  # token of the lease that was told of
+    reported_token: int = 0  # token of the lease in the last `LeaseChange`
 
 
 def task_key(name: str) -> int:
+    """The number that stands for a task in messages."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 def voter_numbers(count: int) -> tuple[int, ...]:
-    """The first numbers: the same whatever number beyond them joins or goes."""
+    """The numbers of the voters: the lowest ones, which stay the same if nodes beyond them join or leave."""
     return tuple(range(min(count, MAX_VOTERS)))
 
 
 def rank_nodes(key: int, numbers: Iterable[int]) -> list[int]:
-    """Who should have a task, the first first (Thaler and Ravishankar, 1998)."""
+    """The nodes in the order in which they should have a task, by rendezvous hashing (Thaler and Ravishankar,
+    1998)."""
     return sorted(
         numbers, key=lambda number: blake2b(f"{key}/{number}".encode(), digest_size=8).digest(), reverse=True
     )
 
 
 class Leases:
-    """`living`: numbers that this node holds alive, its own among them; `kept`: the token on its disk, None
-    where it has none."""
+    """Takes part in the leases of all tasks, as a voter if its number is among the voters'.
+
+    `alive_nodes` gives the numbers of the nodes that this node considers alive, its own among them.
+    `persisted_token` is the token on its disk, or None where it has no disk.
+    """
 
     def __init__(
-        self, tasks: Iterable[str], own: int, generation: int, count: int, now: int, random: Random,
-        living: Callable[[], list[int]], terms: Terms = TERMS, kept: int | None = None,
+        self, tasks: Iterable[str], own_number: int, generation: int, node_count: int, now: int,
+        random: Random, alive_nodes: Callable[[], list[int]], terms: Terms = TERMS,
+        persisted_token: int | None = None,
     ) -> None:  # fmt: skip
-        self.voters = voter_numbers(count)
-        self.acceptor = Acceptor(terms, generation, now, kept) if own in self.voters else None
-        self._held: dict[tuple[int, int], tuple[int, Prepare | Propose]] = {}  # until a token is on the disk
-        self._keeping = False
-        self._keep_at = now
+        self.voters = voter_numbers(node_count)
+        self.acceptor = (
+            Acceptor(terms, generation, now, persisted_token) if own_number in self.voters else None
+        )
+        # By sender and task: the generation and the message to answer once a token is on disk.
+        self._deferred_messages: dict[tuple[int, int], tuple[int, Prepare | Propose]] = {}
+        self._is_persisting = False
+        self._persist_at_ns = now
         self.wake_at = now
-        self._own, self._generation = own, generation
+        self._own_number, self._generation = own_number, generation
         self._terms = terms
-        self._living = living
-        self._leaving = False
-        self._alive: list[int] = []  # those that ranks were told by
+        self._alive_nodes = alive_nodes
+        self._is_leaving = False
+        self._ranked_nodes: list[int] = []  # the living nodes that the ranks were computed from
         self._random = random
-        # No voters that were started with this node say anything any sooner.
-        self._speaks_at = now + terms.waited()
+        # Voters that started together with this node do not answer before this time.
+        self._voters_answer_at_ns = now + terms.voter_lease_ns()
         self.tasks: dict[str, Task] = {}
-        self._keys: dict[int, Task] = {}
-        self._used = 0  # the greatest token of tasks that are no more: one that comes back begins above
+        self._tasks_by_key: dict[int, Task] = {}
+        # The highest token of tasks that were removed: a task that is added again begins above it.
+        self._removed_token = 0
         for name in tasks:
-            self.add(now, name)
+            self.add_task(now, name)
 
-    def add(self, now: int, name: str) -> None:
-        """There is this work from now on, as all nodes find for themselves."""
+    def add_task(self, now: int, name: str) -> None:
+        """Takes part in a task from now on. Every node adds a task by itself when it sees the need for it."""
         if name not in self.tasks:
             key = task_key(name)
-            proposer = Proposer(key, self._own, self._generation, self.voters, self._terms, self._random)
-            proposer.floor(self._used)
-            self.tasks[name] = self._keys[key] = Task(name, key, proposer, max(now, self._speaks_at))
-            self._alive = []
+            proposer = Proposer(
+                key, self._own_number, self._generation, self.voters, self._terms, self._random
+            )
+            proposer.raise_token_floor(self._removed_token)
+            self.tasks[name] = self._tasks_by_key[key] = Task(
+                name, key, proposer, max(now, self._voters_answer_at_ns)
+            )
+            self._ranked_nodes = []
             self.wake_at = now
 
-    def remove(self, now: int, name: str) -> tuple[OutgoingMessages, list[LeaseChange]]:
-        """There is no such work any more."""
+    def remove_task(self, now: int, name: str) -> tuple[OutgoingMessages, list[LeaseChange]]:
+        """Releases a task that no longer exists, and takes no further part in it."""
         task = self.tasks.get(name)
         if task is None:
             return [], []
-        letters, changes = self._released(now, task, -1), self._changes(now)
-        self._used = max(self._used, task.proposer.next_token())
-        del self.tasks[name], self._keys[task.key]
-        return letters, changes
+        outgoing, changes = self._release(now, task, -1), self._collect_changes(now)
+        self._removed_token = max(self._removed_token, task.proposer.next_token())
+        del self.tasks[name], self._tasks_by_key[task.key]
+        return outgoing, changes
 
     def token(self, now: int, task: str) -> int:
-        """To act with; 0: not this node's to do."""
-        one = self.tasks.get(task)
-        return 0 if one is None else one.proposer.token(now)
+        """The token to act with; 0 if this node does not own the task."""
+        known_task = self.tasks.get(task)
+        return 0 if known_task is None else known_task.proposer.token(now)
 
     def tick(self, now: int) -> tuple[OutgoingMessages, list[LeaseChange]]:
-        letters: OutgoingMessages = []
-        living = self._living()
-        if living != self._alive:
-            self._alive = living
+        """Asks for leases and renews them as the time requires."""
+        outgoing: OutgoingMessages = []
+        alive_nodes = self._alive_nodes()
+        if alive_nodes != self._ranked_nodes:
+            self._ranked_nodes = alive_nodes
             for task in self.tasks.values():
-                order = rank_nodes(task.key, living)[:RANKS_MOST]
-                task.rank = order.index(self._own) if self._own in order else RANKS_MOST
-        alive = set(living)
+                order = rank_nodes(task.key, alive_nodes)[:MAX_RANKS]
+                task.rank = order.index(self._own_number) if self._own_number in order else MAX_RANKS
+        alive = set(alive_nodes)
         for task in self.tasks.values():
             proposer = task.proposer
-            owner = self._owner(now, task)
+            owner = self._known_owner(now, task)
             if owner in alive:
-                task.since = max(task.since, now)
+                task.free_since_ns = max(task.free_since_ns, now)
             if proposer.token(now):
-                proposer.wanted = not self._leaving
+                proposer.is_wanted = not self._is_leaving
             else:
-                turn = task.rank < RANKS_MOST and now - task.since >= task.rank * STAGGER
-                proposer.wanted = turn and not self._leaving
-            letters += self._deliver(now, proposer.tick(now))
+                may_ask = task.rank < MAX_RANKS and now - task.free_since_ns >= task.rank * RANK_DELAY_NS
+                proposer.is_wanted = may_ask and not self._is_leaving
+            outgoing += self._deliver_local(now, proposer.tick(now))
         self._set_wake(now)
-        return letters, self._changes(now)
+        return outgoing, self._collect_changes(now)
 
-    def _owner(self, now: int, task: Task) -> int:
-        """Of the lease that runs, as far as this node knows; -1: none."""
+    def _known_owner(self, now: int, task: Task) -> int:
+        """The owner of the running lease as far as this node knows; -1 if it knows none."""
         if task.proposer.token(now):
-            return self._own
-        lease = self._lease(now, task)
+            return self._own_number
+        lease = self._voter_lease(now, task)
         return -1 if lease is None else lease.owner
 
-    def _lease(self, now: int, task: Task) -> Running | None:
-        """As it runs here, where this node is a voter."""
-        return None if self.acceptor is None else self.acceptor.lease(now, task.key)
+    def _voter_lease(self, now: int, task: Task) -> RunningLease | None:
+        """The running lease as this node has recorded it as a voter; None if it is not a voter."""
+        return None if self.acceptor is None else self.acceptor.running_lease(now, task.key)
 
     def _set_wake(self, now: int) -> None:
-        # Its wishes follow who lives, so it looks every now and then in any case.
+        # Which leases a node wants depends on who is alive, so `tick` is due regularly in any case.
         self.wake_at = min(
-            (max(now + 1_000_000, one.proposer.due(now)) for one in self.tasks.values()), default=NEVER
+            (max(now + 1_000_000, task.proposer.next_tick_at(now)) for task in self.tasks.values()),
+            default=NEVER,
         )
         if self.tasks:
-            self.wake_at = min(self.wake_at, now + STAGGER // 2)
+            self.wake_at = min(self.wake_at, now + RANK_DELAY_NS // 2)
 
-    def _changes(self, now: int) -> list[LeaseChange]:
-        out = []
+    def _collect_changes(self, now: int) -> list[LeaseChange]:
+        """The changes of this node's leases since the last call."""
+        changes = []
         for task in self.tasks.values():
             token = task.proposer.token(now)
-            if token != task.had:
-                out.append(LeaseChange(task.name, token, task.had, task.proposer.over_at(now)))
-                task.had = token
-        return out
-
-    def _deliver(self, now: int, letters: OutgoingMessages) -> OutgoingMessages:
-        """What is for this node itself needs no datagram."""
-        out: OutgoingMessages = []
-        waiting = list(letters)
-        while waiting:
-            to, message = waiting.pop(0)
-            if to == self._own:
-                waiting += self._take(now, self._own, self._generation, message)
+            if token != task.reported_token:
+                changes.append(
+                    LeaseChange(task.name, token, task.reported_token, task.proposer.ended_at(now))
+                )
+                task.reported_token = token
+        return changes
+
+    def _deliver_local(self, now: int, outgoing: OutgoingMessages) -> OutgoingMessages:
+        """Handles the messages to this node itself directly; returns those to other nodes."""
+        remote: OutgoingMessages = []
+        queue = list(outgoing)
+        while queue:
+            to, message = queue.pop(0)
+            if to == self._own_number:
+                queue += self._handle(now, self._own_number, self._generation, message)
             else:
-                out.append((to, message))
-        return out
+                remote.append((to, message))
+        return remote
 
-    def heard(
+    def on_message(
         self, now: int, sender: int, generation: int, message: Message
     ) -> tuple[OutgoingMessages, list[LeaseChange]]:
-        letters = self._deliver(now, self._take(now, sender, generation, message))
-        if isinstance(message, Release) and message.heir == self._own:
-            asked, changes = self.tick(now)
-            return letters + asked, changes
+        """Handles a message from another node."""
+        outgoing = self._deliver_local(now, self._handle(now, sender, generation, message))
+        if isinstance(message, Release) and message.successor == self._own_number:
+            requests, changes = self.tick(now)
+            return outgoing + requests, changes
         self._set_wake(now)
-        return letters, self._changes(now)
-
-    def _take(self, now: int, sender: int, generation: int, message: Message) -> OutgoingMessages:
-        if isinstance(message, Release) and message.heir == self._own and message.task in self._keys:
-            heir = self._keys[message.task]
-            heir.since = now - RANKS_MOST * STAGGER
-            heir.proposer.free(now)
+        return outgoing, self._collect_changes(now)
+
+    def _handle(self, now: int, sender: int, generation: int, message: Message) -> OutgoingMessages:
+        if (
+            isinstance(message, Release)
+            and message.successor == self._own_number
+            and message.task in self._tasks_by_key
+        ):
+            released_task = self._tasks_by_key[message.task]
+            released_task.free_since_ns = now - MAX_RANKS * RANK_DELAY_NS
+            released_task.proposer.on_named_successor(now)
         if isinstance(message, Prepare | Propose | Release):
-            return self._decide(now, sender, generation, message)
-        task = self._keys.get(message.task)
+            return self._answer_as_voter(now, sender, generation, message)
+        task = self._tasks_by_key.get(message.task)
         if task is None or sender not in self.voters:
             return []
         match message:
             case Promise():
-                return task.proposer.promised(now, sender, message)
+                return task.proposer.on_promise(now, sender, message)
             case Accepted():
-                task.proposer.accepted(now, sender, message)
+                task.proposer.on_accepted(now, sender, message)
             case Refused():
-                task.proposer.refused(now, sender, message)
+                task.proposer.on_refused(now, sender, message)
         return []
 
-    def _decide(
+    def _answer_as_voter(
         self, now: int, sender: int, generation: int, message: Prepare | Propose | Release
     ) -> OutgoingMessages:
         if self.acceptor is None:
@@ -223,90 +253,103 @@
         answer: Promise | Accepted | Refused | None = None
         match message:
             case Prepare():
-                answer = self.acceptor.prepare(now, sender, generation, message)
+                answer = self.acceptor.on_prepare(now, sender, generation, message)
             case Propose():
-                answer = self.acceptor.propose(now, sender, generation, message)
+                answer = self.acceptor.on_propose(now, sender, generation, message)
             case Release():
-                self.acceptor.release(now, sender, generation, message)
+                self.acceptor.on_release(now, sender, generation, message)
         if answer is None and not isinstance(message, Release) and self.pending_token():
-            self._held[sender, message.task] = generation, message
+            self._deferred_messages[sender, message.task] = generation, message
         return [] if answer is None else [(sender, answer)]
 
-    # What is on the disk before it is promised.
+    # Tokens that have to be on disk before a voter promises them.
 
     def pending_token(self) -> int:
-        """The token that has to be on the disk; 0: none."""
+        """The token that has to be written to disk; 0 if there is none."""
         acceptor = self.acceptor
-        if acceptor is None or acceptor.kept is None or acceptor.pending_token <= acceptor.kept:
+        if (
+            acceptor is None
+            or acceptor.persisted_token is None
+            or acceptor.pending_token <= acceptor.persisted_token
+        ):
             return 0
         return acceptor.pending_token
 
     def token_to_persist(self, now: int) -> int:
-        """To be written now, and told of by `token_persisted` or `persist_failed`; 0: nothing, or a write is
-        under way."""
-        if self._keeping or now < self._keep_at or not self.pending_token():
+        """A token that the caller has to write now, reporting the result by `token_persisted` or
+        `persist_failed`; 0 if there is nothing to write or a write is in progress."""
+        if self._is_persisting or now < self._persist_at_ns or not self.pending_token():
             return 0
-        self._keeping = True
+        self._is_persisting = True
         return self.pending_token()
 
     def token_persisted(self, now: int, token: int) -> tuple[OutgoingMessages, list[LeaseChange]]:
-        """It is on the disk: who asked meanwhile is answered."""
-        self._keeping = False
-        if self.acceptor is None or self.acceptor.kept is None:
+        """Answers the messages that waited for the token, which is on disk now."""
+        self._is_persisting = False
+        if self.acceptor is None or self.acceptor.persisted_token is None:
             return [], []
-        self.acceptor.kept = max(self.acceptor.kept, token)
-        held, self._held = self._held, {}
-        letters: OutgoingMessages = []
-        for (sender, _), (generation, message) in held.items():
-            letters += self._deliver(now, self._decide(now, sender, generation, message))
+        self.acceptor.persisted_token = max(self.acceptor.persisted_token, token)
+        deferred_messages, self._deferred_messages = self._deferred_messages, {}
+        outgoing: OutgoingMessages = []
+        for (sender, _), (generation, message) in deferred_messages.items():
+            outgoing += self._deliver_local(now, self._answer_as_voter(now, sender, generation, message))
         self._set_wake(now)
-        return letters, self._changes(now)
+        return outgoing, self._collect_changes(now)
 
     def persist_failed(self, now: int) -> None:
-        """The disk takes nothing: this member promises nothing, and tries again some time later."""
-        self._keeping = False
-        self._keep_at = now + PERSIST_RETRY_NS
-        self._held.clear()
+        """Records that the disk did not take the token: this voter promises nothing, and retries later."""
+        self._is_persisting = False
+        self._persist_at_ns = now + PERSIST_RETRY_NS
+        self._deferred_messages.clear()
 
     def report(self, now: int) -> dict[str, Any]:
-        """Per task: the owner as this node knows (none where it is no voter and has it not itself),
-        the token, and s that are left of the lease."""
+        """The state of each task, as JSON.
+
+        It has the owner as this node knows it (None if it is no voter and does not own the task itself), the
+        token, and the seconds that are left of the lease.
+        """
         out: dict[str, Any] = {}
         for task in self.tasks.values():
-            own = task.proposer.token(now)
-            lease = self._lease(now, task)
+            own_token = task.proposer.token(now)
+            lease = self._voter_lease(now, task)
             out[task.name] = {
-                "owner": self._own if own else None if lease is None else lease.owner,
-                "token": own or (0 if lease is None else lease.token), "own": bool(own),
-                "left_s": None if lease is None else round((lease.until - now) / 1e9, 3),
+                "owner": self._own_number if own_token else None if lease is None else lease.owner,
+                "token": own_token or (0 if lease is None else lease.token), "own": bool(own_token),
+                "left_s": None if lease is None else round((lease.until_ns - now) / 1e9, 3),
             }  # fmt: skip
         return out
 
-    def silent(self, now: int) -> bool:
-        """Whether it is a voter, and says nothing yet."""
-        return self.acceptor is not None and self.acceptor.silent(now)
+    def is_silent(self, now: int) -> bool:
+        """Whether this node is a voter that does not answer yet."""
+        return self.acceptor is not None and self.acceptor.is_silent(now)
+
+    def raise_token_floor(self, task: str, token: int) -> None:
+        """Makes this node's next token for a task higher than `token`.
 
-    def floor(self, task: str, token: int) -> None:
-        """What bears the effect knows a greater token: this node's lease is none, its next is above."""
-        one = self.tasks.get(task)
-        if one is not None:
-            one.proposer.floor(token)
+        The resource that checks the tokens has reported `token`, so a lease with a lower one is void.
+        """
+        known_task = self.tasks.get(task)
+        if known_task is not None:
+            known_task.proposer.raise_token_floor(token)
 
-    def release(self, now: int, task: str, heir: int = -1) -> tuple[OutgoingMessages, list[LeaseChange]]:
-        return self._released(now, self.tasks[task], heir), self._changes(now)
+    def release(self, now: int, task: str, successor: int = -1) -> tuple[OutgoingMessages, list[LeaseChange]]:
+        """Releases the lease on a task, to `successor` if one is named."""
+        return self._release(now, self.tasks[task], successor), self._collect_changes(now)
 
-    def _released(self, now: int, task: Task, heir: int) -> OutgoingMessages:
-        letters = task.proposer.release(now, heir)
-        if letters and heir >= 0 and heir not in self.voters:
-            letters = [*letters, (heir, letters[0][1])]
-        return self._deliver(now, letters)
+    def _release(self, now: int, task: Task, successor: int) -> OutgoingMessages:
+        outgoing = task.proposer.release(now, successor)
+        if outgoing and successor >= 0 and successor not in self.voters:
+            outgoing = [*outgoing, (successor, outgoing[0][1])]
+        return self._deliver_local(now, outgoing)
 
     def leave(self, now: int) -> tuple[OutgoingMessages, list[LeaseChange]]:
-        """All that it holds, each to the next in rank."""
-        self._leaving = True
-        letters: OutgoingMessages = []
+        """Releases all leases of this node, each to the next node in rank, and asks for none any more."""
+        self._is_leaving = True
+        outgoing: OutgoingMessages = []
         for task in self.tasks.values():
-            heirs = [number for number in rank_nodes(task.key, self._living()) if number != self._own]
-            letters += self._released(now, task, heirs[0] if heirs else -1)
-            task.proposer.wanted = False
-        return letters, self._changes(now)
+            successors = [
+                number for number in rank_nodes(task.key, self._alive_nodes()) if number != self._own_number
+            ]
+            outgoing += self._release(now, task, successors[0] if successors else -1)
+            task.proposer.is_wanted = False
+        return outgoing, self._collect_changes(now)
--- a/driftstair/tier/ownership/messages.py
+++ b/driftstair/tier/ownership/messages.py
@@ -1,65 +1,77 @@
-"""What the voters and those who want a lease tell each other. Times are ns; tokens whole numbers."""
+"""Messages between the voters and the proposers of leases. Times are in ns; tokens are integers."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-NUMBERS = 1 << 16
-ATTEMPTS = 1 << 16
-AHEAD = 4096
+NODE_NUMBERS = 1 << 16  # node numbers are below this
+ATTEMPTS_PER_GENERATION = 1 << 16
+RESERVED_ATTEMPTS = 4096
 MAX_TOKEN = (1 << 64) - 1
 
 
 def first_token(generation: int, number: int) -> int:
-    """Of a process: generations rise, so what a later one asks for is above all that an earlier one has had,
-    on the word of the clock. Where that was set back, whoever bears the effect tells the floor."""
-    return generation * ATTEMPTS * NUMBERS + number
+    """The first token of a process on node `number`.
+
+    Generations rise with the clock, so the tokens of a later process are above all those of an earlier one.
+    Where the clock was set back, the resource that checks the tokens reports its floor instead.
+    """
+    return generation * ATTEMPTS_PER_GENERATION * NODE_NUMBERS + number
 
 
 def next_token_above(token: int, known: int) -> int:
-    """The next token of the same node that is greater than both."""
-    number = token % NUMBERS
-    return max(token, known) // NUMBERS * NUMBERS + NUMBERS + number
+    """The lowest token of the same node that is greater than both arguments."""
+    number = token % NODE_NUMBERS
+    return max(token, known) // NODE_NUMBERS * NODE_NUMBERS + NODE_NUMBERS + number
 
 
 def reserve_tokens(token: int) -> int:
-    """As many tokens further: what is put on a disk at once, so that few promises wait for one."""
-    return min(token + AHEAD * NUMBERS, MAX_TOKEN)
+    """The token to persist for `token`: higher by a reserve, so that few promises wait for a write."""
+    return min(token + RESERVED_ATTEMPTS * NODE_NUMBERS, MAX_TOKEN)
 
 
-def outlasting(span: int, drift: float) -> int:
-    """ns by a clock that may be fast which outlast `span` by one that may be slow, each by that part."""
-    return int(span * (1 + drift) / (1 - drift)) + 1
+def drift_adjusted_ns(span_ns: int, drift: float) -> int:
+    """How many ns to count on a clock that may run fast, so that `span_ns` have passed on one that may run
+    slow. `drift` is the relative error of each of the two clocks."""
+    return int(span_ns * (1 + drift) / (1 - drift)) + 1
 
 
 class Terms(NamedTuple):
-    """The program's, and no file's. `lease`: ns of one; `drift`: the part by which a clock may run fast or
-    slow; `margin`: ns before its end at which an owner stops."""
+    """Durations of a lease. They are fixed in the program and are not read from any file.
+
+    `lease_ns` is the duration of a lease. `drift` is the relative error by which a clock may run fast or
+    slow. `margin_ns` is how long before the end of its lease an owner stops acting.
+    """
 
-    lease: int = 4_000_000_000
+    lease_ns: int = 4_000_000_000
     drift: float = 0.01
-    margin: int = 300_000_000
+    margin_ns: int = 300_000_000
 
-    def waited(self) -> int:
-        """ns that a voter counts: its clock may be fast and the owner's slow."""
-        return outlasting(self.lease, self.drift)
+    def voter_lease_ns(self) -> int:
+        """How long a voter counts a lease: its clock may run fast and the owner's slow."""
+        return drift_adjusted_ns(self.lease_ns, self.drift)
 
 
 class Prepare(NamedTuple):
-    """Wants to hear of no lower token from now on."""
+    """Asks a voter for a promise to accept no lower token from now on."""
 
     task: int
     token: int
 
 
 class Promise(NamedTuple):
+    """A voter's agreement to a `Prepare`."""
+
     task: int
     token: int
 
 
 class Propose(NamedTuple):
-    """A lease for the sender's generation, that begins now. `seq` tells apart the times that one token is
-    proposed: an answer to an earlier one says nothing of a later lease."""
+    """Proposes a lease for the sender's generation that begins now.
+
+    `seq` distinguishes repeated proposals of one token: an answer to an earlier proposal does not confirm a
+    later lease.
+    """
 
     task: int
     token: int
@@ -67,29 +79,38 @@
 
 
 class Accepted(NamedTuple):
+    """A voter's agreement to a `Propose`."""
+
     task: int
     token: int
     seq: int
 
 
 class Refused(NamedTuple):
-    """`known`: the greatest token here; `owner`, `left`: of the lease that runs here, if one does (ns)."""
+    """A voter's refusal of a `Prepare` or a `Propose`.
+
+    `highest_token` is the highest token that the voter knows for the task. `owner` and `remaining_ns`
+    describe the lease that runs at the voter; `owner` is -1 where none does.
+    """
 
     task: int
     token: int
-    known: int
+    highest_token: int
     owner: int = -1
-    left: int = 0
+    remaining_ns: int = 0
 
 
 class Release(NamedTuple):
-    """By its owner, whose acts with it are over. `heir`: who should have it next; -1: whoever wants."""
+    """Ends a lease early. Its owner sends this once it no longer acts under the lease.
+
+    `successor` is the node that should take the lease next; -1 means any node that wants it.
+    """
 
     task: int
     token: int
-    heir: int = -1
+    successor: int = -1
 
 
 Message = Prepare | Promise | Propose | Accepted | Refused | Release
 OutgoingMessages = list[tuple[int, Message]]
-"""With the number of the node that each is for."""
+"""Messages, each with the number of the node that it goes to."""
--- a/driftstair/tier/ownership/permits.py
+++ b/driftstair/tier/ownership/permits.py
@@ -1,10 +1,10 @@
-"""Permits to be out: what a disruption controller and those who ask it tell each other, and the side
-that asks.
+"""Permits to be out of service: the messages between the disruption controller and the nodes that ask it, and
+the side of a node that asks.
 
-A permit counts from when its holder *asked* for it, so a grant that comes late is worth less, and one that
-comes after its term nothing; the disruption controller counts from its answer, and longer by the drift. So a
-holder's permit is over before the controller's record of it, and no clock is compared with another. Times are
-ns.
+A permit counts from when its holder *asked* for it, so a grant that arrives late is shorter, and one that
+arrives after its term is void. The controller counts from its answer, and longer by the clock drift. A
+holder's permit therefore ends before the controller's record of it, and no clock is compared with another.
+Times are in ns.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from driftstair.tier.ownership.messages import outlasting
+from driftstair.tier.ownership.messages import drift_adjusted_ns
 
-# ns between two asks: an answer may be lost, and the disruption controller another by then
-ASK_EVERY = 1_000_000_000
+# A request is repeated at this interval: an answer may be lost, or the controller may have changed.
+REQUEST_INTERVAL_NS = 1_000_000_000
 NEVER = 1 << 62
 
 
 class Kind(IntEnum):
-    """What a node is to be out for."""
+    """The purpose of being out of service."""
 
     RESTART = 1
     DRAIN = 2
@@ -28,214 +28,239 @@
 
 
 class WaitReason(IntEnum):
-    """Nothing is given yet."""
+    """Why a request has not been granted yet."""
 
-    TURN = 1  # others are before it
-    OUT = 2  # as many are out as may be
-    ZONE = 3  # who is out is of another zone, or of one that nobody knows
-    POLLING = 4  # the disruption controller does not know yet what the one before it has given
+    TURN = 1  # other requests come first
+    OUT = 2  # as many nodes are out as may be
+    ZONE = 3  # a node of another zone, or of an unknown one, is out
+    POLLING = 4  # the controller does not know yet which permits its predecessor has granted
 
 
 class Rules(NamedTuple):
-    """Of the fleet, the same on all nodes. `at_once`: out at a time; `term`: ns of a permit; `drift`: the
-    part by which a clock may run fast or slow."""
+    """The rules of the fleet, which are the same on all nodes.
+
+    `at_once` is how many nodes may be out at the same time. `term_ns` is the duration of a permit. `drift` is
+    the relative error by which a clock may run fast or slow.
+    """
 
     at_once: int = 1
-    term: int = 300_000_000_000
+    term_ns: int = 300_000_000_000
     drift: float = 0.01
 
-    def waited(self) -> int:
-        """ns that a disruption controller counts: its clock may be fast and the holder's slow."""
-        return outlasting(self.term, self.drift)
+    def controller_term_ns(self) -> int:
+        """How long a disruption controller counts a permit: its clock may run fast and the holder's slow."""
+        return drift_adjusted_ns(self.term_ns, self.drift)
 
 
 class Poll(NamedTuple):
-    """The disruption controller has the lease with this token: no permit of an older one is taken from now
-    on."""
+    """Announces that the sender is the disruption controller by the lease with this token. The recipient
+    takes no permit of an older controller from now on."""
 
     token: int
 
 
 class PollReply(NamedTuple):
-    """The answer to a poll. `seq` 0: no permit; `left`: ns of it."""
+    """The answer to a `Poll`. `seq` is 0 if the sender has no permit; `remaining_ns` is the time left of its
+    permit."""
 
     token: int
     seq: int
     kind: int
-    left: int
+    remaining_ns: int
 
 
-class Ask(NamedTuple):
-    """`seq` names the wish; `at`: the asker's clock, which the answer repeats."""
+class RequestPermit(NamedTuple):
+    """Asks for a permit. `seq` identifies the request. `asked_at_ns` is the sender's clock, which the answer
+    repeats."""
 
     seq: int
     kind: int
-    at: int
+    asked_at_ns: int
 
 
 class Permit(NamedTuple):
-    """`generation`: of the process that is meant, as a later one counts its wishes anew; `term`: of the
-    disruption controller's file, where the holder's has another."""
+    """A granted permit.
+
+    `generation` is that of the process that it is for, since a later process numbers its requests anew.
+    `term_ns` is the term in the controller's settings, which may differ from the holder's.
+    """
 
     token: int
     generation: int
     seq: int
-    at: int
-    term: int
+    asked_at_ns: int
+    term_ns: int
 
 
 class Wait(NamedTuple):
-    """`before`: how many get theirs first."""
+    """The answer to a request that is not granted yet. `nodes_ahead` is how many nodes come first."""
 
     token: int
     generation: int
     seq: int
-    why: int
-    before: int
+    reason: int
+    nodes_ahead: int
 
 
 class ReturnPermit(NamedTuple):
-    """The wish or permit `seq` is over."""
+    """Withdraws the request `seq`, or returns its permit."""
 
     seq: int
 
 
 class ReturnConfirmed(NamedTuple):
-    """The disruption controller counts it out no more."""
+    """Confirms a `ReturnPermit`: the controller no longer counts the node as out."""
 
     generation: int
     seq: int
 
 
-Message = Poll | PollReply | Ask | Permit | Wait | ReturnPermit | ReturnConfirmed
+Message = Poll | PollReply | RequestPermit | Permit | Wait | ReturnPermit | ReturnConfirmed
 OutgoingMessages = list[tuple[int, Message]]
+"""Messages, each with the number of the node that it goes to."""
 
 
 class PermitEvent(NamedTuple):
-    """For the history: a permit was `took`, `gave` back or `refused` (an older controller's)."""
+    """An event for the history. `what` is `took` for a permit taken, `gave` for one given back or ended, and
+    `refused` for a permit of an older controller."""
 
     what: str
     kind: int
     token: int
-    until: int
+    until_ns: int
 
 
 class Holder:
-    """One process that may want to be out; it holds one permit at most. The disruption controller it
-    knows by polls."""
+    """The permit of one process, which wants or holds at most one. It learns from polls which node is the
+    disruption controller."""
 
     def __init__(self, rules: Rules, generation: int) -> None:
         self.rules = rules
         self.generation = generation
-        self.notes: list[PermitEvent] = []
-        self.disruption_controller = -1
-        self.floor = 0  # the greatest of the disruption controllers' tokens that it has answered
-        self.kind = 0  # of what it wants or holds
-        self.why, self.before = 0, 0  # of the last answer that gave nothing
+        self.events: list[PermitEvent] = []
+        self.controller_number = -1  # -1: unknown
+        self.token_floor = 0  # the highest controller token that this process has answered
+        self.kind = 0  # of the permit that it wants or holds; 0: none
+        self.wait_reason, self.nodes_ahead = 0, 0  # from the last `Wait`
         self._seq = 0
-        self._wanted = False
-        self._wish_until = NEVER
+        self._is_wanted = False
+        self._wanted_until_ns = NEVER
         self._token = 0  # of the permit; 0: none
-        self._until = 0
-        self._next_ask = NEVER
-        self._giving = 0  # seq of what is given back and not yet known to be
+        self._until_ns = 0
+        self._next_request_at_ns = NEVER
+        self._returning_seq = 0  # of a permit whose return is not confirmed yet
 
-    def held(self, now: int) -> bool:
+    def has_permit(self, now: int) -> bool:
         """Whether its node may be out now."""
-        return self._token != 0 and now < self._until
+        return self._token != 0 and now < self._until_ns
 
-    def left(self, now: int) -> int:
-        """ns of the permit."""
-        return self._until - now if self.held(now) else 0
+    def remaining_ns(self, now: int) -> int:
+        """The time left of the permit; 0 without one."""
+        return self._until_ns - now if self.has_permit(now) else 0
 
     def token(self) -> int:
+        """The token of the controller that granted the permit; 0 without a permit."""
         return self._token
 
-    def wanted(self) -> bool:
-        return self._wanted
+    def is_wanted(self) -> bool:
+        """Whether a permit is wanted and not yet granted."""
+        return self._is_wanted
 
-    def want(self, now: int, kind: Kind, until: int = NEVER) -> None:
-        """From now on, and not beyond `until` (ns) unless it is wanted again by then; with the same kind it
-        is the same wish."""
-        self._lapse(now)
-        self._wish_until = until
-        if (self._wanted or self._token) and self.kind == kind:
+    def request(self, now: int, kind: Kind, until: int = NEVER) -> None:
+        """Wants a permit from now on, until `until` (ns) unless this is called again by then. A call with the
+        same kind continues the same request."""
+        self._expire(now)
+        self._wanted_until_ns = until
+        if (self._is_wanted or self._token) and self.kind == kind:
             return
         self.give_back(now)
         self._seq += 1
-        self._wanted, self.kind, self._next_ask = True, int(kind), now
-        self.why = self.before = 0
+        self._is_wanted, self.kind, self._next_request_at_ns = True, int(kind), now
+        self.wait_reason = self.nodes_ahead = 0
 
     def give_back(self, now: int) -> None:
-        """The wish, or what it holds: its node is in service."""
-        if not self._wanted and not self._token:
+        """Withdraws the request or returns the permit: the node is in service."""
+        if not self._is_wanted and not self._token:
             return
         if self._token:
-            self.notes.append(PermitEvent("gave", self.kind, self._token, now))
-        self._giving, self._next_ask = self._seq, now
-        self._wanted, self._token, self.kind = False, 0, 0
-
-    def _lapse(self, now: int) -> None:
-        if self._token and now >= self._until:
-            self.notes.append(PermitEvent("gave", self.kind, self._token, self._until))
+            self.events.append(PermitEvent("gave", self.kind, self._token, now))
+        self._returning_seq, self._next_request_at_ns = self._seq, now
+        self._is_wanted, self._token, self.kind = False, 0, 0
+
+    def _expire(self, now: int) -> None:
+        """Ends a permit or a request whose time is over."""
+        if self._token and now >= self._until_ns:
+            self.events.append(PermitEvent("gave", self.kind, self._token, self._until_ns))
             self._token, self.kind = 0, 0
-        if self._wanted and now >= self._wish_until:
+        if self._is_wanted and now >= self._wanted_until_ns:
             self.give_back(now)
 
     def tick(self, now: int) -> OutgoingMessages:
-        self._lapse(now)
-        if now < self._next_ask:
+        """Repeats the request or the return until it is answered."""
+        self._expire(now)
+        if now < self._next_request_at_ns:
             return []
-        letters: OutgoingMessages = []
-        if self.disruption_controller >= 0 and self._giving:
-            letters.append((self.disruption_controller, ReturnPermit(self._giving)))
-        if self.disruption_controller >= 0 and self._wanted:
-            letters.append((self.disruption_controller, Ask(self._seq, self.kind, now)))
-        self._next_ask = now + ASK_EVERY if self._wanted or self._giving else NEVER
-        return letters
-
-    def due(self) -> int:
-        wish = self._wish_until if self._wanted else NEVER
-        return min(self._next_ask, self._until if self._token else wish)
-
-    def heard(
+        outgoing: OutgoingMessages = []
+        if self.controller_number >= 0 and self._returning_seq:
+            outgoing.append((self.controller_number, ReturnPermit(self._returning_seq)))
+        if self.controller_number >= 0 and self._is_wanted:
+            outgoing.append((self.controller_number, RequestPermit(self._seq, self.kind, now)))
+        self._next_request_at_ns = (
+            now + REQUEST_INTERVAL_NS if self._is_wanted or self._returning_seq else NEVER
+        )
+        return outgoing
+
+    def next_tick_at(self) -> int:
+        """When (ns) `tick` has to be called next."""
+        request_end_ns = self._wanted_until_ns if self._is_wanted else NEVER
+        return min(self._next_request_at_ns, self._until_ns if self._token else request_end_ns)
+
+    def on_message(
         self, now: int, sender: int, message: Poll | Permit | Wait | ReturnConfirmed
     ) -> OutgoingMessages:
-        self._lapse(now)
+        """Handles a message of a disruption controller."""
+        self._expire(now)
         match message:
             case Poll(token):
-                if token < self.floor:
+                if token < self.token_floor:
                     return []
-                if token > self.floor:
-                    self.floor, self.disruption_controller = token, sender
-                    self._next_ask = now if self._wanted or self._giving else self._next_ask
+                if token > self.token_floor:
+                    self.token_floor, self.controller_number = token, sender
+                    self._next_request_at_ns = (
+                        now if self._is_wanted or self._returning_seq else self._next_request_at_ns
+                    )
                 seq = self._seq if self._token else 0
-                return [(sender, PollReply(token, seq, self.kind if seq else 0, self.left(now)))]
+                return [(sender, PollReply(token, seq, self.kind if seq else 0, self.remaining_ns(now)))]
             case Permit():
-                return self._permitted(now, sender, message)
-            case Wait(token, generation, seq, why, before):
-                if token >= self.floor and (generation, seq) == (self.generation, self._seq) and self._wanted:
-                    self.disruption_controller, self.why, self.before = sender, why, before
+                return self._on_permit(now, sender, message)
+            case Wait(token, generation, seq, reason, nodes_ahead):
+                if (
+                    token >= self.token_floor
+                    and (generation, seq) == (self.generation, self._seq)
+                    and self._is_wanted
+                ):
+                    self.controller_number, self.wait_reason, self.nodes_ahead = sender, reason, nodes_ahead
             case ReturnConfirmed(generation, seq):
-                if (generation, seq) == (self.generation, self._giving):
-                    self._giving = 0
+                if (generation, seq) == (self.generation, self._returning_seq):
+                    self._returning_seq = 0
         return []
 
-    def _permitted(self, now: int, sender: int, message: Permit) -> OutgoingMessages:
-        token, generation, seq, at, term = message
+    def _on_permit(self, now: int, sender: int, message: Permit) -> OutgoingMessages:
+        token, generation, seq, asked_at_ns, term_ns = message
         if generation != self.generation:
-            return []  # of the process before this one, with that one's clock
-        if token < self.floor:
-            self.notes.append(PermitEvent("refused", self.kind, token, now))
+            return []  # for the previous process, and by the clock of that process
+        if token < self.token_floor:
+            self.events.append(PermitEvent("refused", self.kind, token, now))
             return []
-        if not self._wanted or seq != self._seq:
-            taken = self._token and seq == self._seq
-            return [] if taken else [(sender, ReturnPermit(seq))]  # of a wish that is none any more
-        until = at + min(term, self.rules.term)
-        if now >= until:
-            return []  # it was long on its way
-        self.floor, self.disruption_controller = token, sender
-        self._wanted, self._token, self._until = False, token, until
-        self._next_ask = NEVER
-        self.notes.append(PermitEvent("took", self.kind, token, self._until))
+        if not self._is_wanted or seq != self._seq:
+            is_duplicate = self._token and seq == self._seq
+            # A permit for a withdrawn request goes back.
+            return [] if is_duplicate else [(sender, ReturnPermit(seq))]
+        until_ns = asked_at_ns + min(term_ns, self.rules.term_ns)
+        if now >= until_ns:
+            return []  # it was delayed for longer than its term
+        self.token_floor, self.controller_number = token, sender
+        self._is_wanted, self._token, self._until_ns = False, token, until_ns
+        self._next_request_at_ns = NEVER
+        self.events.append(PermitEvent("took", self.kind, token, self._until_ns))
         return []
--- a/driftstair/tier/ownership/proposer.py
+++ b/driftstair/tier/ownership/proposer.py
@@ -1,8 +1,9 @@
-"""Whoever wants a lease: asks the voters for promises, then for the lease, and makes it longer in time.
+"""A proposer: it asks the voters for promises, then for the lease, and renews the lease in time.
 
-Its lease counts from when it *sent* what the voters accepted, so it is over before any voter's record of
-it. `token(now)` is what it may act with; what bears the effect compares it, since between a look at a clock
-and an act a process may stand still for as long as it likes. Times are monotonic ns.
+The proposer counts its lease from when it *sent* the proposal that the voters accepted, so the lease ends
+before any voter's record of it. `token(now)` is the token that the process may act with. The resource that
+the task changes has to compare tokens, since a process may be paused for any length of time between reading
+the clock and acting. Times are monotonic ns.
 """
 
 from __future__ import annotations
@@ -23,171 +24,189 @@
     next_token_above,
 )
 
-WITHIN = 400_000_000  # ns: for the voters' answers to one question
-KEEN = 1_000_000_000  # ns in which an heir asks again soon
-LEAST_PAUSE, MOST_PAUSE = 100_000_000, 1_600_000_000  # ns between two attempts
+ANSWER_TIMEOUT_NS = 400_000_000  # for the voters' answers to one message
+SUCCESSOR_RETRY_NS = 1_000_000_000  # how long the successor of a released lease retries with short pauses
+MIN_PAUSE_NS, MAX_PAUSE_NS = 100_000_000, 1_600_000_000  # between two attempts
 
 
 class Phase(IntEnum):
+    """The step of the current attempt."""
+
     IDLE = 0
     PREPARING = 1
     PROPOSING = 2
 
 
 class Proposer:
-    """One task's, in one process."""
+    """The proposer of one process for one task."""
 
     def __init__(
-        self, task: int, own: int, generation: int, voters: tuple[int, ...], terms: Terms, random: Random
+        self, task: int, own_number: int, generation: int, voters: tuple[int, ...], terms: Terms,
+        random: Random,
     ) -> None:  # fmt: skip
         self.task = task
-        self.wanted = False
-        self._own = own
+        self.is_wanted = False
+        self._own_number = own_number
         self._voters = voters
         self._terms = terms
         self._random = random
-        self._next = first_token(generation, own)  # the token of the next attempt
+        self._next_token = first_token(generation, own_number)  # the token of the next attempt
         self._phase = Phase.IDLE
-        self._asked = 0  # the token that is asked for
+        self._attempt_token = 0  # the token of the current or the latest attempt
         self._seq = 0
-        self._sent_at = 0
-        self._answers: set[int] = set()
-        self._refusals: set[int] = set()
-        self._token = 0  # of the lease held; 0: none
-        self._until = 0  # its end
-        self._over_at = 0  # when the last lease was over for whoever asks
-        self._pause_until = 0
+        self._sent_at_ns = 0
+        self._agreeing_voters: set[int] = set()
+        self._refusing_voters: set[int] = set()
+        self._token = 0  # the token of the lease; 0 while there is none
+        self._until_ns = 0  # the end of the lease
+        self._ended_at_ns = 0  # when callers of `token` lost the last lease
+        self._pause_until_ns = 0
         self._failures = 0
-        self._keen_until = 0
+        self._fast_retry_until_ns = 0
 
-    # What it holds.
+    # The lease.
 
     def token(self, now: int) -> int:
-        """Of its lease; 0: it has none. Some time before its end it is over for whoever asks."""
-        return self._token if self._token and now < self._until - self._terms.margin else 0
+        """The token to act with; 0 without a lease, and also during the margin before the lease's end."""
+        return self._token if self._token and now < self._until_ns - self._terms.margin_ns else 0
 
-    def holds(self, now: int) -> bool:
-        return self._token != 0 and now < self._until
+    def has_lease(self, now: int) -> bool:
+        """Whether the lease runs, its margin included."""
+        return self._token != 0 and now < self._until_ns
 
-    def over_at(self, now: int) -> int:
-        """ns: since when it has none. A process that stood still looks late, but knows this all the same."""
-        return min(now, self._until - self._terms.margin) if self._token else self._over_at
+    def ended_at(self, now: int) -> int:
+        """Since when (ns) there is no token to act with. A process that was paused calls this late, but the
+        result is not later for that."""
+        return min(now, self._until_ns - self._terms.margin_ns) if self._token else self._ended_at_ns
 
-    # What it does.
+    # Attempts and messages.
 
     def tick(self, now: int) -> OutgoingMessages:
-        self._lapse(now)
-        if self._phase is not Phase.IDLE and now - self._sent_at >= WITHIN:
-            self._give_up(now)
+        """Starts, abandons or renews as the time requires."""
+        self._expire(now)
+        if self._phase is not Phase.IDLE and now - self._sent_at_ns >= ANSWER_TIMEOUT_NS:
+            self._abandon_attempt(now)
         if self._phase is not Phase.IDLE:
             return []
         if self._token:
-            if self.wanted and now >= self._until - self._terms.lease // 2 and now >= self._pause_until:
+            if (
+                self.is_wanted
+                and now >= self._until_ns - self._terms.lease_ns // 2
+                and now >= self._pause_until_ns
+            ):
                 return self._propose(now)
             return []
-        if not self.wanted or now < self._pause_until:
+        if not self.is_wanted or now < self._pause_until_ns:
             return []
-        self._phase, self._asked, self._sent_at = Phase.PREPARING, self._next, now
-        self._answers, self._refusals = set(), set()
-        return self._all(Prepare(self.task, self._asked))
+        self._phase, self._attempt_token, self._sent_at_ns = Phase.PREPARING, self._next_token, now
+        self._agreeing_voters, self._refusing_voters = set(), set()
+        return self._to_all_voters(Prepare(self.task, self._attempt_token))
 
-    def _lapse(self, now: int) -> None:
-        """A lease that is over is not made longer: what comes after it is another, with its own token."""
-        if self._token and now >= self._until - self._terms.margin:
+    def _expire(self, now: int) -> None:
+        """Drops a lease that has ended. It is never renewed: the next lease has its own token."""
+        if self._token and now >= self._until_ns - self._terms.margin_ns:
             self._token, self._phase = 0, Phase.IDLE
-            self._over_at = self._until - self._terms.margin
+            self._ended_at_ns = self._until_ns - self._terms.margin_ns
 
     def _propose(self, now: int) -> OutgoingMessages:
-        self._phase, self._sent_at = Phase.PROPOSING, now
-        self._answers, self._refusals = set(), set()
+        self._phase, self._sent_at_ns = Phase.PROPOSING, now
+        self._agreeing_voters, self._refusing_voters = set(), set()
         self._seq += 1
-        return self._all(Propose(self.task, self._asked, self._seq))
+        return self._to_all_voters(Propose(self.task, self._attempt_token, self._seq))
 
-    def _all(self, message: Prepare | Propose | Release) -> OutgoingMessages:
+    def _to_all_voters(self, message: Prepare | Propose | Release) -> OutgoingMessages:
         return [(number, message) for number in self._voters]
 
-    def _give_up(self, now: int) -> None:
-        """This attempt; a lease that is held runs on."""
+    def _abandon_attempt(self, now: int) -> None:
+        """Ends the current attempt and pauses before the next one. A lease that is held continues."""
         self._phase = Phase.IDLE
         self._failures += 1
-        most = min(MOST_PAUSE, LEAST_PAUSE << min(self._failures, 10))
-        if now < self._keen_until:
-            most = LEAST_PAUSE // 2
-        self._pause_until = now + int(self._random.uniform(most / 4, most))
-        self._next = next_token_above(self._next, self._asked)
-
-    def promised(self, now: int, member: int, answer: Promise) -> OutgoingMessages:
-        if self._phase is not Phase.PREPARING or answer.token != self._asked:
+        longest_ns = min(MAX_PAUSE_NS, MIN_PAUSE_NS << min(self._failures, 10))
+        if now < self._fast_retry_until_ns:
+            longest_ns = MIN_PAUSE_NS // 2
+        self._pause_until_ns = now + int(self._random.uniform(longest_ns / 4, longest_ns))
+        self._next_token = next_token_above(self._next_token, self._attempt_token)
+
+    def on_promise(self, now: int, voter: int, message: Promise) -> OutgoingMessages:
+        """Counts a promise and proposes the lease once a majority has promised."""
+        if self._phase is not Phase.PREPARING or message.token != self._attempt_token:
             return []
-        self._answers.add(member)
-        return self._propose(now) if self._enough(self._answers) else []
-
-    def accepted(self, now: int, member: int, answer: Accepted) -> bool:
-        """Whether it owns the task by this, and did not before."""
-        self._lapse(now)
-        if self._phase is not Phase.PROPOSING or (answer.token, answer.seq) != (self._asked, self._seq):
+        self._agreeing_voters.add(voter)
+        return self._propose(now) if self._is_majority(self._agreeing_voters) else []
+
+    def on_accepted(self, now: int, voter: int, message: Accepted) -> bool:
+        """Counts an acceptance. Returns whether it makes this process the owner, which it was not before."""
+        self._expire(now)
+        if self._phase is not Phase.PROPOSING or (message.token, message.seq) != (
+            self._attempt_token,
+            self._seq,
+        ):
             return False
-        self._answers.add(member)
-        if not self._enough(self._answers):
+        self._agreeing_voters.add(voter)
+        if not self._is_majority(self._agreeing_voters):
             return False
         self._phase, self._failures = Phase.IDLE, 0
-        new = not self._token
-        self._token, self._until = self._asked, self._sent_at + self._terms.lease
-        self._next = next_token_above(self._next, self._asked)
+        is_new = not self._token
+        self._token, self._until_ns = self._attempt_token, self._sent_at_ns + self._terms.lease_ns
+        self._next_token = next_token_above(self._next_token, self._attempt_token)
         if self.token(now) == 0:
-            self._token = 0  # the answers took too long
+            self._token = 0  # the answers arrived after the end of the lease
             return False
-        return new
+        return is_new
 
-    def refused(self, now: int, member: int, answer: Refused) -> None:
-        self.floor(answer.known)
-        if self._phase is Phase.IDLE or answer.token != self._asked:
+    def on_refused(self, now: int, voter: int, message: Refused) -> None:
+        """Counts a refusal and abandons the attempt once no majority can agree any more."""
+        self.raise_token_floor(message.highest_token)
+        if self._phase is Phase.IDLE or message.token != self._attempt_token:
             return
-        self._refusals.add(member)
-        if len(self._refusals) > len(self._voters) - self._majority():
-            self._give_up(now)
-            if answer.owner >= 0 and not self._token and now >= self._keen_until:
-                self._pause_until = max(self._pause_until, now + min(answer.left, self._terms.lease))
-
-    def floor(self, token: int) -> None:
-        """Its next attempt is above this: of the voters, or of what bears the effect."""
-        if token >= self._next:
-            self._next = next_token_above(self._next, token)
+        self._refusing_voters.add(voter)
+        if len(self._refusing_voters) > len(self._voters) - self._majority_size():
+            self._abandon_attempt(now)
+            if message.owner >= 0 and not self._token and now >= self._fast_retry_until_ns:
+                self._pause_until_ns = max(
+                    self._pause_until_ns, now + min(message.remaining_ns, self._terms.lease_ns)
+                )
+
+    def raise_token_floor(self, token: int) -> None:
+        """Makes the next attempt use a token above this one, which a voter or the resource reported."""
+        if token >= self._next_token:
+            self._next_token = next_token_above(self._next_token, token)
 
     def next_token(self) -> int:
-        """Greater than all that it has asked for."""
-        return self._next
+        """The token of the next attempt, greater than those of all attempts so far."""
+        return self._next_token
 
-    def release(self, now: int, heir: int = -1) -> OutgoingMessages:
-        """It acts no more with it from here on."""
+    def release(self, now: int, successor: int = -1) -> OutgoingMessages:
+        """Ends the lease. The caller must not act under it from here on."""
         if not self._token:
             return []
-        held, self._token, self._phase = self._token, 0, Phase.IDLE
-        self._over_at = min(now, self._until - self._terms.margin)
-        self._pause_until = now + self._terms.lease
-        return self._all(Release(self.task, held, heir))
-
-    def free(self, now: int) -> None:
-        """The owner wants this one next: no reason to wait any longer. The voters may hear of it later."""
-        self._pause_until = min(self._pause_until, now)
-        self._keen_until = now + KEEN
+        released_token, self._token, self._phase = self._token, 0, Phase.IDLE
+        self._ended_at_ns = min(now, self._until_ns - self._terms.margin_ns)
+        self._pause_until_ns = now + self._terms.lease_ns
+        return self._to_all_voters(Release(self.task, released_token, successor))
+
+    def on_named_successor(self, now: int) -> None:
+        """Ends the pause, since the owner released its lease in favour of this process. The voters may learn
+        of the release later, so refusals lead to short pauses for a while."""
+        self._pause_until_ns = min(self._pause_until_ns, now)
+        self._fast_retry_until_ns = now + SUCCESSOR_RETRY_NS
         self._failures = 0
 
-    def due(self, now: int) -> int:
-        """ns at which it wants to be called; far off where nothing is wanted."""
-        times = []
+    def next_tick_at(self, now: int) -> int:
+        """When (ns) `tick` has to be called next; far in the future if the lease is not wanted."""
+        times_ns = []
         if self._phase is not Phase.IDLE:
-            times.append(self._sent_at + WITHIN)
+            times_ns.append(self._sent_at_ns + ANSWER_TIMEOUT_NS)
         if self._token:
-            times.append(self._until - self._terms.margin)
-            if self._phase is Phase.IDLE and self.wanted:
-                times.append(max(self._until - self._terms.lease // 2, self._pause_until))
-        elif self.wanted and self._phase is Phase.IDLE:
-            times.append(self._pause_until)
-        return min(times, default=1 << 62)
-
-    def _majority(self) -> int:
+            times_ns.append(self._until_ns - self._terms.margin_ns)
+            if self._phase is Phase.IDLE and self.is_wanted:
+                times_ns.append(max(self._until_ns - self._terms.lease_ns // 2, self._pause_until_ns))
+        elif self.is_wanted and self._phase is Phase.IDLE:
+            times_ns.append(self._pause_until_ns)
+        return min(times_ns, default=1 << 62)
+
+    def _majority_size(self) -> int:
         return len(self._voters) // 2 + 1
 
-    def _enough(self, members: set[int]) -> bool:
-        return len(members) >= self._majority()
+    def _is_majority(self, voters: set[int]) -> bool:
+        return len(voters) >= self._majority_size()
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -384,11 +384,11 @@
         if self._tokens is None:
             return None
         if self._disk is None:
-            from driftstair.tier.tokens import TokenFile, TokensError
+            from driftstair.tier.tokens import TokenFile, TokenFileError
 
             try:
                 self._disk = TokenFile(self._tokens)
-            except (TokensError, OSError) as problem:
+            except (TokenFileError, OSError) as problem:
                 why = problem.strerror if isinstance(problem, OSError) else problem
                 log.warning("%s is not used: %s", self._tokens.name, why)
                 return None
@@ -403,7 +403,7 @@
         disk, sharing = self._disk, self.sharing
         assert disk is not None and sharing is not None
         try:
-            await self._system.run_blocking(lambda: disk.keep(token))
+            await self._system.run_blocking(lambda: disk.write(token))
         except OSError as problem:
             if not self._token_lost:
                 log.error("this member of the council promises nothing: %s", problem.strerror)
--- a/driftstair/tier/shared/core.py
+++ b/driftstair/tier/shared/core.py
@@ -15,7 +15,7 @@
 from driftstair.tier.ownership.disruption_controller import LiveNodes
 from driftstair.tier.ownership.leases import LeaseChange, Leases
 from driftstair.tier.ownership.messages import OutgoingMessages
-from driftstair.tier.ownership.permit_manager import TASK as DISRUPTION_CONTROLLER
+from driftstair.tier.ownership.permit_manager import PERMIT_TASK as DISRUPTION_CONTROLLER
 from driftstair.tier.ownership.permit_manager import PermitManager
 from driftstair.tier.ownership.permits import Holder, Kind, Rules
 from driftstair.tier.ownership.permits import OutgoingMessages as OutgoingPermitMessages
@@ -118,7 +118,7 @@
         """Take part in who has which task, from `open` on; `living`: this node's number among them; `kept`:
         the token on its disk, None where it has none."""
         self.leases = Leases(
-            tasks, self._own, self._generation, self._count, now, self._random, living, kept=kept
+            tasks, self._own, self._generation, self._count, now, self._random, living, persisted_token=kept
         )
         self._set_wake(now)
         return self.leases
@@ -153,9 +153,9 @@
         notes: list[Action] = [
             RecordEvent("permit", {
                 "what": note.what, "kind": Kind(note.kind).name.lower() if note.kind else "",
-                "token": note.token, "until_ns": note.until,
+                "token": note.token, "until_ns": note.until_ns,
             })
-            for note in self.permits.notes()
+            for note in self.permits.take_events()
         ]  # fmt: skip
         return notes + _sent([(to, lease_wire.encode_permit(message)) for to, message in letters])
 
@@ -253,8 +253,12 @@
         if self.leases is not None and (token := self.leases.token_to_persist(now)):
             out.append(PersistToken(token))
         for one in changes:
-            if one.was:
-                out.append(RecordEvent("lost", {"task": one.task, "token": one.was, "over_ns": one.over}))
+            if one.previous_token:
+                out.append(
+                    RecordEvent(
+                        "lost", {"task": one.task, "token": one.previous_token, "over_ns": one.ended_at_ns}
+                    )
+                )
             if one.token:
                 out.append(RecordEvent("own", {"task": one.task, "token": one.token}))
         return out + _sent([(to, lease_wire.encode(message)) for to, message in letters])
@@ -274,9 +278,9 @@
         out: list[Action] = []
         wanted = {f"{PROBING}{server:08x}": server for server in judge.out}
         for name in [name for name in leases.tasks if name.startswith(PROBING) and name not in wanted]:
-            out += self._led(now, *leases.remove(now, name))
+            out += self._led(now, *leases.remove_task(now, name))
         for name in wanted:
-            leases.add(now, name)
+            leases.add_task(now, name)
         judge.probing = {
             server: token for name, server in wanted.items() if (token := leases.token(now, name))
         }
@@ -304,14 +308,14 @@
             try:
                 if item[0] in (wire.FACT, wire.DIGEST, wire.DIGEST_BACK) and self._gossip is not None:
                     tells += self._gossip.take(now, sender, item)
-                elif item[0] in lease_wire.KINDS and self.leases is not None:
+                elif item[0] in lease_wire.LEASE_MESSAGES and self.leases is not None:
                     led += self._led(
-                        now, *self.leases.heard(now, sender, generation, lease_wire.decode(item))
+                        now, *self.leases.on_message(now, sender, generation, lease_wire.decode(item))
                     )
-                elif item[0] in lease_wire.PERMITS and self.permits is not None:
+                elif item[0] in lease_wire.PERMIT_MESSAGES and self.permits is not None:
                     said = lease_wire.decode_permit(item)
                     token = self._disruption_controller_token(now)
-                    led += self._permitted(self.permits.heard(now, token, sender, generation, said))
+                    led += self._permitted(self.permits.on_message(now, token, sender, generation, said))
                 else:
                     answers += self._take(now, sender, generation, item)
             except InvalidItem as problem:
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -9,7 +9,7 @@
 from driftstair.net.identifiers import digest
 from driftstair.tier.observed_module import ObservedModule, server_key
 from driftstair.tier.ownership.disruption_controller import LiveNodes
-from driftstair.tier.ownership.permit_manager import TASK as PERMITS
+from driftstair.tier.ownership.permit_manager import PERMIT_TASK as PERMITS
 from driftstair.tier.ownership.permits import Kind, Rules
 from driftstair.tier.shared.budget import Spec
 from driftstair.tier.shared.core import Action, PersistToken, SendItems, SharedState
@@ -177,7 +177,7 @@
 
     def floor(self, task: str, token: int) -> None:
         if self.core.leases is not None:
-            self.core.leases.floor(task, token)
+            self.core.leases.raise_token_floor(task, token)
 
     def wrap_module(self, module: DecisionModule) -> DecisionModule:
         """The decision module, watched and told on where judgements are shared."""
@@ -238,7 +238,7 @@
         }  # fmt: skip
         leases = self.core.leases
         led = {} if leases is None else {
-            "council": list(leases.voters), "silent": leases.silent(now), "tasks": leases.report(now),
+            "council": list(leases.voters), "silent": leases.is_silent(now), "tasks": leases.report(now),
         }  # fmt: skip
         permits = {} if self.core.permits is None else {"permits": self._permits()}
         return {"budgets": budgets, "counts": thrown, **judged, **led, **permits}
--- a/tests/tier/disruption_control.py
+++ b/tests/tier/disruption_control.py
@@ -1,5 +1,5 @@
-"""A small world around disruption controllers and holders: clocks that drift, letters lost, late and doubled,
-crashes, restarts, and disruption controllers that come after one another."""
+"""Model of disruption controllers and permit holders: clocks that drift, messages that are lost, delayed and
+duplicated, crashes, restarts, and changes of the controller."""
 
 from __future__ import annotations
 
@@ -8,126 +8,130 @@
 from typing import Any
 
 from driftstair.tier.ownership.disruption_controller import DisruptionController, LiveNodes
-from driftstair.tier.ownership.permits import Ask, Holder, Kind, PollReply, ReturnPermit, Rules
+from driftstair.tier.ownership.permits import Holder, Kind, PollReply, RequestPermit, ReturnPermit, Rules
 
 SECOND = 1_000_000_000
-TERM = 20 * SECOND
-RULES = Rules(at_once=2, term=TERM, drift=0.01)
-TO_DISRUPTION_CONTROLLER = (PollReply, Ask, ReturnPermit)
+TERM_NS = 20 * SECOND
+RULES = Rules(at_once=2, term_ns=TERM_NS, drift=0.01)
+MESSAGES_TO_CONTROLLER = (PollReply, RequestPermit, ReturnPermit)
 
 
 @dataclass
 class Node:
-    """One number; `holder` is None while no process runs."""
+    """The node with one number; `holder` is None while no process runs."""
 
     number: int
     zone: int
-    rate: float
-    offset: int
+    clock_rate: float
+    clock_offset_ns: int
     generation: int
     holder: Holder | None
     disruption_controller: DisruptionController | None = None
-    out_until: float = -1.0  # s of the world: a process that held a permit has ended, and is not back
+    # In time of the world: a process that held a permit has ended, and no process runs again yet.
+    out_until_s: float = -1.0
 
 
 @dataclass
 class World:
-    count: int
-    zones: int
+    """Nodes and the messages between them. The owner of the lease runs the disruption controller."""
+
+    node_count: int
+    zone_count: int
     random: Random
     rules: Rules = RULES
-    holder: type[Holder] = Holder
-    disruption_controller: type[DisruptionController] = DisruptionController
+    holder_type: type[Holder] = Holder
+    controller_type: type[DisruptionController] = DisruptionController
     loss: float = 0.1
-    late: float = 3.0  # s at most, but for a few
-    now: float = 0.0  # s
+    max_delay_s: float = 3.0  # of most messages
+    now_s: float = 0.0
     nodes: list[Node] = field(default_factory=list)
-    letters: list[tuple[float, int, int, int, Any]] = field(default_factory=list)
+    in_flight: list[tuple[float, int, int, int, Any]] = field(default_factory=list)
     owner: int = -1
     token: int = 0
-    free_at: float = 0.0
-    taken: int = 0
-    most: int = 0
+    lease_free_at_s: float = 0.0
+    permits_taken: int = 0
+    max_nodes_out: int = 0
 
     def __post_init__(self) -> None:
-        for number in range(self.count):
-            rate = 1.0 + self.random.uniform(-1, 1) * self.rules.drift
-            offset = self.random.randrange(1000 * SECOND)
-            node = Node(number, number % self.zones, rate, offset, 1, None)
+        for number in range(self.node_count):
+            clock_rate = 1.0 + self.random.uniform(-1, 1) * self.rules.drift
+            clock_offset_ns = self.random.randrange(1000 * SECOND)
+            node = Node(number, number % self.zone_count, clock_rate, clock_offset_ns, 1, None)
             self.nodes.append(node)
             self.start(node)
 
-    # Times and generations.
+    # Clocks, processes and the lease.
 
     def clock(self, node: Node) -> int:
-        return node.offset + int(self.now * node.rate * SECOND)
+        return node.clock_offset_ns + int(self.now_s * node.clock_rate * SECOND)
 
     def start(self, node: Node) -> None:
         node.generation += 1
-        node.holder = self.holder(self.rules, node.generation)
-        node.out_until = -1.0
+        node.holder = self.holder_type(self.rules, node.generation)
+        node.out_until_s = -1.0
 
     def stop(self, node: Node) -> None:
-        if node.holder is not None and node.holder.held(self.clock(node)):
-            left = node.holder.left(self.clock(node)) / node.rate / SECOND
-            node.out_until = self.now + left
-        self.count_taken(node)
+        if node.holder is not None and node.holder.has_permit(self.clock(node)):
+            remaining_s = node.holder.remaining_ns(self.clock(node)) / node.clock_rate / SECOND
+            node.out_until_s = self.now_s + remaining_s
+        self.count_permits_taken(node)
         node.holder = node.disruption_controller = None
         if self.owner == node.number:
-            self.lapse()
+            self.end_lease()
 
-    def lapse(self) -> None:
-        """The owner's lease is over; the next one's begins some time later."""
+    def end_lease(self) -> None:
+        """Ends the owner's lease; the next one begins some time later."""
         if self.owner >= 0:
             self.nodes[self.owner].disruption_controller = None
-            self.owner, self.free_at = -1, self.now + self.random.uniform(0.0, 2.0)
+            self.owner, self.lease_free_at_s = -1, self.now_s + self.random.uniform(0.0, 2.0)
 
-    def elect(self) -> None:
-        running = [one for one in self.nodes if one.holder is not None]
-        if self.owner < 0 and self.now >= self.free_at and running:
+    def elect_controller(self) -> None:
+        running = [candidate for candidate in self.nodes if candidate.holder is not None]
+        if self.owner < 0 and self.now_s >= self.lease_free_at_s and running:
             node = self.random.choice(running)
             self.owner, self.token = node.number, self.token + 1
-            node.disruption_controller = self.disruption_controller(
-                self.rules, node.number, self.count, self.living
+            node.disruption_controller = self.controller_type(
+                self.rules, node.number, self.node_count, self.live_nodes
             )
-            node.disruption_controller.lead(self.clock(node), self.token)
+            node.disruption_controller.set_token(self.clock(node), self.token)
 
-    def living(self) -> LiveNodes:
-        """As membership would have it; wrong at times, as it may be."""
+    def live_nodes(self) -> LiveNodes:
+        """The membership's view, which is wrong at times."""
         return {
-            one.number: (one.generation, one.zone) for one in self.nodes
-            if one.holder is not None and self.random.random() > 0.02
+            node.number: (node.generation, node.zone) for node in self.nodes
+            if node.holder is not None and self.random.random() > 0.02
         }  # fmt: skip
 
-    # Letters.
+    # Messages.
 
-    def send(self, source: Node, letters: list[tuple[int, Any]]) -> None:
-        for to, message in letters:
+    def send(self, source: Node, outgoing: list[tuple[int, Any]]) -> None:
+        for to, message in outgoing:
             copies = 0 if self.random.random() < self.loss else 2 if self.random.random() < 0.1 else 1
             for _ in range(copies):
-                late = self.random.uniform(0.0, self.late)
+                delay_s = self.random.uniform(0.0, self.max_delay_s)
                 if self.random.random() < 0.03:
-                    late = self.random.uniform(0.0, 2.5 * TERM / SECOND)
-                self.letters.append((self.now + late, source.number, source.generation, to, message))
+                    delay_s = self.random.uniform(0.0, 2.5 * TERM_NS / SECOND)
+                self.in_flight.append((self.now_s + delay_s, source.number, source.generation, to, message))
 
     def deliver(self) -> None:
-        due = [one for one in self.letters if one[0] <= self.now]
-        self.letters = [one for one in self.letters if one[0] > self.now]
-        self.random.shuffle(due)
-        for _, source, generation, to, message in due:
+        arrived = [entry for entry in self.in_flight if entry[0] <= self.now_s]
+        self.in_flight = [entry for entry in self.in_flight if entry[0] > self.now_s]
+        self.random.shuffle(arrived)
+        for _, source, generation, to, message in arrived:
             node = self.nodes[to]
-            if isinstance(message, TO_DISRUPTION_CONTROLLER):
+            if isinstance(message, MESSAGES_TO_CONTROLLER):
                 if node.disruption_controller is not None:
                     self.send(
-                        node, node.disruption_controller.heard(self.clock(node), source, generation, message)
+                        node,
+                        node.disruption_controller.on_message(self.clock(node), source, generation, message),
                     )
             elif node.holder is not None:
-                self.send(node, node.holder.heard(self.clock(node), source, message))
+                self.send(node, node.holder.on_message(self.clock(node), source, message))
             self.check()
 
     def step(self, seconds: float = 0.25) -> None:
-        self.now += seconds
-        self.elect()
+        self.now_s += seconds
+        self.elect_controller()
         self.deliver()
         for node in self.nodes:
             if node.holder is not None:
@@ -136,44 +140,46 @@
                 self.send(node, node.disruption_controller.tick(self.clock(node)))
         self.check()
 
-    def mischief(self) -> None:
-        node, chance = self.random.choice(self.nodes), self.random.random()
+    def random_event(self) -> None:
+        """Starts or stops a process, requests or returns a permit, or ends the lease."""
+        node, draw = self.random.choice(self.nodes), self.random.random()
         if node.holder is None:
-            if chance < 0.5:
+            if draw < 0.5:
                 self.start(node)
-        elif chance < 0.35:
-            node.holder.want(self.clock(node), self.random.choice(list(Kind)))
-        elif chance < 0.6:
+        elif draw < 0.35:
+            node.holder.request(self.clock(node), self.random.choice(list(Kind)))
+        elif draw < 0.6:
             node.holder.give_back(self.clock(node))
-        elif chance < 0.8 and (node.holder.held(self.clock(node)) or chance < 0.65):
+        elif draw < 0.8 and (node.holder.has_permit(self.clock(node)) or draw < 0.65):
             self.stop(node)
-        elif chance > 0.93:
-            self.lapse()
+        elif draw > 0.93:
+            self.end_lease()
 
     # What must hold.
 
-    def out(self) -> list[Node]:
+    def nodes_out(self) -> list[Node]:
         return [
-            one for one in self.nodes
-            if (one.holder.held(self.clock(one)) if one.holder is not None else self.now < one.out_until)
+            node for node in self.nodes
+            if (node.holder.has_permit(self.clock(node)) if node.holder is not None
+                else self.now_s < node.out_until_s)
         ]  # fmt: skip
 
     def check(self) -> None:
-        out = self.out()
-        self.most = max(self.most, len(out))
-        told = [(one.number, one.zone, one.generation) for one in out]
-        assert len(out) <= self.rules.at_once, f"at {self.now}: {told} out"
-        assert len({one.zone for one in out}) <= 1, f"at {self.now}: {told} out"
+        out = self.nodes_out()
+        self.max_nodes_out = max(self.max_nodes_out, len(out))
+        details = [(node.number, node.zone, node.generation) for node in out]
+        assert len(out) <= self.rules.at_once, f"at {self.now_s}: {details} out"
+        assert len({node.zone for node in out}) <= 1, f"at {self.now_s}: {details} out"
 
-    def play(self, steps: int) -> None:
+    def run(self, steps: int) -> None:
         for _ in range(steps):
             if self.random.random() < 0.3:
-                self.mischief()
+                self.random_event()
             self.step()
         for node in self.nodes:
-            self.count_taken(node)
+            self.count_permits_taken(node)
 
-    def count_taken(self, node: Node) -> None:
+    def count_permits_taken(self, node: Node) -> None:
         if node.holder is not None:
-            self.taken += sum(note.what == "took" for note in node.holder.notes)
-            node.holder.notes.clear()
+            self.permits_taken += sum(event.what == "took" for event in node.holder.events)
+            node.holder.events.clear()
--- a/tests/tier/solving.py
+++ b/tests/tier/solving.py
@@ -1,4 +1,4 @@
-"""What a solver is asked."""
+"""Questions to an SMT solver."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import z3
 
 
-def refuted(*claims: Any) -> bool:
-    """No state makes all of these true."""
+def is_unsatisfiable(*claims: Any) -> bool:
+    """Whether no state satisfies all of the claims."""
     solver = z3.Solver()
     solver.set("timeout", 60_000)
     solver.add(*claims)
-    found = solver.check()
-    assert found != z3.unknown
-    return bool(found == z3.unsat)
+    result = solver.check()
+    assert result != z3.unknown
+    return bool(result == z3.unsat)
--- a/tests/tier/test_escrow_proved.py
+++ b/tests/tier/test_escrow_proved.py
@@ -12,7 +12,7 @@
 import pytest
 import z3
 from lending import NAMES, Figures, Lending, Slot, State
-from solving import refuted
+from solving import is_unsatisfiable
 
 from driftstair.tier.shared.budget import TERMS
 from driftstair.tier.shared.escrow import Ask, Escrow, GiveBack, Grant, Terms
@@ -71,7 +71,7 @@
     before = z3.And(*model.invariant(state))
     return [
         name for name, may, after in steps(model, state)
-        if not refuted(before, may, z3.Not(z3.And(*model.invariant(after))))
+        if not is_unsatisfiable(before, may, z3.Not(z3.And(*model.invariant(after))))
     ]  # fmt: skip
 
 
@@ -79,7 +79,7 @@
     model = Lending(figures(), Solver)
     assert broken_by(model) == []
     state = unknown()
-    assert refuted(z3.And(*model.invariant(state)), z3.Not(model.bound(state)))
+    assert is_unsatisfiable(z3.And(*model.invariant(state)), z3.Not(model.bound(state)))
 
 
 def test_the_invariant_holds_at_the_start_and_allows_loans() -> None:
@@ -88,8 +88,10 @@
     claims = z3.And(*model.invariant(state))
     nothing = [z3.Not(getattr(one, name)) if name in BOOLS else getattr(one, name) == 0
                for one in state.slots for name in NAMES]  # fmt: skip
-    assert refuted(model.f.waited == state.W, *nothing, z3.Not(claims))
-    assert not refuted(claims, *(one.B > 0 for one in state.slots), *(one.shares > 1 for one in state.slots))
+    assert is_unsatisfiable(model.f.waited == state.W, *nothing, z3.Not(claims))
+    assert not is_unsatisfiable(
+        claims, *(one.B > 0 for one in state.slots), *(one.shares > 1 for one in state.slots)
+    )
 
 
 class Minted(Lending):
--- a/tests/tier/test_leases_every_order.py
+++ b/tests/tier/test_leases_every_order.py
@@ -1,4 +1,5 @@
-"""One owner at a time, and tokens that only rise: every order of a few voters, random ones of a worse."""
+"""At most one owner at a time, and tokens that only rise: every order of steps of a few voters up to a bound,
+and random orders with more faults."""
 
 from __future__ import annotations
 
@@ -6,7 +7,7 @@
 from typing import Any
 
 import pytest
-from voters import SHORT, explore, owned, proposing, quick, walk
+from voters import SHORT_TERMS, explore, proposer_module, short_pauses, walk_randomly, world_with_owner
 
 from driftstair.tier.ownership.acceptor import Acceptor
 from driftstair.tier.ownership.messages import Accepted, Prepare, Refused, Terms, first_token
@@ -17,126 +18,129 @@
 
 
 @pytest.fixture(autouse=True)
-def small(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    for name, value in quick().items():
-        monkeypatch.setattr(proposing, name, value)
+def set_short_pauses(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+    for name, value in short_pauses().items():
+        monkeypatch.setattr(proposer_module, name, value)
     yield
 
 
 def test_no_order_of_events_gives_a_task_two_owners() -> None:
-    worlds, grants, broken = explore(WORLDS)
-    assert broken == ""
+    worlds, grants, violation = explore(WORLDS)
+    assert violation == ""
     assert worlds >= WORLDS and grants >= 2
 
 
-def test_no_random_order_does_and_leases_change_hands() -> None:
+def test_random_orders_never_give_two_owners_and_leases_change_hands() -> None:
     grants = 0
     for seed in range(SEEDS):
-        world = walk(seed, STEPS)
-        assert world.broken == "", seed
+        world = walk_randomly(seed, STEPS)
+        assert world.violation == "", seed
         grants += world.grants
     assert grants > 5 * SEEDS
 
 
-# Defects of each part of the argument.
+# Defects in each part of the argument.
 
 
-def unwaited(self: Terms) -> int:
-    return self.lease
+def lease_without_drift(self: Terms) -> int:
+    return self.lease_ns
 
 
-def not_silent(self: Acceptor, now: int) -> bool:
+def never_silent(self: Acceptor, now: int) -> bool:
     return False
 
 
-def taken_from_another(
+def accept_rival_during_lease(
     self: Acceptor, now: int, sender: int, generation: int, task: int, token: int
 ) -> Refused | None:
-    known = max(self.floor, self.known.get(task, 0))
-    return Refused(task, token, known) if token < known else None
+    highest_token = max(self.token_floor, self.highest_tokens.get(task, 0))
+    return Refused(task, token, highest_token) if token < highest_token else None
 
 
-def no_floor(self: Acceptor, terms: Terms, generation: int, started: int) -> None:
-    begun(self, terms, generation, started)
-    self.floor = 0
+def start_without_token_floor(self: Acceptor, terms: Terms, generation: int, started_ns: int) -> None:
+    original_init(self, terms, generation, started_ns)
+    self.token_floor = 0
 
 
-def any_token(
+def accept_any_token(
     self: Acceptor, now: int, sender: int, generation: int, task: int, token: int
 ) -> Refused | None:
-    lease = self.lease(now, task)
+    lease = self.running_lease(now, task)
     if lease is not None and (lease.owner, lease.generation) != (sender, generation):
-        return Refused(task, token, 0, lease.owner, lease.until - now)
+        return Refused(task, token, 0, lease.owner, lease.until_ns - now)
     return None
 
 
-def from_its_answer(self: Proposer, now: int, member: int, answer: Accepted) -> bool:
-    had = accepted(self, now, member, answer)
+def count_lease_from_answer(self: Proposer, now: int, voter: int, message: Accepted) -> bool:
+    is_new_owner = original_on_accepted(self, now, voter, message)
     if self._phase is Phase.IDLE and self._token:
-        self._until = max(self._until, now + self._terms.lease)
-    return had
+        self._until_ns = max(self._until_ns, now + self._terms.lease_ns)
+    return is_new_owner
 
 
-def any_answer(self: Proposer, now: int, member: int, answer: Accepted) -> bool:
-    return accepted(self, now, member, answer._replace(seq=self._seq))
+def count_answers_to_earlier_proposals(self: Proposer, now: int, voter: int, message: Accepted) -> bool:
+    return original_on_accepted(self, now, voter, message._replace(seq=self._seq))
 
 
-def one_is_enough(self: Proposer, members: set[int]) -> bool:
-    return len(members) >= 1
+def one_voter_is_majority(self: Proposer, voters: set[int]) -> bool:
+    return len(voters) >= 1
 
 
-def lapsed_and_longer(self: Proposer, now: int) -> None:
-    if self._token and now >= self._until - self._terms.margin:
+def extend_expired_lease(self: Proposer, now: int) -> None:
+    if self._token and now >= self._until_ns - self._terms.margin_ns:
         self._token = 0
 
 
-accepted, begun = Proposer.accepted, Acceptor.__init__
+original_on_accepted, original_init = Proposer.on_accepted, Acceptor.__init__
 
 
 @pytest.mark.parametrize(
-    ("where", "name", "defect"),
+    ("target", "name", "defect"),
     [
-        (Terms, "waited", unwaited), (Acceptor, "silent", not_silent),
-        (Acceptor, "_refusal", taken_from_another), (Acceptor, "_refusal", any_token),
-        (Proposer, "accepted", from_its_answer), (Proposer, "_enough", one_is_enough),
-        (Proposer, "_lapse", lapsed_and_longer),
+        (Terms, "voter_lease_ns", lease_without_drift), (Acceptor, "is_silent", never_silent),
+        (Acceptor, "_refusal", accept_rival_during_lease), (Acceptor, "_refusal", accept_any_token),
+        (Proposer, "on_accepted", count_lease_from_answer), (Proposer, "_is_majority", one_voter_is_majority),
+        (Proposer, "_expire", extend_expired_lease),
     ],
-    ids=["unwaited", "not silent", "taken from another", "any token", "from its answer", "no majority",
-         "lapsed and longer"],
+    ids=["lease without drift", "never silent", "rival accepted during a lease", "any token accepted",
+         "lease counted from the answer", "one voter is a majority", "expired lease extended"],
 )  # fmt: skip
 def test_a_planted_defect_is_found(
-    where: Any, name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
+    target: Any, name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(where, name, defect)
-    assert any(walk(seed, STEPS).broken for seed in range(1000))
+    monkeypatch.setattr(target, name, defect)
+    assert any(walk_randomly(seed, STEPS).violation for seed in range(1000))
 
 
-# Two that chance hardly meets.
+# Two cases that random orders rarely reach.
 
 
-def test_an_answer_to_an_earlier_proposal_makes_nothing_longer(monkeypatch: pytest.MonkeyPatch) -> None:
-    def until(defect: bool) -> int:
-        if defect:
-            monkeypatch.setattr(Proposer, "accepted", any_answer)
-        world = owned()
+def test_an_answer_to_an_earlier_proposal_does_not_extend_a_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    def lease_end(has_defect: bool) -> int:
+        if has_defect:
+            monkeypatch.setattr(Proposer, "on_accepted", count_answers_to_earlier_proposals)
+        world = world_with_owner()
         proposer, now = world.proposers[0], world.clocks[0]
-        first = Accepted(0, proposer._asked, proposer._seq)
-        proposer.tick(now + 2)  # makes it longer: only its own member hears of it
-        proposer.accepted(now + 2, 0, Accepted(0, proposer._asked, proposer._seq))
-        proposer.accepted(now + 2, 2, first)
-        return proposer._until
+        earlier_answer = Accepted(0, proposer._attempt_token, proposer._seq)
+        proposer.tick(now + 2)  # proposes a renewal, which only the voter on the same node receives
+        proposer.on_accepted(now + 2, 0, Accepted(0, proposer._attempt_token, proposer._seq))
+        proposer.on_accepted(now + 2, 2, earlier_answer)
+        return proposer._until_ns
 
-    assert until(False) < until(True)
+    assert lease_end(False) < lease_end(True)
 
 
-def test_a_member_that_starts_gives_an_old_node_no_low_token(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Node 1 started lately and owned the task; then those that knew its token start anew."""
+def test_a_restarted_voter_does_not_let_an_old_process_have_a_low_token(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Node 1 started late and owned the task, and then the voters that knew its token restarted. Without a
+    floor, a process that started earlier would get a lower token."""
 
-    def had(defect: bool) -> int:
-        if defect:
-            monkeypatch.setattr(Acceptor, "__init__", no_floor)
-        member = Acceptor(SHORT, 9, -100)
-        answer = member.prepare(0, 0, 1, Prepare(0, first_token(1, 0)))
-        return answer.known if isinstance(answer, Refused) else 0
+    def reported_token(has_defect: bool) -> int:
+        if has_defect:
+            monkeypatch.setattr(Acceptor, "__init__", start_without_token_floor)
+        voter = Acceptor(SHORT_TERMS, 9, -100)
+        answer = voter.on_prepare(0, 0, 1, Prepare(0, first_token(1, 0)))
+        return answer.highest_token if isinstance(answer, Refused) else 0
 
-    assert had(False) > first_token(8, 1) and had(True) == 0
+    assert reported_token(False) > first_token(8, 1) and reported_token(True) == 0
--- a/tests/tier/test_leases_world.py
+++ b/tests/tier/test_leases_world.py
@@ -1,4 +1,5 @@
-"""Leases in a modelled tier: who has a task, how soon again, and that tokens rise, whatever befalls nodes."""
+"""Leases in a modelled tier: which node owns a task, how soon it has an owner again, and that tokens rise
+through all faults of nodes and the network."""
 
 from __future__ import annotations
 
@@ -18,220 +19,227 @@
     voter_numbers,
 )
 
-SILENT = TERMS.waited() / SECOND  # s after a start in which the voters say nothing
+SILENCE_S = TERMS.voter_lease_ns() / SECOND  # after a start, in which the voters do not answer
 TASKS = tuple(f"task {number}" for number in range(12))
 
 
-def fleet(
+def started_fleet(
     count: int = 5, seed: int = 1, tasks: tuple[str, ...] = ("work",), link: Link | None = None
 ) -> Fleet:
-    out = Fleet(count, seed, tasks, link or Link())
-    out.world.run(SILENT + 4.0)
-    return out
-
-
-def test_each_task_has_one_owner_once_the_voters_speak_and_keeps_it() -> None:
-    play = fleet(tasks=TASKS)
-    owners = [play.owners(task) for task in TASKS]
-    assert all(len(one) == 1 for one in owners)
-    assert {one[0] for one in owners} > {0} or len({one[0] for one in owners}) > 1
-    play.world.run(60.0)
-    assert [play.owners(task) for task in TASKS] == owners
-    assert len(play.had) == len(TASKS)  # made longer, never lost
-
-
-def test_the_first_in_rank_has_it() -> None:
-    play = fleet(tasks=TASKS)
+    """A fleet in which tasks have had time to find an owner."""
+    fleet = Fleet(count, seed, tasks, link or Link())
+    fleet.world.run(SILENCE_S + 4.0)
+    return fleet
+
+
+def test_each_task_has_one_owner_once_the_voters_answer_and_the_owner_keeps_it() -> None:
+    fleet = started_fleet(tasks=TASKS)
+    owners = [fleet.owners(task) for task in TASKS]
+    assert all(len(task_owners) == 1 for task_owners in owners)
+    assert {task_owners[0] for task_owners in owners} > {0} or len(
+        {task_owners[0] for task_owners in owners}
+    ) > 1
+    fleet.world.run(60.0)
+    assert [fleet.owners(task) for task in TASKS] == owners
+    assert len(fleet.had) == len(TASKS)  # each lease was renewed and never lost
+
+
+def test_the_first_node_in_rank_owns_a_task() -> None:
+    fleet = started_fleet(tasks=TASKS)
     for task in TASKS:
-        core = play.world.hosts[0].detector.core  # type: ignore[union-attr]
-        assert play.owners(task) == rank_nodes(core.tasks[task].key, range(5))[:1]
+        core = fleet.world.hosts[0].detector.core  # type: ignore[union-attr]
+        assert fleet.owners(task) == rank_nodes(core.tasks[task].key, range(5))[:1]
 
 
 @pytest.mark.parametrize("count", [3, 5, 20])
-def test_a_crash_moves_what_its_node_held_alone_and_soon(count: int) -> None:
-    play = fleet(count, tasks=TASKS)
-    before = {task: play.owners(task)[0] for task in TASKS}
-    gone = before[TASKS[0]]
-    play.crash(gone)
-    took = play.until_owned(10.0, TASKS[0])
-    assert took < play.late + TERMS.waited() / SECOND + 1.0
-    play.world.run(5.0)
-    after = {task: play.owners(task)[0] for task in TASKS}
+def test_a_crash_moves_only_the_tasks_of_the_crashed_node_and_soon(count: int) -> None:
+    fleet = started_fleet(count, tasks=TASKS)
+    before = {task: fleet.owners(task)[0] for task in TASKS}
+    crashed = before[TASKS[0]]
+    fleet.crash(crashed)
+    gap_s = fleet.until_owned(10.0, TASKS[0])
+    assert gap_s < fleet.late + TERMS.voter_lease_ns() / SECOND + 1.0
+    fleet.world.run(5.0)
+    after = {task: fleet.owners(task)[0] for task in TASKS}
     assert {task for task in TASKS if after[task] != before[task]} == {
-        task for task in TASKS if before[task] == gone
+        task for task in TASKS if before[task] == crashed
     }
 
 
-def test_a_planned_end_hands_over_within_a_round_trip_or_two() -> None:
-    play = fleet(9, tasks=TASKS)
+def test_a_planned_end_hands_tasks_over_within_a_few_round_trips() -> None:
+    fleet = started_fleet(9, tasks=TASKS)
     for task in TASKS:
-        owner = play.owners(task)[0]
-        play.world.hosts[owner].detector.leave()  # type: ignore[union-attr]
-        assert play.owners(task) == []
-        assert play.until_owned(2.0, task) < 0.2  # links of 1 to 20 ms
-        assert play.owners(task) != [owner]
-        play.world.crash(owner)
-        play.alive.discard(owner)
-        play.start(owner)
-        play.world.run(SILENT + 1.0)
-
-
-def test_without_a_majority_there_is_no_owner_and_with_one_again_there_is() -> None:
-    play = fleet(5)
-    (owner,) = play.owners()
+        owner = fleet.owners(task)[0]
+        fleet.world.hosts[owner].detector.leave()  # type: ignore[union-attr]
+        assert fleet.owners(task) == []
+        assert fleet.until_owned(2.0, task) < 0.2  # links of 1 to 20 ms
+        assert fleet.owners(task) != [owner]
+        fleet.world.crash(owner)
+        fleet.alive.discard(owner)
+        fleet.start(owner)
+        fleet.world.run(SILENCE_S + 1.0)
+
+
+def test_there_is_no_owner_without_a_majority_and_one_again_with_it() -> None:
+    fleet = started_fleet(5)
+    (owner,) = fleet.owners()
     others = [number for number in range(5) if number != owner]
-    apart = {owner, others[0]}
-    play.world.cut = lambda source, target: (source in apart) != (target in apart)
-    play.world.run(TERMS.lease / SECOND + 0.1)
-    assert owner not in play.owners()
-    play.until_owned(8.0)  # by those three
-    play.world.cut = lambda source, target: {source, target} != {owner, others[0]}
-    play.world.run(TERMS.lease / SECOND + 0.1)
-    assert play.owners() == []
-    play.world.cut = lambda source, target: False
-    play.until_owned(8.0)
-
-
-def test_an_owner_that_hears_the_voters_and_is_not_heard_stops_in_time() -> None:
-    play = fleet(5)
-    (owner,) = play.owners()
-    play.world.cut = lambda source, target: source == owner
-    play.world.run(TERMS.lease / SECOND)
-    assert owner not in play.owners()
-    play.until_owned(8.0)
-
-
-def test_an_owner_that_stood_still_has_no_token_when_it_wakes() -> None:
-    play = fleet(5)
-    (owner,) = play.owners()
-    play.world.stop(owner)
-    play.world.run(30.0)
-    assert [one for one in play.owners() if one != owner]
-    assert owner not in play.owners()  # by its clock, whatever it believes
-    play.world.go_on(owner)
-    play.world.run(5.0)
-    assert len(play.owners()) == 1
-
-
-def test_all_restarted_have_an_owner_once_the_longest_lease_is_over_and_its_token_is_greater() -> None:
-    play = fleet(5)
-    before = max(one.token for one in play.had)
+    minority = {owner, others[0]}
+    fleet.world.cut = lambda source, target: (source in minority) != (target in minority)
+    fleet.world.run(TERMS.lease_ns / SECOND + 0.1)
+    assert owner not in fleet.owners()
+    fleet.until_owned(8.0)  # by a node of the majority
+    fleet.world.cut = lambda source, target: {source, target} != {owner, others[0]}
+    fleet.world.run(TERMS.lease_ns / SECOND + 0.1)
+    assert fleet.owners() == []
+    fleet.world.cut = lambda source, target: False
+    fleet.until_owned(8.0)
+
+
+def test_an_owner_whose_messages_are_lost_in_one_direction_stops_in_time() -> None:
+    fleet = started_fleet(5)
+    (owner,) = fleet.owners()
+    fleet.world.cut = lambda source, target: source == owner
+    fleet.world.run(TERMS.lease_ns / SECOND)
+    assert owner not in fleet.owners()
+    fleet.until_owned(8.0)
+
+
+def test_a_paused_owner_has_no_token_when_it_resumes() -> None:
+    fleet = started_fleet(5)
+    (owner,) = fleet.owners()
+    fleet.world.stop(owner)
+    fleet.world.run(30.0)
+    assert [number for number in fleet.owners() if number != owner]
+    assert owner not in fleet.owners()  # by its own clock, though it has not noticed yet
+    fleet.world.go_on(owner)
+    fleet.world.run(5.0)
+    assert len(fleet.owners()) == 1
+
+
+def test_after_a_restart_of_all_nodes_there_is_an_owner_with_a_greater_token_once_the_voters_answer() -> None:
+    fleet = started_fleet(5)
+    before = max(lease.token for lease in fleet.had)
     for number in range(5):
-        play.crash(number)
-        play.start(number)
-    assert play.until_owned(SILENT + 3.0) > SILENT - 0.1
-    assert play.had[-1].token > before
+        fleet.crash(number)
+        fleet.start(number)
+    assert fleet.until_owned(SILENCE_S + 3.0) > SILENCE_S - 0.1
+    assert fleet.had[-1].token > before
 
 
-def test_whatever_befalls_there_is_one_owner_at_most_and_tokens_rise() -> None:
-    assert sum(befallen(seed) for seed in range(20)) >= 50
+def test_there_is_at_most_one_owner_and_tokens_rise_through_random_faults() -> None:
+    assert sum(lease_count_under_faults(seed) for seed in range(20)) >= 50
 
 
-def befallen(seed: int) -> int:
-    """How many leases there were."""
+def lease_count_under_faults(seed: int) -> int:
+    """Checks a fleet under random faults; returns how many leases there were."""
     random = Random(seed)
     count = random.choice((3, 5, 9))
-    late = random.choice((20, 300)) * 1_000_000
-    play = fleet(count, seed, link=Link(loss=0.15, duplicate=0.1, high=late))
-    world = play.world
+    max_delay_ns = random.choice((20, 300)) * 1_000_000
+    fleet = Fleet(count, seed, link=Link(loss=0.15, duplicate=0.1, high=max_delay_ns))
+    world = fleet.world
     for _ in range(80):
         number = random.randrange(count)
-        apart = set(random.sample(range(count), random.randrange(count)))
+        cut_nodes = set(random.sample(range(count), random.randrange(count)))
         match random.randrange(8):
             case 0 if world.runs(number):
-                play.crash(number)
+                fleet.crash(number)
             case 1 if not world.runs(number):
-                play.start(number)
+                fleet.start(number)
             case 2:
                 world.stop(number)
             case 3 | 4 if world.hosts[number].stopped:
                 world.go_on(number)
             case 5:
-                world.cut = parted(apart)
+                world.cut = cut_between(cut_nodes)
             case 6:
-                world.cut = mute(apart)
+                world.cut = cut_outgoing(cut_nodes)
             case 7:
                 world.cut = lambda source, target: False
         for _ in range(10):
             world.run(random.uniform(0.02, 0.25))
-            assert len(play.owners()) <= 1
-    tokens = [one.token for one in play.had]
+            assert len(fleet.owners()) <= 1
+    tokens = [lease.token for lease in fleet.had]
     assert tokens == sorted(set(tokens))
     return len(tokens)
 
 
-def parted(some: set[int]) -> Callable[[int, int], bool]:
-    return lambda source, target: (source in some) != (target in some)
+def cut_between(nodes: set[int]) -> Callable[[int, int], bool]:
+    """Cuts these nodes off from the others, in both directions."""
+    return lambda source, target: (source in nodes) != (target in nodes)
 
 
-def mute(some: set[int]) -> Callable[[int, int], bool]:
-    return lambda source, target: source in some
+def cut_outgoing(nodes: set[int]) -> Callable[[int, int], bool]:
+    """Drops all messages that these nodes send."""
+    return lambda source, target: source in nodes
 
 
-def test_rivals_that_stand_at_once_again_and_again_are_no_deadlock() -> None:
-    """As if all had the first rank: chance alone parts them."""
-    play = Fleet(9, 3)
-    for host in play.world.hosts:
+def test_rivals_that_ask_at_the_same_time_do_not_deadlock() -> None:
+    """Every node considers itself first in rank, so only random pauses let one of them win."""
+    fleet = Fleet(9, 3)
+    for host in fleet.world.hosts:
         core: Leases = host.detector.core  # type: ignore[union-attr]
-        core.tasks["work"].since = -10 * SECOND
-        core._living = lambda own=host.number: [own]  # type: ignore[misc]
-    play.world.run(SILENT)
-    assert play.until_owned(3.0) < 3.0
+        core.tasks["work"].free_since_ns = -10 * SECOND
+        core._alive_nodes = lambda own_number=host.number: [own_number]  # type: ignore[misc]
+    fleet.world.run(SILENCE_S)
+    assert fleet.until_owned(3.0) < 3.0
 
 
 def test_hundreds_of_tasks_are_spread_and_cost_a_bounded_number_of_datagrams() -> None:
     tasks = tuple(f"t{number}" for number in range(200))
-    play = fleet(9, tasks=tasks)
-    play.world.run(6.0)
-    held = [sum(play.owners(task) == [number] for task in tasks) for number in range(9)]
-    assert sum(held) == 200 and min(held) >= 5
-    before = sum(host.datagrams_out for host in play.world.hosts)
-    play.world.run(10.0)
-    rate = (sum(host.datagrams_out for host in play.world.hosts) - before) / 10 / 9
-    assert rate / (200 / 9) < 14  # a task's owner: seven asked and seven answers in half a lease, and rivals
-
-
-def test_the_voters_are_the_same_whatever_numbers_come_beyond_them() -> None:
+    fleet = started_fleet(9, tasks=tasks)
+    fleet.world.run(6.0)
+    owned_tasks = [sum(fleet.owners(task) == [number] for task in tasks) for number in range(9)]
+    assert sum(owned_tasks) == 200 and min(owned_tasks) >= 5
+    before = sum(host.datagrams_out for host in fleet.world.hosts)
+    fleet.world.run(10.0)
+    rate = (sum(host.datagrams_out for host in fleet.world.hosts) - before) / 10 / 9
+    # In half a lease, the owner of a task sends 7 messages and gets 7 answers; rivals add some.
+    assert rate / (200 / 9) < 14
+
+
+def test_the_voters_stay_the_same_when_nodes_with_higher_numbers_join() -> None:
     assert voter_numbers(7) == voter_numbers(200) == tuple(range(MAX_VOTERS))
     assert voter_numbers(3) == (0, 1, 2)
 
 
-def test_a_node_that_is_no_voter_may_own_and_decides_nothing() -> None:
-    play = fleet(30, tasks=TASKS)
-    owners = {play.owners(task)[0] for task in TASKS}
+def test_a_node_that_is_no_voter_may_own_a_task_and_does_not_vote() -> None:
+    fleet = started_fleet(30, tasks=TASKS)
+    owners = {fleet.owners(task)[0] for task in TASKS}
     assert max(owners) >= MAX_VOTERS
-    assert play.world.hosts[20].detector.core.acceptor is None  # type: ignore[union-attr]
+    assert fleet.world.hosts[20].detector.core.acceptor is None  # type: ignore[union-attr]
 
 
-def test_work_that_is_no_more_and_comes_again_has_a_greater_token() -> None:
-    """Seen on processes: a server that was held back again had a prober with the token of the first time."""
-    play = fleet(3, tasks=())
-    # Of the node that started last: no member's floor is above its first token.
+def test_a_task_that_is_removed_and_added_again_has_a_greater_token() -> None:
+    """Otherwise a server that is held back a second time has a prober with the token of the first time, which
+    happened with real processes."""
+    fleet = started_fleet(3, tasks=())
+    # The first in rank is the node that started last: no voter's floor is above its first token.
     name = next(f"t{number}" for number in range(99) if rank_nodes(task_key(f"t{number}"), range(3))[0] == 2)
     for _ in range(3):
-        for host in play.world.hosts:
-            host.detector.core.add(play.world.now, name)  # type: ignore[union-attr]
+        for host in fleet.world.hosts:
+            host.detector.core.add_task(fleet.world.now, name)  # type: ignore[union-attr]
             host.detector.wake()  # type: ignore[union-attr]
-        play.until_owned(8.0, name)
-        for host in play.world.hosts:
-            host.detector._do(*host.detector.core.remove(play.world.now, name))  # type: ignore[union-attr]
-        play.world.run(1.0)
-    tokens = [one.token for one in play.had]
+        fleet.until_owned(8.0, name)
+        for host in fleet.world.hosts:
+            host.detector._do(*host.detector.core.remove_task(fleet.world.now, name))  # type: ignore[union-attr]
+        fleet.world.run(1.0)
+    tokens = [lease.token for lease in fleet.had]
     assert len(tokens) == 3 and tokens == sorted(set(tokens))
 
 
-def test_the_effect_s_word_on_a_greater_token_lifts_the_next() -> None:
-    play = fleet(3)
-    (owner,) = play.owners()
-    core: Leases = play.world.hosts[owner].detector.core  # type: ignore[union-attr]
-    told = play.had[-1].token + (1 << 60)
-    core.floor("work", told)
-    core.release(play.world.now, "work")
-    play.crash(owner)
-    play.start(owner)
-    core = play.world.hosts[owner].detector.core  # type: ignore[union-attr]
-    core.floor("work", told)
-    play.alive = {owner, (owner + 1) % 3}
-    play.world.run(SILENT + 6.0)
-    (last,) = [one for one in play.had if not one.end]
-    assert last.node != owner or last.token > told
+def test_a_token_floor_reported_by_the_resource_raises_the_next_token() -> None:
+    fleet = started_fleet(3)
+    (owner,) = fleet.owners()
+    core: Leases = fleet.world.hosts[owner].detector.core  # type: ignore[union-attr]
+    reported_token = fleet.had[-1].token + (1 << 60)
+    core.raise_token_floor("work", reported_token)
+    core.release(fleet.world.now, "work")
+    fleet.crash(owner)
+    fleet.start(owner)
+    core = fleet.world.hosts[owner].detector.core  # type: ignore[union-attr]
+    core.raise_token_floor("work", reported_token)
+    fleet.alive = {owner, (owner + 1) % 3}
+    fleet.world.run(SILENCE_S + 6.0)
+    (last_lease,) = [lease for lease in fleet.had if not lease.end]
+    assert last_lease.node != owner or last_lease.token > reported_token
--- a/tests/tier/test_permits.py
+++ b/tests/tier/test_permits.py
@@ -1,5 +1,5 @@
-"""Permits to be out: never too many, never two zones, whoever is the disruption controller; and that all
-get theirs."""
+"""Permits to be out: never too many nodes and never two zones are out, through changes of the disruption
+controller, and every request is granted in the end."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from typing import Any
 
 import pytest
-from disruption_control import RULES, SECOND, TERM, World
+from disruption_control import RULES, SECOND, TERM_NS, World
 
 from driftstair.tier.ownership.disruption_controller import DisruptionController
 from driftstair.tier.ownership.permits import (
-    Ask,
     Holder,
     Kind,
     Permit,
     Poll,
     PollReply,
+    RequestPermit,
     ReturnConfirmed,
     ReturnPermit,
     Rules,
@@ -29,308 +29,327 @@
 STEPS = 1200
 
 
-def played(seed: int, **parts: Any) -> World:
+def run_random_world(seed: int, **arguments: Any) -> World:
     random = Random(seed)
-    world = World(random.randint(2, 7), random.randint(1, 3), random, **parts)
-    world.play(STEPS)
+    world = World(random.randint(2, 7), random.randint(1, 3), random, **arguments)
+    world.run(STEPS)
     return world
 
 
-def test_never_too_many_are_out_and_never_two_zones() -> None:
-    worlds = [played(seed) for seed in range(SEEDS)]
-    assert sum(world.taken for world in worlds) > 20 * SEEDS  # it is not that nobody ever is out
-    assert sum(world.most == RULES.at_once for world in worlds) > SEEDS / 3
+def test_never_too_many_nodes_and_never_two_zones_are_out() -> None:
+    worlds = [run_random_world(seed) for seed in range(SEEDS)]
+    assert sum(world.permits_taken for world in worlds) > 20 * SEEDS  # not because no node is ever out
+    assert sum(world.max_nodes_out == RULES.at_once for world in worlds) > SEEDS / 3
 
 
-# Defects that are planted: each is found by the same play.
+# Planted defects, each of which the same random worlds have to find.
 
 
-class FromTheAnswer(Holder):
-    """Its permit counts from when it came."""
+class CountsFromArrival(Holder):
+    """Counts a permit from when it arrives."""
 
-    def _permitted(self, now: int, sender: int, message: Permit) -> Any:
-        return super()._permitted(now, sender, message._replace(at=now))
+    def _on_permit(self, now: int, sender: int, message: Permit) -> Any:
+        return super()._on_permit(now, sender, message._replace(asked_at_ns=now))
 
 
-class NoFloor(Holder):
-    """Takes what an older disruption controller has given."""
+class WithoutTokenFloor(Holder):
+    """Takes permits of an older disruption controller."""
 
-    def heard(self, now: int, sender: int, message: Any) -> Any:
-        self.floor = 0
-        return super().heard(now, sender, message)
+    def on_message(self, now: int, sender: int, message: Any) -> Any:
+        self.token_floor = 0
+        return super().on_message(now, sender, message)
 
 
-class AnyGeneration(Holder):
-    """Takes what was given to the process before it."""
+class TakesAnyGeneration(Holder):
+    """Takes permits that were granted to the previous process."""
 
-    def _permitted(self, now: int, sender: int, message: Permit) -> Any:
-        return super()._permitted(now, sender, message._replace(generation=self.generation))
+    def _on_permit(self, now: int, sender: int, message: Permit) -> Any:
+        return super()._on_permit(now, sender, message._replace(generation=self.generation))
 
 
-class Unpolled(DisruptionController):
-    """Takes who has not answered for one that is not out."""
+class IgnoresUnpolledNodes(DisruptionController):
+    """Considers a node that has not answered the poll as in service."""
 
-    def _out(self, now: int, living: Any) -> dict[int, int]:
-        return {number: self._zones.get(number, -1) for number in self.given}
+    def _nodes_out(self, now: int, live_nodes: Any) -> dict[int, int]:
+        return {number: self._zones.get(number, -1) for number in self.granted}
 
 
-class Hasty(DisruptionController):
-    """Forgets a permit when its own clock says that the term is over."""
+class IgnoresDrift(DisruptionController):
+    """Drops a permit as soon as the term is over by its own clock."""
 
-    def _look(self, now: int) -> Any:
-        for number, given in list(self.given.items()):
-            if given.at and now >= given.until - self.rules.waited() + int(0.98 * self.rules.term):
-                del self.given[number]
-        return super()._look(now)
+    def _refresh(self, now: int) -> Any:
+        for number, granted in list(self.granted.items()):
+            if granted.asked_at_ns and now >= granted.until_ns - self.rules.controller_term_ns() + int(
+                0.98 * self.rules.term_ns
+            ):
+                del self.granted[number]
+        return super()._refresh(now)
 
 
-class Trusting(DisruptionController):
-    """A restart gives back, before the new process has said that it is there."""
+class DropsPermitsOfDeadNodes(DisruptionController):
+    """Takes the end of a process for a return of its permit, before the new process has reported."""
 
-    def _look(self, now: int) -> Any:
-        living = super()._look(now)
-        for number in [one for one in self.given if one not in living]:
-            del self.given[number]
-        return living
+    def _refresh(self, now: int) -> Any:
+        live_nodes = super()._refresh(now)
+        for number in [node for node in self.granted if node not in live_nodes]:
+            del self.granted[number]
+        return live_nodes
 
 
-class AnyZone(DisruptionController):
-    def _refused(self, living: Any, out: dict[int, int], number: int) -> WaitReason | None:
-        return super()._refused(living, dict.fromkeys(out, self._zones.get(number, -1)), number)
+class IgnoresZones(DisruptionController):
+    """Grants permits in several zones at the same time."""
+
+    def _wait_reason(self, live_nodes: Any, out: dict[int, int], number: int) -> WaitReason | None:
+        return super()._wait_reason(live_nodes, dict.fromkeys(out, self._zones.get(number, -1)), number)
 
 
 @pytest.mark.parametrize(
-    "defect", [FromTheAnswer, NoFloor, AnyGeneration, Unpolled, Hasty, Trusting, AnyZone]
+    "defect",
+    [
+        CountsFromArrival,
+        WithoutTokenFloor,
+        TakesAnyGeneration,
+        IgnoresUnpolledNodes,
+        IgnoresDrift,
+        DropsPermitsOfDeadNodes,
+        IgnoresZones,
+    ],
 )
 def test_a_planted_defect_is_found(defect: type) -> None:
-    parts = {"holder": defect} if issubclass(defect, Holder) else {"disruption_controller": defect}
-    if defect is AnyGeneration:
-        parts["loss"] = 0.0
+    arguments = {"holder_type": defect} if issubclass(defect, Holder) else {"controller_type": defect}
+    if defect is TakesAnyGeneration:
+        arguments["loss"] = 0.0
     with pytest.raises(AssertionError, match="out"):
         for seed in range(1000, 1400):
-            played(seed, **parts)
+            run_random_world(seed, **arguments)
 
 
-# By hand.
+# Single cases.
 
 
 class Tier:
-    """A disruption controller and holders on one clock, with letters that arrive at once unless `lost` says
-    otherwise."""
+    """A disruption controller and holders on one clock. Messages arrive at once, except those for which
+    `is_lost` is true."""
 
     def __init__(self, zones: list[int], rules: Rules = RULES) -> None:
         self.now = 100 * SECOND
         self.rules = rules
-        self.living = {number: (1, zone) for number, zone in enumerate(zones)}
+        self.live_nodes = {number: (1, zone) for number, zone in enumerate(zones)}
         self.holders = [Holder(rules, 1) for _ in zones]
-        self.lost: Callable[[int, Any], bool] = lambda to, message: False
-        self.lead(7)
+        self.is_lost: Callable[[int, Any], bool] = lambda to, message: False
+        self.start_controller(7)
 
-    def lead(self, token: int) -> None:
+    def start_controller(self, token: int) -> None:
         self.disruption_controller = DisruptionController(
-            self.rules, 0, len(self.holders), lambda: self.living
+            self.rules, 0, len(self.holders), lambda: self.live_nodes
         )
-        self.disruption_controller.lead(self.now, token)
+        self.disruption_controller.set_token(self.now, token)
 
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 4)):
             self.now += SECOND // 4
             self._deliver(0, 1, self.disruption_controller.tick(self.now))
             for number, holder in enumerate(self.holders):
-                if number in self.living:
+                if number in self.live_nodes:
                     self._deliver(number, holder.generation, holder.tick(self.now))
 
-    def _deliver(self, source: int, generation: int, letters: list[tuple[int, Any]]) -> None:
-        for to, message in letters:
-            if to not in self.living or self.lost(to, message):
+    def _deliver(self, source: int, generation: int, outgoing: list[tuple[int, Any]]) -> None:
+        for to, message in outgoing:
+            if to not in self.live_nodes or self.is_lost(to, message):
                 continue
-            if isinstance(message, PollReply | Ask | ReturnPermit):
-                self._deliver(0, 1, self.disruption_controller.heard(self.now, source, generation, message))
+            if isinstance(message, PollReply | RequestPermit | ReturnPermit):
+                self._deliver(
+                    0, 1, self.disruption_controller.on_message(self.now, source, generation, message)
+                )
             else:
                 holder = self.holders[to]
-                self._deliver(to, holder.generation, holder.heard(self.now, 0, message))
+                self._deliver(to, holder.generation, holder.on_message(self.now, 0, message))
 
-    def want(self, *numbers: int) -> None:
+    def request(self, *numbers: int) -> None:
         for number in numbers:
-            self.holders[number].want(self.now, Kind.RESTART)
+            self.holders[number].request(self.now, Kind.RESTART)
 
-    def out(self) -> list[int]:
-        return [number for number, one in enumerate(self.holders) if one.held(self.now)]
+    def nodes_with_permit(self) -> list[int]:
+        return [number for number, holder in enumerate(self.holders) if holder.has_permit(self.now)]
 
     def restart(self, number: int) -> None:
-        generation, zone = self.living[number]
+        generation, zone = self.live_nodes[number]
         self.holders[number] = Holder(self.rules, generation + 1)
-        self.living[number] = (generation + 1, zone)
+        self.live_nodes[number] = (generation + 1, zone)
 
 
-def test_all_get_theirs_in_turn_two_at_a_time_and_by_zones() -> None:
+def test_requests_are_granted_two_at_a_time_and_zone_by_zone() -> None:
     tier = Tier([0, 1, 0, 1, 0, 1])
     tier.run(1)
-    tier.want(0, 1, 2, 3, 4, 5)
-    seen: list[int] = []
+    tier.request(0, 1, 2, 3, 4, 5)
+    order: list[int] = []
     for _ in range(40):
         tier.run(1)
-        out = tier.out()
-        assert len({tier.living[one][1] for one in out}) <= 1
-        seen += [one for one in out if one not in seen]
-        if len(out) == 2 or (out and len(seen) in (3, 6)):
+        out = tier.nodes_with_permit()
+        assert len({tier.live_nodes[number][1] for number in out}) <= 1
+        order += [number for number in out if number not in order]
+        if len(out) == 2 or (out and len(order) in (3, 6)):
             tier.holders[out[0]].give_back(tier.now)
-    # Those of zone 0 that waited when its turn began go together, then the others.
-    assert seen == [0, 2, 4, 1, 3, 5]
+    # The nodes of zone 0, which waited when the turn of their zone began, are out together before the others.
+    assert order == [0, 2, 4, 1, 3, 5]
 
 
-def test_one_of_another_zone_does_not_wait_for_ever_behind_those_that_come_later() -> None:
+def test_a_request_of_another_zone_does_not_wait_forever_behind_later_ones() -> None:
     tier = Tier([0, 0, 0, 1])
     tier.run(1)
-    tier.want(0, 3)
+    tier.request(0, 3)
     tier.run(1)
-    assert tier.out() == [0]
-    tier.want(1, 2)  # of the zone that is out, but after 3
+    assert tier.nodes_with_permit() == [0]
+    tier.request(1, 2)  # in the zone that is out, but later than node 3
     tier.run(2)
-    assert tier.out() == [0]
-    assert tier.holders[1].why == WaitReason.ZONE or tier.holders[1].before == 1
+    assert tier.nodes_with_permit() == [0]
+    assert tier.holders[1].wait_reason == WaitReason.ZONE or tier.holders[1].nodes_ahead == 1
     tier.holders[0].give_back(tier.now)
     tier.run(2)
-    assert tier.out() == [3]
+    assert tier.nodes_with_permit() == [3]
 
 
-def test_a_restart_gives_the_permit_back_once_the_new_process_is_there() -> None:
-    tier = Tier([0, 0, 0], Rules(1, TERM))
+def test_a_restart_returns_the_permit_once_the_new_process_has_answered() -> None:
+    tier = Tier([0, 0, 0], Rules(1, TERM_NS))
     tier.run(1)
-    tier.want(0, 1)
+    tier.request(0, 1)
     tier.run(2)
-    assert tier.out() == [0]
-    gone = tier.living.pop(0)
+    assert tier.nodes_with_permit() == [0]
+    ended = tier.live_nodes.pop(0)
     tier.run(5)
-    assert tier.out() == [0] and tier.disruption_controller.out(tier.now) == {0: 0}  # the controller's record
-    tier.living[0] = gone
+    # The holder's and the controller's record.
+    assert tier.nodes_with_permit() == [0] and tier.disruption_controller.nodes_out(tier.now) == {0: 0}
+    tier.live_nodes[0] = ended
     tier.restart(0)
     tier.run(2)
-    assert tier.out() == [1]
+    assert tier.nodes_with_permit() == [1]
 
 
-def test_a_holder_that_never_comes_back_is_waited_for_until_its_term_is_over() -> None:
-    tier = Tier([0, 0, 0], Rules(1, TERM))
+def test_the_controller_waits_for_a_holder_that_never_returns_until_its_term_is_over() -> None:
+    tier = Tier([0, 0, 0], Rules(1, TERM_NS))
     tier.run(1)
-    tier.want(1, 2)
+    tier.request(1, 2)
     tier.run(2)
-    del tier.living[1]
+    del tier.live_nodes[1]
     tier.run(15)
-    assert not tier.holders[2].held(tier.now)
+    assert not tier.holders[2].has_permit(tier.now)
     tier.run(10)
-    assert tier.holders[2].held(tier.now)
+    assert tier.holders[2].has_permit(tier.now)
 
 
-def test_a_node_that_is_down_without_a_permit_counts_too() -> None:
-    tier = Tier([0, 1, 0], Rules(1, TERM))
+def test_a_node_that_is_down_without_a_permit_counts_as_out() -> None:
+    tier = Tier([0, 1, 0], Rules(1, TERM_NS))
     tier.run(1)
-    del tier.living[1]
-    tier.want(2)
+    del tier.live_nodes[1]
+    tier.request(2)
     tier.run(3)
-    assert tier.out() == [] and tier.holders[2].why in (WaitReason.OUT, WaitReason.ZONE)
+    assert tier.nodes_with_permit() == [] and tier.holders[2].wait_reason in (
+        WaitReason.OUT,
+        WaitReason.ZONE,
+    )
     tier.run(20)
-    assert tier.out() == [2]  # gone for longer than a permit could last
+    assert tier.nodes_with_permit() == [2]  # node 1 has been down for longer than a permit can last
 
 
-def test_the_next_disruption_controller_knows_what_the_one_before_it_gave_by_asking_those_that_have_it() -> (
-    None
-):
-    tier = Tier([0, 0, 0], Rules(1, TERM))
+def test_the_next_controller_learns_from_the_holders_which_permits_were_granted() -> None:
+    tier = Tier([0, 0, 0], Rules(1, TERM_NS))
     tier.run(1)
-    tier.want(1)
+    tier.request(1)
     tier.run(1)
-    tier.want(2)
-    tier.lead(8)
+    tier.request(2)
+    tier.start_controller(8)
     tier.run(4)
-    assert tier.out() == [1]
-    assert tier.holders[2].why == WaitReason.OUT
+    assert tier.nodes_with_permit() == [1]
+    assert tier.holders[2].wait_reason == WaitReason.OUT
     tier.holders[1].give_back(tier.now)
     tier.run(2)
-    assert tier.out() == [2]
+    assert tier.nodes_with_permit() == [2]
 
 
-def test_who_does_not_answer_the_poll_holds_the_others_back_for_a_term() -> None:
-    tier = Tier([0, 0, 0], Rules(1, TERM))
-    tier.lost = lambda to, message: to == 1 and isinstance(message, Poll)
-    tier.want(2)
+def test_a_node_that_does_not_answer_the_poll_delays_the_others_for_a_term() -> None:
+    tier = Tier([0, 0, 0], Rules(1, TERM_NS))
+    tier.is_lost = lambda to, message: to == 1 and isinstance(message, Poll)
+    tier.request(2)
     tier.run(15)
-    assert tier.out() == [] and tier.holders[2].why == WaitReason.POLLING
+    assert tier.nodes_with_permit() == [] and tier.holders[2].wait_reason == WaitReason.POLLING
     tier.run(10)
-    assert tier.out() == [2]
+    assert tier.nodes_with_permit() == [2]
 
 
-def test_a_lost_permit_comes_again_and_lasts_no_longer() -> None:
-    tier = Tier([0, 0], Rules(1, TERM))
+def test_a_lost_permit_is_sent_again_and_does_not_last_longer() -> None:
+    tier = Tier([0, 0], Rules(1, TERM_NS))
     tier.run(1)
-    began = tier.now
-    tier.lost = lambda to, message: isinstance(message, Permit)
-    tier.want(1)
+    requested_at = tier.now
+    tier.is_lost = lambda to, message: isinstance(message, Permit)
+    tier.request(1)
     tier.run(6)
-    assert tier.out() == [] and tier.disruption_controller.out(tier.now) == {1: 0}
-    tier.lost = lambda to, message: False
+    assert tier.nodes_with_permit() == [] and tier.disruption_controller.nodes_out(tier.now) == {1: 0}
+    tier.is_lost = lambda to, message: False
     tier.run(2)
-    assert tier.out() == [1]
-    assert tier.holders[1].left(tier.now) < TERM - (tier.now - began) + SECOND
+    assert tier.nodes_with_permit() == [1]
+    assert tier.holders[1].remaining_ns(tier.now) < TERM_NS - (tier.now - requested_at) + SECOND
 
 
-def test_an_older_disruption_controllers_permit_is_refused() -> None:
+def test_a_permit_of_an_older_disruption_controller_is_refused() -> None:
     holder = Holder(RULES, 5)
-    holder.want(10, Kind.DRAIN)
-    holder.heard(11, 2, Poll(9))
-    assert holder.heard(12, 1, Permit(8, 5, 1, 10, TERM)) == []
-    assert not holder.held(12) and [note.what for note in holder.notes] == ["refused"]
-    holder.heard(13, 2, Permit(9, 5, 1, 10, TERM))
-    assert holder.held(13) and holder.left(13) == TERM - 3
+    holder.request(10, Kind.DRAIN)
+    holder.on_message(11, 2, Poll(9))
+    assert holder.on_message(12, 1, Permit(8, 5, 1, 10, TERM_NS)) == []
+    assert not holder.has_permit(12) and [event.what for event in holder.events] == ["refused"]
+    holder.on_message(13, 2, Permit(9, 5, 1, 10, TERM_NS))
+    assert holder.has_permit(13) and holder.remaining_ns(13) == TERM_NS - 3
 
 
-def test_a_permit_that_was_long_on_its_way_or_of_a_wish_that_is_over_is_none() -> None:
+def test_a_permit_that_is_too_late_or_answers_a_withdrawn_request_is_not_taken() -> None:
     holder = Holder(RULES, 5)
-    holder.want(10, Kind.DRAIN)
-    assert holder.heard(10 + TERM, 2, Permit(9, 5, 1, 10, TERM)) == []
-    assert not holder.held(10 + TERM)
-    holder.give_back(20 + TERM)
-    assert holder.heard(30 + TERM, 2, Permit(9, 5, 1, 20 + TERM, TERM)) == [(2, ReturnPermit(1))]
-    assert not holder.held(30 + TERM)
+    holder.request(10, Kind.DRAIN)
+    assert holder.on_message(10 + TERM_NS, 2, Permit(9, 5, 1, 10, TERM_NS)) == []
+    assert not holder.has_permit(10 + TERM_NS)
+    holder.give_back(20 + TERM_NS)
+    assert holder.on_message(30 + TERM_NS, 2, Permit(9, 5, 1, 20 + TERM_NS, TERM_NS)) == [
+        (2, ReturnPermit(1))
+    ]
+    assert not holder.has_permit(30 + TERM_NS)
 
 
-def test_what_is_given_back_is_said_until_it_is_known() -> None:
+def test_a_return_is_repeated_until_it_is_confirmed() -> None:
     holder = Holder(RULES, 5)
-    holder.heard(1, 3, Poll(9))
-    holder.want(2, Kind.RESTART)
+    holder.on_message(1, 3, Poll(9))
+    holder.request(2, Kind.RESTART)
     holder.give_back(3)
     assert holder.tick(4) == [(3, ReturnPermit(1))]
     assert holder.tick(5) == []
     assert holder.tick(4 + SECOND) == [(3, ReturnPermit(1))]
-    holder.heard(5 + SECOND, 3, ReturnConfirmed(4, 1))  # of another generation
+    holder.on_message(5 + SECOND, 3, ReturnConfirmed(4, 1))  # for another generation
     assert holder.tick(4 + 2 * SECOND) == [(3, ReturnPermit(1))]
-    holder.heard(5 + 2 * SECOND, 3, ReturnConfirmed(5, 1))
+    holder.on_message(5 + 2 * SECOND, 3, ReturnConfirmed(5, 1))
     assert holder.tick(4 + 3 * SECOND) == []
 
 
-def test_a_wish_that_is_said_no_more_holds_nobody_up() -> None:
+def test_a_request_that_is_not_repeated_delays_nobody() -> None:
     tier = Tier([0, 1, 0])
     tier.run(1)
-    tier.want(0)
+    tier.request(0)
     tier.run(1)
-    tier.want(1)  # waits for zone 0, then its process is another
+    tier.request(1)  # waits for zone 0, and then its process is replaced
     tier.run(1)
     tier.restart(1)
-    tier.want(2)
+    tier.request(2)
     tier.run(5)
-    assert tier.out() == [0, 2]
+    assert tier.nodes_with_permit() == [0, 2]
 
 
-def test_the_shorter_term_of_two_files_holds() -> None:
-    holder = Holder(Rules(term=50 * SECOND), 5)
-    holder.want(10, Kind.RESTART)
-    holder.heard(11, 0, Permit(9, 5, 1, 10, 20 * SECOND))
-    assert holder.left(10) == 20 * SECOND
+def test_the_shorter_of_the_holders_and_the_controllers_term_applies() -> None:
+    holder = Holder(Rules(term_ns=50 * SECOND), 5)
+    holder.request(10, Kind.RESTART)
+    holder.on_message(11, 0, Permit(9, 5, 1, 10, 20 * SECOND))
+    assert holder.remaining_ns(10) == 20 * SECOND
 
 
-def test_waiting_is_told_with_a_place() -> None:
+def test_a_waiting_holder_knows_the_reason_and_its_position() -> None:
     holder = Holder(RULES, 5)
-    holder.want(10, Kind.RESTART)
-    holder.heard(11, 4, Wait(9, 5, 1, int(WaitReason.OUT), 3))
-    assert (holder.why, holder.before, holder.disruption_controller) == (WaitReason.OUT, 3, 4)
-    holder.heard(12, 4, Wait(9, 4, 1, int(WaitReason.TURN), 0))  # of another generation
-    assert holder.before == 3
+    holder.request(10, Kind.RESTART)
+    holder.on_message(11, 4, Wait(9, 5, 1, int(WaitReason.OUT), 3))
+    assert (holder.wait_reason, holder.nodes_ahead, holder.controller_number) == (WaitReason.OUT, 3, 4)
+    holder.on_message(12, 4, Wait(9, 4, 1, int(WaitReason.TURN), 0))  # for another generation
+    assert holder.nodes_ahead == 3
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -85,8 +85,8 @@
 
 
 def test_a_member_that_forgets_and_speaks_at_once_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Acceptor, "silent", lambda self, now: False)
-    monkeypatch.setattr(Acceptor, "lease", lambda self, now, task: None)
+    monkeypatch.setattr(Acceptor, "is_silent", lambda self, now: False)
+    monkeypatch.setattr(Acceptor, "running_lease", lambda self, now, task: None)
     rules = {one["rule"] for one in report("owner-one-sided", {})["tier"]["findings"]}
     assert rules & {"a task has two owners", "a token does not rise"}
 
