--- a/driftstair/model/tier/ownership.py
+++ b/driftstair/model/tier/ownership.py
@@ -34,7 +34,7 @@
         return self.core.wake_at
 
     def receive(self, datagram: Any) -> None:
-        self._execute(*self.core.heard(self.host.now(), *datagram))
+        self._execute(*self.core.on_message(self.host.now(), *datagram))
 
     def leave(self) -> None:
         self._execute(*self.core.leave(self.host.now()))
@@ -88,9 +88,9 @@
         return self._last_generation
 
     def record_change(self, host: Host, change: LeaseChange) -> None:
-        if change.was:
+        if change.previous_token:
             lease = next(
-                lease for lease in self.leases if (lease.token, lease.task) == (change.was, change.task)
+                lease for lease in self.leases if (lease.token, lease.task) == (change.previous_token, change.task)
             )
             lease.end = self.world.now
         if change.token:
