--- a/driftstair/model/tier/ownership.py
+++ b/driftstair/model/tier/ownership.py
@@ -90,7 +90,9 @@
     def record_change(self, host: Host, change: LeaseChange) -> None:
         if change.previous_token:
             lease = next(
-                lease for lease in self.leases if (lease.token, lease.task) == (change.previous_token, change.task)
+                lease
+                for lease in self.leases
+                if (lease.token, lease.task) == (change.previous_token, change.task)
             )
             lease.end = self.world.now
         if change.token:
