--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -21,7 +21,7 @@
 
 from benchmarks.scale.daemons import cpu_of
 from benchmarks.scale.rows import ROOT, Figure, Row, Status
-from benchmarks.soak.platform import HOST, MS, configuration, settings
+from benchmarks.soak.platform import HOST, NS_PER_MS, configuration, settings
 from driftstair.rehearsal import ports
 
 USUAL, TIMES = 200, 16
@@ -215,7 +215,7 @@
     fleet = Fleet(servers, seed=servers + nodes)
     await fleet.start()
     told = settings(fleet_size, pushed=True)
-    told["Contract"]["AskWithin"] = 3000 * MS
+    told["Contract"]["AskWithin"] = 3000 * NS_PER_MS
     processes: list[asyncio.subprocess.Process] = []
     held = [ports.tcp() for _ in range(nodes)]
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m benchmarks.soak`: runs by seed, and what broke."""
+"""The command `python -m benchmarks.soak`: executes runs by seed and reports the violated rules."""
 
 from __future__ import annotations
 
@@ -8,116 +8,126 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from benchmarks.soak.faults import FaultKind, Plan, Size, draw
-from benchmarks.soak.judge import timeline
+from benchmarks.soak.faults import FaultKind, Plan, RunSize, draw_plan
+from benchmarks.soak.judge import format_timeline
 from benchmarks.soak.planted import DEFECTS
-from benchmarks.soak.run import Outcome, play
+from benchmarks.soak.run import Outcome, execute_plan
 from benchmarks.soak.shim import ShimError
 
-SHOWN = 5  # violations of a run that are printed
-BAD_USE = 2
-SECONDS_MOST = 600.0
-NODES_MOST = 100
+MAX_PRINTED_VIOLATIONS = 5  # per run
+USAGE_ERROR_STATUS = 2
+MAX_DURATION_S = 600.0
+MAX_NODES = 100
 
 
 class Parser(argparse.ArgumentParser):
+    """An argument parser that reports a usage error on a single line."""
+
     def error(self, message: str) -> None:  # type: ignore[override]
-        """One line, and exit status 2."""
+        """Prints one line and exits with status 2."""
         print(f"soak: {message}", file=sys.stderr)
-        raise SystemExit(BAD_USE)
+        raise SystemExit(USAGE_ERROR_STATUS)
 
 
-def options() -> Parser:
+def build_parser() -> Parser:
+    """Returns the parser of the command's options."""
     parser = Parser(prog="python -m benchmarks.soak", description="Real daemons under overlapping faults.")
-    size = Size()
+    size = RunSize()
     parser.add_argument("--seeds", type=int, default=3, help="runs, from seed `--first` on")
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seed", type=int, help="one run alone")
     parser.add_argument("--nodes", type=int, default=size.nodes)
     parser.add_argument("--servers", type=int, default=size.servers)
     parser.add_argument("--clients", type=int, default=size.clients)
-    parser.add_argument("--seconds", type=float, default=size.seconds)
-    parser.add_argument("--quiet", type=float, default=size.quiet, help="s ahead without a request")
+    parser.add_argument("--seconds", type=float, default=size.duration_s)
+    parser.add_argument("--quiet", type=float, default=size.idle_before_s, help="s ahead without a request")
     parser.add_argument("--only", default="", help="kinds of faults, with commas between them")
     parser.add_argument("--planted", default="", help="a defect, by name: " + ", ".join(DEFECTS))
     parser.add_argument("--keep", type=Path, help="a folder for logs and records")
     return parser
 
 
-def kinds_of(parser: Parser, text: str) -> frozenset[FaultKind]:
-    known = {kind.value: kind for kind in FaultKind}
+def parse_fault_kinds(parser: Parser, text: str) -> frozenset[FaultKind]:
+    """Parses a comma-separated list of fault kinds; an empty text stands for all kinds."""
+    kinds_by_name = {kind.value: kind for kind in FaultKind}
     for name in filter(None, text.split(",")):
-        if name not in known:
-            parser.error(f"--only {name!r}: no kind of fault; one of {', '.join(known)} would do")
-    return frozenset(known[name] for name in filter(None, text.split(","))) or frozenset(FaultKind)
+        if name not in kinds_by_name:
+            parser.error(f"--only {name!r}: no kind of fault; one of {', '.join(kinds_by_name)} would do")
+    return frozenset(kinds_by_name[name] for name in filter(None, text.split(","))) or frozenset(FaultKind)
 
 
-def report(outcome: Outcome, keep: Path | None) -> None:
+def report_outcome(outcome: Outcome, keep_folder: Path | None) -> None:
+    """Prints the result of a run, and writes it as JSON to `keep_folder` if one is given."""
     plan = outcome.plan
     verdict = "kept" if not outcome.violations else f"BROKEN {len(outcome.violations)} times"
-    answers = " ".join(f"{status}:{number}" for status, number in sorted(outcome.answers.items()))
+    answers = " ".join(f"{status}:{number}" for status, number in sorted(outcome.answers_by_status.items()))
     print(
-        f"seed {plan.seed}: rules {verdict}; {outcome.requests} requests, {outcome.attempts} attempts, "
-        f"answers {answers}, {len(plan.faults)} faults, lists {'pushed' if plan.pushed else 'asked for'}, "
-        f"observer late by {outcome.lag_most * 1000:.0f} ms at most",
+        f"seed {plan.seed}: rules {verdict}; {outcome.request_count} requests, "
+        f"{outcome.attempt_count} attempts, "
+        f"answers {answers}, {len(plan.faults)} faults, "
+        f"lists {'pushed' if plan.lists_are_pushed else 'asked for'}, "
+        f"observer late by {outcome.max_lag_s * 1000:.0f} ms at most",
         flush=True,
     )
-    for violation in outcome.violations[:SHOWN]:
+    for violation in outcome.violations[:MAX_PRINTED_VIOLATIONS]:
         print(f"  {violation.rule}: node {violation.node}, request {violation.request}: {violation.detail}")
-    first = next((one for one in outcome.violations if one.request), None)
-    if first is not None:
-        print(f"  request {first.request}:")
-        for line in timeline(outcome.records.requests[first.request]):
+    first_violation = next((violation for violation in outcome.violations if violation.request), None)
+    if first_violation is not None:
+        print(f"  request {first_violation.request}:")
+        for line in format_timeline(outcome.records.requests[first_violation.request]):
             print(f"    {line}")
     if outcome.violations:
         print("  faults:")
         for fault in plan.faults:
             print(f"    {fault}")
-    if keep is not None:
+    if keep_folder is not None:
         document = {
             "plan": [str(fault) for fault in plan.faults],
-            "violations": [asdict(one) for one in outcome.violations],
+            "violations": [asdict(violation) for violation in outcome.violations],
             "timelines": {
-                one.request: timeline(outcome.records.requests[one.request])
-                for one in outcome.violations
-                if one.request
+                violation.request: format_timeline(outcome.records.requests[violation.request])
+                for violation in outcome.violations
+                if violation.request
             },
         }
-        (keep / f"seed-{plan.seed}.json").write_text(json.dumps(document, indent=1))
-
-
-def main(words: list[str] | None = None) -> int:
-    parser = options()
-    given = parser.parse_args(words)
-    for name, value, most in (
-        ("--nodes", given.nodes, NODES_MOST),
-        ("--servers", given.servers, NODES_MOST),
-        ("--clients", given.clients, 1000),
-        ("--seconds", given.seconds, SECONDS_MOST),
-        ("--seeds", given.seeds, 1000),
-        ("--quiet", given.quiet, SECONDS_MOST),
+        (keep_folder / f"seed-{plan.seed}.json").write_text(json.dumps(document, indent=1))
+
+
+def main(arguments: list[str] | None = None) -> int:
+    """Executes the runs that the arguments ask for; returns 1 if any of them violated a rule."""
+    parser = build_parser()
+    options = parser.parse_args(arguments)
+    for name, value, maximum in (
+        ("--nodes", options.nodes, MAX_NODES),
+        ("--servers", options.servers, MAX_NODES),
+        ("--clients", options.clients, 1000),
+        ("--seconds", options.seconds, MAX_DURATION_S),
+        ("--seeds", options.seeds, 1000),
+        ("--quiet", options.quiet, MAX_DURATION_S),
     ):
-        least = {"--seconds": 3, "--quiet": 0}.get(name, 1)
-        if not least <= value <= most:
-            parser.error(f"{name} {value}: a number from {least} to {most:g} would do")
-    if given.planted and given.planted not in DEFECTS:
-        parser.error(f"--planted {given.planted!r}: no defect; one of {', '.join(DEFECTS)} would do")
-    if given.keep is not None and not given.keep.is_dir():
-        parser.error(f"--keep {given.keep}: no folder; one that exists would do")
-    kinds = kinds_of(parser, given.only)
-    size = Size(given.nodes, given.servers, given.clients, given.seconds, given.quiet)
-    seeds = [given.seed] if given.seed is not None else range(given.first, given.first + given.seeds)
-    broken = 0
+        minimum = {"--seconds": 3, "--quiet": 0}.get(name, 1)
+        if not minimum <= value <= maximum:
+            parser.error(f"{name} {value}: a number from {minimum} to {maximum:g} would do")
+    if options.planted and options.planted not in DEFECTS:
+        parser.error(f"--planted {options.planted!r}: no defect; one of {', '.join(DEFECTS)} would do")
+    if options.keep is not None and not options.keep.is_dir():
+        parser.error(f"--keep {options.keep}: no folder; one that exists would do")
+    fault_kinds = parse_fault_kinds(parser, options.only)
+    size = RunSize(options.nodes, options.servers, options.clients, options.seconds, options.quiet)
+    seeds = (
+        [options.seed] if options.seed is not None else range(options.first, options.first + options.seeds)
+    )
+    broken_runs = 0
     for seed in seeds:
-        plan: Plan = draw(seed, size, kinds)
+        plan: Plan = draw_plan(seed, size, fault_kinds)
         try:
-            outcome = play(plan, given.planted, given.keep)
-        except ShimError as problem:
-            parser.error(str(problem))
-        report(outcome, given.keep)
-        broken += bool(outcome.violations)
-    print(f"{len(seeds)} runs, {broken} broken")
-    return 1 if broken else 0
+            outcome = execute_plan(plan, options.planted, options.keep)
+        except ShimError as error:
+            parser.error(str(error))
+        report_outcome(outcome, options.keep)
+        broken_runs += bool(outcome.violations)
+    print(f"{len(seeds)} runs, {broken_runs} broken")
+    return 1 if broken_runs else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak/daemons.py
+++ b/benchmarks/soak/daemons.py
@@ -1,4 +1,4 @@
-"""The daemons of a run: one process a node and generation, its signals, its log, and its event log."""
+"""The daemons of a run: the processes of each node, the signals sent to them, their logs and event logs."""
 
 from __future__ import annotations
 
@@ -19,210 +19,228 @@
 from driftstair.rehearsal import ports
 
 ROOT = Path(__file__).parent.parent.parent
-READY_WITHIN = 20.0  # s
-KILLED_AFTER = 0.7  # s after SIGTERM and the longest deadline
-AS_DEPLOYED = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # as the deploy file's `run` does
-LAST_LINES = 3  # of a log, that tell why its process has ended
-TRACE_MOST = 30  # lines of a crash that are kept
-HELD_MS = 20.0  # between a look and the write behind it: the machine's own noise is less
-PLANTED = "benchmarks.soak.planted"
+START_TIMEOUT_S = 20.0
+KILL_GRACE_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline and this time
+DEPLOY_COMMAND = ("/bin/sh", "-c", 'trap \'\' HUP; exec "$0" "$@"')  # as in `run` of the deploy file
+LAST_LOG_LINES = 3  # of a process that ended by itself; they go into its record
+MAX_TRACEBACK_LINES = 30  # of a crash; further lines are dropped
+DELAYED_ATTEMPT_MS = 20.0  # between the guard's check and the write; scheduling noise stays below it
+PLANTED_MODULE = "benchmarks.soak.planted"
 
 
 class Daemon:
-    """One node. Its process may end and another one begin, at the same address."""
+    """One node. Its process may end, and a new one be started at the same address."""
 
     def __init__(
         self, number: int, folder: Path, record: NodeRecord, planted: str, environment: dict[str, str]
     ) -> None:
-        """`planted`: the name of a defect; empty: the shipped daemon. `environment`: of its processes."""
+        """`planted`: the name of a defect; if empty, the daemon runs as shipped. `environment`: variables of
+        its processes, in addition to those of this process."""
         self.number = number
         self.record = record
-        self.takes_clients = False
-        self.place = 0  # of discovery's addresses for it
-        self.document: dict[str, Any] = {}
+        self.accepts_clients = False
+        self.discovery_index = 0  # which of discovery's addresses for this node it uses
+        self.configuration: dict[str, Any] = {}
         self._folder = folder
         self._planted = planted
         self._environment = environment
         self._port = ports.tcp()
         self._generation = 0
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
-        self._ending = False
-        self._stopped = False
+        self._log_task: asyncio.Task[None] | None = None
+        self._is_ending = False
+        self._is_stalled = False
 
     def address(self) -> tuple[str, int]:
+        """The address at which clients reach the node."""
         return HOST, self._port.number
 
-    def listen(self) -> str:
+    def listen_address(self) -> str:
+        """The node's address as it stands in its configuration."""
         return f"{HOST}:{self._port.number}"
 
-    def _config(self) -> Path:
+    def _configuration_path(self) -> Path:
         return self._folder / f"n{self.number}.json"
 
-    def _write_config(self) -> None:
-        new = self._config().with_suffix(".new")
-        new.write_text(json.dumps(self.document))
-        new.replace(self._config())
+    def _write_configuration(self) -> None:
+        new_path = self._configuration_path().with_suffix(".new")
+        new_path.write_text(json.dumps(self.configuration))
+        new_path.replace(self._configuration_path())
 
     async def start(self) -> None:
-        """Until it serves. Raises TimeoutError, or RuntimeError if it ends before."""
+        """Starts a process and returns when it serves. Raises TimeoutError if that takes too long, and
+        RuntimeError if the process ends before."""
         self._generation += 1
-        self._ending = True  # until there is a process that a signal can reach
-        self._write_config()
-        self.record.started.append(monotonic())
-        service = self._folder / f"n{self.number}-{self._generation}.toml"
-        events = self._folder / f"n{self.number}-{self._generation}.events"
-        service.write_text(f'version = 1\n[events]\nlevel = "requests"\nfile = "{events}"\n')
-        module = [PLANTED, self._planted] if self._planted else ["driftstair"]
+        self._is_ending = True  # until there is a process that a signal can reach
+        self._write_configuration()
+        self.record.process_starts.append(monotonic())
+        service_path = self._folder / f"n{self.number}-{self._generation}.toml"
+        events_path = self._folder / f"n{self.number}-{self._generation}.events"
+        service_path.write_text(f'version = 1\n[events]\nlevel = "requests"\nfile = "{events_path}"\n')
+        module_arguments = [PLANTED_MODULE, self._planted] if self._planted else ["driftstair"]
         self._process = await asyncio.create_subprocess_exec(
-            *AS_DEPLOYED, sys.executable, "-m", *module, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env={
+            *DEPLOY_COMMAND, sys.executable, "-m", *module_arguments, cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE, env={
                 **{key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")},
-                **self._environment, "BALANCER_CONFIG": str(self._config()),
-                "DRIFTSTAIR_SERVICE": str(service),
+                **self._environment, "BALANCER_CONFIG": str(self._configuration_path()),
+                "DRIFTSTAIR_SERVICE": str(service_path),
             },
         )  # fmt: skip
-        self._ending = False
+        self._is_ending = False
         serving = asyncio.get_running_loop().create_future()
-        self._reading = asyncio.get_running_loop().create_task(self._read(self._process, serving))
-        await asyncio.wait_for(serving, READY_WITHIN)
-        self.takes_clients = True
+        self._log_task = asyncio.get_running_loop().create_task(self._read_log(self._process, serving))
+        await asyncio.wait_for(serving, START_TIMEOUT_S)
+        self.accepts_clients = True
 
-    async def _read(self, process: asyncio.subprocess.Process, serving: asyncio.Future[None]) -> None:
+    async def _read_log(self, process: asyncio.subprocess.Process, serving: asyncio.Future[None]) -> None:
+        """Reads the log of a process until it ends, and records crashes. Completes `serving` once the process
+        serves, or fails it if the process ends before."""
         assert process.stderr is not None
-        trace: list[str] = []
-        last: deque[str] = deque(maxlen=LAST_LINES)
+        traceback_lines: list[str] = []
+        last_lines: deque[str] = deque(maxlen=LAST_LOG_LINES)
         while data := await process.stderr.readline():
             line = data.decode("utf-8", "replace").rstrip("\n")
-            last.append(line)
+            last_lines.append(line)
             if "serving on" in line and not serving.done():
                 serving.set_result(None)
-            if line.startswith("Traceback") or trace:
-                trace.append(line)
+            if line.startswith("Traceback") or traceback_lines:
+                traceback_lines.append(line)
         status = await process.wait()
-        if trace:
-            self.record.crashes.append("\n".join(trace[:TRACE_MOST]))
-        if not self._ending:
-            self.record.crashes.append(f"ended by itself with status {status}: {' / '.join(last)}")
-            self.record.killed.append(monotonic())
-            self.takes_clients = False
+        if traceback_lines:
+            self.record.crashes.append("\n".join(traceback_lines[:MAX_TRACEBACK_LINES]))
+        if not self._is_ending:
+            self.record.crashes.append(f"ended by itself with status {status}: {' / '.join(last_lines)}")
+            self.record.kill_times.append(monotonic())
+            self.accepts_clients = False
         if not serving.done():
-            serving.set_exception(RuntimeError(f"node {self.number} ended with {status}: {' / '.join(last)}"))
+            serving.set_exception(
+                RuntimeError(f"node {self.number} ended with {status}: {' / '.join(last_lines)}")
+            )
 
-    def _signal(self, number: int) -> bool:
+    def _send_signal(self, signal_number: int) -> bool:
+        """Returns False if there is no running process."""
         if self._process is None or self._process.returncode is not None:
             return False
         with suppress(ProcessLookupError):
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
         return True
 
     # Faults.
 
-    async def stall(self, lasts: float) -> None:
-        if self._stopped or not self._signal(signal.SIGSTOP):
+    async def stall(self, duration_s: float) -> None:
+        """Stops the process for a time by SIGSTOP. Does nothing if it is already stopped."""
+        if self._is_stalled or not self._send_signal(signal.SIGSTOP):
             return
-        self._stopped = True
+        self._is_stalled = True
         span = Span(monotonic(), float("inf"))
         self.record.stalls.append(span)
-        await asyncio.sleep(lasts)
-        self._signal(signal.SIGCONT)
-        span.until = monotonic()
-        self._stopped = False
-
-    def reload(self, place: int, discovery: str) -> None:
-        self.place = place
-        self.document["discovery"] = discovery
-        self._write_config()
-        self.record.reloads.append(monotonic())
-        self._signal(signal.SIGHUP)
-
-    async def terminate(self, front_notices: float) -> None:
-        """SIGTERM; clients come for `front_notices` s still; SIGKILL where it has not ended in time."""
-        if self._ending or not self._signal(signal.SIGTERM):
+        await asyncio.sleep(duration_s)
+        self._send_signal(signal.SIGCONT)
+        span.end = monotonic()
+        self._is_stalled = False
+
+    def reload(self, discovery_index: int, discovery_address: str) -> None:
+        """Makes the process reload a configuration with another address of discovery."""
+        self.discovery_index = discovery_index
+        self.configuration["discovery"] = discovery_address
+        self._write_configuration()
+        self.record.reload_times.append(monotonic())
+        self._send_signal(signal.SIGHUP)
+
+    async def terminate(self, new_clients_s: float) -> None:
+        """Sends SIGTERM, and SIGKILL if the process has not ended in time. New clients keep connecting for
+        `new_clients_s` after SIGTERM."""
+        if self._is_ending or not self._send_signal(signal.SIGTERM):
             return
-        self._ending = True
-        serving = self.takes_clients
-        terminated = monotonic()
-        self.record.terminated.append(terminated)
-        await asyncio.sleep(front_notices)
-        self.takes_clients = False
+        self._is_ending = True
+        was_serving = self.accepts_clients
+        terminated_at = monotonic()
+        self.record.sigterm_times.append(terminated_at)
+        await asyncio.sleep(new_clients_s)
+        self.accepts_clients = False
         assert self._process is not None
-        left = terminated + LONGEST_DEADLINE_S + KILLED_AFTER - monotonic()
+        remaining_s = terminated_at + LONGEST_DEADLINE_S + KILL_GRACE_S - monotonic()
         try:
-            status = await asyncio.wait_for(self._process.wait(), left)
+            status = await asyncio.wait_for(self._process.wait(), remaining_s)
         except TimeoutError:
-            self._end_by_force()
+            self._force_end()
         else:
-            # Before the interpreter has come up nothing can take the signal but its default.
-            if status and (serving or status != -signal.SIGTERM):
+            # Until the interpreter is up it can't handle the signal, and SIGTERM ends the process by default.
+            if status and (was_serving or status != -signal.SIGTERM):
                 self.record.crashes.append(f"status {status} after SIGTERM")
-        await self._over()
+        await self._wait_for_log_end()
 
     async def kill(self) -> None:
-        if not self._ending:
-            self._ending = True
-            self._end_by_force()
-            await self._over()
+        """Ends the process by SIGKILL."""
+        if not self._is_ending:
+            self._is_ending = True
+            self._force_end()
+            await self._wait_for_log_end()
 
-    def _end_by_force(self) -> None:
-        self.takes_clients = False
-        if self._signal(signal.SIGKILL):
-            self.record.killed.append(monotonic())
+    def _force_end(self) -> None:
+        self.accepts_clients = False
+        if self._send_signal(signal.SIGKILL):
+            self.record.kill_times.append(monotonic())
 
     def is_ending(self) -> bool:
-        return self._ending
+        """Whether the process is being started or ended, or has been ended."""
+        return self._is_ending
 
-    def end(self) -> None:
-        """For good, at once."""
-        self._ending = True
-        self._signal(signal.SIGKILL)
+    def close(self) -> None:
+        """Ends the process at the end of the run, without waiting for it or recording it."""
+        self._is_ending = True
+        self._send_signal(signal.SIGKILL)
 
-    async def _over(self) -> None:
-        if self._reading is not None:
-            await self._reading
+    async def _wait_for_log_end(self) -> None:
+        if self._log_task is not None:
+            await self._log_task
 
-    # Afterwards.
+    # After the run.
 
-    def read_events(self) -> None:
-        """What the event logs of its processes tell: attempts that were held up between the last look at
-        whether they may begin and their write, and violations of the guard's invariants but for those."""
+    def read_event_logs(self) -> None:
+        """Adds to the record what the event logs of the node's processes contain: the requests that were
+        read, the attempts that were delayed between the guard's check and their write, and the violations of
+        the guard's invariants, except those of requests with a delayed attempt."""
         for path in sorted(self._folder.glob(f"n{self.number}-*.events")):
             process_events = ProcessEvents()
             for line in path.read_text().splitlines():
-                with suppress(ValueError):  # a killed process leaves half a line
-                    process_events.note(json.loads(line))
-            self.record.held_attempts |= process_events.held
-            self.record.taken |= process_events.taken()
-            self.record.violations += process_events.violations()
+                with suppress(ValueError):  # a killed process leaves an incomplete line
+                    process_events.add(json.loads(line))
+            self.record.delayed_attempts |= process_events.delayed_attempts
+            self.record.read_request_ids |= process_events.read_request_ids()
+            self.record.invariant_violations += process_events.violations()
 
 
 @dataclass(slots=True)
 class ProcessEvents:
-    """Of one process."""
+    """The events of one process."""
 
-    held: set[tuple[str, int]] = field(default_factory=set)
-    _names: dict[int, str] = field(default_factory=dict)
-    _attempts: dict[int, int] = field(default_factory=dict)  # the newest of each request
-    _violations: list[tuple[int, str]] = field(default_factory=list)  # the request, and what
+    delayed_attempts: set[tuple[str, int]] = field(default_factory=set)  # request id, index
+    _request_ids: dict[int, str] = field(default_factory=dict)  # by the process's number of the request
+    _last_attempts: dict[int, int] = field(default_factory=dict)  # the index of each request's newest attempt
+    _violations: list[tuple[int, str]] = field(default_factory=list)  # request number, description
 
-    def note(self, event: dict[str, Any]) -> None:
+    def add(self, event: dict[str, Any]) -> None:
+        """Adds an event. Events must come in the order of the log."""
         number = event.get("request", 0)
         if event["event"] == "request_taken":
-            self._names[number] = event["request_id"]
+            self._request_ids[number] = event["request_id"]
         elif event["event"] == "attempt_started":
-            index = self._attempts[number] = self._attempts.get(number, -1) + 1
-            if event["held_ms"] > HELD_MS and number in self._names:
-                self.held.add((self._names[number], index))
+            index = self._last_attempts[number] = self._last_attempts.get(number, -1) + 1
+            if event["held_ms"] > DELAYED_ATTEMPT_MS and number in self._request_ids:
+                self.delayed_attempts.add((self._request_ids[number], index))
         elif event["event"] == "invariant_violated":
             self._violations.append((number, f"{event['invariant']}: {event['detail']}"))
 
-    def taken(self) -> set[str]:
-        return set(self._names.values())
+    def read_request_ids(self) -> set[str]:
+        """The ids of the requests that the process has read."""
+        return set(self._request_ids.values())
 
     def violations(self) -> list[str]:
-        held = {name for name, _ in self.held}
+        """The violations of invariants, except those of requests with a delayed attempt."""
+        delayed_request_ids = {request_id for request_id, _ in self.delayed_attempts}
         return [
-            f"{self._names.get(number, number)}: {what}"
-            for number, what in self._violations
-            if self._names.get(number) not in held
+            f"{self._request_ids.get(number, number)}: {description}"
+            for number, description in self._violations
+            if self._request_ids.get(number) not in delayed_request_ids
         ]
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -1,4 +1,4 @@
-"""The rules on requests, judged by what was seen from outside. No I/O."""
+"""Checks the rules on requests against what was observed from outside. No I/O."""
 
 from __future__ import annotations
 
@@ -7,175 +7,230 @@
 
 from benchmarks.soak.records import NodeRecord, Records, RequestRecord, StoppedClientRecord
 
-ANSWER_LATE = 0.5  # s after its time in which an answer only earns nothing
-GONE = 0.1  # s after a client's end in which an attempt may begin
-TOLD_SLACK = 0.15  # s that a server may be told beyond what the client has left
-RELEASED_WITHIN = 3.0  # s for a client that stops in the middle of a request: its error, or a close
-READS_WITHIN = 0.1  # s in which a node that runs has read what came
-LOOKS_AFTER_STALL = 0.5  # s behind a stall for a node to read what waits, and to look who is to be let go
-SENDING = 0.05  # s after an answer in which an attempt may still be on its way
-SOCKET_SLACK = 0.05  # s by which each limit is longer on sockets
-CLOCK_TICK = 0.01  # s by which the kernel's word of when bytes came may be off
-KILLED_AFTER = 0.7  # s after SIGTERM and the longest deadline: SIGKILL
-REFUSALS = (429, 503)
+LATE_ANSWER_ALLOWANCE_S = 0.5  # after the deadline; such an answer earns nothing, but breaks no rule
+ATTEMPT_AFTER_CLOSE_S = 0.1  # after the client's close, in which an attempt may still begin
+DEADLINE_SLACK_S = 0.15  # by which the deadline sent to a server may exceed the client's remaining time
+STOPPED_CLIENT_TIMEOUT_S = 3.0  # for a client that stops within a request to get an error or a close
+READ_DELAY_S = 0.1  # within which a running node has read what arrived
+CHECK_AFTER_STALL_S = 0.5  # after a stall, for a node to read what has arrived and to close stopped clients
+SEND_DELAY_S = 0.05  # after an answer, in which an attempt may still arrive at its server
+SOCKET_SLACK_S = 0.05  # by which each limit is extended for delays on sockets
+KERNEL_TICK_S = 0.01  # by which the kernel's time of received bytes may be wrong
+KILL_GRACE_S = 0.7  # SIGKILL follows SIGTERM after the longest deadline and this time
+REFUSAL_STATUSES = (429, 503)
 BODY_SEPARATOR = b"/"
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
+    """A violation of a rule."""
+
     rule: str
-    request: str  # its id; empty: of no request
+    request: str  # its id; empty: the violation is of no request
     node: int
     at: float
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """Of the platform of a run; s."""
+class RuleParameters:
+    """The parameters of the platform that rules depend on."""
 
-    drain_grace: float
-    window: float  # in which repeats of keyed requests are dropped
+    drain_grace_s: float
+    repeat_window_s: float  # in which servers drop repeats of keyed requests
 
 
 class Judge:
-    def __init__(self, records: Records, terms: Terms) -> None:
+    """Checks the records of a run against the rules."""
+
+    def __init__(self, records: Records, parameters: RuleParameters) -> None:
         self._records = records
-        self._terms = terms
+        self._parameters = parameters
 
     def violations(self) -> list[Violation]:
-        """All that broke a rule, in the order of their times."""
-        found = [one for request in self._records.requests.values() for one in self._of_request(request)]
+        """Returns all violations, ordered by time."""
+        violations = [
+            violation
+            for request in self._records.requests.values()
+            for violation in self._check_request(request)
+        ]
         for number, node in enumerate(self._records.nodes):
-            found += [Violation("crash", "", number, 0.0, line) for line in node.crashes]
-            found += [Violation("invariant", "", number, 0.0, line) for line in node.violations]
-        found += [one for stopped in self._records.stopped_clients for one in self._of_stopped(stopped)]
-        found += [Violation("stranger", "", -1, 0.0, line) for line in self._records.strangers]
-        return sorted(found, key=lambda one: one.at)
-
-    def _of_stopped(self, stopped: StoppedClientRecord) -> Iterator[Violation]:
-        latest = self._released_by(stopped, self._records.nodes[stopped.node])
-        latest += self._records.lags.around(latest)
-        if stopped.released is None or stopped.released > latest:
-            held = (
-                "never" if stopped.released is None else f"after {stopped.released - stopped.stopped:.3f} s"
+            violations += [Violation("crash", "", number, 0.0, line) for line in node.crashes]
+            violations += [
+                Violation("invariant", "", number, 0.0, line) for line in node.invariant_violations
+            ]
+        violations += [
+            violation
+            for stopped in self._records.stopped_clients
+            for violation in self._check_stopped_client(stopped)
+        ]
+        violations += [Violation("stranger", "", -1, 0.0, line) for line in self._records.unknown_requests]
+        return sorted(violations, key=lambda violation: violation.at)
+
+    def _check_stopped_client(self, stopped: StoppedClientRecord) -> Iterator[Violation]:
+        latest = self._latest_release(stopped, self._records.nodes[stopped.node])
+        latest += self._records.lags.max_around(latest)
+        if stopped.released_at is None or stopped.released_at > latest:
+            released = (
+                "never"
+                if stopped.released_at is None
+                else f"after {stopped.released_at - stopped.stopped_at:.3f} s"
             )
-            detail = f"{stopped.what}: let go {held}"
+            detail = f"{stopped.description}: let go {released}"
             yield Violation("stopped client held", "", stopped.node, latest, detail)
 
-    def _released_by(self, stopped: StoppedClientRecord, node: NodeRecord) -> float:
-        """By when its node has to let it go: 3 s from when it could read, and a look behind each stall."""
-        read_at = node.reads_at(stopped.stopped, READS_WITHIN)
-        return node.behind_stalls(read_at, read_at + RELEASED_WITHIN + SOCKET_SLACK, LOOKS_AFTER_STALL)
+    def _latest_release(self, stopped: StoppedClientRecord, node: NodeRecord) -> float:
+        """By when the node must release a stopped client: 3 s after it could read the client's last bytes,
+        extended by each stall at the end of that time."""
+        read_at = node.read_time(stopped.stopped_at, READ_DELAY_S)
+        return node.extend_by_stalls(
+            read_at, read_at + STOPPED_CLIENT_TIMEOUT_S + SOCKET_SLACK_S, CHECK_AFTER_STALL_S
+        )
 
-    def _of_request(self, request: RequestRecord) -> Iterator[Violation]:
+    def _check_request(self, request: RequestRecord) -> Iterator[Violation]:
         node = self._records.nodes[request.node]
 
-        def violated(rule: str, at: float, detail: str) -> Violation:
+        def violation(rule: str, at: float, detail: str) -> Violation:
             return Violation(rule, request.id, request.node, at, detail)
 
         for rule, at, detail in (
-            *self._answered(request, node),
-            *self._attempts(request, node),
-            *self._effects(request),
+            *self._check_answers(request, node),
+            *self._check_attempts(request, node),
+            *self._check_effects(request),
         ):
-            yield violated(rule, at, detail)
+            yield violation(rule, at, detail)
 
-    # Exactly one answer, in time, and of this request.
+    # A request gets exactly one answer, in time, and that answer is its own.
 
-    def _answered(self, request: RequestRecord, node: NodeRecord) -> Iterator[tuple[str, float, str]]:
+    def _check_answers(self, request: RequestRecord, node: NodeRecord) -> Iterator[tuple[str, float, str]]:
         if len(request.answers) > 1:
-            yield "second answer", request.answers[1].at, f"{request.answers[1].status}"
+            yield "second answer", request.answers[1].received_at, f"{request.answers[1].status}"
         for answer in request.answers:
             if answer.status == 200 and answer.body.split(BODY_SEPARATOR)[0] != request.id.encode():
-                yield "wrong answer", answer.at, repr(answer.body[:60])
-        if request.left_at is not None and not request.half_closed:
+                yield "wrong answer", answer.received_at, repr(answer.body[:60])
+        if request.closed_at is not None and not request.is_half_closed:
             return
-        latest = request.deadline() + ANSWER_LATE + SOCKET_SLACK
-        latest = node.behind_stalls(request.sent - SOCKET_SLACK, latest, ANSWER_LATE)
-        if request.ahead is not None and request.ahead.answers:
-            # HTTP/1.1 answers in order: not before the one that was sent ahead of it.
-            latest = max(latest, request.ahead.answers[0].at + ANSWER_LATE)
-        latest += self._records.lags.around(latest)
+        latest = request.deadline() + LATE_ANSWER_ALLOWANCE_S + SOCKET_SLACK_S
+        latest = node.extend_by_stalls(request.sent_at - SOCKET_SLACK_S, latest, LATE_ANSWER_ALLOWANCE_S)
+        if request.previous is not None and request.previous.answers:
+            # HTTP/1.1 answers in order, so the answer can't precede that of the previous pipelined request.
+            latest = max(latest, request.previous.answers[0].received_at + LATE_ANSWER_ALLOWANCE_S)
+        latest += self._records.lags.max_around(latest)
         if request.answers:
-            late = request.answers[0].at - latest
-            if late > 0:
-                yield "late answer", request.answers[0].at, f"{late:.3f} s beyond what is allowed"
-        elif request.is_whole and not self._excused(request, node, latest):
-            how = "its connection ended" if request.ended_at is not None else "nothing came"
-            yield "no answer", request.ended_at or latest, how
-
-    def _excused(self, request: RequestRecord, node: NodeRecord, latest: float) -> bool:
-        """What a killed process held is for its client; so is what crosses a resting connection's end, or is
-        shut unread at a node whose descriptors idle clients fill (what was read the guard tells)."""
-        held_until = latest if request.ended_at is None else request.ended_at + SOCKET_SLACK
-        killed = [at for at in node.killed if request.connected - SOCKET_SLACK <= at <= held_until]
-        if killed:
-            terminated = node.terminated_before_kill(killed[0])
-            return terminated is None or request.sent <= terminated + KILLED_AFTER or not request.attempts
-        if request.ended_at is None:
+            late_s = request.answers[0].received_at - latest
+            if late_s > 0:
+                yield "late answer", request.answers[0].received_at, f"{late_s:.3f} s beyond what is allowed"
+        elif request.is_fully_sent and not self._is_excused(request, node, latest):
+            how = "its connection ended" if request.connection_ended_at is not None else "nothing came"
+            yield "no answer", request.connection_ended_at or latest, how
+
+    def _is_excused(self, request: RequestRecord, node: NodeRecord, latest: float) -> bool:
+        """Whether a request may stay without an answer: the process that had it was killed; or the request
+        crossed the close of an idle connection; or it was closed unread at a node whose descriptors idle
+        clients used up. The guard reports a node that closes a connection with a request it has read."""
+        open_until = (
+            latest if request.connection_ended_at is None else request.connection_ended_at + SOCKET_SLACK_S
+        )
+        kill_times = [
+            at for at in node.kill_times if request.connected_at - SOCKET_SLACK_S <= at <= open_until
+        ]
+        if kill_times:
+            terminated_at = node.sigterm_before_kill(kill_times[0])
+            return (
+                terminated_at is None
+                or request.sent_at <= terminated_at + KILL_GRACE_S
+                or not request.attempts
+            )
+        if request.connection_ended_at is None:
             return False
-        if request.begun:
-            # Failed, not lost, where the client can tell: the server, or what led to it, broke off.
-            return node.calls_fail or any(attempt.cut for attempt in request.attempts)
-        crowded = any(one.touches(request.connected, request.ended_at) for one in node.crowds)
-        unread = request.id not in node.taken and not request.attempts
-        return unread and (not request.fresh or crowded)
-
-    # What begins for it.
-
-    def _attempts(self, request: RequestRecord, node: NodeRecord) -> Iterator[tuple[str, float, str]]:
+        if request.answer_started:
+            # The request failed, but was not lost: the client can tell that the answer is incomplete because
+            # the server, or the connection to it, broke off.
+            return node.system_calls_fail or any(attempt.answer_cut for attempt in request.attempts)
+        is_crowded = any(
+            crowd.overlaps(request.connected_at, request.connection_ended_at) for crowd in node.crowds
+        )
+        is_unread = request.id not in node.read_request_ids and not request.attempts
+        return is_unread and (not request.is_first_on_connection or is_crowded)
+
+    # Attempts begin only while the request is open, with its deadline, and at servers that don't drain.
+
+    def _check_attempts(self, request: RequestRecord, node: NodeRecord) -> Iterator[tuple[str, float, str]]:
         for index, attempt in enumerate(request.attempts):
-            if (request.id, index) in node.held_attempts:
-                continue  # held up between the look and the write: no program can undo that
-            slack = CLOCK_TICK + self._records.lags.around(attempt.began)
-            if request.left_at is not None:
-                after = attempt.began - request.left_at
-                if after > GONE + slack:
-                    yield "attempt after close", attempt.began, f"{after:.3f} s after it"
+            if (request.id, index) in node.delayed_attempts:
+                continue  # delayed between the guard's check and the write, which no program can prevent
+            slack_s = KERNEL_TICK_S + self._records.lags.max_around(attempt.started_at)
+            if request.closed_at is not None:
+                after_s = attempt.started_at - request.closed_at
+                if after_s > ATTEMPT_AFTER_CLOSE_S + slack_s:
+                    yield "attempt after close", attempt.started_at, f"{after_s:.3f} s after it"
             if request.answers:
-                after = attempt.began - request.answers[0].at
-                if after > SENDING + SOCKET_SLACK + slack:
-                    yield "attempt after answer", attempt.began, f"{after:.3f} s after it"
-            if attempt.told is not None:
-                over = attempt.told - (request.deadline() - attempt.began)
-                if over > TOLD_SLACK + slack:
-                    yield "deadline told", attempt.began, f"{over:.3f} s more than was left"
-            leaving = node.leaving_since(attempt.server, attempt.began)
-            if leaving is not None:
-                since = attempt.began - leaving
-                if since > self._terms.drain_grace + SOCKET_SLACK + slack:
-                    yield "drain", attempt.began, f"{since:.3f} s after it was told of {attempt.server}"
-
-    def _effects(self, request: RequestRecord) -> Iterator[tuple[str, float, str]]:
+                after_s = attempt.started_at - request.answers[0].received_at
+                if after_s > SEND_DELAY_S + SOCKET_SLACK_S + slack_s:
+                    yield "attempt after answer", attempt.started_at, f"{after_s:.3f} s after it"
+            if attempt.remaining_time_s is not None:
+                excess_s = attempt.remaining_time_s - (request.deadline() - attempt.started_at)
+                if excess_s > DEADLINE_SLACK_S + slack_s:
+                    yield "deadline told", attempt.started_at, f"{excess_s:.3f} s more than was left"
+            draining_since = node.draining_since(attempt.server, attempt.started_at)
+            if draining_since is not None:
+                draining_s = attempt.started_at - draining_since
+                if draining_s > self._parameters.drain_grace_s + SOCKET_SLACK_S + slack_s:
+                    yield (
+                        "drain",
+                        attempt.started_at,
+                        f"{draining_s:.3f} s after it was told of {attempt.server}",
+                    )
+
+    # A request that must not run twice is not repeated.
+
+    def _check_effects(self, request: RequestRecord) -> Iterator[tuple[str, float, str]]:
         if request.effect == "safe":
             return
-        ran = [one for one in request.attempts if one.whole is not None and not one.not_run]
+        may_have_run = [
+            attempt for attempt in request.attempts if attempt.received_at is not None and not attempt.not_run
+        ]
         for later in request.attempts:
-            before = [one for one in ran if one is not later and one.began < later.began]
-            if not before:
+            earlier = [
+                attempt
+                for attempt in may_have_run
+                if attempt is not later and attempt.started_at < later.started_at
+            ]
+            if not earlier:
                 continue
             if request.effect == "unsafe":
-                yield "effect twice", later.began, "an earlier attempt may have run"
-            elif later.began - (before[0].whole or 0.0) > self._terms.window + SOCKET_SLACK:
-                yield "effect twice", later.began, "the window for repeats was over"
-        if request.effect == "unsafe" and ran and request.answers and request.answers[0].status in REFUSALS:
-            yield "refused after effect", request.answers[0].at, f"{request.answers[0].status}"
+                yield "effect twice", later.started_at, "an earlier attempt may have run"
+            elif (
+                later.started_at - (earlier[0].received_at or 0.0)
+                > self._parameters.repeat_window_s + SOCKET_SLACK_S
+            ):
+                yield "effect twice", later.started_at, "the window for repeats was over"
+        if (
+            request.effect == "unsafe"
+            and may_have_run
+            and request.answers
+            and request.answers[0].status in REFUSAL_STATUSES
+        ):
+            yield "refused after effect", request.answers[0].received_at, f"{request.answers[0].status}"
 
 
-def timeline(request: RequestRecord) -> list[str]:
-    """What happened to a request, a line each, times from when it was sent."""
+def format_timeline(request: RequestRecord) -> list[str]:
+    """Describes what happened to a request, one line per step, with times relative to when it was sent."""
     steps = [
-        (0.0, f"sent to node {request.node} ({request.kind}, {request.patience:.3f} s, {request.size} bytes)")
+        (
+            0.0,
+            f"sent to node {request.node} "
+            f"({request.kind}, {request.patience_s:.3f} s, {request.size_bytes} bytes)",
+        )
     ]
     for attempt in request.attempts:
-        told = "none" if attempt.told is None else f"{attempt.told:.3f} s"
-        steps.append((attempt.began - request.sent, f"attempt at {attempt.server}, told {told}"))
+        deadline = "none" if attempt.remaining_time_s is None else f"{attempt.remaining_time_s:.3f} s"
+        steps.append((attempt.started_at - request.sent_at, f"attempt at {attempt.server}, told {deadline}"))
     for answer in request.answers:
-        steps.append((answer.at - request.sent, f"answered {answer.status} {answer.body[:40]!r}"))
-    if request.left_at is not None:
-        how = "ended its sending" if request.half_closed else "closed"
-        steps.append((request.left_at - request.sent, f"the client {how}"))
-    if request.ended_at is not None:
-        steps.append((request.ended_at - request.sent, "the node closed the connection"))
-    return [f"{at:+9.3f} s  {what}" for at, what in sorted(steps)]
+        steps.append((answer.received_at - request.sent_at, f"answered {answer.status} {answer.body[:40]!r}"))
+    if request.closed_at is not None:
+        action = "ended its sending" if request.is_half_closed else "closed"
+        steps.append((request.closed_at - request.sent_at, f"the client {action}"))
+    if request.connection_ended_at is not None:
+        steps.append((request.connection_ended_at - request.sent_at, "the node closed the connection"))
+    return [f"{offset_s:+9.3f} s  {description}" for offset_s, description in sorted(steps)]
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -1,160 +1,175 @@
-"""What was seen from outside, as types. Times are s of this machine's monotonic clock, which all processes on
-it share; `Lags` says how late the observer itself may have been."""
+"""The types of what was observed from outside the daemons. Times are s of the monotonic clock of this
+machine, which all of its processes share; `Lags` tells how late the observer itself may have been."""
 
 from __future__ import annotations
 
 from bisect import bisect_left
 from dataclasses import dataclass, field
 
-LONG = 64 << 10  # bytes
+RECEIVE_BUFFER_BYTES = 64 << 10  # what the node's kernel accepts before the node reads
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One request at one server."""
+    """One attempt of a request at a server."""
 
     server: str
-    began: float  # its first byte came, by the kernel's word
-    told: float | None  # the deadline in it
-    whole: float | None = None
-    not_run: bool = False  # the server said so
-    cut: bool = False  # the server broke off in the middle of its answer
+    started_at: float  # when the kernel received its first byte
+    remaining_time_s: float | None  # the deadline that the attempt carried
+    received_at: float | None = None  # when the server had read the whole request
+    not_run: bool = False  # the server answered that it did not run the request
+    answer_cut: bool = False  # the server broke off in the middle of its answer
 
 
 @dataclass(slots=True)
 class AnswerRecord:
-    at: float
+    """One answer that a client received."""
+
+    received_at: float
     status: int
     body: bytes
 
 
 @dataclass(slots=True)
 class RequestRecord:
+    """One request of a client, with its answers and its attempts at servers."""
+
     id: str
     node: int
     kind: str
     effect: str  # safe, keyed or unsafe
-    patience: float
-    sent: float  # its last byte was with the kernel
-    connected: float  # its connection came up
-    fresh: bool  # the first request of its connection
-    size: int = 0  # bytes
-    ahead: RequestRecord | None = None  # sent just before on the same connection, and answered first
-    is_whole: bool = True  # False: its connection ended before its last byte was written
-    left_at: float | None = None  # its client closed, or ended its sending
-    half_closed: bool = False  # it ended its sending, and waits for the answer
-    ended_at: float | None = None  # the connection ended before an answer was whole
-    begun: bool = False  # the head of an answer came
+    patience_s: float
+    sent_at: float  # when its last byte was passed to the kernel
+    connected_at: float  # when its connection was established
+    is_first_on_connection: bool
+    size_bytes: int = 0
+    previous: RequestRecord | None = None  # pipelined before it on the same connection, and answered first
+    is_fully_sent: bool = True  # False: its connection ended before its last byte was written
+    closed_at: float | None = None  # when its client closed or half-closed the connection
+    is_half_closed: bool = False  # the client half-closed the connection and waits for the answer
+    connection_ended_at: float | None = None  # when the connection ended before an answer was complete
+    answer_started: bool = False  # the header of an answer arrived
     answers: list[AnswerRecord] = field(default_factory=list)
     attempts: list[AttemptRecord] = field(default_factory=list)
 
     def deadline(self) -> float:
-        return self.sent + self.patience
+        """When the client's patience ends."""
+        return self.sent_at + self.patience_s
 
-    def is_long(self) -> bool:
-        """More than a node's machine takes in ahead: its end may be with the client's machine still."""
-        return self.size > LONG
+    def exceeds_receive_buffer(self) -> bool:
+        """Whether the request is longer than what the node's kernel accepts before the node reads. If so, its
+        end may still be in the send buffer of the client."""
+        return self.size_bytes > RECEIVE_BUFFER_BYTES
 
 
 @dataclass(slots=True)
 class StoppedClientRecord:
-    """A client that stops in the middle of a request and stays."""
+    """A client that stops sending in the middle of a request and keeps its connection open."""
 
     node: int
-    stopped: float  # its last byte was with the kernel
-    what: str  # it has sent
-    released: float | None = None  # it was told of an error, or its connection ended
+    stopped_at: float  # when its last byte was passed to the kernel
+    description: str  # what it has sent
+    released_at: float | None = None  # when it received an error, or its connection ended
 
 
 @dataclass(slots=True)
 class Span:
-    """`until`: infinity while it lasts."""
+    """A span of time. `end` is infinity while the span lasts."""
 
-    since: float
-    until: float
+    start: float
+    end: float
 
-    def touches(self, since: float, until: float) -> bool:
-        return self.since <= until and since <= self.until
+    def overlaps(self, start: float, end: float) -> bool:
+        """Whether this span and the given one have a moment in common."""
+        return self.start <= end and start <= self.end
 
 
 @dataclass(slots=True)
 class NodeRecord:
+    """What happened to a node, and what its processes reported."""
+
     stalls: list[Span] = field(default_factory=list)
-    started: list[float] = field(default_factory=list)  # a process of it was started
-    terminated: list[float] = field(default_factory=list)  # SIGTERM was sent
-    killed: list[float] = field(default_factory=list)  # SIGKILL was sent, or the process had ended
-    leaving: dict[str, list[Span]] = field(default_factory=dict)  # servers: from when it counts as told on
+    process_starts: list[float] = field(default_factory=list)
+    sigterm_times: list[float] = field(default_factory=list)
+    kill_times: list[float] = field(default_factory=list)  # SIGKILL was sent, or the process had ended
+    draining_spans: dict[str, list[Span]] = field(default_factory=dict)  # by server, from the announcement on
     crashes: list[str] = field(default_factory=list)
-    violations: list[str] = field(default_factory=list)  # lines of its log
-    crowds: list[Span] = field(default_factory=list)  # idle clients fill its descriptors
-    calls_fail: bool = False  # system calls of its process do, those on connections to servers too
-    taken: set[str] = field(default_factory=set)  # requests that it has read, by its own log
-    reloads: list[float] = field(default_factory=list)  # SIGHUP was sent, with another place of discovery
-    held_attempts: set[tuple[str, int]] = field(default_factory=set)  # held up between look and write
-
-    def told_leaving(self, server: str, at: float) -> None:
-        """It counts as told that a server leaves; the earliest word counts."""
-        spans = self.leaving.setdefault(server, [])
-        if not spans or spans[-1].until != float("inf"):
+    invariant_violations: list[str] = field(default_factory=list)  # from its event log
+    crowds: list[Span] = field(default_factory=list)  # when idle clients used up its descriptors
+    system_calls_fail: bool = False  # in its processes, also on connections to servers
+    read_request_ids: set[str] = field(default_factory=set)  # of requests that it read, by its event log
+    reload_times: list[float] = field(default_factory=list)  # SIGHUP, with another address of discovery
+    # Request id and index of the attempts that were delayed between the guard's check and the write.
+    delayed_attempts: set[tuple[str, int]] = field(default_factory=set)
+
+    def record_draining(self, server: str, at: float) -> None:
+        """Records that the node counts as informed that a server drains. The earliest time is kept."""
+        spans = self.draining_spans.setdefault(server, [])
+        if not spans or spans[-1].end != float("inf"):
             spans.append(Span(at, float("inf")))
-        spans[-1].since = min(spans[-1].since, at)
-
-    def told_ready(self, server: str, at: float) -> None:
-        """It is told that a server may be sent to."""
-        spans = self.leaving.get(server, [])
-        if spans and spans[-1].until == float("inf"):
-            spans[-1].until = at
-
-    def leaving_since(self, server: str, at: float) -> float | None:
-        """When it was told that a server leaves, if that was in force at a moment."""
-        return next((one.since for one in self.leaving.get(server, []) if one.touches(at, at)), None)
-
-    def reads_at(self, at: float, within: float) -> float:
-        """When its process has read what came at a moment, if that takes it so long (s): behind the stalls
-        that keep it from that."""
-        while (runs_again := self.stalled(at, at + within)) > at:
-            at = runs_again
+        spans[-1].start = min(spans[-1].start, at)
+
+    def record_ready(self, server: str, at: float) -> None:
+        """Records that the node is informed that a server accepts requests."""
+        spans = self.draining_spans.get(server, [])
+        if spans and spans[-1].end == float("inf"):
+            spans[-1].end = at
+
+    def draining_since(self, server: str, at: float) -> float | None:
+        """When the node was informed that a server drains; None: at that moment this was not in force."""
+        return next(
+            (span.start for span in self.draining_spans.get(server, []) if span.overlaps(at, at)), None
+        )
+
+    def read_time(self, at: float, read_delay_s: float) -> float:
+        """When the node's process has begun to read what arrived at `at`, if reading takes up to
+        `read_delay_s`: after all stalls that keep it from reading."""
+        while (resumed_at := self.last_stall_end(at, at + read_delay_s)) > at:
+            at = resumed_at
         return at
 
-    def behind_stalls(self, since: float, latest: float, allowance: float) -> float:
-        """By when it has done what is due at the latest then: so long (s) behind a stall that kept it from
-        that, and behind the next one if that follows at once."""
-        while (allowed := self.stalled(since, latest) + allowance) > latest:
-            latest = allowed
+    def extend_by_stalls(self, since: float, latest: float, allowance_s: float) -> float:
+        """Extends a time limit by stalls: a stall between `since` and `latest` moves the limit to
+        `allowance_s` after its end, and so does a further stall that begins before that."""
+        while (extended := self.last_stall_end(since, latest) + allowance_s) > latest:
+            latest = extended
         return latest
 
-    def terminated_before_kill(self, killed: float) -> float | None:
-        """When the process that was killed then had been sent SIGTERM; None: it had not."""
-        started = max((at for at in self.started if at <= killed), default=0.0)
-        return max((at for at in self.terminated if started <= at <= killed), default=None)
+    def sigterm_before_kill(self, killed_at: float) -> float | None:
+        """When the process that was killed at `killed_at` had been sent SIGTERM; None: it had not."""
+        process_start = max((at for at in self.process_starts if at <= killed_at), default=0.0)
+        return max((at for at in self.sigterm_times if process_start <= at <= killed_at), default=None)
 
-    def stalled(self, since: float, until: float) -> float:
-        """The end of the last stall that touches a span; 0: none does."""
-        return max((one.until for one in self.stalls if one.touches(since, until)), default=0.0)
+    def last_stall_end(self, start: float, end: float) -> float:
+        """The end of the last stall that overlaps the given span; 0 if none does."""
+        return max((stall.end for stall in self.stalls if stall.overlaps(start, end)), default=0.0)
 
 
 @dataclass(slots=True)
 class Lags:
-    """How late the observer's loop was, and when; kept where it was late at all."""
+    """How late the observer's event loop was, and when. Both lists only have the moments with a lag."""
 
-    at: list[float] = field(default_factory=list)
-    late: list[float] = field(default_factory=list)
+    times: list[float] = field(default_factory=list)
+    lags_s: list[float] = field(default_factory=list)
 
-    def note(self, at: float, late: float) -> None:
-        self.at.append(at)
-        self.late.append(late)
+    def add(self, at: float, lag_s: float) -> None:
+        """Records a lag. Times must not decrease."""
+        self.times.append(at)
+        self.lags_s.append(lag_s)
 
-    def around(self, when: float) -> float:
-        """The longest lag within a second of a moment."""
-        first = bisect_left(self.at, when - 1.0)
-        last = bisect_left(self.at, when + 1.0)
-        return max(self.late[first:last], default=0.0)
+    def max_around(self, at: float) -> float:
+        """The longest lag within a second before or after a moment."""
+        first = bisect_left(self.times, at - 1.0)
+        last = bisect_left(self.times, at + 1.0)
+        return max(self.lags_s[first:last], default=0.0)
 
 
 @dataclass(slots=True)
 class Records:
+    """Everything that was observed in a run."""
+
     nodes: list[NodeRecord]
-    requests: dict[str, RequestRecord] = field(default_factory=dict)
+    requests: dict[str, RequestRecord] = field(default_factory=dict)  # by id
     stopped_clients: list[StoppedClientRecord] = field(default_factory=list)
-    strangers: list[str] = field(default_factory=list)  # what servers were sent that no client asked for
+    unknown_requests: list[str] = field(default_factory=list)  # received by servers, sent by no client
     lags: Lags = field(default_factory=Lags)
--- a/benchmarks/soak/registry.py
+++ b/benchmarks/soak/registry.py
@@ -1,5 +1,6 @@
-"""Discovery of a run: one service, or an agent of each node where lists are pushed. It has two addresses for
-each node, can be down, mute, slow, or lose its watches, and records when it has told whom."""
+"""Discovery in a run: a single service, or one agent per node where lists are pushed. It listens at two
+addresses for each node; it can be down, mute or slow, or lose its watches. It records when it informed which
+node."""
 
 from __future__ import annotations
 
@@ -14,166 +15,192 @@
 from benchmarks.soak.servers import FakeServer
 from driftstair.rehearsal import ports
 
-BEAT = 1.5  # s between empty lines on a watch
-COUNTS_AS_TOLD = 6.0  # s after discovery had a change and could be reached
-AFTER_RELOAD = 4.0  # s after SIGHUP from which on what an agent has counts as told
-SLOW = 0.08  # s that a call takes while it is slow
-PLACES = 2  # addresses for each node: a reload moves it to the other one
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+HEARTBEAT_INTERVAL_S = 1.5  # between empty lines on a watch
+INFORMED_AFTER_S = 6.0  # after a change, if discovery was reachable all the time, a node counts as informed
+RELOAD_ALLOWANCE_S = 4.0  # after SIGHUP, from when on a node counts as informed of what its agent has
+SLOW_CALL_S = 0.08  # how long a call takes while discovery is slow
+ADDRESSES_PER_NODE = 2  # a reload switches the node to the other one
+RESPONSE_HEADER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class Registry:
+    """Serves the list of servers to the nodes, with faults."""
+
     def __init__(self, servers: list[FakeServer], nodes: int, records: Records, pushed: bool = False) -> None:
-        self.slow = False
-        self.mute = False
+        """`nodes`: how many there are; `pushed`: lists are pushed, so that each node has an agent."""
+        self.is_slow = False
+        self.is_mute = False
         self.version = 1
         self._servers = servers
-        self._nodes = nodes
+        self._node_count = nodes
         self._records = records
         self._pushed = pushed
-        # Held also while nobody listens: another run would take one.
-        self._ports = [[ports.tcp() for _ in range(PLACES)] for _ in range(nodes)]
-        self._listening: list[asyncio.Server] = []
-        self._watches: dict[asyncio.StreamWriter, int] = {}  # those that are told, and whose they are
-        self._silent: dict[asyncio.StreamWriter, int] = {}  # those on which nothing comes any more
-        self._open: set[asyncio.StreamWriter] = set()
-        self._turn = asyncio.Lock()  # of calls, while it is slow
+        # The ports stay reserved while nothing listens on them, or another run could take one.
+        self._ports = [[ports.tcp() for _ in range(ADDRESSES_PER_NODE)] for _ in range(nodes)]
+        self._listeners: list[asyncio.Server] = []
+        self._watches: dict[asyncio.StreamWriter, int] = {}  # that get changes; the node of each
+        self._silent_watches: dict[asyncio.StreamWriter, int] = {}  # on which nothing more is sent
+        self._open_connections: set[asyncio.StreamWriter] = set()
+        self._slow_call_lock = asyncio.Lock()  # serialises calls while discovery is slow
         self._reachable_since = monotonic()
-        self._beats: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
+        """Starts to listen and to send heartbeats."""
         await self.come_up()
-        self._beats = asyncio.get_running_loop().create_task(self._beat())
+        self._heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
     def stop(self) -> None:
-        if self._beats is not None:
-            self._beats.cancel()
+        """Closes all connections and releases the ports."""
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
         self.go_down()
-        for held in self._ports:
-            for port in held:
+        for node_ports in self._ports:
+            for port in node_ports:
                 port.release()
 
-    def address(self, node: int, place: int) -> str:
-        return f"{HOST}:{self._ports[node][place].number}"
+    def address(self, node: int, index: int) -> str:
+        """One of the addresses for a node."""
+        return f"{HOST}:{self._ports[node][index].number}"
 
-    def known(self) -> dict[str, Any]:
-        return {"version": self.version, "full": True, "servers": [one.entry() for one in self._servers]}
+    def server_list(self) -> dict[str, Any]:
+        """The full list of servers, in the format of the nodes' configuration."""
+        return {
+            "version": self.version,
+            "full": True,
+            "servers": [server.list_entry() for server in self._servers],
+        }
 
     # Faults.
 
     async def come_up(self) -> None:
-        for node in range(self._nodes):
-            for place in range(PLACES):
-                server = await asyncio.start_server(
+        """Listens at all addresses."""
+        for node in range(self._node_count):
+            for index in range(ADDRESSES_PER_NODE):
+                listener = await asyncio.start_server(
                     lambda reader, writer, node=node: self._serve(node, reader, writer),  # type: ignore[misc]
                     HOST,
-                    self._ports[node][place].number,
+                    self._ports[node][index].number,
                 )
-                self._listening.append(server)
+                self._listeners.append(listener)
         self._reachable_since = monotonic()
-        self._agents_have(self._servers)
+        self._record_agents_informed(self._servers)
 
     def go_down(self) -> None:
-        for server in self._listening:
-            server.close()
-        self._listening.clear()
-        for writer in list(self._open):
+        """Stops to listen and resets all connections."""
+        for listener in self._listeners:
+            listener.close()
+        self._listeners.clear()
+        for writer in list(self._open_connections):
             writer.transport.abort()
         self._watches.clear()
 
     def set_mute(self, mute: bool) -> None:
-        self.mute = mute
+        """Mutes discovery, or unmutes it and sends all servers on the open watches."""
+        self.is_mute = mute
         if not mute:
             self._reachable_since = monotonic()
             for writer, node in self._watches.items():
-                self._tell(writer, node, full=False, entries=self._servers)  # what they have missed
-            self._agents_have(self._servers)
+                # The watches have missed the changes in between.
+                self._send_servers(writer, node, full=False, servers=self._servers)
+            self._record_agents_informed(self._servers)
 
     def end_watches(self) -> None:
+        """Resets the connections of all watches."""
         for writer in list(self._watches):
             writer.transport.abort()
         self._watches.clear()
 
     def silence_watches(self) -> None:
-        """They stay open, and nothing comes on them any more."""
-        self._silent |= self._watches
+        """Leaves all watches open, but sends nothing more on them."""
+        self._silent_watches |= self._watches
         self._watches.clear()
 
     # Changes.
 
-    def change(self, server: FakeServer, state: str) -> None:
+    def change_state(self, server: FakeServer, state: str) -> None:
+        """Changes the state of a server and sends it on the watches."""
         server.state, server.changed_at = state, monotonic()
         self.version += 1
         for writer, node in list(self._watches.items()):
-            if not self.mute:
-                self._tell(writer, node, full=False, entries=[server])
-        self._agents_have([server])
+            if not self.is_mute:
+                self._send_servers(writer, node, full=False, servers=[server])
+        self._record_agents_informed([server])
         if state == "Terminating":
             loop = asyncio.get_running_loop()
-            loop.call_later(COUNTS_AS_TOLD, self._counts_as_told, server, server.changed_at)
+            loop.call_later(INFORMED_AFTER_S, self._record_all_informed, server, server.changed_at)
 
-    def _agents_have(self, servers: list[FakeServer]) -> None:
-        """Where lists are pushed, what a node's agent has counts as told, whether or not a watch is open;
-        a silent one has to be found first."""
-        if not self._pushed or self.mute or not self._listening:
+    def _record_agents_informed(self, servers: list[FakeServer]) -> None:
+        """Where lists are pushed, a node counts as informed of what its agent has, whether or not a watch is
+        open. A node with a silent watch does not, since it has to detect that first."""
+        if not self._pushed or self.is_mute or not self._listeners:
             return
-        silent = set(self._silent.values())
+        silent_nodes = set(self._silent_watches.values())
         for number, node in enumerate(self._records.nodes):
-            if number in silent:
+            if number in silent_nodes:
                 continue
-            at = max(monotonic(), max(node.reloads, default=0.0) + AFTER_RELOAD)
+            informed_at = max(monotonic(), max(node.reload_times, default=0.0) + RELOAD_ALLOWANCE_S)
             for server in servers:
                 if server.state == "Terminating":
-                    node.told_leaving(server.name, at)
+                    node.record_draining(server.name, informed_at)
 
-    def _counts_as_told(self, server: FakeServer, changed: float) -> None:
-        """To all nodes that discovery could have told for so long, whether or not it arrived."""
-        reachable = self._reachable_since <= changed and bool(self._listening) and not self.mute
-        if server.changed_at != changed or not reachable:
+    def _record_all_informed(self, server: FakeServer, changed_at: float) -> None:
+        """Counts all nodes that discovery could have informed since the change as informed, whether or not
+        they received it."""
+        is_reachable = self._reachable_since <= changed_at and bool(self._listeners) and not self.is_mute
+        if server.changed_at != changed_at or not is_reachable:
             return
         for node in self._records.nodes:
-            if not node.stalled(changed, monotonic()) and not any(at > changed for at in node.killed):
-                node.told_leaving(server.name, monotonic())
-
-    def _tell(self, writer: asyncio.StreamWriter, node: int, full: bool, entries: list[FakeServer]) -> None:
-        document = {"version": self.version, "full": full, "servers": [one.entry() for one in entries]}
-        text = json.dumps(document).encode() + b"\n"
-        writer.write(b"%x\r\n%s\r\n" % (len(text), text))
-        told = self._records.nodes[node]
-        for server in entries:
+            if not node.last_stall_end(changed_at, monotonic()) and not any(
+                at > changed_at for at in node.kill_times
+            ):
+                node.record_draining(server.name, monotonic())
+
+    def _send_servers(
+        self, writer: asyncio.StreamWriter, node: int, full: bool, servers: list[FakeServer]
+    ) -> None:
+        document = {
+            "version": self.version,
+            "full": full,
+            "servers": [server.list_entry() for server in servers],
+        }
+        line = json.dumps(document).encode() + b"\n"
+        writer.write(b"%x\r\n%s\r\n" % (len(line), line))
+        node_record = self._records.nodes[node]
+        for server in servers:
             if server.state == "Ready":
-                told.told_ready(server.name, monotonic())
+                node_record.record_ready(server.name, monotonic())
             else:
-                told.told_leaving(server.name, monotonic())
+                node_record.record_draining(server.name, monotonic())
 
     async def _serve(self, node: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._open.add(writer)
+        self._open_connections.add(writer)
         try:
             await reader.readuntil(b"\r\n\r\n")
-            if not self.mute:
-                if self.slow and self._pushed:
-                    await asyncio.sleep(SLOW)
-                elif self.slow:
-                    async with self._turn:
-                        await asyncio.sleep(SLOW)
+            if not self.is_mute:
+                if self.is_slow and self._pushed:
+                    await asyncio.sleep(SLOW_CALL_S)
+                elif self.is_slow:
+                    async with self._slow_call_lock:
+                        await asyncio.sleep(SLOW_CALL_S)
                 if reader.at_eof():
-                    return  # the node has given the call up: nobody is told by what is written here
-                writer.write(HEAD)
-                self._tell(writer, node, full=True, entries=self._servers)
+                    return  # the node has closed the connection, so a list written here informs nobody
+                writer.write(RESPONSE_HEADER)
+                self._send_servers(writer, node, full=True, servers=self._servers)
                 self._watches[writer] = node
             await reader.read()
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
-            self._open.discard(writer)
+            self._open_connections.discard(writer)
             self._watches.pop(writer, None)
-            self._silent.pop(writer, None)
+            self._silent_watches.pop(writer, None)
             writer.close()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             for writer in list(self._watches):
-                if not self.mute:
+                if not self.is_mute:
                     with suppress(OSError):
                         writer.write(b"1\r\n\n\r\n")
--- a/benchmarks/soak/servers.py
+++ b/benchmarks/soak/servers.py
@@ -1,4 +1,5 @@
-"""Fake servers of a run: they answer in all framings, fail as they are told, and record each attempt."""
+"""The fake servers of a run. They answer with all framings of HTTP/1.1, inject the faults that are set, and
+record each attempt."""
 
 from __future__ import annotations
 
@@ -16,16 +17,16 @@
 from driftstair.net.system import data_age
 from driftstair.rehearsal import ports
 
-SERVICE = (0.004, 0.06)  # s
-SECOND_AFTER = (0.001, 0.02)  # s behind an answer
-LONG = 300_000  # bytes
-IN_PIECES = 16 << 10  # bytes
+SERVICE_TIME_RANGE_S = (0.004, 0.06)
+SECOND_ANSWER_DELAY_RANGE_S = (0.001, 0.02)  # after the first answer
+LONG_BODY_BYTES = 300_000
+PIECE_BYTES = 16 << 10
 FRAMINGS = ("length", "length", "length", "chunked", "interim", "until-close", "long")
-OWN_WORD = (
+ANSWER_FAULTS = (
     FaultKind.ERRORS, FaultKind.FULL, FaultKind.RESETS, FaultKind.CUT, FaultKind.HANG, FaultKind.SPOILT,
 )  # fmt: skip
-IDLE_END = (0.01, 0.6)  # s at rest after which a connection is ended by a server that does so
-SPOILT = (
+IDLE_END_RANGE_S = (0.01, 0.6)  # for which a connection is idle before the server ends it (IDLE_ENDS)
+MALFORMED_ANSWERS = (
     b"\x00\xff noise\r\n\r\n",
     b"HTTP/1.1 two hundred\r\n\r\n",
     b"HTTP/1.1 200 X\r\nContent-Length: -3\r\n\r\nabc",
@@ -35,43 +36,48 @@
     b"HTTP/1.1 200 X\r\n" + b"X-Head: without end\r\n" * 2000,
     b"HTTP/1.1 200 X\r\nContent-Length: 60\r\n\r\nless than that",
 )
-"""Answers that can't be read, or don't end. The connection stays open."""
+"""Answers that are malformed or don't end. The connection stays open after them."""
 
 
 class FakeServer:
-    def __init__(self, number: int, records: Records, random: Random, tokens: count[int]) -> None:
+    """A server that answers requests, with faults."""
+
+    def __init__(self, number: int, records: Records, random: Random, answer_numbers: count[int]) -> None:
         self.name = f"s-{number}"
         self.state = "Ready"
-        self.changed_at = 0.0  # when it last did, s
-        self.faults: dict[FaultKind, float] = {}  # in force, and the share of requests that each befalls
-        self._held = ports.tcp()  # also while nobody listens: another run would take it
-        self.port = self._held.number
+        self.changed_at = 0.0  # when the state last changed
+        self.fault_shares: dict[FaultKind, float] = {}  # faults in force; the share of requests of each
+        # The port stays reserved while nothing listens on it, or another run could take it.
+        self._reserved_port = ports.tcp()
+        self.port = self._reserved_port.number
         self._records = records
         self._random = random
-        self._tokens = tokens
+        self._answer_numbers = answer_numbers
         self._server: asyncio.Server | None = None
-        self._forgotten = 0  # how many times it has let go of its connections
+        self._abandon_count = 0  # how many times it has abandoned its connections
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
+        """Starts to listen."""
         self._server = await asyncio.start_server(self._serve, HOST, self.port, limit=1 << 20)
 
     def stop(self) -> None:
-        """New connections are refused; those that stand go on."""
+        """Stops to listen, so that new connections are refused. Open connections are served further."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
-    def end(self) -> None:
-        """For good."""
+    def close(self) -> None:
+        """Stops to listen and releases the port."""
         self.stop()
-        self._held.release()
+        self._reserved_port.release()
 
-    def forget(self) -> None:
-        """Nothing is said any more on the connections that stand."""
-        self._forgotten += 1
+    def abandon_connections(self) -> None:
+        """Sends nothing more on the connections that are open now."""
+        self._abandon_count += 1
 
-    def entry(self) -> dict[str, Any]:
+    def list_entry(self) -> dict[str, Any]:
+        """The server's entry in discovery's list."""
         return {
             "id": self.name,
             "addr": f"{HOST}:{self.port}",
@@ -84,48 +90,56 @@
         }
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        forgotten = self._forgotten
+        abandon_count = self._abandon_count
         try:
-            while await self._next_head(reader, writer) and await self._one(reader, writer, forgotten):
+            while await self._wait_for_request(reader, writer) and await self._handle_request(
+                reader, writer, abandon_count
+            ):
                 pass
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError, RuntimeError):
-            pass  # the last one is uvloop's of a write to what has ended
+            pass  # uvloop raises RuntimeError for a write on a connection that has ended
         finally:
             writer.close()
 
-    async def _next_head(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Waits for one; False: this server has ended the connection meanwhile, which was at rest."""
-        if self._random.random() >= self.faults.get(FaultKind.IDLE_ENDS, 0.0):
+    async def _wait_for_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Waits for the next request. Returns False if the server has ended the idle connection instead
+        (IDLE_ENDS)."""
+        if self._random.random() >= self.fault_shares.get(FaultKind.IDLE_ENDS, 0.0):
             return True
         with suppress(TimeoutError):
-            async with asyncio.timeout(self._random.uniform(*IDLE_END)):
-                # Looks without taking: a StreamReader has no call for that.
+            async with asyncio.timeout(self._random.uniform(*IDLE_END_RANGE_S)):
+                # Waits for data without consuming it, for which StreamReader has no public method.
                 while not reader._buffer and not reader.at_eof():  # type: ignore[attr-defined]
-                    await reader._wait_for_data("a look")  # type: ignore[attr-defined]
+                    await reader._wait_for_data("_wait_for_request")  # type: ignore[attr-defined]
             return True
         if self._random.random() < 0.5:
             writer.transport.abort()
         return False
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, forgotten: int) -> bool:
-        """One request; whether the connection goes on. `forgotten`: as it was when the connection came."""
-        head = await reader.readuntil(b"\r\n\r\n")
-        began = monotonic() - (data_age(writer.get_extra_info("socket")) or 0) / 1e9
-        lines = head.decode().split("\r\n")[1:]
+    async def _handle_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, abandon_count: int
+    ) -> bool:
+        """Handles one request; returns whether the connection continues. `abandon_count`: its value when the
+        connection was accepted."""
+        header = await reader.readuntil(b"\r\n\r\n")
+        started_at = monotonic() - (data_age(writer.get_extra_info("socket")) or 0) / 1e9
+        lines = header.decode().split("\r\n")[1:]
         fields = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines if line)}
-        attempt = self._record(fields, began)
+        attempt = self._record_attempt(fields, started_at)
         await self._read_body(reader, fields)
-        attempt.whole = monotonic()
-        fault = next((one for one in OWN_WORD if self._random.random() < self.faults.get(one, 0.0)), None)
-        if fault is FaultKind.HANG or forgotten != self._forgotten:
+        attempt.received_at = monotonic()
+        fault = next(
+            (kind for kind in ANSWER_FAULTS if self._random.random() < self.fault_shares.get(kind, 0.0)), None
+        )
+        if fault is FaultKind.HANG or abandon_count != self._abandon_count:
             await reader.read()
             return False
-        await asyncio.sleep(self._random.uniform(*SERVICE))
+        await asyncio.sleep(self._random.uniform(*SERVICE_TIME_RANGE_S))
         if fault is FaultKind.RESETS:
             writer.transport.abort()
             return False
         if fault is FaultKind.SPOILT:
-            writer.write(self._random.choice(SPOILT))
+            writer.write(self._random.choice(MALFORMED_ANSWERS))
             await reader.read()
             return False
         if fault is FaultKind.ERRORS:
@@ -135,8 +149,8 @@
             attempt.not_run = True
             writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
             return True
-        cut = fault is FaultKind.CUT
-        return await self._serve_it(fields.get("x-request-id", ""), writer, attempt, cut)
+        is_cut = fault is FaultKind.CUT
+        return await self._send_answer(fields.get("x-request-id", ""), writer, attempt, is_cut)
 
     async def _read_body(self, reader: asyncio.StreamReader, fields: dict[str, str]) -> None:
         if fields.get("transfer-encoding") != "chunked":
@@ -146,23 +160,26 @@
             await reader.readexactly(size + 2)
         await reader.readuntil(b"\r\n")
 
-    def _record(self, fields: dict[str, str], began: float) -> AttemptRecord:
-        told = fields.get("x-deadline")
-        attempt = AttemptRecord(self.name, began, None if told is None else int(told.removesuffix("u")) / 1e6)
+    def _record_attempt(self, fields: dict[str, str], started_at: float) -> AttemptRecord:
+        deadline = fields.get("x-deadline")
+        attempt = AttemptRecord(
+            self.name, started_at, None if deadline is None else int(deadline.removesuffix("u")) / 1e6
+        )
         request = self._records.requests.get(fields.get("x-request-id", ""))
         if request is None:
-            self._records.strangers.append(f"{self.name}: {fields}")
+            self._records.unknown_requests.append(f"{self.name}: {fields}")
         else:
             request.attempts.append(attempt)
         return attempt
 
-    async def _serve_it(
-        self, identity: str, writer: asyncio.StreamWriter, attempt: AttemptRecord, cut: bool
+    async def _send_answer(
+        self, request_id: str, writer: asyncio.StreamWriter, attempt: AttemptRecord, is_cut: bool
     ) -> bool:
-        body = f"{identity}/{next(self._tokens)}".encode()
+        """Sends an answer with a random framing; returns whether the connection continues."""
+        body = f"{request_id}/{next(self._answer_numbers)}".encode()
         framing = self._random.choice(FRAMINGS)
         if framing == "long":
-            body += b"." * LONG
+            body += b"." * LONG_BODY_BYTES
         if framing in ("chunked", "interim"):
             data = b"HTTP/1.1 100 Continue\r\n\r\n" if framing == "interim" else b""
             half = len(body) // 2
@@ -173,8 +190,8 @@
             data = b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\n" + body
         else:
             data = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-        if cut:
-            attempt.cut = True
+        if is_cut:
+            attempt.answer_cut = True
             writer.write(data[: len(data) // 2])
             await asyncio.sleep(0.001)
             writer.transport.abort()
@@ -183,16 +200,18 @@
         await writer.drain()
         if framing == "until-close":
             return False
-        if self._random.random() < self.faults.get(FaultKind.SECOND_ANSWERS, 0.0):
-            self._later(lambda: writer.write(data))
+        if self._random.random() < self.fault_shares.get(FaultKind.SECOND_ANSWERS, 0.0):
+            self._call_later(lambda: writer.write(data))
         return True
 
-    def _later(self, what: Callable[[], None]) -> None:
-        async def after() -> None:
-            await asyncio.sleep(self._random.uniform(*SECOND_AFTER))
+    def _call_later(self, callback: Callable[[], None]) -> None:
+        """Calls back after the delay of a second answer."""
+
+        async def call_after_delay() -> None:
+            await asyncio.sleep(self._random.uniform(*SECOND_ANSWER_DELAY_RANGE_S))
             with suppress(OSError, RuntimeError):
-                what()
+                callback()
 
-        task = asyncio.get_running_loop().create_task(after())
+        task = asyncio.get_running_loop().create_task(call_after_delay())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/benchmarks/soak/shim/__init__.py
+++ b/benchmarks/soak/shim/__init__.py
@@ -1,7 +1,8 @@
-"""A library that makes a daemon's system calls fail, its wall clock be off and its disk be full.
+"""A preloaded library that makes system calls and disk writes of a process fail, and its wall clock wrong.
 
-Built from `shim.c` with the machine's C compiler, and loaded by LD_PRELOAD. What it does is told by
-DRIFTSTAIR_SHIM (`Options.text`); it fails as Linux's manual pages say, from `after` s of its life on.
+It is built from `shim.c` with the C compiler of the machine and loaded by LD_PRELOAD. Its options stand in
+the variable DRIFTSTAIR_SHIM (`ShimOptions.to_text`). Calls fail with the errors that Linux's manual pages
+list, from `after` s of the process's life on.
 """
 
 from __future__ import annotations
@@ -11,67 +12,72 @@
 from dataclasses import dataclass, fields
 from pathlib import Path
 
-SOURCE = Path(__file__).parent / "shim.c"
-VARIABLE = "DRIFTSTAIR_SHIM"
-LIBRARY = "shim.so"
+SOURCE_PATH = Path(__file__).parent / "shim.c"
+OPTIONS_VARIABLE = "DRIFTSTAIR_SHIM"
+LIBRARY_NAME = "shim.so"
 
 
 class ShimError(Exception):
-    """The library can't be built, or an option is none; the text says what would do."""
+    """The library can't be built, or an option is invalid; the message says what is valid."""
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
-    """Shares are of calls, 0 to 1; times in s."""
+class ShimOptions:
+    """The options of the library. Shares are fractions of calls, from 0 to 1; times are in s."""
 
     seed: int = 1
-    after: float = 2.0  # since the process began
-    calls: float = 0.0  # accept, socket, connect, reads and writes of TCP sockets
+    after: float = 2.0  # from the start of the process; no call fails before
+    calls: float = 0.0  # share of accept, socket, connect, reads and writes of TCP sockets that fail
     await_listen: float = 0.0  # 1: no call fails before the process first listens, however slowly it starts
-    disk: float = 0.0  # writes and syncs of regular files
-    clock_off: float = 0.0  # the wall clock, from the start
-    clock_step: float = 0.0  # and beyond that, from `step_after` on
+    disk: float = 0.0  # share of writes and syncs of regular files that fail
+    clock_off: float = 0.0  # offset of the wall clock, from the start on
+    clock_step: float = 0.0  # further offset, from `step_after` on
     step_after: float = 4.0
 
     def __post_init__(self) -> None:
         for name in ("calls", "disk"):
             share = getattr(self, name)
             if not 0.0 <= share <= 1.0:
-                raise ShimError(f"{VARIABLE}: {name} = {share}: a share from 0 to 1 would do")
+                raise ShimError(f"{OPTIONS_VARIABLE}: {name} = {share}: a share from 0 to 1 would do")
 
-    def text(self) -> str:
-        return ";".join(f"{one.name}={getattr(self, one.name)}" for one in fields(self))
+    def to_text(self) -> str:
+        """The options as the value of DRIFTSTAIR_SHIM."""
+        return ";".join(f"{option.name}={getattr(self, option.name)}" for option in fields(self))
 
 
-def parse(text: str) -> Options:
-    """The options of a text. Raises ShimError."""
-    names = {one.name: one.type for one in fields(Options)}
+def parse_options(text: str) -> ShimOptions:
+    """Parses a value of DRIFTSTAIR_SHIM. Raises ShimError."""
+    types_by_name = {option.name: option.type for option in fields(ShimOptions)}
     values: dict[str, float] = {}
-    for part in filter(None, text.split(";")):
-        name, _, value = part.partition("=")
-        if name not in names:
-            raise ShimError(f"{VARIABLE}: no option {name!r}; one of {', '.join(names)} would do")
+    for assignment in filter(None, text.split(";")):
+        name, _, value = assignment.partition("=")
+        if name not in types_by_name:
+            raise ShimError(
+                f"{OPTIONS_VARIABLE}: no option {name!r}; one of {', '.join(types_by_name)} would do"
+            )
         try:
             values[name] = int(value) if name == "seed" else float(value)
         except ValueError:
-            raise ShimError(f"{VARIABLE}: {name} = {value!r}: a number would do") from None
-    return Options(**values)  # type: ignore[arg-type]
+            raise ShimError(f"{OPTIONS_VARIABLE}: {name} = {value!r}: a number would do") from None
+    return ShimOptions(**values)  # type: ignore[arg-type]
 
 
-def build(folder: Path) -> Path:
-    """The library, built there. Raises ShimError."""
-    library = folder / LIBRARY
-    command = ["cc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
+def build_shim(folder: Path) -> Path:
+    """Builds the library in a folder and returns its path. Raises ShimError."""
+    library = folder / LIBRARY_NAME
+    command = [
+        "cc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", str(library), str(SOURCE_PATH), "-ldl",
+    ]  # fmt: skip
     try:
-        done = subprocess.run(command, capture_output=True, text=True, check=False)
-    except OSError as problem:
-        raise ShimError(f"cc: {problem.strerror}; a C compiler would do") from None
-    if done.returncode:
-        raise ShimError(f"{SOURCE.name} can't be built: {done.stderr.strip()[:500]}")
+        result = subprocess.run(command, capture_output=True, text=True, check=False)
+    except OSError as error:
+        raise ShimError(f"cc: {error.strerror}; a C compiler would do") from None
+    if result.returncode:
+        raise ShimError(f"{SOURCE_PATH.name} can't be built: {result.stderr.strip()[:500]}")
     return library
 
 
-def environment(library: Path, options: Options) -> dict[str, str]:
-    """Of a process that is to have it."""
-    loaded = os.environ.get("LD_PRELOAD", "")
-    return {"LD_PRELOAD": f"{library} {loaded}".strip(), VARIABLE: options.text()}
+def shim_environment(library: Path, options: ShimOptions) -> dict[str, str]:
+    """Returns the environment variables that load the library into a process and set its options."""
+    preloaded = os.environ.get("LD_PRELOAD", "")
+    return {"LD_PRELOAD": f"{library} {preloaded}".strip(), OPTIONS_VARIABLE: options.to_text()}
--- a/benchmarks/soak/shim/shim.c
+++ b/benchmarks/soak/shim/shim.c
@@ -1,6 +1,7 @@
-/* Makes system calls of one process fail now and then, as their manual pages say, and puts its wall clock off.
- * Loaded by LD_PRELOAD; its options stand in DRIFTSTAIR_SHIM (see __init__.py). Nothing outside the process is
- * touched. Only TCP sockets that the process makes or accepts, and regular files, are concerned. */
+/* Makes a share of the system calls of one process fail, with the errors that their manual pages list, and
+ * makes its wall clock wrong. Loaded by LD_PRELOAD; its options stand in DRIFTSTAIR_SHIM (see __init__.py).
+ * Nothing outside the process is changed. Only calls on TCP sockets that the process creates or accepts, and
+ * on regular files, are made to fail. */
 
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -17,96 +18,98 @@
 #include <time.h>
 #include <unistd.h>
 
-#define FDS 65536
-#define COUNT(list) (sizeof(list) / sizeof((list)[0]))
+#define MAX_FDS 65536
+#define LENGTH(list) (sizeof(list) / sizeof((list)[0]))
 
-enum kind { OTHER = 0, FROM_CLIENT, TO_SERVER };
+enum fd_kind { OTHER = 0, FROM_CLIENT, TO_SERVER };
 
-static unsigned char kinds[FDS];
-static uint64_t state = 1;
-static double after = 2, calls, disk, clock_off, clock_step, step_after = 4;
-static int awaits_listen; /* until the first listen(): no call fails before it */
-static struct timespec began;
+static unsigned char fd_kinds[MAX_FDS];
+static uint64_t random_state = 1;
+static double fail_after_s = 2, call_share, disk_share, clock_offset_s, clock_step_s, step_after_s = 4;
+static int awaits_listen; /* true until the first listen(); no call fails before it */
+static struct timespec start_time;
 
 static int (*real_clock_gettime)(clockid_t, struct timespec *);
 
-static void *next(const char *name)
+static void *next_symbol(const char *name)
 {
     return dlsym(RTLD_NEXT, name);
 }
 
-static double option(const char *text, const char *name, double otherwise)
+static double read_option(const char *text, const char *name, double default_value)
 {
-    char wanted[64];
-    snprintf(wanted, sizeof wanted, "%s=", name);
-    for (const char *at = text; at != NULL; at = strchr(at, ';')) {
-        if (*at == ';')
-            at++;
-        if (strncmp(at, wanted, strlen(wanted)) == 0)
-            return atof(at + strlen(wanted));
+    char prefix[64];
+    snprintf(prefix, sizeof prefix, "%s=", name);
+    for (const char *entry = text; entry != NULL; entry = strchr(entry, ';')) {
+        if (*entry == ';')
+            entry++;
+        if (strncmp(entry, prefix, strlen(prefix)) == 0)
+            return atof(entry + strlen(prefix));
     }
-    return otherwise;
+    return default_value;
 }
 
-__attribute__((constructor)) static void begin(void)
+__attribute__((constructor)) static void initialize(void)
 {
     const char *text = getenv("DRIFTSTAIR_SHIM");
-    real_clock_gettime = next("clock_gettime");
-    real_clock_gettime(CLOCK_MONOTONIC, &began);
+    real_clock_gettime = next_symbol("clock_gettime");
+    real_clock_gettime(CLOCK_MONOTONIC, &start_time);
     if (text == NULL)
         return;
-    state = (uint64_t)option(text, "seed", 1) * 2654435761u + 88172645463325252u;
-    after = option(text, "after", after);
-    calls = option(text, "calls", 0);
-    awaits_listen = option(text, "await_listen", 0) > 0;
-    disk = option(text, "disk", 0);
-    clock_off = option(text, "clock_off", 0);
-    clock_step = option(text, "clock_step", 0);
-    step_after = option(text, "step_after", step_after);
+    random_state = (uint64_t)read_option(text, "seed", 1) * 2654435761u + 88172645463325252u;
+    fail_after_s = read_option(text, "after", fail_after_s);
+    call_share = read_option(text, "calls", 0);
+    awaits_listen = read_option(text, "await_listen", 0) > 0;
+    disk_share = read_option(text, "disk", 0);
+    clock_offset_s = read_option(text, "clock_off", 0);
+    clock_step_s = read_option(text, "clock_step", 0);
+    step_after_s = read_option(text, "step_after", step_after_s);
 }
 
-static double age(void)
+static double age_s(void)
 {
     struct timespec now;
     real_clock_gettime(CLOCK_MONOTONIC, &now);
-    return (now.tv_sec - began.tv_sec) + (now.tv_nsec - began.tv_nsec) / 1e9;
+    return (now.tv_sec - start_time.tv_sec) + (now.tv_nsec - start_time.tv_nsec) / 1e9;
 }
 
-static uint64_t draw(void)
+static uint64_t next_random(void)
 {
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return state;
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return random_state;
 }
 
-static int befalls(double share)
+static int should_fail(double share)
 {
-    return share > 0 && (draw() >> 11) / 9007199254740992.0 < share && age() >= after && !awaits_listen;
+    return share > 0 && (next_random() >> 11) / 9007199254740992.0 < share && age_s() >= fail_after_s
+        && !awaits_listen;
 }
 
-static int fail(const int *errors, size_t count)
+static int fail_with(const int *errors, size_t count)
 {
-    errno = errors[draw() % count];
+    errno = errors[next_random() % count];
     return -1;
 }
 
 static int is_tcp(int fd)
 {
-    struct stat found;
-    return fd >= 0 && fd < FDS && kinds[fd] != OTHER && fstat(fd, &found) == 0 && S_ISSOCK(found.st_mode);
+    struct stat status;
+    return fd >= 0 && fd < MAX_FDS && fd_kinds[fd] != OTHER && fstat(fd, &status) == 0
+        && S_ISSOCK(status.st_mode);
 }
 
 static int is_file(int fd)
 {
-    struct stat found;
-    return fd > 2 && fstat(fd, &found) == 0 && S_ISREG(found.st_mode);
+    struct stat status;
+    return fd > 2 && fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-static void note(int fd, enum kind kind)
+static void set_fd_kind(int fd, enum fd_kind kind)
 {
-    if (fd >= 0 && fd < FDS)
-        kinds[fd] = kind;
+    if (fd >= 0 && fd < MAX_FDS)
+        fd_kinds[fd] = kind;
 }
 
 /* Sockets. */
@@ -116,12 +119,12 @@
     static int (*real)(int, int, int);
     static const int errors[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
     if (real == NULL)
-        real = next("socket");
+        real = next_symbol("socket");
     int tcp = (domain == AF_INET || domain == AF_INET6) && (type & 0xf) == SOCK_STREAM;
-    if (tcp && befalls(calls))
-        return fail(errors, COUNT(errors));
+    if (tcp && should_fail(call_share))
+        return fail_with(errors, LENGTH(errors));
     int fd = real(domain, type, protocol);
-    note(fd, tcp ? TO_SERVER : OTHER);
+    set_fd_kind(fd, tcp ? TO_SERVER : OTHER);
     return fd;
 }
 
@@ -129,7 +132,7 @@
 {
     static int (*real)(int, int);
     if (real == NULL)
-        real = next("listen");
+        real = next_symbol("listen");
     awaits_listen = 0;
     return real(fd, backlog);
 }
@@ -139,9 +142,9 @@
     static int (*real)(int, const struct sockaddr *, socklen_t);
     static const int errors[] = {EADDRNOTAVAIL, EAGAIN, ENETUNREACH, EHOSTUNREACH, ECONNREFUSED};
     if (real == NULL)
-        real = next("connect");
-    if (is_tcp(fd) && befalls(calls))
-        return fail(errors, COUNT(errors));
+        real = next_symbol("connect");
+    if (is_tcp(fd) && should_fail(call_share))
+        return fail_with(errors, LENGTH(errors));
     return real(fd, address, size);
 }
 
@@ -150,35 +153,38 @@
     static int (*real)(int, struct sockaddr *, socklen_t *, int);
     static const int errors[] = {EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EAGAIN};
     if (real == NULL)
-        real = next("accept4");
-    if (befalls(calls))
-        return fail(errors, COUNT(errors));
+        real = next_symbol("accept4");
+    if (should_fail(call_share))
+        return fail_with(errors, LENGTH(errors));
     int accepted = real(fd, address, size, flags);
-    note(accepted, FROM_CLIENT);
+    set_fd_kind(accepted, FROM_CLIENT);
     return accepted;
 }
 
-static size_t shorter(size_t size)
+static size_t random_shorter_size(size_t size)
 {
-    return size > 1 ? 1 + draw() % (size - 1) : size;
+    return size > 1 ? 1 + next_random() % (size - 1) : size;
 }
 
-/* What befalls a read or a write of a socket, before it is made: 0: nothing; -1: it fails, errno is set; else the
- * length that it is cut to. Only a connection to a server is found dead: a client's is its own. */
-static ssize_t before_io(int fd, size_t size)
+/* Decides the outcome of a read or a write of a socket before the call. Returns 0 if the call is made
+ * unchanged, -1 if it fails (errno is set), and otherwise the size that it is limited to. Only connections to
+ * servers fail as dead, since it is for the client to end its own connection. */
+static ssize_t before_socket_io(int fd, size_t size)
 {
-    static const int dead[] = {ETIMEDOUT, EHOSTUNREACH};
-    if (size == 0 || fd < 0 || fd >= FDS || kinds[fd] == OTHER || !befalls(calls) || !is_tcp(fd))
+    static const int dead_errors[] = {ETIMEDOUT, EHOSTUNREACH};
+    if (size == 0 || fd < 0 || fd >= MAX_FDS || fd_kinds[fd] == OTHER || !should_fail(call_share)
+        || !is_tcp(fd))
         return 0;
-    switch (draw() % 8) {
+    switch (next_random() % 8) {
     case 0:
-        return kinds[fd] == TO_SERVER ? fail(dead, COUNT(dead)) : (ssize_t)shorter(size);
+        return fd_kinds[fd] == TO_SERVER ? fail_with(dead_errors, LENGTH(dead_errors))
+                                         : (ssize_t)random_shorter_size(size);
     case 1:
     case 2:
         errno = EINTR;
         return -1;
     default:
-        return shorter(size);
+        return random_shorter_size(size);
     }
 }
 
@@ -186,54 +192,56 @@
 {
     static ssize_t (*real)(int, void *, size_t);
     if (real == NULL)
-        real = next("read");
-    ssize_t found = before_io(fd, size);
-    return found < 0 ? -1 : real(fd, data, found ? (size_t)found : size);
+        real = next_symbol("read");
+    ssize_t limit = before_socket_io(fd, size);
+    return limit < 0 ? -1 : real(fd, data, limit ? (size_t)limit : size);
 }
 
 ssize_t recv(int fd, void *data, size_t size, int flags)
 {
     static ssize_t (*real)(int, void *, size_t, int);
     if (real == NULL)
-        real = next("recv");
-    ssize_t found = before_io(fd, size);
-    return found < 0 ? -1 : real(fd, data, found ? (size_t)found : size, flags);
+        real = next_symbol("recv");
+    ssize_t limit = before_socket_io(fd, size);
+    return limit < 0 ? -1 : real(fd, data, limit ? (size_t)limit : size, flags);
 }
 
-/* Files: what befalls a write. */
-static ssize_t before_disk(int fd, size_t size)
+/* Files. */
+
+/* Decides the outcome of a write to a file; the return value is that of before_socket_io. */
+static ssize_t before_file_write(int fd, size_t size)
 {
     static const int errors[] = {ENOSPC, EIO};
-    if (disk <= 0 || !is_file(fd) || !befalls(disk))
+    if (disk_share <= 0 || !is_file(fd) || !should_fail(disk_share))
         return 0;
-    if (draw() % 2 == 0)
-        return fail(errors, COUNT(errors));
-    return shorter(size);
+    if (next_random() % 2 == 0)
+        return fail_with(errors, LENGTH(errors));
+    return random_shorter_size(size);
 }
 
 ssize_t write(int fd, const void *data, size_t size)
 {
     static ssize_t (*real)(int, const void *, size_t);
     if (real == NULL)
-        real = next("write");
-    ssize_t found = before_io(fd, size);
-    if (found == 0)
-        found = before_disk(fd, size);
-    return found < 0 ? -1 : real(fd, data, found ? (size_t)found : size);
+        real = next_symbol("write");
+    ssize_t limit = before_socket_io(fd, size);
+    if (limit == 0)
+        limit = before_file_write(fd, size);
+    return limit < 0 ? -1 : real(fd, data, limit ? (size_t)limit : size);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count)
 {
     static ssize_t (*real)(int, const struct iovec *, int);
     if (real == NULL)
-        real = next("writev");
+        real = next_symbol("writev");
     size_t size = 0;
     for (int index = 0; index < count; index++)
         size += parts[index].iov_len;
-    ssize_t found = before_io(fd, size);
-    if (found < 0)
+    ssize_t limit = before_socket_io(fd, size);
+    if (limit < 0)
         return -1;
-    if (found > 0) /* short: the first part alone */
+    if (limit > 0) /* a short write: only the first part */
         return real(fd, parts, 1);
     return real(fd, parts, count);
 }
@@ -243,8 +251,9 @@
     static int (*real)(int);
     static const int errors[] = {ENOSPC, EIO};
     if (real == NULL)
-        real = next("fsync");
-    return disk > 0 && is_file(fd) && befalls(disk) ? fail(errors, COUNT(errors)) : real(fd);
+        real = next_symbol("fsync");
+    return disk_share > 0 && is_file(fd) && should_fail(disk_share) ? fail_with(errors, LENGTH(errors))
+                                                                    : real(fd);
 }
 
 int fdatasync(int fd)
@@ -252,43 +261,44 @@
     static int (*real)(int);
     static const int errors[] = {ENOSPC, EIO};
     if (real == NULL)
-        real = next("fdatasync");
-    return disk > 0 && is_file(fd) && befalls(disk) ? fail(errors, COUNT(errors)) : real(fd);
+        real = next_symbol("fdatasync");
+    return disk_share > 0 && is_file(fd) && should_fail(disk_share) ? fail_with(errors, LENGTH(errors))
+                                                                    : real(fd);
 }
 
 int close(int fd)
 {
     static int (*real)(int);
     if (real == NULL)
-        real = next("close");
-    note(fd, OTHER);
+        real = next_symbol("close");
+    set_fd_kind(fd, OTHER);
     return real(fd);
 }
 
 /* The wall clock. */
 
-static double off(void)
+static double wall_clock_offset_s(void)
 {
-    return clock_off + (clock_step != 0 && age() >= step_after ? clock_step : 0);
+    return clock_offset_s + (clock_step_s != 0 && age_s() >= step_after_s ? clock_step_s : 0);
 }
 
-int clock_gettime(clockid_t which, struct timespec *found)
+int clock_gettime(clockid_t clock_id, struct timespec *result)
 {
     if (real_clock_gettime == NULL)
-        real_clock_gettime = next("clock_gettime");
-    int done = real_clock_gettime(which, found);
-    if (done == 0 && which == CLOCK_REALTIME && (clock_off != 0 || clock_step != 0))
-        found->tv_sec += (time_t)off();
-    return done;
+        real_clock_gettime = next_symbol("clock_gettime");
+    int status = real_clock_gettime(clock_id, result);
+    if (status == 0 && clock_id == CLOCK_REALTIME && (clock_offset_s != 0 || clock_step_s != 0))
+        result->tv_sec += (time_t)wall_clock_offset_s();
+    return status;
 }
 
-int gettimeofday(struct timeval *restrict found, void *restrict zone)
+int gettimeofday(struct timeval *restrict result, void *restrict zone)
 {
     static int (*real)(struct timeval *, void *);
     if (real == NULL)
-        real = next("gettimeofday");
-    int done = real(found, zone);
-    if (done == 0)
-        found->tv_sec += (time_t)off();
-    return done;
+        real = next_symbol("gettimeofday");
+    int status = real(result, zone);
+    if (status == 0)
+        result->tv_sec += (time_t)wall_clock_offset_s();
+    return status;
 }
--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -13,7 +13,7 @@
 from control_rig import change_set
 from rig import run_for
 
-from benchmarks.soak.shim import Options, build, environment
+from benchmarks.soak.shim import ShimOptions, build_shim, shim_environment
 
 Scenario = Callable[[ControlFleet], Awaitable[None]]
 FAILURE_SHARE = 0.1  # of writes and syncs that fail
@@ -262,9 +262,11 @@
     healthy disks."""
 
     async def scenario(fleet: ControlFleet) -> None:
-        library = build(tmp_path)
+        library = build_shim(tmp_path)
         for number in range(5):
-            fleet.environment = environment(library, Options(seed=number + 1, after=0.0, disk=FAILURE_SHARE))
+            fleet.environment = shim_environment(
+                library, ShimOptions(seed=number + 1, after=0.0, disk=FAILURE_SHARE)
+            )
             await fleet.kill(number)
             await fleet.start(number)
         await fleet.wait_for_leader()
--- a/tests/ledger/test_keeper.py
+++ b/tests/ledger/test_keeper.py
@@ -19,7 +19,7 @@
 from rig import Server, configuration, request, run, sends, serves, silent, status, until
 from test_process import Program, program
 
-from benchmarks.soak.shim import Options, build, environment
+from benchmarks.soak.shim import ShimOptions, build_shim, shim_environment
 from driftstair.ledger.command import read_copies
 from driftstair.ledger.entries import Kind, UsageWord
 from driftstair.ledger.keeper import LedgerKeeper
@@ -219,7 +219,7 @@
     """Three in ten writes and syncs of a daemon fail with ENOSPC or EIO, or are incomplete."""
     ledger_folder = tmp_path / "kept"
     ledger_folder.mkdir()
-    fault_environment = environment(build(tmp_path), Options(seed=3, after=0.5, disk=0.3))
+    fault_environment = shim_environment(build_shim(tmp_path), ShimOptions(seed=3, after=0.5, disk=0.3))
     env = {**os.environ, **fault_environment, "TMPDIR": str(tmp_path)}
     env["DRIFTSTAIR_SERVICE"] = service_file(tmp_path, ledger_folder)
     observed: Counter[tuple[str, str]] = Counter()
