--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements behind the figures of the capacity page: `python -m benchmarks.scale --help`."""
+"""Measurements that produce the figures of the capacity page: `python -m benchmarks.scale --help`."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -2,9 +2,10 @@
 
     python -m benchmarks.scale [--json] [--seconds N] MEASUREMENT ...
 
-Each measurement is a module with `register(commands)`, which adds its subcommand and sets `measure`: a
-function from the parsed arguments to an iterable of rows. Rows are printed as they come, one JSON object a
-line with `--json`. Exit status: 0 all rows are sound, 1 a row failed or is late, 2 bad use.
+Each measurement is a module with a function `register(commands)`, which adds its subcommand and sets
+`measure`: a function from the parsed arguments to an iterable of rows. Each row is printed when it is ready,
+with `--json` as one JSON object on one line. The exit status is 0 if all rows are sound, 1 if there is no row
+or a row is not sound, and 2 for wrong arguments.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from collections.abc import Sequence
 from importlib import import_module
 
-from benchmarks.scale.rows import Row, commit, print_row
+from benchmarks.scale.rows import Row, describe_commit, print_row
 
 MEASUREMENTS: tuple[str, ...] = (
     "added_time",
@@ -25,31 +26,33 @@
     "steady",
     "watchers",
 )
-"""Modules of this package that register a subcommand each."""
-SECONDS = 900.0  # of a whole measurement: what a person waits for
+"""Modules of this package, each of which registers one subcommand."""
+TIME_LIMIT_S = 900.0  # default for a whole measurement: about as long as a person waits for it
 
 
 def parser() -> argparse.ArgumentParser:
-    """The command line with the subcommands of all measurements."""
-    out = argparse.ArgumentParser(prog="python -m benchmarks.scale", description=__doc__.split("\n", 1)[0])
-    out.add_argument("--json", action="store_true", help="one JSON object a line")
-    out.add_argument(
-        "--seconds", type=float, default=SECONDS, metavar="N",
-        help=f"wall time after which no further row is begun ({SECONDS:.0f})",
+    """Returns the command line parser with the subcommands of all measurements."""
+    root_parser = argparse.ArgumentParser(
+        prog="python -m benchmarks.scale", description=__doc__.split("\n", 1)[0]
+    )
+    root_parser.add_argument("--json", action="store_true", help="one JSON object a line")
+    root_parser.add_argument(
+        "--seconds", type=float, default=TIME_LIMIT_S, metavar="N",
+        help=f"wall time after which no further row is begun ({TIME_LIMIT_S:.0f})",
     )  # fmt: skip
-    commands = out.add_subparsers(title="measurements", metavar="MEASUREMENT", required=True)
+    commands = root_parser.add_subparsers(title="measurements", metavar="MEASUREMENT", required=True)
     for name in MEASUREMENTS:
         import_module(f"benchmarks.scale.{name}").register(commands)
-    return out
+    return root_parser
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs one measurement and prints its rows; its exit status."""
-    found = parser().parse_args(arguments)
-    measured, rows = commit(), list[Row]()
-    for row in found.measure(found):
+    """Runs one measurement, prints its rows and returns the exit status."""
+    options = parser().parse_args(arguments)
+    commit, rows = describe_commit(), list[Row]()
+    for row in options.measure(options):
         rows.append(row)
-        print_row(row, measured, found.json)
+        print_row(row, commit, options.json)
     return 0 if rows and all(row.is_sound() for row in rows) else 1
 
 
--- a/benchmarks/scale/billing.py
+++ b/benchmarks/scale/billing.py
@@ -1,47 +1,48 @@
-"""Slopes by tenants that were active between two commits: the entries of a ledger, and joining ledgers."""
+"""Slopes of ledgers: commits by active tenants, opening by entries, and joining by number of ledgers."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
 from benchmarks.scale import documents
-from benchmarks.scale.meter import cpu_each, measured
+from benchmarks.scale.meter import mean_cpu_s, measure_step
 
-NOON = 1_771_070_400_000  # ms of Unix time
-COMMITS = 20
-COMMITTED = 55  # tenants between two commits of 200 ms at 274 requests a second, each with one request
+NOON_MS = 1_771_070_400_000  # Unix time
+COMMIT_COUNT = 20
+TENANTS_PER_COMMIT = 55  # 274 requests a second, each of another tenant, and a commit each 200 ms
 
 
 def prepare(size: int, folder: Path) -> None:
-    """Nothing: books are made in the process."""
+    """Writes nothing; the probe creates its books itself."""
 
 
 def measure(size: int, folder: Path) -> dict[str, float]:
-    """Commits in which `size` tenants had a request each."""
+    """Measures commits that each contain one request of each of `size` tenants."""
     from driftstair.ledger.book import Book
     from driftstair.ledger.entries import UsageWord
     from driftstair.ledger.periods import Calendar
 
     book = Book("n0", Calendar("UTC"))
-    book.encode_and_confirm(book.begin(NOON, 20))
+    book.encode_and_confirm(book.begin(NOON_MS, 20))
     tenants = [documents.tenant_name(number) for number in range(size)]
-    written = 0
+    written_bytes = 0
 
-    def commit(turn: int) -> None:
-        nonlocal written
+    def commit(commit_number: int) -> None:
+        nonlocal written_bytes
         for tenant in tenants:
-            book.count(NOON + turn, tenant, UsageWord.SERVED)
-        written += len(book.encode_and_confirm(book.commit(NOON + turn)))
+            book.count(NOON_MS + commit_number, tenant, UsageWord.SERVED)
+        written_bytes += len(book.encode_and_confirm(book.commit(NOON_MS + commit_number)))
 
-    each = cpu_each(commit, COMMITS)
-    _, step = measured(lambda: commit(COMMITS))
+    commit_cpu_s = mean_cpu_s(commit, COMMIT_COUNT)
+    _, cost = measure_step(lambda: commit(COMMIT_COUNT))
     return {
-        "commit_cpu_ms": each * 1e3, "commit_bytes": written / (COMMITS + 1), "peak_mb": step.peak_mb,
+        "commit_cpu_ms": commit_cpu_s * 1e3, "commit_bytes": written_bytes / (COMMIT_COUNT + 1),
+        "peak_mb": cost.peak_mb,
     }  # fmt: skip
 
 
 def prepare_ledger(size: int, folder: Path) -> None:
-    """A ledger of about `size` entries, as a node leaves it behind."""
+    """Writes a ledger of about `size` entries, as a node leaves it on disk."""
     from driftstair.ledger.book import Book
     from driftstair.ledger.entries import UsageWord
     from driftstair.ledger.periods import Calendar
@@ -50,45 +51,46 @@
     store = Store(folder, "n0")
     store.open()
     book = Book("n0", Calendar("UTC"))
-    store.append(book.encode_and_confirm(book.begin(NOON, 20)), False)
-    for turn in range(max(1, size // COMMITTED)):
-        for tenant in range(COMMITTED):
-            book.count(NOON + turn, documents.tenant_name(tenant), UsageWord.SERVED)
-        store.append(book.encode_and_confirm(book.commit(NOON + turn)), False)
+    store.append(book.encode_and_confirm(book.begin(NOON_MS, 20)), False)
+    for commit_number in range(max(1, size // TENANTS_PER_COMMIT)):
+        for tenant in range(TENANTS_PER_COMMIT):
+            book.count(NOON_MS + commit_number, documents.tenant_name(tenant), UsageWord.SERVED)
+        store.append(book.encode_and_confirm(book.commit(NOON_MS + commit_number)), False)
     store.close()
 
 
 def measure_open(size: int, folder: Path) -> dict[str, float]:
-    """A node's start with that ledger: before it serves, it follows the chain through all segments."""
+    """Measures opening that ledger. A starting node verifies the chain through all segments before it
+    serves."""
     from driftstair.ledger.segments import Store
 
     store = Store(folder, "n0")
-    opened, step = measured(store.open)
+    opened, cost = measure_step(store.open)
     store.close()
-    kept = sum(path.stat().st_size for path in folder.glob("*.ledger"))
-    return {"open_hold_s": step.cpu_s, "bytes": kept, "entries": opened.head.number}
+    ledger_bytes = sum(path.stat().st_size for path in folder.glob("*.ledger"))
+    return {"open_hold_s": cost.cpu_s, "bytes": ledger_bytes, "entries": opened.head.number}
 
 
 def measure_join(size: int, folder: Path) -> dict[str, float]:
-    """Reading and joining `size` ledgers of 200 entries each."""
+    """Measures reading and joining `size` ledgers of 200 entries each."""
     from driftstair.ledger.book import Book
     from driftstair.ledger.entries import UsageWord
     from driftstair.ledger.periods import Calendar
     from driftstair.ledger.reconcile import join_copies, read_copy
 
-    def lines(node: int) -> list[bytes]:
+    def ledger_lines(node: int) -> list[bytes]:
         book = Book(f"n{node}", Calendar("UTC"))
-        text = book.encode_and_confirm(book.begin(NOON, 20))
-        for turn in range(10):
+        text = book.encode_and_confirm(book.begin(NOON_MS, 20))
+        for commit_number in range(10):
             for tenant in range(20):
-                book.count(NOON + turn, documents.tenant_name(tenant), UsageWord.SERVED)
-            text += book.encode_and_confirm(book.commit(NOON + turn))
+                book.count(NOON_MS + commit_number, documents.tenant_name(tenant), UsageWord.SERVED)
+            text += book.encode_and_confirm(book.commit(NOON_MS + commit_number))
         return text.splitlines(keepends=True)
 
-    ledgers = [lines(node) for node in range(size)]
-    copies, reading = measured(lambda: [read_copy(one) for one in ledgers])
-    assert all(one.finding is None for one in copies)
-    _, joining = measured(lambda: join_copies(copies))
+    ledgers = [ledger_lines(node) for node in range(size)]
+    copies, reading = measure_step(lambda: [read_copy(ledger) for ledger in ledgers])
+    assert all(ledger.finding is None for ledger in copies)
+    _, joining = measure_step(lambda: join_copies(copies))
     return {
         "read_cpu_s": reading.cpu_s, "join_cpu_s": joining.cpu_s,
         "kept_mb": reading.kept_mb + joining.kept_mb,
--- a/benchmarks/scale/control_source.py
+++ b/benchmarks/scale/control_source.py
@@ -1,4 +1,4 @@
-"""A scripted control server: a snapshot to whoever watches from the beginning, then one change at a time."""
+"""A scripted control server, which sends each watcher a snapshot and then one change at a time."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from benchmarks.scale import in_force
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-REPORT_TAKEN = b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+REPORT_ACCEPTED = b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"
 HEADERS_END = b"\r\n\r\n"
-LENGTH = b"content-length:"
+CONTENT_LENGTH = b"content-length:"
 
 
 class ControlSource:
-    """A configuration of so many routes and tenants."""
+    """Serves a configuration with a given number of routes and tenants."""
 
     def __init__(self, routes: int, tenants: int) -> None:
         self._routes = routes
@@ -22,7 +22,7 @@
         self._watchers: list[asyncio.StreamWriter] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection: a watch, or reports of what is in force."""
+        """Serves one connection, which carries a watch or reports of the configuration in force."""
         try:
             while True:
                 head = await reader.readuntil(HEADERS_END)
@@ -30,8 +30,8 @@
                     await self._watch(writer)
                     await reader.read()
                     return
-                await reader.readexactly(_length(head))
-                writer.write(REPORT_TAKEN)
+                await reader.readexactly(_content_length(head))
+                writer.write(REPORT_ACCEPTED)
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
@@ -40,28 +40,29 @@
             writer.close()
 
     async def _watch(self, writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD)
+        writer.write(RESPONSE_HEAD)
         for line in self._snapshot:
-            writer.write(chunk(line + b"\n"))
-            await writer.drain()  # as fast as the node takes them
+            writer.write(encode_chunk(line + b"\n"))
+            await writer.drain()  # sends no faster than the node reads
         self._watchers.append(writer)
 
-    def tell(self, what: str) -> None:
-        """`put`: one route is changed; anything else is an empty line."""
+    def execute(self, command: str) -> None:
+        """Sends all watchers a change of one route for `put`, and else an empty line."""
         line = b""
-        if what == "put":
+        if command == "put":
             self._revision += 1
             line = in_force.change_line(self._revision, self._routes)
         for writer in self._watchers:
-            writer.write(chunk(line + b"\n"))
+            writer.write(encode_chunk(line + b"\n"))
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
+    """Returns data as a chunk of the chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def _length(head: bytes) -> int:
+def _content_length(head: bytes) -> int:
     for line in head.lower().split(b"\r\n"):
-        if line.startswith(LENGTH):
-            return int(line[len(LENGTH) :])
+        if line.startswith(CONTENT_LENGTH):
+            return int(line[len(CONTENT_LENGTH) :])
     return 0
--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -1,5 +1,6 @@
-"""Slopes by nodes of what few of them do for all: the collector's look at its folder, the disruption budget
-controller's polls and answers, the store of outcome reports, and the report that an operator asks for."""
+"""Slopes by nodes of tasks whose cost grows with the cluster: the collector's scan of its folder, the polls
+and answers of the disruption budget controller, the store of outcome reports, and the report for an
+operator."""
 
 from __future__ import annotations
 
@@ -10,95 +11,104 @@
 from random import Random
 
 from benchmarks.scale import documents
-from benchmarks.scale.meter import cpu_each, measured, median_each
-from benchmarks.scale.peers import KEY, PERIOD, all_alive
+from benchmarks.scale.meter import mean_cpu_s, measure_step, median_cpu_s
+from benchmarks.scale.peers import CLUSTER_KEY, PROBE_PERIOD_NS, all_peers_alive
 
-OFFERED = 200  # outcome reports once the store holds as many as are offered first
-ASKS = 20
-PERMIT_TERM = 300 * documents.SECOND  # ns, the default of `[tier.permits]`
-AT_ONCE = 2  # nodes that may be unavailable, as the operators' page has it
-SERVERS_JUDGED = 10
+REPORT_COUNT = 200  # outcome reports that are timed, after the store is filled
+REPETITIONS = 20
+PERMIT_TERM_NS = 300 * documents.SECOND_NS  # the default of `[tier.permits]`
+UNAVAILABLE_MAX = 2  # nodes that may be unavailable at once, as in the example of the operators' page
+JUDGED_SERVERS = 10
 
 
 def prepare_folder(size: int, folder: Path) -> None:
+    """Writes a ledger file for each node."""
     for node in range(size):
         folder.joinpath(f"n{node}-00000001.ledger").write_bytes(b"entry\n")
 
 
 def measure_collector(size: int, folder: Path) -> dict[str, float]:
-    """One look of the collector at a folder with a ledger of each node, as it takes one a second."""
+    """Measures one scan of the collector, which it makes each second, over a folder with a ledger of each
+    node."""
     from driftstair.tier.collector import is_unlocked, ledger_nodes
 
-    def look() -> int:
-        """What `LedgerCollector._run` does on the event loop where all that is there has been brought in."""
+    def scan_folder() -> int:
+        """Does what `LedgerCollector._run` does on the event loop if all ledgers have been collected."""
         return sum(
             sum(path.stat().st_size for path in folder.glob(f"{node}-*.ledger"))
             for node in ledger_nodes(folder)
         )
 
-    began = time.process_time()
-    look()
-    spent = time.process_time() - began
-    return {"look_hold_s": spent, "is_free_us": cpu_each(lambda _: is_unlocked(folder, "n0"), ASKS) * 1e6}
+    began_s = time.process_time()
+    scan_folder()
+    cpu_s = time.process_time() - began_s
+    return {
+        "look_hold_s": cpu_s,
+        "is_free_us": mean_cpu_s(lambda _: is_unlocked(folder, "n0"), REPETITIONS) * 1e6,
+    }
 
 
 def measure_controller(size: int, folder: Path) -> dict[str, float]:
-    """A controller in office: its first polls, a request for a permit once all have answered, its memory."""
+    """Measures an active controller: its first polls, the answers to them, permit requests after them, timer
+    ticks and memory."""
     from driftstair.tier.ownership.disruption_controller import DisruptionController
     from driftstair.tier.ownership.permits import Ask, PollReply, Rules
 
-    living = {number: (1, number % 8) for number in range(size)}
-    controller = DisruptionController(Rules(AT_ONCE, PERMIT_TERM), 0, size, lambda: living)
+    living_nodes = {number: (1, number % 8) for number in range(size)}
+    controller = DisruptionController(Rules(UNAVAILABLE_MAX, PERMIT_TERM_NS), 0, size, lambda: living_nodes)
     controller.lead(1, 7)
-    polls, first = measured(lambda: controller.tick(2))
+    polls, poll_cost = measure_step(lambda: controller.tick(2))
 
-    def answers() -> None:
-        for number in living:
+    def deliver_answers() -> None:
+        for number in living_nodes:
             controller.heard(3, number, 1, PollReply(7, 0, 0, 0))
 
-    _, answering = measured(answers)
-    asking = median_each(
-        lambda turn: controller.heard(4 + turn, turn % size, 1, Ask(turn + 1, 0, 4 + turn)), ASKS
+    _, answer_cost = measure_step(deliver_answers)
+    ask_s = median_cpu_s(
+        lambda index: controller.heard(4 + index, index % size, 1, Ask(index + 1, 0, 4 + index)), REPETITIONS
     )
-    ticking = median_each(lambda turn: controller.tick(50 + turn), ASKS)
+    tick_s = median_cpu_s(lambda index: controller.tick(50 + index), REPETITIONS)
     return {
-        "polls": len(polls), "poll_cpu_ms": first.cpu_s * 1e3, "answer_us": answering.cpu_s / size * 1e6,
-        "ask_ms": asking * 1e3, "tick_ms": ticking * 1e3, "kept_mb": first.kept_mb + answering.kept_mb,
+        "polls": len(polls), "poll_cpu_ms": poll_cost.cpu_s * 1e3,
+        "answer_us": answer_cost.cpu_s / size * 1e6,
+        "ask_ms": ask_s * 1e3, "tick_ms": tick_s * 1e3, "kept_mb": poll_cost.kept_mb + answer_cost.kept_mb,
     }  # fmt: skip
 
 
 def measure_reports(size: int, folder: Path) -> dict[str, float]:
-    """A store that holds the load of `size` nodes, and the cost of taking in reports of failing servers."""
+    """Measures a store that holds the load of `size` nodes: adding reports of failing servers, reading and
+    ticks."""
     from driftstair.tier.shared.facts import EVIDENCE, KINDS, LOAD, Fact, Facts
 
     store = Facts(0, 1, Random(1))
     value = (9, 5, 0, 20, 2)
 
-    def loads() -> None:
+    def add_loads() -> None:
         for owner in range(1, size):
             store.take(1, Fact(owner, 1, 1, LOAD, 0, 1, value[: KINDS[LOAD].fields]), size)
 
-    _, filling = measured(loads)
+    _, fill_cost = measure_step(add_loads)
 
-    def report(turn: int) -> None:
-        owner = 1 + turn * 37 % max(1, size - 1)
-        store.take(2, Fact(owner, 1, 2 + turn, EVIDENCE, turn % SERVERS_JUDGED, 2, value), size)
+    def add_report(index: int) -> None:
+        owner = 1 + index * 37 % max(1, size - 1)
+        store.take(2, Fact(owner, 1, 2 + index, EVIDENCE, index % JUDGED_SERVERS, 2, value), size)
 
-    taking = median_each(report, OFFERED)
-    reading = median_each(lambda _: store.subjects(3, EVIDENCE), ASKS)
-    ticking = median_each(lambda _: store.tick(3), ASKS)
+    take_s = median_cpu_s(add_report, REPORT_COUNT)
+    read_s = median_cpu_s(lambda _: store.subjects(3, EVIDENCE), REPETITIONS)
+    tick_s = median_cpu_s(lambda _: store.tick(3), REPETITIONS)
     return {
-        "held": len(store), "dropped": store.dropped, "take_us": taking * 1e6, "read_us": reading * 1e6,
-        "tick_us": ticking * 1e6, "kept_mb": filling.kept_mb,
+        "held": len(store), "dropped": store.dropped, "take_us": take_s * 1e6, "read_us": read_s * 1e6,
+        "tick_us": tick_s * 1e6, "kept_mb": fill_cost.kept_mb,
     }  # fmt: skip
 
 
 def prepare_report(size: int, folder: Path) -> None:
-    folder.joinpath("old.json").write_text(json.dumps(documents.platform(peers=size, nodes=size)))
+    """Writes a configuration with `size` peers."""
+    folder.joinpath("old.json").write_text(json.dumps(documents.platform_document(peers=size, nodes=size)))
 
 
 def measure_report(size: int, folder: Path) -> dict[str, float]:
-    """What `driftstair tier show` asks a node for."""
+    """Measures the report that a node gives to `driftstair tier show`."""
 
     async def run() -> dict[str, float]:
         from driftstair.config import load
@@ -107,11 +117,11 @@
         from driftstair.tier.service import Tier
 
         config = load({"BALANCER_CONFIG": str(folder / "old.json")})
-        process = Tier(config, peer_config.read(config), PERIOD, KEY, None, None, SOCKET_SYSTEM)
-        process._tell(all_alive(size))
+        tier = Tier(config, peer_config.read(config), PROBE_PERIOD_NS, CLUSTER_KEY, None, None, SOCKET_SYSTEM)
+        tier._tell(all_peers_alive(size))
         return {
-            "report_bytes": len(json.dumps(process.report())),
-            "report_hold_ms": median_each(lambda _: json.dumps(process.report()), ASKS) * 1e3,
+            "report_bytes": len(json.dumps(tier.report())),
+            "report_hold_ms": median_cpu_s(lambda _: json.dumps(tier.report()), REPETITIONS) * 1e3,
         }
 
     return asyncio.run(run())
--- a/benchmarks/scale/hollow/__init__.py
+++ b/benchmarks/scale/hollow/__init__.py
@@ -1,1 +1,2 @@
-"""Hollow nodes: the shipped control parts of a node over real sockets, many in a process, no request path."""
+"""Hollow nodes: the real control parts of a node over real sockets, without a request path, many in one
+process."""
--- a/benchmarks/scale/hollow/clock.py
+++ b/benchmarks/scale/hollow/clock.py
@@ -1,9 +1,9 @@
-"""Time dilation: clocks and timers of hollow nodes that run slower than the machine's by a factor.
+"""Time dilation: the clocks and timers of hollow nodes run slower than those of the machine by a factor.
 
-(The method of Gupta et al., "To infinity and beyond: time-warped network emulation", NSDI 2006.) A node's
-clock, its timers and so all its rates slow down together, so a node's work in a second of its own stays the
-same, while a machine has more time for it. Only what takes real time by itself looks faster to the nodes: a
-round trip over loopback, and how long a handler holds the loop.
+The method is that of Gupta et al., "To infinity and beyond: time-warped network emulation", NSDI 2006. A
+node's clock, its timers and therefore all its rates slow down together. So the work of a node in one second
+of its own clock stays the same, while the machine has more time for it. Only operations that take real time
+seem faster to the nodes: a round trip over loopback, and the time for which a handler blocks the event loop.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 
 def loop_factory(dilation: float) -> Callable[[], asyncio.AbstractEventLoop]:
-    """For `asyncio.Runner`."""
+    """Returns a factory of dilated event loops for `asyncio.Runner`."""
 
-    def make() -> DilatedLoop:
+    def make_loop() -> DilatedLoop:
         loop = DilatedLoop()
         loop.dilation = dilation
         return loop
 
-    return make
+    return make_loop
 
 
 def dilated_ns(dilation: float) -> int:
-    """The nodes' monotonic clock, the same in all processes of the machine."""
+    """Returns the time of the nodes' monotonic clock, which is the same in all processes of the machine."""
     return int(time.monotonic_ns() / dilation)
--- a/benchmarks/scale/hollow/orders.py
+++ b/benchmarks/scale/hollow/orders.py
@@ -1,4 +1,4 @@
-"""What the process that measures tells a worker, and what comes back: JSON, a line each."""
+"""The orders of the measuring process to a worker, and the answers to them, each as one line of JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
     plan: Plan
     worker: int
-    folder: str  # for what nodes persist and for records
+    folder: str  # for the nodes' persistent files and for records
 
 
 class Start(msgspec.Struct, tag=True):
@@ -57,7 +57,7 @@
 class Disagree(msgspec.Struct, tag=True):
     """Pairs of a node and a member that it holds otherwise than it is."""
 
-    running: list[int]  # members that run; all others are gone
+    running: list[int]  # members that run; all others have ended
 
 
 class Record(msgspec.Struct, tag=True):
@@ -77,7 +77,7 @@
     """Answer to Prepare."""
 
     addresses: list[Address]  # in the order of the worker's numbers
-    resident: int  # bytes, of the process before it has a node
+    resident: int  # bytes of the process before it has nodes
 
 
 class Figures(msgspec.Struct, tag=True):
@@ -91,20 +91,20 @@
     bytes_out: int
     datagrams_in: int
     datagrams_out: int
-    worst_second: int  # bytes out, of one node in one second
-    means: list[float]  # bytes out a node, second by second
-    late: list[float]  # s that the loop's timer came late: median, 99th percentile, worst
-    stood_still: int  # times that a node found itself stopped
+    worst_second: int  # bytes sent by one node in one second
+    means: list[float]  # bytes sent, mean over nodes, for each second
+    late: list[float]  # lateness of the loop's timer in s: median, 99th percentile, worst
+    stood_still: int  # times that a node detected a pause of its own process
     suspicions: int
     deaths: int
     unsent: int
-    facts: float  # of shared state held, a node
-    dropped: int  # facts
+    facts: float  # entries of shared state, mean over nodes
+    dropped: int  # facts dropped from full stores
     thrown: dict[str, int]
-    held_back: int  # nodes that hold the failing server back
-    spent: int  # tokens of the shared budget
+    held_back: int  # nodes that send no requests to the failing server
+    spent: int  # tokens taken from the shared budget
     steps: int  # timers and datagrams that nodes handled
-    long_steps: int  # that took over 2 ms of processor time
+    long_steps: int  # steps of over 2 ms of processor time
     longest_step: float  # s
 
 
--- a/benchmarks/scale/hollow/plan.py
+++ b/benchmarks/scale/hollow/plan.py
@@ -1,16 +1,16 @@
-"""What a cluster of hollow nodes is: its size, its layout, and what its nodes run."""
+"""The plan of a cluster of hollow nodes: its size, its layout, and the parts that its nodes run."""
 
 from __future__ import annotations
 
 import msgspec
 
-ZONES, REGIONS = 8, 4
-FIRST_OCTETS = "127.77"  # all of 127.0.0.0/8 is loopback; each node has an address of its own
-SERVERS = 20  # whose outcomes a node reports
-FAILING = 7  # the one of them that fails
-BUSY_EVERY = 10  # of so many nodes one wants more of the shared budget than its part
-PER_S = 2.0  # tokens a second and node in the shared budget
-NS = 1_000_000_000
+ZONE_COUNT, REGION_COUNT = 8, 4
+ADDRESS_PREFIX = "127.77"  # each node has its own address, as all of 127.0.0.0/8 is loopback
+SERVER_COUNT = 20  # whose outcomes a node reports
+FAILING_SERVER = 7  # number of the server that fails
+BUSY_NODE_STRIDE = 10  # one node in so many demands more than its part of the shared budget
+BUDGET_TOKENS_PER_S = 2.0  # of the shared budget, for each node
+SECOND_NS = 1_000_000_000
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -20,30 +20,31 @@
 
     count: int
     processes: int
-    period: int = NS  # ns, of probes
+    period: int = SECOND_NS  # ns between probes
     dilation: float = 1.0
     persisted: bool = True
     on_disk: bool = False
     judge: bool = True
     budgets: bool = True
     permits: bool = True
-    feed: bool = True  # outcomes and demand, in a request path's place
-    failing: bool = True  # one server fails for all nodes
+    feed: bool = True  # whether outcomes and demand are simulated, as there is no request path
+    failing: bool = True  # whether one server fails for all nodes
     seed: int = 1
-    noted_of: int = 1  # of so many nodes it is noted what one holds of members: notes take memory
-    wall_ns: int = 1_764_633_600 * NS  # of all nodes' wall clocks at the start
+    noted_of: int = 1  # one node in so many records its view of members, to limit memory
+    wall_ns: int = 1_764_633_600 * SECOND_NS  # ns, all nodes' wall clock at the start
 
-    def numbers_of(self, worker: int) -> range:
-        """The nodes in a worker process: every so many-th, so that zones are spread evenly."""
+    def node_numbers(self, worker: int) -> range:
+        """Returns the numbers of the nodes in a worker process, interleaved so that zones are spread
+        evenly."""
         return range(worker, self.count, self.processes)
 
-    def notes(self, number: int) -> bool:
-        """Whether it is noted what this node holds of members."""
+    def is_recorded(self, number: int) -> bool:
+        """Whether this node's observations of members are recorded."""
         return (number // self.processes) % self.noted_of == 0
 
 
-PARTS = ("judge", "budgets", "permits", "feed", "failing")
-"""Fields of a plan that may be off."""
+OPTIONAL_PARTS = ("judge", "budgets", "permits", "feed", "failing")
+"""Fields of a plan that may be switched off."""
 
 
 class Address(msgspec.Struct, frozen=True, array_like=True):
@@ -52,14 +53,15 @@
 
 
 def host_of(number: int) -> str:
-    """A loopback address of a node's own."""
-    return f"{FIRST_OCTETS}.{number >> 8}.{number & 0xFF}"
+    """Returns the loopback address of a node."""
+    return f"{ADDRESS_PREFIX}.{number >> 8}.{number & 0xFF}"
 
 
 def zone_of(number: int) -> int:
-    return number % ZONES
+    """Returns the zone of a node."""
+    return number % ZONE_COUNT
 
 
 def region_of(number: int) -> int:
-    """A region has two zones."""
-    return zone_of(number) * REGIONS // ZONES
+    """Returns the region of a node; a region consists of two zones."""
+    return zone_of(number) * REGION_COUNT // ZONE_COUNT
--- a/benchmarks/scale/hollow/record.py
+++ b/benchmarks/scale/hollow/record.py
@@ -1,4 +1,4 @@
-"""What hollow nodes came to hold of members, kept in memory and written to one file a worker at the end."""
+"""Records the hollow nodes' observations of members in memory and writes them to one file for each worker."""
 
 from __future__ import annotations
 
@@ -13,64 +13,78 @@
 STATES = ("alive", "suspect", "dead", "left")
 
 
-class Held(NamedTuple):
-    """`observer` holds `member` in that state from `at` on (ns, the nodes' clock)."""
+class MemberObservation(NamedTuple):
+    """From `at_ns` of the nodes' clock on, `observer` considers `member` to be in `state`."""
 
-    at: int
+    at_ns: int
     observer: int
     member: int
     state: str
-    told: bool  # others hear of it; else it is held so only since nobody answers the observer
+    is_announced: bool  # whether others are informed; if not, the observer only gets no answers itself
 
 
 class Records:
-    """Of all nodes of a worker."""
+    """The observations and event counts of all nodes of a worker."""
 
     def __init__(self) -> None:
-        self.is_on = False
+        self.is_recording = False
         self.stood_still = 0
         self.suspicions = 0
         self.deaths = 0
         self._rows = array("q")
 
-    def note(self, held: Held) -> None:
-        self._rows.extend((held.at, held.observer, held.member, STATES.index(held.state), held.told))
+    def add(self, observation: MemberObservation) -> None:
+        """Adds an observation."""
+        self._rows.extend(
+            (
+                observation.at_ns,
+                observation.observer,
+                observation.member,
+                STATES.index(observation.state),
+                observation.is_announced,
+            )
+        )
 
     def write(self, path: Path) -> None:
-        """All rows; none is kept."""
+        """Writes all observations to a file and forgets them."""
         with open(path, "wb") as file:
             self._rows.tofile(file)
         self._rows = array("q")
 
 
-def read(path: Path) -> Iterator[Held]:
+def read_observations(path: Path) -> Iterator[MemberObservation]:
+    """Reads the observations of a file."""
     rows = array("q")
     rows.frombytes(path.read_bytes())
-    for index in range(0, len(rows), len(Held._fields)):
-        at, observer, member, state, told = rows[index : index + len(Held._fields)]
-        yield Held(at, observer, member, STATES[state], bool(told))
+    for index in range(0, len(rows), len(MemberObservation._fields)):
+        at_ns, observer, member, state, is_announced = rows[index : index + len(MemberObservation._fields)]
+        yield MemberObservation(at_ns, observer, member, STATES[state], bool(is_announced))
 
 
-class RecordedHistory(History):
-    """In the place of a node's history on the disk."""
+class RecordingHistory(History):
+    """Replaces a node's history on disk; counts events and records observations."""
 
-    def __init__(self, records: Records, noted: bool, dilation: float) -> None:
-        """`noted`: whether more than counts is kept of what this node holds. Times are by the clock of all
-        nodes, as each has a clock of its own."""
+    def __init__(self, records: Records, is_recorded: bool, dilation: float) -> None:
+        """`is_recorded` says whether this node's observations are recorded in addition to the counts. Times
+        are by the clock that all nodes share, as each node also has a clock of its own."""
         self._records = records
-        self._noted = noted
+        self._is_recorded = is_recorded
         self._dilation = dilation
 
     def write(self, t_ns: int, node: int, generation: int, event: str, **fields: Any) -> None:
         records = self._records
         if event == "stood-still":
             records.stood_still += 1
-        elif event == "member" and records.is_on and fields["member"] != node:
+        elif event == "member" and records.is_recording and fields["member"] != node:
             state: str = fields["state"]
             records.suspicions += state == "suspect"
             records.deaths += state == "dead" and fields["told"]
-            if self._noted:
-                records.note(Held(dilated_ns(self._dilation), node, fields["member"], state, fields["told"]))
+            if self._is_recorded:
+                records.add(
+                    MemberObservation(
+                        dilated_ns(self._dilation), node, fields["member"], state, fields["told"]
+                    )
+                )
 
     def close(self) -> None:
-        """There is no file."""
+        """Does nothing, as there is no file."""
--- a/benchmarks/scale/hollow/steps.py
+++ b/benchmarks/scale/hollow/steps.py
@@ -1,4 +1,5 @@
-"""How long one turn of a node's control holds the loop: its own processor time, however busy a machine."""
+"""Measures how long one step of a node's control blocks the event loop, as processor time, which does not
+depend on the load of the machine."""
 
 from __future__ import annotations
 
@@ -6,38 +7,39 @@
 
 from driftstair.tier.service import Tier
 
-LONG_NS = 2_000_000  # no step of control may hold a node's loop for longer
+LONG_STEP_NS = 2_000_000  # the limit for one step of control
 
 
-class Steps:
-    """Of all nodes of a process."""
+class StepTimes:
+    """The processor time of the steps of all nodes of a process."""
 
     def __init__(self) -> None:
         self.count = 0
-        self.long = 0  # over LONG_NS
-        self.longest = 0  # ns
+        self.long_count = 0  # steps over LONG_STEP_NS
+        self.longest_ns = 0
 
-    def begin_anew(self) -> None:
-        self.count = self.long = self.longest = 0
+    def reset(self) -> None:
+        """Forgets all steps."""
+        self.count = self.long_count = self.longest_ns = 0
 
-    def note(self, spent: int) -> None:
-        """ns of processor time."""
+    def add(self, cpu_ns: int) -> None:
+        """Adds a step that took `cpu_ns` of processor time."""
         self.count += 1
-        self.long += spent > LONG_NS
-        self.longest = max(self.longest, spent)
+        self.long_count += cpu_ns > LONG_STEP_NS
+        self.longest_ns = max(self.longest_ns, cpu_ns)
 
 
 class TimedTier(Tier):
-    """The shipped tier; each timer and each datagram that it handles is timed."""
+    """The real tier, with each timer and each datagram that it handles timed."""
 
-    steps: Steps
+    steps: StepTimes
 
     def _wake(self) -> None:
-        began = time.thread_time_ns()
+        began_ns = time.thread_time_ns()
         super()._wake()
-        self.steps.note(time.thread_time_ns() - began)
+        self.steps.add(time.thread_time_ns() - began_ns)
 
     def _came(self, data: bytes, source: tuple[str, int]) -> None:
-        began = time.thread_time_ns()
+        began_ns = time.thread_time_ns()
         super()._came(data, source)
-        self.steps.note(time.thread_time_ns() - began)
+        self.steps.add(time.thread_time_ns() - began_ns)
--- a/benchmarks/scale/hollow/system.py
+++ b/benchmarks/scale/hollow/system.py
@@ -1,4 +1,5 @@
-"""What a hollow node takes from the machine: a slow clock, metered sockets, a disk that may be none."""
+"""The system interface of hollow nodes: a dilated clock, metered sockets, and disk writes that can be
+disabled."""
 
 from __future__ import annotations
 
@@ -8,13 +9,13 @@
 from typing import Any
 
 from benchmarks.scale.hollow.clock import dilated_ns
-from benchmarks.scale.hollow.plan import NS, region_of
+from benchmarks.scale.hollow.plan import SECOND_NS, region_of
 from driftstair.net.udp_socket import UdpSocket
 
 
 @dataclass(slots=True)
 class Meter:
-    """What went through a node's socket; UDP payload."""
+    """The traffic of a node's socket; bytes are UDP payload."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -24,90 +25,105 @@
 
 
 @dataclass(slots=True)
-class Links:
-    """The network between all nodes, as the senders in one process see it."""
+class Network:
+    """The network between all nodes, for the senders in one process."""
 
-    numbers: dict[tuple[str, int], int] = field(default_factory=dict)  # by address
-    regions_cut: bool = False
+    numbers: dict[tuple[str, int], int] = field(default_factory=dict)  # node numbers by address
+    are_regions_cut: bool = False
 
-    def carries(self, sender: int, address: tuple[str, int]) -> bool:
-        """Whether a datagram from that node to that address is sent at all."""
-        return not self.regions_cut or region_of(sender) == region_of(self.numbers[address])
+    def delivers(self, sender: int, address: tuple[str, int]) -> bool:
+        """Whether the network delivers datagrams from this node to this address."""
+        return not self.are_regions_cut or region_of(sender) == region_of(self.numbers[address])
 
 
-class MeteredDatagrams(UdpSocket):
-    """The shipped socket, which counts, and drops what the network does not carry."""
+class MeteredUdpSocket(UdpSocket):
+    """The real socket, which counts traffic and drops datagrams that the network does not deliver."""
 
     def __init__(
-        self, number: int, meter: Meter, links: Links, address: tuple[str, int],
-        received: Callable[[bytes, tuple[str, int]], None], most: int,
+        self, number: int, meter: Meter, network: Network, address: tuple[str, int],
+        on_datagram: Callable[[bytes, tuple[str, int]], None], bytes_max: int,
     ) -> None:  # fmt: skip
-        def metered(data: bytes, source: tuple[str, int]) -> None:
+        def count_datagram(data: bytes, source: tuple[str, int]) -> None:
             meter.bytes_in += len(data)
             meter.datagrams_in += 1
-            received(data, source)
+            on_datagram(data, source)
 
         self._number = number
         self._meter = meter
-        self._links = links
-        super().__init__(address, metered, most)
+        self._network = network
+        super().__init__(address, count_datagram, bytes_max)
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
         self._meter.bytes_out += len(data)
         self._meter.datagrams_out += 1
-        if self._links.carries(self._number, address):
-            before = self.send_errors
+        if self._network.delivers(self._number, address):
+            errors_before = self.send_errors
             super().send(data, address)
-            self._meter.unsent += self.send_errors - before
+            self._meter.unsent += self.send_errors - errors_before
 
 
 class HollowSystem:
-    """`driftstair.net.system.System` for one process of a hollow node, as far as control parts use it.
-    `generation`: of the node's process; its wall clock stands, a second later for each generation. `held`:
-    its monotonic clock stands until `release`."""
+    """The part of `driftstair.net.system.System` that control parts use, for one process of a hollow node.
+    The wall clock stands still, one second later for each `generation` of the node's process. With
+    `clock_stopped` the monotonic clock stands still until `start_clock`."""
 
     def __init__(
-        self, number: int, generation: int, dilation: float, wall_ns: int, links: Links, held: bool
+        self,
+        number: int,
+        generation: int,
+        dilation: float,
+        wall_ns: int,
+        network: Network,
+        clock_stopped: bool,
     ) -> None:
         self.meter = Meter()
-        self._behind = 0  # ns, of the clock of all nodes
-        self._held_at = dilated_ns(dilation) if held else None
-        self.writes = False  # whether what is persisted is written
+        self._clock_lag_ns = 0  # behind the clock that all nodes share
+        self._stopped_at_ns = dilated_ns(dilation) if clock_stopped else None
+        self.writes_enabled = False  # whether blocking functions, which write files, are run
         self._number = number
         self._dilation = dilation
-        self._wall_ns = wall_ns + generation * NS
-        self._links = links
-        self._socket: MeteredDatagrams | None = None
+        self._wall_ns = wall_ns + generation * SECOND_NS
+        self._network = network
+        self._socket: MeteredUdpSocket | None = None
 
     def monotonic_ns(self) -> int:
-        return dilated_ns(self._dilation) - self._behind if self._held_at is None else self._held_at
-
-    def release(self) -> None:
-        """The monotonic clock runs from now on."""
-        if self._held_at is not None:
-            self._behind = dilated_ns(self._dilation) - self._held_at
-            self._held_at = None
+        """Returns the node's monotonic time."""
+        return (
+            dilated_ns(self._dilation) - self._clock_lag_ns
+            if self._stopped_at_ns is None
+            else self._stopped_at_ns
+        )
+
+    def start_clock(self) -> None:
+        """Starts the monotonic clock."""
+        if self._stopped_at_ns is not None:
+            self._clock_lag_ns = dilated_ns(self._dilation) - self._stopped_at_ns
+            self._stopped_at_ns = None
 
     def time_ns(self) -> int:
+        """Returns the node's wall-clock time."""
         return self._wall_ns
 
     def open_datagram_socket(
-        self, address: tuple[str, int], received: Callable[[bytes, tuple[str, int]], None], most: int
-    ) -> MeteredDatagrams:
-        """Raises OSError."""
-        self._socket = MeteredDatagrams(self._number, self.meter, self._links, address, received, most)
+        self, address: tuple[str, int], on_datagram: Callable[[bytes, tuple[str, int]], None], bytes_max: int
+    ) -> MeteredUdpSocket:
+        """Opens the node's metered UDP socket. Raises OSError."""
+        self._socket = MeteredUdpSocket(
+            self._number, self.meter, self._network, address, on_datagram, bytes_max
+        )
         return self._socket
 
-    def unplug(self) -> None:
-        """The socket is closed whatever the node does."""
+    def close_socket(self) -> None:
+        """Closes the socket, whatever state the node is in."""
         if self._socket is not None:
             self._socket.close()
 
-    async def run_blocking(self, what: Callable[[], None]) -> None:
-        if self.writes:
-            await asyncio.to_thread(what)
+    async def run_blocking(self, function: Callable[[], None]) -> None:
+        """Runs a function that blocks outside the event loop, or not at all if writes are disabled."""
+        if self.writes_enabled:
+            await asyncio.to_thread(function)
 
-    # Hollow nodes have no request path.
+    # Hollow nodes have no request path, so the remaining methods are never called.
 
     def listen(self, address: tuple[str, int], backlog: int) -> Any:
         raise NotImplementedError
--- a/benchmarks/scale/in_force.py
+++ b/benchmarks/scale/in_force.py
@@ -1,5 +1,5 @@
-"""Slopes of the configuration that comes by change sets: what a node keeps of it, one change, a request's
-look-up, and how long the event loop is held while a whole snapshot is taken in."""
+"""Slopes of the configuration from change sets: a node's memory for it, one change, a request's look-up, and
+how long the event loop is blocked while a whole snapshot is taken in."""
 
 from __future__ import annotations
 
@@ -12,34 +12,37 @@
 from typing import Any
 
 from benchmarks.scale import documents
-from benchmarks.scale.meter import Step, cpu_each, measured
+from benchmarks.scale.meter import StepCost, mean_cpu_s, measure_step
 
-CLIENTS = 541  # connections that the node holds: `daemon.split_descriptors` of 1,024 descriptors
-CHANGES = 200
-LOOK_UPS = 20_000
-PART_RESOURCES = 64  # in one line of a snapshot
-PLANS = 12  # different limits that tenants have
+CLIENT_CONNECTIONS = 541  # what `daemon.split_descriptors` gives for 1,024 descriptors
+CHANGE_COUNT = 200
+LOOK_UP_COUNT = 20_000
+RESOURCES_PER_LINE = 64  # of a snapshot
+LIMIT_VARIANTS = 12  # distinct limits of tenants
 REVISION = 1_000
-TURN_ALLOWED = 0.002  # s that one turn of the event loop may take for control
+LOOP_TURN_MAX_S = 0.002  # that control may take in one iteration of the event loop
 
 
 def prepare(size: int, folder: Path) -> None:
-    folder.joinpath("platform.json").write_text(json.dumps(documents.platform()))
+    """Writes the platform's configuration."""
+    folder.joinpath("platform.json").write_text(json.dumps(documents.platform_document()))
 
 
 def route_content(number: int, total_ms: int = 900) -> dict[str, Any]:
-    """A route as a resource: the same table as in the service file, without its name."""
-    table: dict[str, Any] = tomllib.loads(documents.route(number, total_ms))["route"][0]
+    """Returns the content of a route as a resource: its table in the service file without the name."""
+    table: dict[str, Any] = tomllib.loads(documents.route_text(number, total_ms))["route"][0]
     del table["name"]
     return table
 
 
 def route_name(number: int) -> str:
-    return f"svc-{number // documents.ROUTES_EACH:04}-r{number % documents.ROUTES_EACH:02}"
+    """Returns the name of a route, the same as in the service file."""
+    return f"svc-{number // documents.ROUTES_PER_SERVICE:04}-r{number % documents.ROUTES_PER_SERVICE:02}"
 
 
 def _resources(routes: int, tenants: int) -> Iterator[Any]:
-    """In the order of keys, as a snapshot has them; each of a change set of its own."""
+    """Yields resources ordered by key, as in a snapshot. Their revisions are spread over REVISION change
+    sets."""
     from msgspec import Raw
 
     from driftstair.configuration.resources import Resource, ResourceKind, canonical_json
@@ -48,43 +51,42 @@
         content = Raw(canonical_json(route_content(number)))
         yield Resource(ResourceKind.ROUTE, route_name(number), number % REVISION + 1, content)
     for number in range(tenants):
-        content = Raw(canonical_json({"per_s": 10.0 + number % PLANS, "in_flight": 50}))
+        content = Raw(canonical_json({"per_s": 10.0 + number % LIMIT_VARIANTS, "in_flight": 50}))
         yield Resource(ResourceKind.TENANT, documents.tenant_name(number), number % REVISION + 1, content)
 
 
-def _given(folder: Path) -> Any:
+def _node_context(folder: Path) -> Any:
     from driftstair.config import load
     from driftstair.node_configuration.in_force import NodeContext
     from driftstair.service.schema import Service
     from driftstair.service.service_file import platform_of
 
     config = load({"BALANCER_CONFIG": str(folder / "platform.json")})
-    return NodeContext(platform_of(config, CLIENTS), Service(version=1), lambda change_set: [])
+    return NodeContext(platform_of(config, CLIENT_CONNECTIONS), Service(version=1), lambda change_set: [])
 
 
-def _built(folder: Path, routes: int, tenants: int) -> tuple[Any, Step]:
-    """A configuration in force, and what making it took."""
+def _build_in_force(folder: Path, routes: int, tenants: int) -> tuple[Any, StepCost]:
+    """Builds a configuration in force; returns it with the cost of building it."""
     from driftstair.node_configuration.in_force import ConfigurationInForce
 
-    given = _given(folder)
-    _finished(
-        ConfigurationInForce.build_steps(_resources(1, 1), 1, given, lambda key: None)
-    )  # modules, caches
+    context = _node_context(folder)
+    # Loads modules and fills caches before the measurement.
+    _run_to_end(ConfigurationInForce.build_steps(_resources(1, 1), 1, context, lambda key: None))
 
     def build() -> Any:
         steps = ConfigurationInForce.build_steps(
-            _resources(routes, tenants), REVISION, given, lambda key: None
+            _resources(routes, tenants), REVISION, context, lambda key: None
         )
-        return _finished(steps)
+        return _run_to_end(steps)
 
-    in_force, step = measured(build)
+    in_force, cost = measure_step(build)
     assert in_force.revision == REVISION
     assert not in_force.refusals, next(iter(in_force.refusals.values()))
-    return in_force, step
+    return in_force, cost
 
 
-def _finished(steps: Any) -> Any:
-    """What a generator of steps returns."""
+def _run_to_end(steps: Any) -> Any:
+    """Runs a generator of steps to its end and returns its result."""
     while True:
         try:
             next(steps)
@@ -93,30 +95,35 @@
 
 
 def measure_routes(size: int, folder: Path) -> dict[str, float]:
-    """Routes alone: made from a snapshot, and changes of one route each."""
-    in_force, step = _built(folder, size, 0)
+    """Measures a configuration with only routes: building it from a snapshot, and changes of one route
+    each."""
+    in_force, cost = _build_in_force(folder, size, 0)
     return {
-        "load_cpu_s": step.cpu_s, "load_peak_mb": step.peak_mb, "load_kept_mb": step.kept_mb,
-        **_changes(in_force, size),
+        "load_cpu_s": cost.cpu_s, "load_peak_mb": cost.peak_mb, "load_kept_mb": cost.kept_mb,
+        **_measure_changes(in_force, size),
     }  # fmt: skip
 
 
-def _changes(in_force: Any, routes: int) -> dict[str, float]:
-    """Change sets that change one route each: processor time of the whole, and of the longest step."""
-    spent, longest = [], 0.0
-    for _ in range(CHANGES):
-        logged = _change_of_one(in_force.revision + 1, routes)
-        began = last = time.process_time()
+def _measure_changes(in_force: Any, routes: int) -> dict[str, float]:
+    """Measures change sets that change one route each: the median processor time, and that of the longest
+    step."""
+    durations_s, longest_step_s = [], 0.0
+    for _ in range(CHANGE_COUNT):
+        logged = _logged_route_change(in_force.revision + 1, routes)
+        began_s = last_s = time.process_time()
         for _ in in_force.apply_steps(logged, lambda keys: None):
-            now = time.process_time()
-            longest, last = max(longest, now - last), now
-        spent.append(time.process_time() - began)
+            now_s = time.process_time()
+            longest_step_s, last_s = max(longest_step_s, now_s - last_s), now_s
+        durations_s.append(time.process_time() - began_s)
     assert not in_force.refusals
-    return {"change_cpu_us": sorted(spent)[CHANGES // 2] * 1e6, "change_longest_step_ms": longest * 1e3}
+    return {
+        "change_cpu_us": sorted(durations_s)[CHANGE_COUNT // 2] * 1e6,
+        "change_longest_step_ms": longest_step_s * 1e3,
+    }
 
 
-def _change_of_one(revision: int, routes: int) -> Any:
-    """A change set that changes one route, another one for each revision."""
+def _logged_route_change(revision: int, routes: int) -> Any:
+    """Returns a change set that changes one route, which depends on the revision."""
     from msgspec import Raw
 
     from driftstair.configuration.change_sets import Change, ChangeSet, LoggedChangeSet
@@ -129,40 +136,42 @@
 
 
 def change_line(revision: int, routes: int) -> bytes:
-    """The same, as a watch brings it."""
+    """Returns a change set of one route as a line of the watch."""
     from driftstair.configuration.messages import Changes, encode
 
-    return encode(Changes(revision - 1, (_change_of_one(revision, routes),)))
+    return encode(Changes(revision - 1, (_logged_route_change(revision, routes),)))
 
 
 def measure_tenants(size: int, folder: Path) -> dict[str, float]:
-    """Tenants' limits alone. `beyond_names`: without the bytes of their names."""
-    _, step = _built(folder, 0, size)
-    names = sum(len(documents.tenant_name(number)) for number in range(size)) / 1e6
+    """Measures a configuration with only tenants' limits. `kept_beyond_names_mb` leaves out the bytes of
+    their names."""
+    _, cost = _build_in_force(folder, 0, size)
+    names_mb = sum(len(documents.tenant_name(number)) for number in range(size)) / 1e6
     return {
-        "load_cpu_s": step.cpu_s, "load_peak_mb": step.peak_mb, "load_kept_mb": step.kept_mb,
-        "kept_beyond_names_mb": max(0.0, step.kept_mb - names),
+        "load_cpu_s": cost.cpu_s, "load_peak_mb": cost.peak_mb, "load_kept_mb": cost.kept_mb,
+        "kept_beyond_names_mb": max(0.0, cost.kept_mb - names_mb),
     }  # fmt: skip
 
 
 def measure_look_up(size: int, folder: Path) -> dict[str, float]:
-    """One request's look-up, by the routes of other services."""
+    """Measures the look-up of one request among the routes of other services."""
     from driftstair.limits.routes import RouteQuery
 
-    in_force, _ = _built(folder, size, 0)
-    asked = [
-        RouteQuery("page", "", "GET", f"/svc-0000/r{own:02}/item", {}, "k")
-        for own in range(min(size, documents.ROUTES_EACH))
+    in_force, _ = _build_in_force(folder, size, 0)
+    queries = [
+        RouteQuery("page", "", "GET", f"/svc-0000/r{own_number:02}/item", {}, "k")
+        for own_number in range(min(size, documents.ROUTES_PER_SERVICE))
     ]
-    assert all(in_force.find_route(one) for one in asked)
-    each = min(
-        cpu_each(lambda turn: in_force.find_route(asked[turn % len(asked)]), LOOK_UPS) for _ in range(5)
+    assert all(in_force.find_route(query) for query in queries)
+    look_up_cpu_s = min(
+        mean_cpu_s(lambda index: in_force.find_route(queries[index % len(queries)]), LOOK_UP_COUNT)
+        for _ in range(5)
     )
-    return {"find_us": each * 1e6}
+    return {"find_us": look_up_cpu_s * 1e6}
 
 
-class _Watch:
-    """What the application asks of the watch that lines come from."""
+class _WatchStub:
+    """Stands in for the watch that lines come from."""
 
     def __init__(self) -> None:
         self.rejected = ""
@@ -178,8 +187,8 @@
         self.rejected = reason
 
 
-class _Effects:
-    """Nothing follows from what is in force."""
+class _NoEffects:
+    """Ignores all changes of the configuration in force."""
 
     def check(self, change_set: Any) -> list[Any]:
         return []
@@ -193,71 +202,75 @@
     def on_turn_end(self, in_force: Any) -> None: ...
 
 
-class LoopHold:
-    """The most processor time that one turn of the event loop took."""
+class LoopTurnMeter:
+    """Measures the processor time of each iteration of the event loop."""
 
     def __init__(self) -> None:
         self.longest_s = 0.0
         self.turns = 0
-        self.turns_over = 0  # longer than is allowed
+        self.turns_over = 0  # longer than LOOP_TURN_MAX_S
         self._loop = asyncio.get_running_loop()
-        self._last = time.thread_time()
+        self._last_s = time.thread_time()
         self._handle = self._loop.call_soon(self._turn)
 
     def _turn(self) -> None:
-        now = time.thread_time()
-        spent, self._last = now - self._last, now
-        self.longest_s = max(self.longest_s, spent)
+        now_s = time.thread_time()
+        turn_s, self._last_s = now_s - self._last_s, now_s
+        self.longest_s = max(self.longest_s, turn_s)
         self.turns += 1
-        self.turns_over += spent > TURN_ALLOWED
+        self.turns_over += turn_s > LOOP_TURN_MAX_S
         self._handle = self._loop.call_soon(self._turn)
 
     def stop(self) -> None:
+        """Ends the measurement."""
         self._handle.cancel()
 
 
 def measure_snapshot(size: int, folder: Path) -> dict[str, float]:
-    """A snapshot of all tenants and `size` routes comes over the watch, line by line."""
+    """Measures taking in a snapshot, line by line, with `size` routes and tenants in proportion to them."""
     return asyncio.run(
-        _taken_in(snapshot_lines(size, documents.TENANTS * size // documents.ROUTES), _given(folder))
+        _take_in(snapshot_lines(size, documents.TENANTS * size // documents.ROUTES), _node_context(folder))
     )
 
 
 def snapshot_lines(routes: int, tenants: int) -> list[bytes]:
-    """A whole configuration as a watch brings it."""
+    """Returns a whole configuration as the lines of a watch."""
     from driftstair.configuration.messages import SnapshotPart, encode
 
     resources = list(_resources(routes, tenants))
-    parts = [resources[at : at + PART_RESOURCES] for at in range(0, len(resources), PART_RESOURCES)]
+    parts = [
+        resources[start : start + RESOURCES_PER_LINE]
+        for start in range(0, len(resources), RESOURCES_PER_LINE)
+    ]
     return [
         encode(SnapshotPart(REVISION, not number, number == len(parts) - 1, tuple(part)))
         for number, part in enumerate(parts)
     ]
 
 
-async def _taken_in(lines: list[bytes], given: Any) -> dict[str, float]:
+async def _take_in(lines: list[bytes], context: Any) -> dict[str, float]:
     from driftstair.__main__ import freeze_gc
     from driftstair.net.system import SOCKET_SYSTEM
     from driftstair.node_configuration.application import ConfigurationApplier
 
-    application = ConfigurationApplier(SOCKET_SYSTEM, given, _Effects(), None)
-    watch = _Watch()
-    application.watch = watch  # type: ignore[assignment]
+    applier = ConfigurationApplier(SOCKET_SYSTEM, context, _NoEffects(), None)
+    watch = _WatchStub()
+    applier.watch = watch  # type: ignore[assignment]
     freeze_gc()  # as a daemon does once it serves
-    working = asyncio.create_task(application.run())
-    began = time.process_time()
-    hold = LoopHold()
+    applier_task = asyncio.create_task(applier.run())
+    began_s = time.process_time()
+    turn_meter = LoopTurnMeter()
     for line in lines:
-        application.on_watch_line(line)
-        while application._inbox:
+        applier.on_watch_line(line)
+        while applier._inbox:
             await asyncio.sleep(0)
-    while application.current.revision < REVISION and not watch.rejected:
+    while applier.current.revision < REVISION and not watch.rejected:
         await asyncio.sleep(0)
-    hold.stop()
-    spent = time.process_time() - began
-    working.cancel()
+    turn_meter.stop()
+    cpu_s = time.process_time() - began_s
+    applier_task.cancel()
     assert not watch.rejected, watch.rejected
     return {
-        "bytes": sum(map(len, lines)), "take_in_cpu_s": spent, "longest_turn_ms": hold.longest_s * 1e3,
-        "turns": hold.turns, "turns_over_2_ms": hold.turns_over,
+        "bytes": sum(map(len, lines)), "take_in_cpu_s": cpu_s, "longest_turn_ms": turn_meter.longest_s * 1e3,
+        "turns": turn_meter.turns, "turns_over_2_ms": turn_meter.turns_over,
     }  # fmt: skip
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -1,6 +1,6 @@
-"""Requests at a fixed rate over two paths by turns, through a node and straight to its servers.
+"""Sends requests at a fixed rate over two paths in turn: through a node, and directly to its servers.
 
-Each is timed from when it was due, so one that had to wait to be sent counts as late.
+The latency of a request counts from the time at which it was due, so it includes any delay before sending.
 """
 
 from __future__ import annotations
@@ -13,74 +13,77 @@
 from benchmarks.scale import documents
 
 HEADERS_END = b"\r\n\r\n"
-OK = b"200"
-LENGTH = b"content-length:"
-ROUTE_PATHS = documents.ROUTES_EACH
+OK_STATUS = b"200"
+CONTENT_LENGTH = b"content-length:"
+ROUTE_PATH_COUNT = documents.ROUTES_PER_SERVICE
 
 
-class Timed(NamedTuple):
-    """One request: when it was due, in s of the loop's clock; how long until its answer was there; whether it
-    was answered with 200."""
+class TimedRequest(NamedTuple):
+    """One finished request: when it was due, in seconds of `perf_counter`; the time from then until its
+    answer had arrived; and whether it was answered with status 200."""
 
-    due: float
-    took: float
+    due_s: float
+    latency_s: float
     served: bool
 
 
 class Connection(asyncio.Protocol):
-    """One kept connection; a request at a time."""
+    """A persistent connection, which carries one request at a time."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._number = 0  # of the request that it is at; 0: none
-        self._got = b""
+        self._request_number = 0  # of the request in progress, or 0
+        self._received = b""
         self._transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
 
-    def ask(self, number: int) -> None:
-        self._number = number
-        self._transport.write(_request(number, self._path.target))
+    def send_request(self, number: int) -> None:
+        """Sends the request with this number."""
+        self._request_number = number
+        self._transport.write(_encode_request(number, self._path.target))
 
     def data_received(self, data: bytes) -> None:
-        self._got += data
-        head, end, body = self._got.partition(HEADERS_END)
-        if not end or len(body) < _length(head):
+        self._received += data
+        head, end, body = self._received.partition(HEADERS_END)
+        if not end or len(body) < _content_length(head):
             return
-        self._got = b""
-        number, self._number = self._number, 0
-        self._path.done(self, number, head[9:12] == OK)
+        self._received = b""
+        number, self._request_number = self._request_number, 0
+        self._path.on_answer(self, number, head[9:12] == OK_STATUS)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._path.lost(self, self._number)
+        self._path.on_connection_lost(self, self._request_number)
 
 
-def _length(head: bytes) -> int:
+def _content_length(head: bytes) -> int:
     for line in head.lower().split(b"\r\n"):
-        if line.startswith(LENGTH):
-            return int(line[len(LENGTH) :])
+        if line.startswith(CONTENT_LENGTH):
+            return int(line[len(CONTENT_LENGTH) :])
     return 0
 
 
 @dataclass(slots=True)
 class Path:
-    """Requests to one or more addresses, by turns; a connection more is opened where none is idle."""
+    """Requests to one or more addresses in turn. A new connection is opened if none is idle."""
 
     addresses: list[tuple[str, int]]
-    target: bytes = b""  # of the requests, in the place of a path of the first service
-    answers: list[Timed] = field(default_factory=list)
+    target: bytes = b""  # request target; if empty, the paths of the first service
+    answers: list[TimedRequest] = field(default_factory=list)
     sent: int = 0
     unanswered: int = 0
-    _waiting: dict[int, float] = field(default_factory=dict)  # by number of the request, when it was due
+    # Due time of each unanswered request, by its number.
+    _due_by_request: dict[int, float] = field(default_factory=dict)
     _idle: list[Connection] = field(default_factory=list)
     _opening: set[asyncio.Task[None]] = field(default_factory=set)
 
-    def send(self, due: float) -> None:
+    def send(self, due_s: float) -> None:
+        """Sends one request, which was due at `due_s`, on an idle or a new connection."""
         self.sent += 1
-        self._waiting[self.sent] = due
+        self._due_by_request[self.sent] = due_s
         if self._idle:
-            self._idle.pop().ask(self.sent)
+            self._idle.pop().send_request(self.sent)
             return
         task = asyncio.get_running_loop().create_task(self._open(self.sent))
         self._opening.add(task)
@@ -93,73 +96,75 @@
                 lambda: Connection(self), *self.addresses[number % len(self.addresses)]
             )
         except OSError:
-            self._ended(number, served=False)
+            self._finish(number, served=False)
             return
-        connection.ask(number)
+        connection.send_request(number)
 
-    def done(self, connection: Connection, number: int, served: bool) -> None:
-        """A connection has a request's answer, and is idle again."""
-        self._ended(number, served)
+    def on_answer(self, connection: Connection, number: int, served: bool) -> None:
+        """Handles the answer to a request; the connection is idle afterwards."""
+        self._finish(number, served)
         self._idle.append(connection)
 
-    def lost(self, connection: Connection, number: int) -> None:
-        """A connection has ended; `number`: of the request that it was at, 0 for none."""
+    def on_connection_lost(self, connection: Connection, number: int) -> None:
+        """Handles the end of a connection. `number` is that of its request in progress, or 0."""
         if connection in self._idle:
             self._idle.remove(connection)
         elif number:
-            self._ended(number, served=False)
+            self._finish(number, served=False)
 
-    def _ended(self, number: int, served: bool) -> None:
-        due = self._waiting.pop(number, None)
-        if due is None:
-            return  # given up before
-        self.answers.append(Timed(due, perf_counter() - due, served))
+    def _finish(self, number: int, served: bool) -> None:
+        due_s = self._due_by_request.pop(number, None)
+        if due_s is None:
+            return  # abandoned earlier
+        self.answers.append(TimedRequest(due_s, perf_counter() - due_s, served))
 
-    def give_up(self) -> None:
-        """What has no answer by now counts as not served after the time that it has waited."""
-        self.unanswered = len(self._waiting)
-        for number in list(self._waiting):
-            self._ended(number, served=False)
+    def abandon_unanswered(self) -> None:
+        """Counts each request without an answer as not served, with its waiting time so far as its
+        latency."""
+        self.unanswered = len(self._due_by_request)
+        for number in list(self._due_by_request):
+            self._finish(number, served=False)
 
     def is_settled(self) -> bool:
-        return not self._waiting
+        """Whether no request waits for its answer."""
+        return not self._due_by_request
 
 
-def _request(number: int, target: bytes) -> bytes:
-    path = target or b"/svc-0000/r%02d/item" % (number % ROUTE_PATHS)
+def _encode_request(number: int, target: bytes) -> bytes:
+    path = target or b"/svc-0000/r%02d/item" % (number % ROUTE_PATH_COUNT)
     return (
         b"GET %s HTTP/1.1\r\nHost: service\r\nX-Request-Id: %016x\r\nX-Class: page\r\n"
         b"X-Key: k%d\r\nX-Tenant: tenant-%06d\r\nX-Deadline: 5000m\r\n\r\n"
-        % (path, number, number % 997, number % documents.TENANTS_EACH)
+        % (path, number, number % 997, number % documents.TENANTS_PER_SERVICE)
     )
 
 
-async def drive(paths: list[Path], rate: float, seconds: float) -> list[float]:
-    """Sends on each path `rate` requests a second, the paths out of step. Returns how late each turn began,
-    in s: that tells of this process and the machine, not of the node."""
-    late = []
-    step = 1.0 / rate / len(paths)
-    began = perf_counter()
-    for turn in range(int(seconds / step)):
-        due = began + turn * step
-        wait = due - perf_counter()
-        if wait > 0:
-            await asyncio.sleep(wait)
-        late.append(perf_counter() - due)
-        paths[turn % len(paths)].send(due)
-    return late
-
-
-async def settled(paths: list[Path], most: float) -> None:
-    """Until all that was sent is answered; what is not after `most` s is given up."""
-    until = perf_counter() + most
-    while not all(path.is_settled() for path in paths) and perf_counter() < until:
+async def send_at_rate(paths: list[Path], rate: float, seconds: float) -> list[float]:
+    """Sends `rate` requests a second on each path, with the paths interleaved. Returns in seconds how late
+    each request was sent, which reflects this process and the machine, not the node."""
+    lateness_s = []
+    interval_s = 1.0 / rate / len(paths)
+    began_s = perf_counter()
+    for index in range(int(seconds / interval_s)):
+        due_s = began_s + index * interval_s
+        wait_s = due_s - perf_counter()
+        if wait_s > 0:
+            await asyncio.sleep(wait_s)
+        lateness_s.append(perf_counter() - due_s)
+        paths[index % len(paths)].send(due_s)
+    return lateness_s
+
+
+async def wait_for_answers(paths: list[Path], timeout_s: float) -> None:
+    """Waits until all requests are answered; abandons those that have no answer after `timeout_s`."""
+    deadline_s = perf_counter() + timeout_s
+    while not all(path.is_settled() for path in paths) and perf_counter() < deadline_s:
         await asyncio.sleep(0.05)
     for path in paths:
-        path.give_up()
+        path.abandon_unanswered()
 
 
-def percentile(values: list[float], part: float) -> float:
-    """The smallest value that `part` of all are not above."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Returns the smallest value that the given fraction of all values does not exceed."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/benchmarks/scale/meter.py
+++ b/benchmarks/scale/meter.py
@@ -1,4 +1,4 @@
-"""What one step of a program takes of its process: processor time, and memory as the system counts it."""
+"""Measures the processor time and the resident memory that one step of a program takes in this process."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 Result = TypeVar("Result")
 KIB = 1024
-MB = 1e6
-RESET_PEAK = "5"  # what the kernel takes in clear_refs to begin the peak of resident memory anew
+MB = 1e6  # bytes
+RESET_PEAK = "5"  # written to clear_refs, makes the kernel reset the peak of resident memory (VmHWM)
 
 
-class Step(NamedTuple):
-    """`cpu_s`: of all threads; `peak_mb`, `kept_mb`: resident memory above what it was before the step, at
-    the most while it ran, and after it and a collection of garbage."""
+class StepCost(NamedTuple):
+    """The cost of one step. `cpu_s` is the processor time of all threads. `peak_mb` and `kept_mb` are
+    resident memory above its value before the step: the peak during the step, and the rest after it and a
+    garbage collection."""
 
     cpu_s: float
     peak_mb: float
@@ -25,36 +26,37 @@
 
 
 def status_mb(field: str) -> float:
-    """A field of this process's status in MB (10^6 bytes), such as VmRSS and VmHWM."""
+    """Returns a field of this process's status, such as VmRSS or VmHWM, in MB (10^6 bytes)."""
     text = Path("/proc/self/status").read_text()
     return int(text.split(f"{field}:")[1].split()[0]) * KIB / MB
 
 
-def measured(step: Callable[[], Result]) -> tuple[Result, Step]:
-    """Runs a step once, after a collection."""
+def measure_step(step: Callable[[], Result]) -> tuple[Result, StepCost]:
+    """Runs a step once, after a garbage collection; returns its result and its cost."""
     gc.collect()
     Path("/proc/self/clear_refs").write_text(RESET_PEAK)
-    before, began = status_mb("VmRSS"), time.process_time()
+    resident_before_mb, began_s = status_mb("VmRSS"), time.process_time()
     result = step()
-    spent = time.process_time() - began
-    peak = status_mb("VmHWM")
+    cpu_s = time.process_time() - began_s
+    peak_mb = status_mb("VmHWM")
     gc.collect()
-    return result, Step(spent, peak - before, status_mb("VmRSS") - before)
-
-
-def cpu_each(step: Callable[[int], object], times: int) -> float:
-    """s of processor time for one call, the mean over `times`."""
-    began = time.process_time()
-    for number in range(times):
-        step(number)
-    return (time.process_time() - began) / times
-
-
-def median_each(step: Callable[[int], object], times: int) -> float:
-    """s of processor time of one call, the median of `times`: how long it holds the loop on a free core."""
-    found = []
-    for number in range(times):
-        began = time.process_time()
-        step(number)
-        found.append(time.process_time() - began)
-    return median(found)
+    return result, StepCost(cpu_s, peak_mb - resident_before_mb, status_mb("VmRSS") - resident_before_mb)
+
+
+def mean_cpu_s(step: Callable[[int], object], times: int) -> float:
+    """Returns the mean processor time in seconds of one call, over `times` calls."""
+    began_s = time.process_time()
+    for index in range(times):
+        step(index)
+    return (time.process_time() - began_s) / times
+
+
+def median_cpu_s(step: Callable[[int], object], times: int) -> float:
+    """Returns the median processor time in seconds of `times` calls: how long one call blocks the event loop
+    on an idle core."""
+    durations_s = []
+    for index in range(times):
+        began_s = time.process_time()
+        step(index)
+        durations_s.append(time.process_time() - began_s)
+    return median(durations_s)
--- a/benchmarks/scale/origin.py
+++ b/benchmarks/scale/origin.py
@@ -1,11 +1,12 @@
-"""What a daemon stands before, in a process of its own: servers that answer at once, and a discovery server.
+"""The servers and the discovery server of a measured daemon, in a process of their own.
 
     python -m benchmarks.scale.origin SERVERS ROUTES TENANTS
 
-Prints the addresses as one JSON object. Lists name SERVERS servers, spread over a few listening sockets. With
-ROUTES there is a control server too, whose configuration has so many routes and TENANTS. A line on standard
-input makes discovery tell its watchers something, `change` of one server or a `whole` list, or the control
-server `put`: one route is changed.
+The servers answer at once. Prints the addresses as one JSON object. The server lists have SERVERS entries,
+which share a few listening sockets. With ROUTES above 0 there is also a control server, whose configuration
+has so many routes and TENANTS tenants. Each line on standard input is a command: `change` makes discovery
+send its watchers a change of one server, `whole` the full list, and `put` makes the control server send a
+change of one route.
 """
 
 from __future__ import annotations
@@ -20,18 +21,19 @@
 from benchmarks.scale import documents
 from benchmarks.scale.control_source import ControlSource
 
-LISTENERS = 16
-ALIVE_EVERY = 1.5  # s between two empty lines of a watch: the node takes three without any for a dead one
+LISTENER_COUNT = 16
+# Between empty lines of a watch: a node considers a watch dead after 3 s of silence.
+KEEP_ALIVE_INTERVAL_S = 1.5
 BODY = b"." * 2_048
 ANSWER = b"HTTP/1.1 200 OK\r\nX-Load: load_share=0.3,depth=0\r\nContent-Length: %d\r\n\r\n%s" % (
     len(BODY),
     BODY,
 )
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class Server(asyncio.Protocol):
-    """Answers each request without a body at once."""
+    """Answers each request at once; requests have no body."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport: Any = transport
@@ -42,7 +44,7 @@
 
 
 class Watcher(asyncio.Protocol):
-    """One watch of the list."""
+    """One client that watches the server list."""
 
     def __init__(self, discovery: Discovery) -> None:
         self._discovery = discovery
@@ -52,47 +54,49 @@
 
     def data_received(self, data: bytes) -> None:
         version = int(data.split(b"from=")[1].split(b" ")[0])
-        self._transport.write(HEAD)
+        self._transport.write(RESPONSE_HEAD)
         self._discovery.watchers.append(self)
         if version != self._discovery.version:
-            self.tell(self._discovery.whole())
+            self.send_line(self._discovery.full_list_line())
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self in self._discovery.watchers:
             self._discovery.watchers.remove(self)
 
-    def tell(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
+        """Sends a line of the watch as one HTTP chunk."""
         self._transport.write(b"%x\r\n%s\r\n" % (len(line), line))
 
 
 class Discovery:
-    """The list, and who watches it."""
+    """The server list and its watchers."""
 
     def __init__(self, count: int, addresses: list[str]) -> None:
         self.version = 1
         self.watchers: list[Watcher] = []
-        self._entries = listed(count, addresses)
+        self._entries = list_entries(count, addresses)
 
-    def whole(self) -> bytes:
-        return documents.line({"version": self.version, "full": True, "servers": self._entries})
+    def full_list_line(self) -> bytes:
+        """Returns the full list as a line of a watch."""
+        return documents.encode_line({"version": self.version, "full": True, "servers": self._entries})
 
-    def tell(self, what: str) -> None:
-        """`change` or `whole`; anything else is an empty line."""
-        if what in ("change", "whole"):
+    def execute(self, command: str) -> None:
+        """Sends all watchers a change for `change`, the full list for `whole`, and else an empty line."""
+        if command in ("change", "whole"):
             self.version += 1
         line = b"\n"
-        if what == "whole":
-            line = self.whole()
-        elif what == "change":
+        if command == "whole":
+            line = self.full_list_line()
+        elif command == "change":
             entry = self._entries[self.version * 7919 % len(self._entries)]
             entry["weight"] = 1.0 if entry["weight"] != 1.0 else 0.5
-            line = documents.line({"version": self.version, "full": False, "servers": [entry]})
+            line = documents.encode_line({"version": self.version, "full": False, "servers": [entry]})
         for watcher in self.watchers:
-            watcher.tell(line)
+            watcher.send_line(line)
 
 
-def listed(count: int, addresses: list[str]) -> list[dict[str, Any]]:
-    """Entries of a list whose servers share a few addresses."""
+def list_entries(count: int, addresses: list[str]) -> list[dict[str, Any]]:
+    """Returns the entries of a server list in which the servers share a few addresses."""
     return [
         {**documents.server_entry(number), "addr": addresses[number % len(addresses)]}
         for number in range(count)
@@ -100,32 +104,36 @@
 
 
 async def serve(count: int, routes: int, tenants: int) -> None:
+    """Serves and executes commands until standard input ends."""
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(Server, "127.0.0.1", 0) for _ in range(LISTENERS)]
-    addresses = [address(server) for server in servers]
+    servers = [await loop.create_server(Server, "127.0.0.1", 0) for _ in range(LISTENER_COUNT)]
+    addresses = [address_of(server) for server in servers]
     discovery = Discovery(count, addresses)
-    watches = await loop.create_server(lambda: Watcher(discovery), "127.0.0.1", 0)
-    source = ControlSource(routes, tenants) if routes else None
-    control = None if source is None else await asyncio.start_server(source.serve, "127.0.0.1", 0)
-    where = {"servers": addresses, "discovery": address(watches)}
-    if control is not None:
-        where["control"] = address(control)
-    print(json.dumps(where), flush=True)
-    orders = asyncio.StreamReader()
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(orders), sys.stdin)
+    discovery_server = await loop.create_server(lambda: Watcher(discovery), "127.0.0.1", 0)
+    control_source = ControlSource(routes, tenants) if routes else None
+    control_server = (
+        None if control_source is None else await asyncio.start_server(control_source.serve, "127.0.0.1", 0)
+    )
+    addresses_by_role = {"servers": addresses, "discovery": address_of(discovery_server)}
+    if control_server is not None:
+        addresses_by_role["control"] = address_of(control_server)
+    print(json.dumps(addresses_by_role), flush=True)
+    commands = asyncio.StreamReader()
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
     while True:
         try:
-            line = await asyncio.wait_for(orders.readline(), ALIVE_EVERY)
+            line = await asyncio.wait_for(commands.readline(), KEEP_ALIVE_INTERVAL_S)
         except TimeoutError:
             line = b"alive"
         if not line:
-            return  # whoever started it is gone
-        discovery.tell(line.decode().strip())
-        if source is not None:
-            source.tell(line.decode().strip())
+            return  # the process that started this one has ended
+        discovery.execute(line.decode().strip())
+        if control_source is not None:
+            control_source.execute(line.decode().strip())
 
 
-def address(server: asyncio.Server) -> str:
+def address_of(server: asyncio.Server) -> str:
+    """Returns the address of a listening server as HOST:PORT."""
     host, port = server.sockets[0].getsockname()
     return f"{host}:{port}"
 
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -1,4 +1,4 @@
-"""Slopes by peers: the list of them in the configuration, the table of members, one change of the list."""
+"""Slopes by peers: the peer list of the configuration, the member table, and a change of the list."""
 
 from __future__ import annotations
 
@@ -10,20 +10,23 @@
 from typing import Any
 
 from benchmarks.scale import documents
-from benchmarks.scale.meter import cpu_each, measured
+from benchmarks.scale.meter import mean_cpu_s, measure_step
 
-KEY = b"k" * 32
-PERIOD = documents.SECOND  # ns between two probes
-WAKES = 200
+CLUSTER_KEY = b"k" * 32
+PROBE_PERIOD_NS = documents.SECOND_NS  # between two probes
+REPETITIONS = 200
 
 
 def prepare(size: int, folder: Path) -> None:
+    """Writes a configuration with `size` peers, and one with one peer more."""
     for name, peers in (("old", size), ("new", size + 1)):
-        folder.joinpath(f"{name}.json").write_text(json.dumps(documents.platform(peers=peers, nodes=peers)))
+        folder.joinpath(f"{name}.json").write_text(
+            json.dumps(documents.platform_document(peers=peers, nodes=peers))
+        )
 
 
 def measure(size: int, folder: Path) -> dict[str, float]:
-    """A process of the cluster that knows all its peers alive, and SIGHUP with one peer more."""
+    """Measures a cluster member that knows all its peers as alive, and its reload with one peer more."""
 
     async def run() -> dict[str, float]:
         return _measure(size, folder)
@@ -38,37 +41,42 @@
     from driftstair.tier.service import Tier
 
     config = load({"BALANCER_CONFIG": str(folder / "old.json")})
-    peers, reading = measured(lambda: peer_config.read(config))
-    claims = all_alive(size)
+    peers, read_cost = measure_step(lambda: peer_config.read(config))
+    claims = all_peers_alive(size)
 
     def start() -> Tier:
-        process = Tier(config, peers, PERIOD, KEY, None, None, SOCKET_SYSTEM, judges=True)
-        process._tell(claims)
-        return process
+        tier = Tier(config, peers, PROBE_PERIOD_NS, CLUSTER_KEY, None, None, SOCKET_SYSTEM, judges=True)
+        tier._tell(claims)
+        return tier
 
-    process, starting = measured(start)
-    newer = load({"BALANCER_CONFIG": str(folder / "new.json")})
-    _, change = measured(lambda: process.reload(newer))
+    tier, start_cost = measure_step(start)
+    new_config = load({"BALANCER_CONFIG": str(folder / "new.json")})
+    _, reload_cost = measure_step(lambda: tier.reload(new_config))
     return {
-        "peers_bytes": len(json.dumps(documents.platform(peers=size)["peers"])),
-        "read_cpu_s": reading.cpu_s, "start_cpu_s": starting.cpu_s,
-        "kept_mb": reading.kept_mb + starting.kept_mb, "change_hold_s": change.cpu_s,
-        "wake_us": _wake_us(size) , "zones_us": cpu_each(lambda _: process._zones(), WAKES) * 1e6,
+        "peers_bytes": len(json.dumps(documents.platform_document(peers=size)["peers"])),
+        "read_cpu_s": read_cost.cpu_s, "start_cpu_s": start_cost.cpu_s,
+        "kept_mb": read_cost.kept_mb + start_cost.kept_mb, "change_hold_s": reload_cost.cpu_s,
+        "wake_us": _wake_us(size) , "zones_us": mean_cpu_s(lambda _: tier._zones(), REPETITIONS) * 1e6,
     }  # fmt: skip
 
 
-def all_alive(size: int) -> Any:
-    """All peers as a list that the process before this one has kept."""
+def all_peers_alive(size: int) -> Any:
+    """Returns the start event with all peers alive, as from a member list that an earlier process
+    persisted."""
     from driftstair.tier.membership import events
     from driftstair.tier.membership.members import Claim, State, Traits
 
     return events.Start(
-        tuple(Claim(one, 1_000, 0, State.ALIVE, one, Traits(one % 8, 1, 3)) for one in range(1, size))
+        tuple(
+            Claim(number, 1_000, 0, State.ALIVE, number, Traits(number % 8, 1, 3))
+            for number in range(1, size)
+        )
     )
 
 
 def _wake_us(size: int) -> float:
-    """us of processor time for a turn of the membership core, its probes and their answers included."""
+    """Returns the microseconds of processor time for one wake of the membership core, including its
+    probes."""
     from driftstair.tier import wire
     from driftstair.tier.membership.core import Membership
     from driftstair.tier.membership.events import Wake
@@ -79,15 +87,15 @@
         size,
         1_000,
         Traits(0, wire.VERSION, wire.SUPPORTS_MEMBERSHIP),
-        PERIOD,
+        PROBE_PERIOD_NS,
         Random(1),
         wire.MAX_CLAIMS_BYTES,
         wire.claim_size,
     )
     now = time.monotonic_ns()
-    core.handle(now, all_alive(size))
+    core.handle(now, all_peers_alive(size))
 
     def wake(_: int) -> None:
         core.handle(max(now, core.wake_at), Wake())
 
-    return cpu_each(wake, WAKES) * 1e6
+    return mean_cpu_s(wake, REPETITIONS) * 1e6
--- a/benchmarks/scale/routes.py
+++ b/benchmarks/scale/routes.py
@@ -1,4 +1,5 @@
-"""Slopes by routes: reading and proving the service file, one change by SIGHUP, the look-up of a request."""
+"""Slopes by routes: loading and validating the service file, a change by SIGHUP, and the look-up of a
+request."""
 
 from __future__ import annotations
 
@@ -7,22 +8,25 @@
 from pathlib import Path
 
 from benchmarks.scale import documents
-from benchmarks.scale.meter import cpu_each, measured
+from benchmarks.scale.meter import mean_cpu_s, measure_step
 
-CLIENTS = 541  # connections that the node holds: `daemon.split_descriptors` of 1,024 descriptors
-LOOK_UPS = 20_000
-REQUEST_SERVICE = 0  # requests are for this service's routes, which are there at every size
-BUCKETS_EACH = 1_000  # tenants that one route counts
+CLIENT_CONNECTIONS = 541  # what `daemon.split_descriptors` gives for 1,024 descriptors
+LOOK_UP_COUNT = 20_000
+REQUESTED_SERVICE = 0  # requests go to this service's routes, which exist at each size
+BUCKETS_PER_ROUTE = 1_000  # tenants with a bucket on one route
 
 
 def prepare(size: int, folder: Path) -> None:
-    folder.joinpath("platform.json").write_text(json.dumps(documents.platform(nodes=documents.NODES)))
-    folder.joinpath("old.toml").write_text(documents.service_file(size))
-    folder.joinpath("new.toml").write_text(documents.service_file(size, total_ms=800))
+    """Writes the platform's configuration and two service files that differ in one route."""
+    folder.joinpath("platform.json").write_text(
+        json.dumps(documents.platform_document(nodes=documents.NODES))
+    )
+    folder.joinpath("old.toml").write_text(documents.service_file_text(size))
+    folder.joinpath("new.toml").write_text(documents.service_file_text(size, total_ms=800))
 
 
 def measure(size: int, folder: Path) -> dict[str, float]:
-    """A first load of the file, and a second one in which one route differs, as SIGHUP takes it in."""
+    """Measures the first load of the service file, and a reload as by SIGHUP in which one route differs."""
     from driftstair.config import load
     from driftstair.files import SETTINGS_BYTES_MAX
     from driftstair.service.load import parse
@@ -30,61 +34,71 @@
     from lichenspring import Balancer
 
     config = load({"BALANCER_CONFIG": str(folder / "platform.json")})
-    old, new = ((folder / name).read_text() for name in ("old.toml", "new.toml"))
-    table, first = measured(lambda: ServiceFile("service.toml", old).table(config, CLIENTS))
-    limited = table.limiting_module(Balancer(config.settings, config.seed), config.settings, time.time_ns)
-    limited.start(1)
+    old_text, new_text = ((folder / name).read_text() for name in ("old.toml", "new.toml"))
+    table, load_cost = measure_step(
+        lambda: ServiceFile("service.toml", old_text).table(config, CLIENT_CONNECTIONS)
+    )
+    limiting_module = table.limiting_module(
+        Balancer(config.settings, config.seed), config.settings, time.time_ns
+    )
+    limiting_module.start(1)
 
     def change() -> None:
-        """What `reload_files` and `Node.replace_limits` do, without the platform's own file."""
+        """Does what `reload_files` and `Node.replace_limits` do, except for the platform's own file."""
         nonlocal table
-        table = ServiceFile("service.toml", new).table(config, CLIENTS)
-        limited.replace_rules(2, table.rules)
+        table = ServiceFile("service.toml", new_text).table(config, CLIENT_CONNECTIONS)
+        limiting_module.replace_rules(2, table.rules)
 
-    _, again = measured(change)
-    began = time.process_time()
-    parse(new, "service.toml")
-    parsing = time.process_time() - began
+    _, change_cost = measure_step(change)
+    began_s = time.process_time()
+    parse(new_text, "service.toml")
+    parse_cpu_s = time.process_time() - began_s
     return {
-        "file_bytes": len(old.encode()), "accepted": float(len(old.encode()) <= SETTINGS_BYTES_MAX),
-        "load_cpu_s": first.cpu_s, "load_peak_mb": first.peak_mb, "load_kept_mb": first.kept_mb,
-        "change_hold_s": again.cpu_s, "change_peak_mb": again.peak_mb, "parse_cpu_s": parsing,
+        "file_bytes": len(old_text.encode()), "accepted": float(len(old_text.encode()) <= SETTINGS_BYTES_MAX),
+        "load_cpu_s": load_cost.cpu_s, "load_peak_mb": load_cost.peak_mb, "load_kept_mb": load_cost.kept_mb,
+        "change_hold_s": change_cost.cpu_s, "change_peak_mb": change_cost.peak_mb, "parse_cpu_s": parse_cpu_s,
     }  # fmt: skip
 
 
 def measure_look_up(size: int, folder: Path) -> dict[str, float]:
-    """One request's look-up, by the routes of other services; routes made without a file."""
+    """Measures the look-up of one request among the routes of other services, without a service file."""
     from driftstair.limits.routes import Pattern, RouteQuery, Routes
     from driftstair.service.schema import Match
 
     def pattern(number: int) -> Pattern:
-        service, own = divmod(number, documents.ROUTES_EACH)
-        return Pattern.of(Match.model_validate({"class": "page", "path": f"/svc-{service:04}/r{own:02}/*"}))
-
-    index, kept = measured(lambda: Routes(pattern(number) for number in range(size)))
-    asked = [
-        RouteQuery("page", "", "GET", f"/svc-{REQUEST_SERVICE:04}/r{own:02}/item", {}, "k")
-        for own in range(documents.ROUTES_EACH)
+        service, own_number = divmod(number, documents.ROUTES_PER_SERVICE)
+        return Pattern.of(
+            Match.model_validate({"class": "page", "path": f"/svc-{service:04}/r{own_number:02}/*"})
+        )
+
+    routes, index_cost = measure_step(lambda: Routes(pattern(number) for number in range(size)))
+    queries = [
+        RouteQuery("page", "", "GET", f"/svc-{REQUESTED_SERVICE:04}/r{own_number:02}/item", {}, "k")
+        for own_number in range(documents.ROUTES_PER_SERVICE)
     ]
-    found = {index.find(one) for one in asked}
-    assert None not in found
-    each = min(
-        cpu_each(lambda turn: index.find(asked[turn % documents.ROUTES_EACH]), LOOK_UPS) for _ in range(5)
+    route_numbers = {routes.find(query) for query in queries}
+    assert None not in route_numbers
+    look_up_cpu_s = min(
+        mean_cpu_s(
+            lambda index_number: routes.find(queries[index_number % documents.ROUTES_PER_SERVICE]),
+            LOOK_UP_COUNT,
+        )
+        for _ in range(5)
     )
-    return {"find_us": each * 1e6, "index_kept_mb": kept.kept_mb}
+    return {"find_us": look_up_cpu_s * 1e6, "index_kept_mb": index_cost.kept_mb}
 
 
 def measure_buckets(size: int, folder: Path) -> dict[str, float]:
-    """Token buckets of tenants on routes with `admit.rate.by = "tenant"`: `size` of them, on as many routes
-    as that takes at `BUCKETS_EACH` a route."""
+    """Measures the memory of `size` token buckets of tenants, as routes with `admit.rate.by = "tenant"` have
+    them, with `BUCKETS_PER_ROUTE` on each route."""
     from driftstair.limits.budgets import TokenBucket
 
     def fill() -> list[dict[int, TokenBucket]]:
-        routes = max(1, size // BUCKETS_EACH)
+        route_count = max(1, size // BUCKETS_PER_ROUTE)
         return [
-            {tenant: TokenBucket(80.0, 20.0, tenant) for tenant in range(size // routes)}
-            for _ in range(routes)
+            {tenant: TokenBucket(80.0, 20.0, tenant) for tenant in range(size // route_count)}
+            for _ in range(route_count)
         ]
 
-    _, step = measured(fill)
-    return {"kept_mb": step.kept_mb}
+    _, cost = measure_step(fill)
+    return {"kept_mb": cost.kept_mb}
--- a/benchmarks/scale/series.py
+++ b/benchmarks/scale/series.py
@@ -1,4 +1,4 @@
-"""The series of the single-process slopes: which probe, at which sizes, and how each of its figures grows."""
+"""The series of the single-process slopes: their probes, input writers and sizes."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 def no_inputs(size: int, folder: Path) -> None:
-    """For probes that make what they measure by themselves."""
+    """Writes nothing, for probes that create their inputs themselves."""
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """`sizes`: in rising order, the last one that of the installation in two years; `each`: the size where
-    each service is an installation of its own; `prepare` writes the inputs, in another process than the
-    probe."""
+    """One series of measurements. `sizes` are in ascending order; the last one is the size of the
+    installation in two years. `service_size` is the size if each service is an installation of its own.
+    `prepare` writes the inputs in a different process from that of the probe."""
 
     unit: str
     sizes: tuple[int, ...]
-    each: int
+    service_size: int
     probe: Probe
     prepare: Callable[[int, Path], None] = no_inputs
 
@@ -44,55 +44,58 @@
 PEER_SIZES = (3, 200, 800, 1_600, 2_400, documents.NODES)
 
 SERIES: dict[str, Series] = {
-    "service-file": Series("route", ROUTE_SIZES, documents.ROUTES_EACH, routes.measure, routes.prepare),
-    "route-look-up": Series("route", ROUTE_SIZES, documents.ROUTES_EACH, routes.measure_look_up),
+    "service-file": Series(
+        "route", ROUTE_SIZES, documents.ROUTES_PER_SERVICE, routes.measure, routes.prepare
+    ),
+    "route-look-up": Series("route", ROUTE_SIZES, documents.ROUTES_PER_SERVICE, routes.measure_look_up),
     "tenant-buckets": Series(
-        "bucket", (1_000, 20_000, 60_000, 120_000, documents.TENANTS), documents.TENANTS_EACH,
+        "bucket", (1_000, 20_000, 60_000, 120_000, documents.TENANTS), documents.TENANTS_PER_SERVICE,
         routes.measure_buckets,
     ),
     "configuration": Series(
-        "tenant", TENANT_SIZES, documents.TENANTS_EACH, tenants.measure, tenants.prepare
+        "tenant", TENANT_SIZES, documents.TENANTS_PER_SERVICE, tenants.measure, tenants.prepare
     ),
     "proof-by-tenants": Series(
-        "tenant", TENANT_SIZES, documents.TENANTS_EACH, tenants.measure_proof, tenants.prepare
+        "tenant", TENANT_SIZES, documents.TENANTS_PER_SERVICE, tenants.measure_proof, tenants.prepare
     ),
     "tenant-shares": Series(
-        "tenant", TENANT_SIZES, documents.TENANTS_EACH, tenants.measure_shares, tenants.prepare
+        "tenant", TENANT_SIZES, documents.TENANTS_PER_SERVICE, tenants.measure_shares, tenants.prepare
     ),
     "server-list": Series(
-        "server", SERVER_SIZES, documents.SERVERS_EACH, servers.measure, servers.prepare
+        "server", SERVER_SIZES, documents.SERVERS_PER_SERVICE, servers.measure, servers.prepare
     ),
     "server-reach": Series(
-        "server", SERVER_SIZES, documents.SERVERS_EACH, servers.measure_reach, servers.prepare
+        "server", SERVER_SIZES, documents.SERVERS_PER_SERVICE, servers.measure_reach, servers.prepare
     ),
     "request-by-servers": Series(
-        "server", SERVER_SIZES, documents.SERVERS_EACH, servers.measure_request, servers.prepare
+        "server", SERVER_SIZES, documents.SERVERS_PER_SERVICE, servers.measure_request, servers.prepare
     ),
-    "peers": Series("peer", PEER_SIZES, documents.NODES_EACH, peers.measure, peers.prepare),
+    "peers": Series("peer", PEER_SIZES, documents.NODES_PER_SERVICE, peers.measure, peers.prepare),
     "in-force-routes": Series(
-        "route", ROUTE_SIZES, documents.ROUTES_EACH, in_force.measure_routes, in_force.prepare
+        "route", ROUTE_SIZES, documents.ROUTES_PER_SERVICE, in_force.measure_routes, in_force.prepare
     ),
     "in-force-tenants": Series(
-        "tenant", TENANT_SIZES, documents.TENANTS_EACH, in_force.measure_tenants, in_force.prepare
+        "tenant", TENANT_SIZES, documents.TENANTS_PER_SERVICE, in_force.measure_tenants, in_force.prepare
     ),
     "in-force-look-up": Series(
-        "route", ROUTE_SIZES, documents.ROUTES_EACH, in_force.measure_look_up, in_force.prepare
+        "route", ROUTE_SIZES, documents.ROUTES_PER_SERVICE, in_force.measure_look_up, in_force.prepare
     ),
     "in-force-snapshot": Series(
-        "route", ROUTE_SIZES, documents.ROUTES_EACH, in_force.measure_snapshot, in_force.prepare
+        "route", ROUTE_SIZES, documents.ROUTES_PER_SERVICE, in_force.measure_snapshot, in_force.prepare
     ),
-    "control-server": Series("route", ROUTE_SIZES, documents.ROUTES_EACH, control_role.measure),
+    "control-server": Series("route", ROUTE_SIZES, documents.ROUTES_PER_SERVICE, control_role.measure),
     "operator-report": Series(
-        "peer", PEER_SIZES, documents.NODES_EACH, coordination.measure_report, coordination.prepare_report
+        "peer", PEER_SIZES, documents.NODES_PER_SERVICE, coordination.measure_report,
+        coordination.prepare_report
     ),
     "outcome-reports": Series(
-        "node", (*PEER_SIZES, 4_000, 6_000), documents.NODES_EACH, coordination.measure_reports
+        "node", (*PEER_SIZES, 4_000, 6_000), documents.NODES_PER_SERVICE, coordination.measure_reports
     ),
     "disruption-budget": Series(
-        "node", PEER_SIZES, documents.NODES_EACH, coordination.measure_controller
+        "node", PEER_SIZES, documents.NODES_PER_SERVICE, coordination.measure_controller
     ),
     "ledger-collector": Series(
-        "node", (3, 200, 400, 800, 1_600, documents.NODES), documents.NODES_EACH,
+        "node", (3, 200, 400, 800, 1_600, documents.NODES), documents.NODES_PER_SERVICE,
         coordination.measure_collector, coordination.prepare_folder,
     ),
     "ledger-commit": Series(
@@ -102,5 +105,7 @@
         "entry", (1_000, 10_000, 25_000, 50_000, 100_000, 200_000), 1_000, billing.measure_open,
         billing.prepare_ledger,
     ),
-    "ledger-join": Series("ledger", (3, 100, 200, 400, 800), documents.NODES_EACH, billing.measure_join),
+    "ledger-join": Series(
+        "ledger", (3, 100, 200, 400, 800), documents.NODES_PER_SERVICE, billing.measure_join
+    ),
 }  # fmt: skip
--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -1,4 +1,4 @@
-"""Slopes by servers: a whole list, a change of it, what a request and the timers take beside many of them."""
+"""Slopes by servers: a full list, a change of it, and the cost of requests and timers beside many servers."""
 
 from __future__ import annotations
 
@@ -12,28 +12,29 @@
 from typing import Any
 
 from benchmarks.scale import documents
-from benchmarks.scale.meter import cpu_each, measured, median_each
+from benchmarks.scale.meter import mean_cpu_s, measure_step, median_cpu_s
 
-CHANGES = 20
-EVENTS = 40  # requests and outcomes while servers are judged
-TICKS = 20
-TICK = documents.SECOND // 2  # ns between two of the module's timers
-KEYS = 1_500  # different keys of requests
+CHANGE_COUNT = 20
+REQUEST_COUNT = 40  # requests with their outcomes that are timed together
+TICK_COUNT = 20
+TICK_INTERVAL_NS = documents.SECOND_NS // 2  # between two of the module's timers
+KEY_COUNT = 1_500  # distinct request keys
 
 
 def prepare(size: int, folder: Path) -> None:
-    folder.joinpath("platform.json").write_text(json.dumps(documents.platform(peers=0)))
-    folder.joinpath("list.json").write_bytes(documents.line(documents.server_list(size)))
+    """Writes a configuration, and a list of `size` servers."""
+    folder.joinpath("platform.json").write_text(json.dumps(documents.platform_document(peers=0)))
+    folder.joinpath("list.json").write_bytes(documents.encode_line(documents.server_list(size)))
 
 
-def _inside_loop(body: Callable[[], dict[str, float]]) -> dict[str, float]:
+def _run_in_event_loop(body: Callable[[], dict[str, float]]) -> dict[str, float]:
     async def run() -> dict[str, float]:
         return body()
 
     return asyncio.run(run())
 
 
-def _node(folder: Path) -> Any:
+def _make_node(folder: Path) -> Any:
     from driftstair.config import load
     from driftstair.net.connection_pools import Pools
     from driftstair.net.node import Node
@@ -42,8 +43,8 @@
     return Node(config, Pools(500, config.dial_timeout, config.idle_close))
 
 
-def _read(line: bytes) -> Any:
-    """What the watch makes of one line, as `Discovery.received` does it."""
+def _parse_line(line: bytes) -> Any:
+    """Parses one line of the watch as `Discovery.received` does."""
     from driftstair.hosts import parse_list
     from driftstair.net.json_stream import JsonStreamParser
 
@@ -51,37 +52,42 @@
 
 
 def measure(size: int, folder: Path) -> dict[str, float]:
-    """A whole list, and changes of one server each."""
-    return _inside_loop(lambda: _measure(size, folder))
+    """Measures taking in a full list, and changes of one server each."""
+    return _run_in_event_loop(lambda: _measure(size, folder))
 
 
 def _measure(size: int, folder: Path) -> dict[str, float]:
     from driftstair.net.json_stream import DOCUMENT_BYTES_MAX
 
-    node = _node(folder)
-    whole = folder.joinpath("list.json").read_bytes()
-    (update,), reading = measured(lambda: _read(whole))
-    _, taking = measured(lambda: node.servers.on_list(update))
-    _, again = measured(lambda: node.servers.on_list(_read(whole)[0]))
-    changes = [
-        documents.line(documents.server_change(number * 7919 % size, number + 2)) for number in range(CHANGES)
+    node = _make_node(folder)
+    list_line = folder.joinpath("list.json").read_bytes()
+    (update,), read_cost = measure_step(lambda: _parse_line(list_line))
+    _, take_cost = measure_step(lambda: node.servers.on_list(update))
+    _, again_cost = measure_step(lambda: node.servers.on_list(_parse_line(list_line)[0]))
+    change_lines = [
+        documents.encode_line(documents.server_change(number * 7919 % size, number + 2))
+        for number in range(CHANGE_COUNT)
     ]
-    change = median_each(lambda turn: node.servers.on_list(_read(changes[turn])[0]), CHANGES)
+    change_cpu_s = median_cpu_s(
+        lambda index: node.servers.on_list(_parse_line(change_lines[index])[0]), CHANGE_COUNT
+    )
     table = node._core._table
     return {
-        "list_bytes": len(whole), "accepted": float(len(whole) <= DOCUMENT_BYTES_MAX),
-        "read_cpu_s": reading.cpu_s,
-        "whole_hold_s": reading.cpu_s + taking.cpu_s, "whole_again_hold_s": again.cpu_s,
-        "whole_peak_mb": max(reading.peak_mb, reading.kept_mb + taking.peak_mb),
-        "whole_kept_mb": reading.kept_mb + taking.kept_mb, "change_bytes": len(changes[-1]),
-        "change_hold_ms": change * 1e3, "servers_in_table": len({one.entry.id for one in table}),
+        "list_bytes": len(list_line), "accepted": float(len(list_line) <= DOCUMENT_BYTES_MAX),
+        "read_cpu_s": read_cost.cpu_s,
+        "whole_hold_s": read_cost.cpu_s + take_cost.cpu_s, "whole_again_hold_s": again_cost.cpu_s,
+        "whole_peak_mb": max(read_cost.peak_mb, read_cost.kept_mb + take_cost.peak_mb),
+        "whole_kept_mb": read_cost.kept_mb + take_cost.kept_mb, "change_bytes": len(change_lines[-1]),
+        "change_hold_ms": change_cpu_s * 1e3,
+        "servers_in_table": len({backend.entry.id for backend in table}),
         "servers_of_own_part": len(node._core._subset), "servers_listed": len(node._core._backends),
     }  # fmt: skip
 
 
 def measure_reach(size: int, folder: Path) -> dict[str, float]:
-    """Servers that keys lead to, over one round of nodes, among which all servers are shared out: those that
-    stand in the table of one of them. The others get requests only where none of a table may be used."""
+    """Counts the servers that requests with keys can reach: those in the table of at least one node of a
+    round, over whose nodes all servers are distributed. Other servers get requests only if no server of a
+    node's table is usable."""
     from driftstair.config import load
     from driftstair.net.identifiers import digest
     from lichenspring import Balancer
@@ -102,65 +108,73 @@
 
 
 def measure_request(size: int, folder: Path) -> dict[str, float]:
-    """The decisions on one request and its outcome, the timers, and both while the fleet judges servers."""
-    return _inside_loop(lambda: _measure_request(size, folder))
+    """Measures the decisions on a request with its outcome, the timers, and a request with the cluster's
+    outlier detection."""
+    return _run_in_event_loop(lambda: _measure_request(size, folder))
 
 
 def _measure_request(size: int, folder: Path) -> dict[str, float]:
     from lichenspring import interface as api
 
-    node = _node(folder)
-    update = _read(folder.joinpath("list.json").read_bytes())[0]
+    node = _make_node(folder)
+    update = _parse_line(folder.joinpath("list.json").read_bytes())[0]
     node.servers.on_list(update)
     balancer = node._core
-    plain = _Requests(balancer)
-    tick = median_each(lambda _: balancer.handle(plain.tick(), api.Timer(1)), TICKS)
-    sweep = median_each(lambda _: node._pools._sweep(), TICKS)
-    spent = [cpu_each(plain.one, EVENTS) for _ in range(5)]
-    judged = _Requests(_watched(node, update))
-    cpu_each(judged.one, 2)
-    watched = [cpu_each(judged.one, EVENTS) for _ in range(3)]
+    requests = _Requests(balancer)
+    tick_cpu_s = median_cpu_s(lambda _: balancer.handle(requests.tick(), api.Timer(1)), TICK_COUNT)
+    sweep_cpu_s = median_cpu_s(lambda _: node._pools._sweep(), TICK_COUNT)
+    request_cpu_s = [mean_cpu_s(requests.run_one, REQUEST_COUNT) for _ in range(5)]
+    judged_requests = _Requests(_with_outlier_detection(node, update))
+    mean_cpu_s(judged_requests.run_one, 2)
+    judged_cpu_s = [mean_cpu_s(judged_requests.run_one, REQUEST_COUNT) for _ in range(3)]
     return {
-        "request_us": min(spent) * 1e6, "timer_hold_ms": tick * 1e3, "idle_sweep_hold_ms": sweep * 1e3,
-        "judged_request_us": min(watched) * 1e6,
+        "request_us": min(request_cpu_s) * 1e6, "timer_hold_ms": tick_cpu_s * 1e3,
+        "idle_sweep_hold_ms": sweep_cpu_s * 1e3,
+        "judged_request_us": min(judged_cpu_s) * 1e6,
     }  # fmt: skip
 
 
 class _Requests:
-    """Requests that are answered at once, on a clock of their own."""
+    """Generates requests that are answered at once, with a clock of its own."""
 
     def __init__(self, module: Any) -> None:
         self._module = module
         self._now = time.monotonic_ns()
-        self._chance = Random(5)
+        self._random = Random(5)
         self._number = 0
 
     def tick(self) -> int:
-        self._now += TICK
+        """Advances the clock by one timer interval and returns it."""
+        self._now += TICK_INTERVAL_NS
         return self._now
 
-    def one(self, _: int) -> None:
-        """A request, its attempt and its outcome."""
+    def run_one(self, _: int) -> None:
+        """Passes a request, its attempt and its outcome to the module."""
         from lichenspring import interface as api
 
         self._number += 1
-        self._now += documents.SECOND // documents.NODE_RATE
-        key = self._chance.randrange(1, KEYS)
-        request = api.Request(self._number, documents.SECOND, 0, 0, key, False)
-        sent = next(one for one in self._module.handle(self._now, request) if isinstance(one, api.Send))
-        answered = api.Outcome(self._number, True, api.Result.OK, 20_000_000, sent.server, 0, (0.4, 0.0))
-        self._module.handle(self._now, answered)
-
-
-def _watched(node: Any, update: Any) -> Any:
-    """The node's decisions with the cluster's outlier detection round them, as `judge = true` has it."""
+        self._now += documents.SECOND_NS // documents.NODE_REQUESTS_PER_S
+        key = self._random.randrange(1, KEY_COUNT)
+        request = api.Request(self._number, documents.SECOND_NS, 0, 0, key, False)
+        send_action = next(
+            action for action in self._module.handle(self._now, request) if isinstance(action, api.Send)
+        )
+        outcome = api.Outcome(
+            self._number, True, api.Result.OK, 20_000_000, send_action.server, 0, (0.4, 0.0)
+        )
+        self._module.handle(self._now, outcome)
+
+
+def _with_outlier_detection(node: Any, update: Any) -> Any:
+    """Returns the node's decision module wrapped with the cluster's outlier detection, as the setting `judge`
+    does."""
     from driftstair.tier.observed_module import ObservedModule
     from driftstair.tier.shared.evidence import OutlierDetector
     from driftstair.tier.shared.facts import Facts
     from lichenspring import interface as api
 
-    judge = OutlierDetector(Facts(0, 1, Random(1)), 0, 0, lambda: True, lambda: {0: 0})
-    module = ObservedModule(node._core, lambda: judge)
+    detector = OutlierDetector(Facts(0, 1, Random(1)), 0, 0, lambda: True, lambda: {0: 0})
+    module = ObservedModule(node._core, lambda: detector)
     servers = tuple(node.servers._to_server(host) for host in update.hosts)
     module.handle(time.monotonic_ns(), api.ServerList(api.ListKind.FULL, servers))
     return module
--- a/benchmarks/scale/tenants.py
+++ b/benchmarks/scale/tenants.py
@@ -1,4 +1,4 @@
-"""Slopes by tenants: the platform's configuration, and what a service file's proof makes of them."""
+"""Slopes by tenants: the platform's configuration, the validation of a service file, and tenants' shares."""
 
 from __future__ import annotations
 
@@ -7,65 +7,69 @@
 from pathlib import Path
 
 from benchmarks.scale import documents
-from benchmarks.scale.meter import cpu_each, measured
+from benchmarks.scale.meter import mean_cpu_s, measure_step
 
-CLIENTS = 541  # connections that the node holds: `daemon.split_descriptors` of 1,024 descriptors
-NAMING = 100  # routes that name a tenant
-SHARES = 2_000  # requests whose tenant's share is judged
+CLIENT_CONNECTIONS = 541  # what `daemon.split_descriptors` gives for 1,024 descriptors
+NAMING_ROUTES = 100  # routes that name a tenant
+SHARE_CHECKS = 2_000  # requests whose tenant's share is checked
 
 
 def prepare(size: int, folder: Path) -> None:
-    folder.joinpath("platform.json").write_text(json.dumps(documents.platform(tenants=size)))
+    """Writes a configuration with `size` tenants."""
+    folder.joinpath("platform.json").write_text(json.dumps(documents.platform_document(tenants=size)))
 
 
 def measure(size: int, folder: Path) -> dict[str, float]:
-    """The configuration at a start, and again as SIGHUP reads it."""
+    """Measures reading the configuration at a start, and again as at a reload by SIGHUP."""
     from driftstair.config import load
     from driftstair.files import CONFIGURATION_BYTES_MAX
 
     environment = {"BALANCER_CONFIG": str(folder / "platform.json")}
-    bytes_ = folder.joinpath("platform.json").stat().st_size
-    config, first = measured(lambda: load(environment))
+    file_bytes = folder.joinpath("platform.json").stat().st_size
+    config, load_cost = measure_step(lambda: load(environment))
     assert len(config.tenants) == size
-    began = time.process_time()
-    again = load(environment)
-    differs = again != config
-    hold = time.process_time() - began
-    assert not differs
+    began_s = time.process_time()
+    reloaded = load(environment)
+    has_changed = reloaded != config
+    reload_cpu_s = time.process_time() - began_s
+    assert not has_changed
     return {
-        "file_bytes": bytes_, "accepted": float(bytes_ <= CONFIGURATION_BYTES_MAX), "load_cpu_s": first.cpu_s,
-        "load_peak_mb": first.peak_mb, "load_kept_mb": first.kept_mb, "change_hold_s": hold,
+        "file_bytes": file_bytes, "accepted": float(file_bytes <= CONFIGURATION_BYTES_MAX),
+        "load_cpu_s": load_cost.cpu_s,
+        "load_peak_mb": load_cost.peak_mb, "load_kept_mb": load_cost.kept_mb, "change_hold_s": reload_cpu_s,
     }  # fmt: skip
 
 
 def measure_proof(size: int, folder: Path) -> dict[str, float]:
-    """The proof of a small service file beside many tenants: 21 routes that name none, and 100 that name one
-    each."""
+    """Measures the validation of small service files beside many tenants: one with 21 routes that name no
+    tenant, and one with 100 routes that name one each."""
     from driftstair.config import load
     from driftstair.limits.validation import find_problems
     from driftstair.service.load import parse
     from driftstair.service.service_file import platform_of
 
     config = load({"BALANCER_CONFIG": str(folder / "platform.json")})
-    plain = parse(documents.service_file(documents.ROUTES_EACH), "service.toml")
-    naming = parse(documents.service_file(NAMING, tenants=size), "service.toml")
-    _, known = measured(lambda: platform_of(config, CLIENTS))
-    platform = platform_of(config, CLIENTS)
-    _, alone = measured(lambda: find_problems(plain, platform))
-    _, by_name = measured(lambda: find_problems(naming, platform))
+    file_without_tenants = parse(documents.service_file_text(documents.ROUTES_PER_SERVICE), "service.toml")
+    file_with_tenants = parse(documents.service_file_text(NAMING_ROUTES, tenants=size), "service.toml")
+    _, platform_cost = measure_step(lambda: platform_of(config, CLIENT_CONNECTIONS))
+    platform = platform_of(config, CLIENT_CONNECTIONS)
+    _, cost_without_tenants = measure_step(lambda: find_problems(file_without_tenants, platform))
+    _, cost_with_tenants = measure_step(lambda: find_problems(file_with_tenants, platform))
     return {
-        "platform_cpu_s": known.cpu_s, "proof_21_routes_cpu_s": alone.cpu_s,
-        "proof_100_naming_routes_cpu_s": by_name.cpu_s, "proof_peak_mb": alone.peak_mb,
+        "platform_cpu_s": platform_cost.cpu_s, "proof_21_routes_cpu_s": cost_without_tenants.cpu_s,
+        "proof_100_naming_routes_cpu_s": cost_with_tenants.cpu_s,
+        "proof_peak_mb": cost_without_tenants.peak_mb,
     }  # fmt: skip
 
 
 def measure_shares(size: int, folder: Path) -> dict[str, float]:
-    """One request's judgement of its tenant's share, and what the node keeps of tenants it has seen."""
+    """Measures the check of a tenant's share for one request, and the memory that a node keeps for known
+    tenants."""
     from driftstair.config import load
     from lichenspring import Balancer
 
     config = load({"BALANCER_CONFIG": str(folder / "platform.json")})
     balancer = Balancer(config.settings, config.seed)
-    _, seen = measured(lambda: [balancer._is_over_share(one) for one in range(size)])
-    each = cpu_each(lambda turn: balancer._is_over_share(turn % size), SHARES)
-    return {"judge_us": each * 1e6, "seen_kept_mb": seen.kept_mb}
+    _, cost = measure_step(lambda: [balancer._is_over_share(tenant) for tenant in range(size)])
+    check_cpu_s = mean_cpu_s(lambda index: balancer._is_over_share(index % size), SHARE_CHECKS)
+    return {"judge_us": check_cpu_s * 1e6, "seen_kept_mb": cost.kept_mb}
--- a/benchmarks/scale/watched/__init__.py
+++ b/benchmarks/scale/watched/__init__.py
@@ -1,1 +1,1 @@
-"""Hollow watchers: the node's side of configuration, many in a process, before real control servers."""
+"""Hollow watchers: the node's side of configuration, many in one process, with real control servers."""
--- a/benchmarks/scale/watched/orders.py
+++ b/benchmarks/scale/watched/orders.py
@@ -1,4 +1,5 @@
-"""What the process that measures tells a worker of watchers, and what comes back: JSON, a line each."""
+"""The orders of the measuring process to a worker with watchers, and the answers, each as one line of
+JSON."""
 
 from __future__ import annotations
 
@@ -10,8 +11,8 @@
 
     numbers: list[int]
     servers: list[str]  # HOST:PORT of the control servers
-    folder: str  # for notes, and for the state of watchers that are restarted
-    on_disk: list[int]  # watchers whose state outlives them
+    folder: str  # for notes, and for the persisted state of watchers
+    on_disk: list[int]  # watchers that persist their state
 
 
 class Restart(msgspec.Struct, tag=True):
@@ -36,16 +37,16 @@
 
     watchers: int
     seconds: float
-    cpu: float  # s
+    cpu: float  # s of processor time
     resident: int  # bytes
     bytes_in: int
     bytes_out: int
-    least: int  # revision in force
-    greatest: int
-    refused: int  # change sets, over all watchers
-    reports: int  # taken, ever
-    late: float  # s, the worst that a timer of the loop came late
-    longest_step: float  # s, of one step of an application
+    least: int  # lowest revision in force
+    greatest: int  # highest revision in force
+    refused: int  # change sets refused, over all watchers
+    reports: int  # accepted by control servers since the start
+    late: float  # s, the largest lateness of the loop's timer
+    longest_step: float  # s, the longest step of applying a change
 
 
 class Done(msgspec.Struct, tag=True):
--- a/benchmarks/scale/watched/worker.py
+++ b/benchmarks/scale/watched/worker.py
@@ -1,4 +1,4 @@
-"""One process of watchers: carries out orders from its standard input.
+"""A process with watchers, which carries out orders from standard input.
 
 python -m benchmarks.scale.watched.worker
 """
@@ -16,72 +16,80 @@
 import uvloop
 
 from benchmarks.scale.hollow.node import base_config
-from benchmarks.scale.hollow.worker import resident
+from benchmarks.scale.hollow.worker import resident_bytes
 from benchmarks.scale.watched import orders
 from benchmarks.scale.watched.node import Notes, Watcher
-from benchmarks.scale.worker_process import LINE_MOST
+from benchmarks.scale.worker_process import LINE_BYTES_MAX
 from driftstair.hosts import parse_address
 from driftstair.node_configuration.service import ControlOptions
 
-TICK = 0.05  # s between two looks at how late timers come
+TICK_S = 0.05  # between two measurements of timer lateness
 
 
 class Worker:
-    """The watchers of one process."""
+    """The watchers of this process."""
 
     def __init__(self, order: orders.Begin) -> None:
         folder = Path(order.folder)
         self.notes = Notes()
         self.notes_file = folder / f"notes-{order.numbers[0]}"
-        servers = [parse_address(one) for one in order.servers]
-        kept = set(order.on_disk)
+        servers = [parse_address(address) for address in order.servers]
+        persisting = set(order.on_disk)
         self.watchers = {
-            number: Watcher(number, ControlOptions(servers, folder if number in kept else None), self.notes)
+            number: Watcher(
+                number, ControlOptions(servers, folder if number in persisting else None), self.notes
+            )
             for number in order.numbers
         }
-        self._late = 0.0
-        self._began, self._cpu, self._bytes = time.monotonic(), time.process_time(), (0, 0)
+        self._lateness_max_s = 0.0
+        self._began_s, self._cpu_s, self._bytes = time.monotonic(), time.process_time(), (0, 0)
 
     async def start(self) -> None:
+        """Starts all watchers."""
         await asyncio.gather(*(watcher.start() for watcher in self.watchers.values()))
         gc.collect()
-        gc.freeze()  # as the daemon does once it serves
+        gc.freeze()  # as the daemon does when it begins to serve
 
     async def restart(self, number: int) -> None:
+        """Ends a watcher and starts it again."""
         await self.watchers[number].stop()
         await self.watchers[number].start()
 
     async def watch_lateness(self) -> None:
+        """Records the largest lateness of the event loop's timers."""
         while True:
-            began = time.monotonic()
-            await asyncio.sleep(TICK)
-            self._late = max(self._late, time.monotonic() - began - TICK)
+            began_s = time.monotonic()
+            await asyncio.sleep(TICK_S)
+            self._lateness_max_s = max(self._lateness_max_s, time.monotonic() - began_s - TICK_S)
 
     def sample(self) -> orders.Figures:
-        now, cpu = time.monotonic(), time.process_time()
+        """Returns the figures since the last sample."""
+        now_s, cpu_s = time.monotonic(), time.process_time()
         systems = [watcher.system for watcher in self.watchers.values()]
-        total = sum(one.bytes_in for one in systems), sum(one.bytes_out for one in systems)
-        running = [one.configuration for one in self.watchers.values() if one.configuration is not None]
-        revisions = [one.applier.current.revision for one in running] or [0]
-        out = orders.Figures(
-            watchers=len(self.watchers), seconds=now - self._began, cpu=cpu - self._cpu, resident=resident(),
-            bytes_in=total[0] - self._bytes[0], bytes_out=total[1] - self._bytes[1], least=min(revisions),
-            greatest=max(revisions), refused=sum(len(one.applier.current.refusals) for one in running),
-            reports=sum(one.reporter.accepted_reports for one in running), late=self._late,
-            longest_step=max((one.applier.slicer.longest_step_ns for one in running), default=0) / 1e9,
+        total_bytes = sum(item.bytes_in for item in systems), sum(item.bytes_out for item in systems)
+        running = [item.configuration for item in self.watchers.values() if item.configuration is not None]
+        revisions = [item.applier.current.revision for item in running] or [0]
+        figures = orders.Figures(
+            watchers=len(self.watchers), seconds=now_s - self._began_s, cpu=cpu_s - self._cpu_s,
+            resident=resident_bytes(),
+            bytes_in=total_bytes[0] - self._bytes[0], bytes_out=total_bytes[1] - self._bytes[1],
+            least=min(revisions),
+            greatest=max(revisions), refused=sum(len(item.applier.current.refusals) for item in running),
+            reports=sum(item.reporter.accepted_reports for item in running), late=self._lateness_max_s,
+            longest_step=max((item.applier.slicer.longest_step_ns for item in running), default=0) / 1e9,
         )  # fmt: skip
-        self._began, self._cpu, self._bytes, self._late = now, cpu, total, 0.0
-        return out
+        self._began_s, self._cpu_s, self._bytes, self._lateness_max_s = now_s, cpu_s, total_bytes, 0.0
+        return figures
 
 
-def _say(answer: orders.Answer) -> None:
+def _send_answer(answer: orders.Answer) -> None:
     sys.stdout.buffer.write(msgspec.json.encode(answer) + b"\n")
     sys.stdout.buffer.flush()
 
 
 async def serve() -> None:
-    """Until the last order, or the end of the input."""
-    reader = asyncio.StreamReader(limit=LINE_MOST)
+    """Carries out orders until the last one or the end of the input."""
+    reader = asyncio.StreamReader(limit=LINE_BYTES_MAX)
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
@@ -89,26 +97,27 @@
     first = decode(await reader.readline())
     assert isinstance(first, orders.Begin)
     base_config()
-    before = resident()
+    resident_before = resident_bytes()
     worker = Worker(first)
     await worker.start()
-    looking = asyncio.create_task(worker.watch_lateness())
-    _say(orders.Done(before))
+    lateness_task = asyncio.create_task(worker.watch_lateness())
+    _send_answer(orders.Done(resident_before))
     while line := await reader.readline():
         order = decode(line)
         if isinstance(order, orders.Stop):
             worker.notes.write(worker.notes_file)
-            _say(orders.Done())
+            _send_answer(orders.Done())
             break
         if isinstance(order, orders.Restart):
             await worker.restart(order.number)
-            _say(orders.Done())
+            _send_answer(orders.Done())
         elif isinstance(order, orders.Sample):
-            _say(worker.sample())
-    looking.cancel()
+            _send_answer(worker.sample())
+    lateness_task.cancel()
 
 
 def main() -> None:
+    """Runs the worker; its log lines are formatted and discarded."""
     logging.basicConfig(stream=open("/dev/null", "w"), level=logging.INFO)  # noqa: SIM115
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve())
--- a/benchmarks/scale/worker_process.py
+++ b/benchmarks/scale/worker_process.py
@@ -1,4 +1,5 @@
-"""A process that carries out orders from its standard input: a JSON line each, and an answer to each."""
+"""A worker process that carries out orders from its standard input, each one line of JSON, and answers
+each."""
 
 from __future__ import annotations
 
@@ -12,49 +13,50 @@
 
 from benchmarks.scale.rows import ROOT
 
-ANSWER_WITHIN = 300.0  # s: only a worker that has failed takes so long
-LINE_MOST = 16 << 20  # bytes of an order or an answer
+ANSWER_TIMEOUT_S = 300.0  # reached only if a worker has failed
+LINE_BYTES_MAX = 16 << 20  # one order or answer
 
 Answer = TypeVar("Answer")
 
 
 class WorkerProcess(Generic[Answer]):
-    """One worker, and its orders one after the other."""
+    """A worker process, which gets one order at a time."""
 
-    def __init__(self, process: asyncio.subprocess.Process, answers: Callable[[bytes], Answer]) -> None:
+    def __init__(self, process: asyncio.subprocess.Process, decode_answer: Callable[[bytes], Answer]) -> None:
         self._process = process
-        self._decode = answers
+        self._decode = decode_answer
 
     @classmethod
     async def launch(
-        cls, module: str, *words: str, answers: Callable[[bytes], Answer]
+        cls, module: str, *arguments: str, decode_answer: Callable[[bytes], Answer]
     ) -> WorkerProcess[Answer]:
-        """`answers`: what an answer's line decodes to."""
+        """Starts a module as a worker. `decode_answer` decodes the line of an answer."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", module, *words, cwd=ROOT, stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE, limit=LINE_MOST,
+            sys.executable, "-m", module, *arguments, cwd=ROOT, stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE, limit=LINE_BYTES_MAX,
         )  # fmt: skip
-        return cls(process, answers)
+        return cls(process, decode_answer)
 
-    async def ask(self, order: msgspec.Struct) -> Answer:
-        """Raises RuntimeError where the worker has ended, TimeoutError where it does not answer."""
+    async def send(self, order: msgspec.Struct) -> Answer:
+        """Sends an order and returns the answer. Raises RuntimeError if the worker has ended, and
+        TimeoutError if it does not answer."""
         assert self._process.stdin is not None and self._process.stdout is not None
         self._process.stdin.write(msgspec.json.encode(order) + b"\n")
-        line = await asyncio.wait_for(self._process.stdout.readline(), ANSWER_WITHIN)
+        line = await asyncio.wait_for(self._process.stdout.readline(), ANSWER_TIMEOUT_S)
         if not line:
             raise RuntimeError("a worker has ended")
         return self._decode(line)
 
-    def resident(self) -> int:
-        """Bytes in memory."""
+    def resident_bytes(self) -> int:
+        """Returns the worker's resident memory, or 0 if it has ended."""
         try:
             text = Path(f"/proc/{self._process.pid}/status").read_text()
         except OSError:
             return 0
         return next((int(line.split()[1]) << 10 for line in text.splitlines() if line.startswith("VmRSS")), 0)
 
-    async def end(self) -> None:
-        """Whatever it does."""
+    async def kill(self) -> None:
+        """Ends the worker, whatever it is doing."""
         if self._process.returncode is None:
             self._process.kill()
         await self._process.wait()
