--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -132,7 +132,7 @@
 def test_lines_of_all_nodes_are_summed_by_worth_second_and_server(tmp_path: Path) -> None:
     write_log(tmp_path, "n0", tally_line(1_000_000), tally_line(1_001_000))
     write_log(tmp_path, "n1", tally_line(1_000_300, bad={"aa": {"full": 2}, "bb": {"reset": 1}}))
-    totals = losses.table(losses.read(tmp_path), most=5)
+    totals = losses.summarize(losses.read_logs(tmp_path), max_servers=5)
     assert totals["nodes"] == 2 and totals["asked"] == 3 * 34.0
     assert [(row["cause"], row["requests"]) for row in totals["causes"]] == [("timeout", 3), ("refused", 12)]
     assert totals["causes"][0]["part"] == round(3 * 12 / 102, 4)
@@ -150,8 +150,8 @@
 )  # fmt: skip
 def test_an_invalid_tally_line_is_counted_and_skipped(tmp_path: Path, line: str) -> None:
     write_log(tmp_path, "n0", tally_line(1_000_000), line)
-    found = losses.read(tmp_path)
-    assert found.skipped == 1 and found.nodes == {str(tmp_path / "n0.log")}
+    found = losses.read_logs(tmp_path)
+    assert found.skipped_lines == 1 and found.nodes == {str(tmp_path / "n0.log")}
 
 
 def test_folder_without_tally_lines_gives_one_error_line(
