--- a/benchmarks/keeping.py
+++ b/benchmarks/keeping.py
@@ -17,35 +17,44 @@
 from pathlib import Path
 
 import uvloop
-from request import HERE, one_round
+from request import ROOT, run_round
 
 
 def main() -> int:
+    """Runs rounds of all modes in turn, and prints their figures beside those without a ledger."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--requests", type=int, default=20_000)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--folder", help="for the ledgers")
     options = parser.parse_args()
-    found: dict[str, list[dict[str, float]]] = {"nothing kept": [], "process": [], "machine": []}
+    results: dict[str, list[dict[str, float]]] = {"nothing kept": [], "process": [], "machine": []}
     with (
         tempfile.TemporaryDirectory(dir=options.folder) as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
-        for number in range(options.rounds):
-            for way, rounds in found.items():
-                kept = Path(folder, f"{way.replace(' ', '-')}-{number}")
-                kept.mkdir()
-                table = f'[ledger]\nfolder = "{kept}"\ncommit = "50ms"\nsurvives = "{way}"\n'
-                path = kept / "service.toml"
-                path.write_text("version = 1\n" + (table if way in ("process", "machine") else ""))
-                rounds.append(runner.run(one_round(HERE, options.requests, 64, str(path))))
-    first = found["nothing kept"]
-    for way, rounds in found.items():
-        cpu, base = (min(one["cpu_us"] for one in rows) for rows in (rounds, first))
-        slow, usual = (statistics.median(one["p99_ms"] for one in rows) for rows in (rounds, first))
+        for round_number in range(options.rounds):
+            for mode, mode_results in results.items():
+                mode_folder = Path(folder, f"{mode.replace(' ', '-')}-{round_number}")
+                mode_folder.mkdir()
+                ledger_table = f'[ledger]\nfolder = "{mode_folder}"\ncommit = "50ms"\nsurvives = "{mode}"\n'
+                service_file = mode_folder / "service.toml"
+                service_file.write_text(
+                    "version = 1\n" + (ledger_table if mode in ("process", "machine") else "")
+                )
+                mode_results.append(runner.run(run_round(ROOT, options.requests, 64, str(service_file))))
+    baseline = results["nothing kept"]
+    for mode, mode_results in results.items():
+        cpu_us, base_cpu_us = (
+            min(figures["cpu_us"] for figures in figures_of_rounds)
+            for figures_of_rounds in (mode_results, baseline)
+        )
+        p99_ms, base_p99_ms = (
+            statistics.median(figures["p99_ms"] for figures in figures_of_rounds)
+            for figures_of_rounds in (mode_results, baseline)
+        )
         print(
-            f"{way:<14}{cpu:7.0f} us of CPU a request ({cpu / base:.3f}), 99th percentile {slow:.2f} ms "
-            f"({slow / usual:.3f})"
+            f"{mode:<14}{cpu_us:7.0f} us of CPU a request ({cpu_us / base_cpu_us:.3f}), 99th percentile "
+            f"{p99_ms:.2f} ms ({p99_ms / base_p99_ms:.3f})"
         )
     return 0
 
