--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,51 +20,56 @@
 from statistics import mean
 from typing import Any
 
-Job = tuple[int, int, float]
+Job = tuple[int, int, float]  # number of nodes, seed, simulated seconds
 
 
-def measure(job: Job) -> dict[str, Any]:
+def measure_job(job: Job) -> dict[str, Any]:
+    """Runs the scenario once and returns its figures."""
     from driftstair.rehearsal import wire
     from driftstair.rehearsal.load import by_path, load
     from driftstair.rehearsal.runner import Rehearsal
     from driftstair.rehearsal.virtual import play
 
     nodes, seed, seconds = job
-    sent: Counter[str] = Counter()
-    lists: Counter[int] = Counter()
-    ran = 0
-
-    def watch(rehearsal: Rehearsal) -> None:
-        judge = rehearsal.checker.note
-
-        def note(seen: wire.Observation) -> None:
-            nonlocal ran
-            if isinstance(seen, wire.Sent):
-                sent[seen.box] += 1
-            elif isinstance(seen, wire.Ran):
-                ran += 1
-            elif isinstance(seen, wire.Contact):
-                lists[seen.at // 1_000_000_000] += 1
-            judge(seen)
-
-        rehearsal.checker.note = note  # type: ignore[method-assign]
-
-    # Descriptors in proportion: a node short of them closes clients' connections, which is another matter.
-    changes = {"nodes.count": nodes, "nodes.descriptors": max(384, 384 * 40 // nodes)}
-    scenario = load("large-fleet", by_path({**changes, "seed": seed, "seconds": seconds}))
-    rehearsal, _, _ = play(scenario, prepare=watch)
-    asked, attempts = rehearsal.account.whole.asked, sum(sent.values())
-    busiest = sorted(sent.values(), reverse=True)
-    tenth = max(1, len(busiest) // 10)
+    attempts_by_box: Counter[str] = Counter()
+    list_calls_by_second: Counter[int] = Counter()
+    answered_attempts = 0
+
+    def count_observations(rehearsal: Rehearsal) -> None:
+        note_in_checker = rehearsal.checker.note
+
+        def note_and_count(observation: wire.Observation) -> None:
+            nonlocal answered_attempts
+            if isinstance(observation, wire.Sent):
+                attempts_by_box[observation.box] += 1
+            elif isinstance(observation, wire.Ran):
+                answered_attempts += 1
+            elif isinstance(observation, wire.Contact):
+                list_calls_by_second[observation.at // 1_000_000_000] += 1
+            note_in_checker(observation)
+
+        rehearsal.checker.note = note_and_count  # type: ignore[method-assign]
+
+    # Descriptors scale with the load of a node: with too few it would close clients' connections, an effect
+    # that this benchmark does not measure.
+    overrides = {"nodes.count": nodes, "nodes.descriptors": max(384, 384 * 40 // nodes)}
+    scenario = load("large-fleet", by_path({**overrides, "seed": seed, "seconds": seconds}))
+    rehearsal, _, _ = play(scenario, prepare=count_observations)
+    requests, attempts = rehearsal.account.whole.asked, sum(attempts_by_box.values())
+    attempt_counts = sorted(attempts_by_box.values(), reverse=True)
+    busiest_boxes = max(1, len(attempt_counts) // 10)
     return {
-        "nodes": nodes, "service": rehearsal.account.whole.service(), "attempts": attempts / asked,
-        "unanswered": 1.0 - ran / max(1, attempts),
-        "uneven": sum(busiest[:tenth]) / max(1, attempts) * len(busiest) / tenth,
-        "lists_peak": max(lists.values(), default=0), "breaks": len(rehearsal.checker.breaks),
+        "nodes": nodes, "service": rehearsal.account.whole.service(), "attempts": attempts / requests,
+        "unanswered": 1.0 - answered_attempts / max(1, attempts),
+        "uneven": (
+            sum(attempt_counts[:busiest_boxes]) / max(1, attempts) * len(attempt_counts) / busiest_boxes
+        ),
+        "lists_peak": max(list_calls_by_second.values(), default=0), "breaks": len(rehearsal.checker.breaks),
     }  # fmt: skip
 
 
 def main() -> int:
+    """Prints the mean figures for each number of nodes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, nargs="+", default=[4, 12, 40])
     parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2])
@@ -73,11 +78,11 @@
     options = parser.parse_args()
     jobs = [(nodes, seed, options.seconds) for nodes in options.nodes for seed in options.seeds]
     with ProcessPoolExecutor(mp_context=get_context("spawn")) as pool:
-        found = list(pool.map(measure, jobs))
+        results = list(pool.map(measure_job, jobs))
     rows = []
     for nodes in options.nodes:
-        own = [one for one in found if one["nodes"] == nodes]
-        rows.append({key: round(mean(one[key] for one in own), 3) for key in own[0]})
+        node_results = [result for result in results if result["nodes"] == nodes]
+        rows.append({key: round(mean(result[key] for result in node_results), 3) for key in node_results[0]})
     if options.json:
         print(json.dumps(rows, indent=1))
         return 0
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -17,7 +17,7 @@
 import sys
 import time
 
-POINTS = (  # nodes, boxes, requests a second, seconds
+POINTS = (  # nodes, boxes, requests per second, simulated seconds
     (3, 12, 100, 20),
     (3, 12, 350, 20),
     (3, 12, 700, 20),
@@ -27,49 +27,52 @@
 )
 
 
-def measure(nodes: int, boxes: int, rate: float, seconds: float, profile: bool) -> dict[str, float]:
+def measure_point(nodes: int, boxes: int, rate: float, seconds: float, profile: bool) -> dict[str, float]:
+    """Runs the `calm` scenario with these sizes, and returns its figures."""
     from driftstair.rehearsal.load import by_path, load
     from driftstair.rehearsal.virtual import play
 
-    changes = {
+    overrides = {
         "nodes.count": nodes,
         "boxes.count": boxes,
         "load.rate": float(rate),
         "seconds": float(seconds),
     }
-    scenario = load("calm", by_path(changes))
-    before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    scenario = load("calm", by_path(overrides))
+    rss_before_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     profiler = cProfile.Profile()
-    began = time.process_time()
+    start_s = time.process_time()
     if profile:
         profiler.enable()
     rehearsal, _, events = play(scenario)
     if profile:
         profiler.disable()
         pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
-    cpu = time.process_time() - began
-    passed = rehearsal.now() / 1e9
-    asked = rehearsal.account.whole.asked
+    cpu_s = time.process_time() - start_s
+    simulated_s = rehearsal.now() / 1e9
+    requests = rehearsal.account.whole.asked
     return {
-        "nodes": nodes, "boxes": boxes, "rate": rate, "seconds": seconds, "asked": asked, "events": events,
+        "nodes": nodes, "boxes": boxes, "rate": rate, "seconds": seconds, "asked": requests, "events": events,
         "service": round(rehearsal.account.whole.service(), 4), "breaks": len(rehearsal.checker.breaks),
-        "simulated_per_cpu_second": round(passed / cpu, 2), "cpu_us_per_request": round(cpu / asked * 1e6),
-        "rss_before_mb": round(before / 1024, 1),
+        "simulated_per_cpu_second": round(simulated_s / cpu_s, 2),
+        "cpu_us_per_request": round(cpu_s / requests * 1e6),
+        "rss_before_mb": round(rss_before_kb / 1024, 1),
         "rss_peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
     }  # fmt: skip
 
 
 def main() -> int:
+    """Runs each point in a process of its own, and prints a row for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--profile", action="store_true", help="of the last point alone")
     parser.add_argument("--point", help=argparse.SUPPRESS)
     options = parser.parse_args()
     if options.point:
-        print(json.dumps(measure(*json.loads(options.point), profile=False)))
+        print(json.dumps(measure_point(*json.loads(options.point), profile=False)))
         return 0
     if options.profile:
-        measure(*POINTS[-1], profile=True)
+        measure_point(*POINTS[-1], profile=True)
         return 0
     rows = []
     for point in POINTS:
