--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,10 +1,11 @@
-"""One owner at a time: how long a task has none, what that costs, and random evenings, in a modelled tier.
+"""Leases of a modelled tier: the time without an owner, the messages, and randomized runs under faults.
 
     python -m benchmarks.ownership gaps         # s without an owner after a crash, a planned end, a cut
-    python -m benchmarks.ownership messages     # datagrams a second by nodes and tasks
-    python -m benchmarks.ownership evenings [N] # of crashes, stalls and cuts (left out: 10,000)
+    python -m benchmarks.ownership messages     # datagrams per second by numbers of nodes and tasks
+    python -m benchmarks.ownership evenings [N] # N runs with crashes, stalls and cuts (default: 10,000)
 
-Seeds from 1000 on; nothing was found or set on these. Who lives is told 4 s after a crash.
+Seeds start at 1000: they serve for evaluation alone, not for development or tuning. All nodes learn of a
+crash 4 s after it.
 """
 
 from __future__ import annotations
@@ -20,25 +21,28 @@
 from driftstair.tier.ownership.leases import TERMS
 
 FIRST_SEED = 1000
-SETTLED = TERMS.waited() / 1e9 + 4.0
+SETTLING_TIME_S = TERMS.waited() / 1e9 + 4.0
 
 
-def settled(count: int, seed: int, tasks: tuple[str, ...] = ("work",), link: Link | None = None) -> Fleet:
-    play = Fleet(count, seed, tasks, link or Link())
-    play.world.run(SETTLED)
-    return play
+def settled_fleet(
+    count: int, seed: int, tasks: tuple[str, ...] = ("work",), link: Link | None = None
+) -> Fleet:
+    """Returns a fleet that has run for `SETTLING_TIME_S`."""
+    fleet = Fleet(count, seed, tasks, link or Link())
+    fleet.world.run(SETTLING_TIME_S)
+    return fleet
 
 
-def gap(play: tuple[str, int, float, int]) -> float:
-    """s until the task has another owner."""
-    what, count, loss, seed = play
-    fleet = settled(count, seed, link=Link(loss=loss))
+def measure_gap(job: tuple[str, int, float, int]) -> float:
+    """Returns the time in s from a fault at the owner until the task has another owner."""
+    fault, count, loss, seed = job
+    fleet = settled_fleet(count, seed, link=Link(loss=loss))
     fleet.until_owned(30.0)
     (owner,) = fleet.owners()
     fleet.world.run(Random(seed).uniform(0, 2.0))
-    if what == "crash":
+    if fault == "crash":
         fleet.crash(owner)
-    elif what == "planned end":
+    elif fault == "planned end":
         fleet.world.hosts[owner].detector.leave()  # type: ignore[union-attr]
     else:
         fleet.world.cut = lambda source, target: owner in (source, target)
@@ -48,96 +52,110 @@
     return fleet.until_owned(60.0)
 
 
-def gaps(workers: int) -> None:
+def measure_gaps(workers: int) -> None:
+    """Prints a table of the gaps by number of nodes, fault and loss."""
     print("| nodes | what | loss | s without an owner: median, 99th percentile, worst of 200 |")
     print("|---|---|---|---|", flush=True)
     with ProcessPoolExecutor(workers) as pool:
         for count in (5, 20, 200):
-            for what in ("crash", "planned end", "cut off"):
+            for fault in ("crash", "planned end", "cut off"):
                 for loss in (0.0, 0.1):
-                    plays = [(what, count, loss, FIRST_SEED + seed) for seed in range(200)]
-                    found = sorted(pool.map(gap, plays, chunksize=10))
-                    print(f"| {count} | {what} | {loss:.0%} | {median(found):.2f}, {found[197]:.2f}, "
-                          f"{found[-1]:.2f} |", flush=True)  # fmt: skip
+                    jobs = [(fault, count, loss, FIRST_SEED + seed) for seed in range(200)]
+                    gaps_s = sorted(pool.map(measure_gap, jobs, chunksize=10))
+                    print(f"| {count} | {fault} | {loss:.0%} | {median(gaps_s):.2f}, {gaps_s[197]:.2f}, "
+                          f"{gaps_s[-1]:.2f} |", flush=True)  # fmt: skip
 
 
-def messages(play: tuple[int, int]) -> tuple[float, float]:
-    """Datagrams a second that a node sends, on average and at most."""
-    count, tasks = play
-    fleet = settled(count, FIRST_SEED, tuple(f"t{number}" for number in range(tasks)))
-    before = [host.datagrams_out for host in fleet.world.hosts]
+def measure_messages(job: tuple[int, int]) -> tuple[float, float]:
+    """Returns the datagrams per second that a node sends, on average and at most."""
+    count, tasks = job
+    fleet = settled_fleet(count, FIRST_SEED, tuple(f"t{task}" for task in range(tasks)))
+    datagrams_before = [host.datagrams_out for host in fleet.world.hosts]
     fleet.world.run(20.0)
-    sent = [(host.datagrams_out - one) / 20 for host, one in zip(fleet.world.hosts, before, strict=True)]
-    return sum(sent) / count, max(sent)
+    datagrams_per_s = [
+        (host.datagrams_out - previous) / 20
+        for host, previous in zip(fleet.world.hosts, datagrams_before, strict=True)
+    ]
+    return sum(datagrams_per_s) / count, max(datagrams_per_s)
 
 
-def evening(seed: int) -> tuple[int, int, float]:
-    """Leases had; times that two had the task or a token did not rise; and of the time in which a majority of
-    the voters ran and heard each other, some silent after a start, the part in which nobody had it."""
+def run_seed(seed: int) -> tuple[int, int, float]:
+    """Runs one seed of random faults.
+
+    Returns the number of leases; how often two nodes owned the task or a token did not rise; and the fraction
+    of samples without an owner among those in which a majority of the voters were running and connected. A
+    voter that does not vote yet after a start counts as running.
+    """
     random = Random(seed)
     count = random.choice((3, 5, 7, 9))
     link = Link(
         loss=random.choice((0.0, 0.1, 0.3)), duplicate=0.1, max_delay_ns=random.choice((20, 300)) * 1_000_000
     )
     fleet = Fleet(count, seed, link=link)
-    world, wrong, idle, looked = fleet.world, 0, 0, 0
-    apart: set[int] = set()
+    world, violations, unowned_samples, samples = fleet.world, 0, 0, 0
+    cut_off: set[int] = set()
     for _ in range(40):
-        number = random.randrange(count)
-        kind = random.randrange(7)
-        if kind == 0 and world.is_running(number):
-            fleet.crash(number)
-        elif kind <= 2 and not world.is_running(number):
-            fleet.start(number)
-        elif kind == 3:
-            world.stop(number)
-        elif kind <= 5 and world.hosts[number].stopped:
-            world.resume(number)
-        elif kind == 6:
-            apart = set(random.sample(range(count), random.randrange(count // 2 + 1)))
-            both = random.random() < 0.5
-            some = frozenset(apart)
+        node = random.randrange(count)
+        fault_kind = random.randrange(7)
+        if fault_kind == 0 and world.is_running(node):
+            fleet.crash(node)
+        elif fault_kind <= 2 and not world.is_running(node):
+            fleet.start(node)
+        elif fault_kind == 3:
+            world.stop(node)
+        elif fault_kind <= 5 and world.hosts[node].stopped:
+            world.resume(node)
+        elif fault_kind == 6:
+            cut_off = set(random.sample(range(count), random.randrange(count // 2 + 1)))
+            cut_both_directions = random.random() < 0.5
+            cut_nodes = frozenset(cut_off)
             world.cut = (
-                (lambda source, target, some=some: (source in some) != (target in some)) if both  # type: ignore[misc]
-                else (lambda source, target, some=some: source in some)  # type: ignore[misc]
+                (lambda source, target, cut_nodes=cut_nodes:  # type: ignore[misc]
+                    (source in cut_nodes) != (target in cut_nodes)) if cut_both_directions
+                else (lambda source, target, cut_nodes=cut_nodes: source in cut_nodes)  # type: ignore[misc]
             )  # fmt: skip
         for _ in range(8):
             world.run(random.uniform(0.05, 0.6))
             owners = fleet.owners()
-            wrong += len(owners) > 1
-            voters = [one for one in range(min(count, 7)) if one not in apart and world.is_running(one)
-                       and not world.hosts[one].stopped]  # fmt: skip
+            violations += len(owners) > 1
+            voters = [voter for voter in range(min(count, 7))
+                      if voter not in cut_off and world.is_running(voter)
+                      and not world.hosts[voter].stopped]  # fmt: skip
             if len(voters) > min(count, 7) // 2:
-                looked, idle = looked + 1, idle + (not owners)
-    tokens = [one.token for one in fleet.leases]
-    wrong += tokens != sorted(set(tokens))
-    return len(tokens), wrong, idle / max(1, looked)
+                samples, unowned_samples = samples + 1, unowned_samples + (not owners)
+    tokens = [lease.token for lease in fleet.leases]
+    violations += tokens != sorted(set(tokens))
+    return len(tokens), violations, unowned_samples / max(1, samples)
 
 
-def evenings(workers: int, number: int) -> None:
+def run_seeds(workers: int, run_count: int) -> None:
+    """Runs so many seeds in parallel and prints their sums."""
     with ProcessPoolExecutor(workers) as pool:
-        found = list(pool.map(evening, range(FIRST_SEED, FIRST_SEED + number), chunksize=50))
-    idle = sorted(one[2] for one in found)
-    leases, wrong = sum(one[0] for one in found), sum(one[1] for one in found)
-    print(f"{number} evenings: {leases} leases, {wrong} times two owners or a token that fell; without "
-          f"an owner while a majority heard itself, of the time: median {median(idle):.0%}, 99th percentile "
-          f"{idle[int(0.99 * number)]:.0%}")  # fmt: skip
+        results = list(pool.map(run_seed, range(FIRST_SEED, FIRST_SEED + run_count), chunksize=50))
+    unowned_fractions = sorted(result[2] for result in results)
+    lease_count, violations = sum(result[0] for result in results), sum(result[1] for result in results)
+    print(f"{run_count} evenings: {lease_count} leases, {violations} times two owners or a token that fell; "
+          "without an owner while a majority heard itself, of the time: "
+          f"median {median(unowned_fractions):.0%}, "
+          "99th percentile "
+          f"{unowned_fractions[int(0.99 * run_count)]:.0%}")  # fmt: skip
 
 
 def main() -> None:
-    what, workers = (sys.argv[1:] or ["gaps"])[0], max(1, (os.cpu_count() or 2) // 2)
-    if what == "gaps":
-        gaps(workers)
-    elif what == "messages":
+    """Runs the benchmark that the first argument names."""
+    benchmark, workers = (sys.argv[1:] or ["gaps"])[0], max(1, (os.cpu_count() or 2) // 2)
+    if benchmark == "gaps":
+        measure_gaps(workers)
+    elif benchmark == "messages":
         for count in (5, 20, 200):
             for tasks in (1, 10, 100):
-                mean, most = messages((count, tasks))
-                print(f"{count} nodes, {tasks} tasks: {mean:.2f} datagrams a second a node, "
-                      f"{most:.2f} at most", flush=True)  # fmt: skip
-    elif what == "evenings":
-        evenings(workers, int(sys.argv[2]) if len(sys.argv) > 2 else 10_000)
+                mean_per_s, max_per_s = measure_messages((count, tasks))
+                print(f"{count} nodes, {tasks} tasks: {mean_per_s:.2f} datagrams a second a node, "
+                      f"{max_per_s:.2f} at most", flush=True)  # fmt: skip
+    elif benchmark == "evenings":
+        run_seeds(workers, int(sys.argv[2]) if len(sys.argv) > 2 else 10_000)
     else:
-        raise SystemExit(f"{what}: gaps, messages or evenings would do")
+        raise SystemExit(f"{benchmark}: expected gaps, messages or evenings")
 
 
 if __name__ == "__main__":
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -1,12 +1,13 @@
-"""How soon all know a fact, what that costs, and what shared judgements spare: in virtual time.
+"""Facts that the nodes of a tier share: delay and cost of their spread, and the effect of shared judgements.
 
-    python -m benchmarks.shared facts       # s until 99% know, datagrams and bytes, by number of nodes
-    python -m benchmarks.shared judge       # tries at a failing server, with judgements shared and without
-    python -m benchmarks.shared memory      # of a store full of facts, by number of servers and reporters
+    python -m benchmarks.shared facts       # s until 99% of nodes know a fact, datagrams and bytes, by size
+    python -m benchmarks.shared judge       # attempts at a failing server, with shared judgements and without
+    python -m benchmarks.shared memory      # of a store of facts, by number of servers and reporters
     python -m benchmarks.shared real N      # N processes: use of a budget, a failing server, cost at rest
-    python -m benchmarks.shared request     # CPU of a request with the tier and all of this beside without
+    python -m benchmarks.shared request     # CPU of a request with the tier and shared facts, and without
 
-Seeds from 1000 on; nothing was found or set on these.
+`facts` and `judge` run in virtual time. Seeds start at 1000: they serve for evaluation alone, not
+for development or tuning.
 """
 
 from __future__ import annotations
@@ -30,92 +31,106 @@
 from driftstair.tier.shared.facts import EVIDENCE, LOAD, MS, Fact, Facts
 from driftstair.tier.shared.gossip import ROUND, Gossip
 
-FIRST_SEED, SEEDS = 1000, 20
-WARM = 3_000 * MS  # ns
-HEAD = 45  # bytes of a datagram beside its items, about
-VALUE = (9, 5, 0, 20, 2)
+FIRST_SEED, SEED_COUNT = 1000, 20
+WARM_UP_NS = 3_000 * MS
+HEADER_BYTES = 45  # of a datagram without its items, approximately
+EVIDENCE_VALUE = (9, 5, 0, 20, 2)
 
 
-def spread(play: tuple[int, float, int]) -> tuple[float, float, float]:
-    """s until 99% know what a node has seen, while the load of all goes round; datagrams and bytes a second a
-    node until then."""
-    count, loss, seed = play
+def run_spread(job: tuple[int, float, int]) -> tuple[float, float, float]:
+    """Spreads one fact of a node while all nodes also publish their load.
+
+    Returns the s until 99% of the nodes know the fact, and the datagrams and bytes per second and node until
+    then.
+    """
+    count, loss, seed = job
     random = Random(seed)
     nodes = [
-        Gossip(Facts(one, 1, Random(f"{seed}/{one}")), Random(f"{seed}/g{one}"),
-               lambda one=one: [other for other in range(count) if other != one], Counter())
-        for one in range(count)
+        Gossip(Facts(number, 1, Random(f"{seed}/{number}")), Random(f"{seed}/g{number}"),
+               lambda number=number: [peer for peer in range(count) if peer != number], Counter())
+        for number in range(count)
     ]  # fmt: skip
-    now, known_at, datagrams, size = 0, float("inf"), 0, 0
-    turns = [random.randrange(40) for _ in range(count)]  # each node's load goes round every 10 s
-    while now < WARM + 5_000 * MS:
-        if now == WARM:
-            nodes[0].facts.publish(now, EVIDENCE, 7, VALUE, count)
-            datagrams = size = 0
+    now, known_after_s, datagram_count, byte_count = 0, float("inf"), 0, 0
+    load_rounds = [random.randrange(40) for _ in range(count)]  # each node publishes its load every 10 s
+    while now < WARM_UP_NS + 5_000 * MS:
+        if now == WARM_UP_NS:
+            nodes[0].facts.publish(now, EVIDENCE, 7, EVIDENCE_VALUE, count)
+            datagram_count = byte_count = 0
         now += ROUND
         for number, node in enumerate(nodes):
-            if now // ROUND % 40 == turns[number]:
+            if now // ROUND % 40 == load_rounds[number]:
                 node.facts.publish(now, LOAD, 0, (0, 50, 3, 9, 0), count)
         inbox: list[tuple[int, int, wire.Item]] = []
         for number, node in enumerate(nodes):
-            inbox += [(number, *tell) for tell in node.tick(now)]
+            inbox += [(number, *message) for message in node.tick(now)]
         while inbox:
             by_pair: dict[tuple[int, int], list[wire.Item]] = {}
-            for source, to, item in inbox:
-                by_pair.setdefault((source, to), []).append(item)
+            for source, target, item in inbox:
+                by_pair.setdefault((source, target), []).append(item)
             inbox = []
-            for (source, to), items in by_pair.items():
+            for (source, target), items in by_pair.items():
                 for data in wire.pack_items(items):
-                    datagrams, size = datagrams + 1, size + HEAD + len(data)
+                    datagram_count, byte_count = datagram_count + 1, byte_count + HEADER_BYTES + len(data)
                     if random.random() >= loss:
                         for item in wire.unpack_items(data)[0]:
-                            inbox += [(to, *tell) for tell in nodes[to].take(now, source, item)]
-        known = sum(bool(node.facts.read(now, EVIDENCE, 7)) for node in nodes)
-        if known >= 0.99 * count:
-            known_at = (now - WARM) / 1e9
+                            inbox += [(target, *message) for message in nodes[target].take(now, source, item)]
+        informed_nodes = sum(bool(node.facts.read(now, EVIDENCE, 7)) for node in nodes)
+        if informed_nodes >= 0.99 * count:
+            known_after_s = (now - WARM_UP_NS) / 1e9
             break
-    spent = (now - WARM) / 1e9
-    return known_at, datagrams / count / spent, size / count / spent
+    elapsed_s = (now - WARM_UP_NS) / 1e9
+    return known_after_s, datagram_count / count / elapsed_s, byte_count / count / elapsed_s
 
 
-def facts(workers: int) -> None:
+def measure_spread(workers: int) -> None:
+    """Prints a table of the spread by number of nodes and loss."""
     print("| nodes | loss | s until 99% know: median, worst | datagrams/s a node meanwhile | B/s |")
     print("|---|---|---|---|---|", flush=True)
     with ProcessPoolExecutor(workers) as pool:
-        for count, seeds in ((20, SEEDS), (200, SEEDS), (1000, 4)):
+        for count, seeds in ((20, SEED_COUNT), (200, SEED_COUNT), (1000, 4)):
             for loss in (0.0, 0.1, 0.3):
-                found = list(pool.map(spread, [(count, loss, FIRST_SEED + seed) for seed in range(seeds)]))
-                times = sorted(one[0] for one in found)
-                print(f"| {count} | {loss:.0%} | {median(times):.2f}, {times[-1]:.2f} "
-                      f"| {median(one[1] for one in found):.1f} | {median(one[2] for one in found):.0f} |",
+                results = list(
+                    pool.map(run_spread, [(count, loss, FIRST_SEED + seed) for seed in range(seeds)])
+                )
+                times_s = sorted(result[0] for result in results)
+                print(f"| {count} | {loss:.0%} | {median(times_s):.2f}, {times_s[-1]:.2f} "
+                      f"| {median(result[1] for result in results):.1f} | "
+                      f"{median(result[2] for result in results):.0f} |",
                       flush=True)  # fmt: skip
 
 
-def tries(play: tuple[bool, int]) -> tuple[int, int, float]:
-    """That reach the failing server while it fails; servers held back wrongly; service."""
+def run_failing_server(job: tuple[bool, int]) -> tuple[int, int, float]:
+    """Runs the scenario with a failing server, with shared judgements or without.
+
+    Returns the requests that the failing server handled while it failed, the number of servers that were
+    wrongly held back, and the service.
+    """
     from driftstair.rehearsal import virtual
     from driftstair.rehearsal.load import load
     from driftstair.rehearsal.report import build
 
-    judge, seed = play
+    judge, seed = job
     nodes = 24
-    tree: dict[str, Any] = {
+    settings: dict[str, Any] = {
         "seed": seed, "seconds": 45, "nodes": {"count": nodes, "tier": {"judge": judge}},
         "boxes": {"count": 16}, "load": {"rate": 320.0},
     }  # fmt: skip
-    handled: list[int] = []
+    handled_counts: list[int] = []
 
     def prepare(rehearsal: Any) -> None:
-        for at in (15.0, 35.0):
-            rehearsal.place.loop.call_later(at, lambda: handled.append(rehearsal.boxes["s-03"].handled))
+        for at_s in (15.0, 35.0):
+            rehearsal.place.loop.call_later(
+                at_s, lambda: handled_counts.append(rehearsal.boxes["s-03"].handled)
+            )
 
-    rehearsal, log, _ = virtual.play(load("shared-bad-eighth", tree), prepare=prepare)
-    found = build.build(rehearsal, log, "virtual")
-    wrong = sum(one["server"] != "s-03" for one in found["tier"]["held_back"])
-    return handled[1] - handled[0], wrong, found["service"]
+    rehearsal, log, _ = virtual.play(load("shared-bad-eighth", settings), prepare=prepare)
+    report = build.build(rehearsal, log, "virtual")
+    wrongly_held_back = sum(entry["server"] != "s-03" for entry in report["tier"]["held_back"])
+    return handled_counts[1] - handled_counts[0], wrongly_held_back, report["service"]
 
 
-def memory() -> None:
+def measure_memory() -> None:
+    """Prints the memory of one store by the number of servers and reporters."""
     for servers, reporters in ((20, 20), (200, 200), (1000, 200)):
         tracemalloc.start()
         store = Facts(0, 1, Random(0))
@@ -123,7 +138,7 @@
         for server in range(servers):
             for owner in range(1, reporters):
                 version += 1
-                store.take(0, Fact(owner, 1, version, EVIDENCE, server, 0, VALUE), reporters)
+                store.take(0, Fact(owner, 1, version, EVIDENCE, server, 0, EVIDENCE_VALUE), reporters)
                 if version >= 20_000:
                     break
         print(f"{servers} servers x {reporters} reporters: {len(store)} facts held, {store.dropped} dropped, "
@@ -131,22 +146,22 @@
         tracemalloc.stop()
 
 
-async def _request() -> None:
-    """Two nodes of the same build on one core each, one in a tier of three that shares all it can."""
+async def _measure_request() -> None:
+    """Compares two nodes of the same build, one in a tier of three that shares judgements and a budget."""
     sys.path[:0] = ["tests", "tests/tier"]
     from fleet import Fleet
     from rig import Client, Server, request
 
-    from benchmarks.membership import _cpu
+    from benchmarks.membership import _process_cpu_s
 
-    table = (
+    tier_table = (
         'judge = true\n[tier.budgets.all]\nper_s = 100000.0\n[[route]]\nname = "all"\n'
         'admit = { rate = { fleet = "all" } }\n'
     )
     with tempfile.TemporaryDirectory() as folder:
-        async with Fleet(Path(folder), 4, table, period="1s") as fleet, Server("s0") as server:
+        async with Fleet(Path(folder), 4, tier_table, period="1s") as fleet, Server("s0") as server:
             fleet.servers.append(server)
-            text = fleet.service.read_text()
+            tier_service = fleet.service.read_text()
             await fleet.start(0, 1, 2)
             await fleet.wait_for_state((1, 2), "alive", by=(0,))
             fleet.service.write_text(
@@ -154,98 +169,113 @@
             )
             await fleet.start(3)
             await fleet.wait_until(lambda: 3 in fleet.addresses)
-            fleet.service.write_text(text)
+            fleet.service.write_text(tier_service)
             clients = {
-                number: Client(*await asyncio.open_connection(*fleet.addresses[number])) for number in (0, 3)
+                node: Client(*await asyncio.open_connection(*fleet.addresses[node])) for node in (0, 3)
             }
-            spent: dict[int, float] = {0: 0.0, 3: 0.0}
-            for turn in range(21):
-                for number, client in clients.items():
-                    before = _cpu(fleet.process(number).pid)
+            cpu_spent_s: dict[int, float] = {0: 0.0, 3: 0.0}
+            for round_number in range(21):
+                for node, client in clients.items():
+                    cpu_before_s = _process_cpu_s(fleet.process(node).pid)
                     for _ in range(1500):
                         await client.ask(request())
-                    if turn:  # the first warms both up
-                        spent[number] += _cpu(fleet.process(number).pid) - before
-            us = 1e6 / (20 * 1500)
-            print(f"CPU of a request: {spent[3] * us:.1f} us without, {spent[0] * us:.1f} us with: "
-                  f"{spent[0] / spent[3]:.3f} times")  # fmt: skip
+                    if round_number:  # the first round warms both up
+                        cpu_spent_s[node] += _process_cpu_s(fleet.process(node).pid) - cpu_before_s
+            us_per_request = 1e6 / (20 * 1500)
+            print(f"CPU of a request: {cpu_spent_s[3] * us_per_request:.1f} us without, "
+                  f"{cpu_spent_s[0] * us_per_request:.1f} us with: "
+                  f"{cpu_spent_s[0] / cpu_spent_s[3]:.3f} times")  # fmt: skip
+
 
+async def _measure_processes(count: int) -> None:
+    """Measures real processes.
 
-async def _real(count: int) -> None:
-    """A tenth of the nodes are asked as fast as they answer; a budget of 2 tokens a second a node lets in;
-    then one of six servers fails."""
+    A tenth of the nodes receive requests as fast as they answer, and a budget of 2 tokens per second and node
+    admits them. Then one of six servers fails.
+    """
     sys.path[:0] = ["tests", "tests/tier"]
     from fleet import Fleet
     from rig import Server, answer, sends
     from test_judgements_processes import BAD, SERVERS, judged
     from traffic import Traffic
 
-    from benchmarks.membership import _cpu
+    from benchmarks.membership import _process_cpu_s
 
-    per_s, busy = 2.0 * count, range(0, count, max(1, min(10, count // 6)))
-    table = (
-        f'judge = true\n[tier.budgets.b]\nper_s = {per_s}\nburst = "5s"\n'
+    tokens_per_s, busy_nodes = 2.0 * count, range(0, count, max(1, min(10, count // 6)))
+    tier_table = (
+        f'judge = true\n[tier.budgets.b]\nper_s = {tokens_per_s}\nburst = "5s"\n'
         '[[route]]\nname = "all"\nadmit = { rate = { fleet = "b" } }\n'
     )
     with tempfile.TemporaryDirectory() as folder:
         async with AsyncExitStack() as stack:
             servers = {name: await stack.enter_async_context(Server(name)) for name in SERVERS}
-            fleet = await stack.enter_async_context(Fleet(Path(folder), count, table, period="1s"))
+            fleet = await stack.enter_async_context(Fleet(Path(folder), count, tier_table, period="1s"))
             fleet.servers = list(servers.values())
-            for first in range(0, count, 10):
-                await fleet.start(*range(first, min(count, first + 10)))
+            for first_node in range(0, count, 10):
+                await fleet.start(*range(first_node, min(count, first_node + 10)))
                 await asyncio.sleep(0.5)
             await fleet.wait_joined()
-            await asyncio.sleep(6.0)  # loans of before the start are over
-            pids = [fleet.process(number).pid for number in range(count)]
-            before, at = sum(map(_cpu, pids)), time.monotonic()
+            await asyncio.sleep(6.0)  # until loans from before the start have expired
+            pids = [fleet.process(node).pid for node in range(count)]
+            cpu_before_s, measured_since_s = sum(map(_process_cpu_s, pids)), time.monotonic()
             await asyncio.sleep(10.0)
-            rest = (sum(map(_cpu, pids)) - before) / count / (time.monotonic() - at)
+            idle_cpu_fraction = (
+                (sum(map(_process_cpu_s, pids)) - cpu_before_s)
+                / count
+                / (time.monotonic() - measured_since_s)
+            )
             traffic = Traffic(fleet)
-            traffic.on(*busy)
+            traffic.on(*busy_nodes)
             await asyncio.sleep(5.0)
-            began = time.monotonic_ns()
+            start_ns = time.monotonic_ns()
             await asyncio.sleep(15.0)
-            ended = time.monotonic_ns()
-            spent = sum(one["event"] == "spend" and began <= one["t_ns"] < ended for one in fleet.events())
-            failed = time.monotonic_ns()
+            end_ns = time.monotonic_ns()
+            tokens_spent = sum(
+                event["event"] == "spend" and start_ns <= event["t_ns"] < end_ns for event in fleet.events()
+            )
+            failed_at_ns = time.monotonic_ns()
             servers[BAD].script = sends(answer(500))
 
-            def told() -> list[int]:
-                return sorted(one.begin for one in judged(fleet) if one.server == BAD)
+            def judgement_times_ns() -> list[int]:
+                return sorted(judgement.begin for judgement in judged(fleet) if judgement.server == BAD)
 
-            await fleet.wait_until(lambda: len(told()) >= len(busy))
-            first_known, known = ((one - failed) / 1e9 for one in (told()[0], told()[len(busy) - 1]))
-            wrong = {one.server for one in judged(fleet)} - {BAD}
+            await fleet.wait_until(lambda: len(judgement_times_ns()) >= len(busy_nodes))
+            first_after_s, all_after_s = (
+                (time_ns - failed_at_ns) / 1e9
+                for time_ns in (judgement_times_ns()[0], judgement_times_ns()[len(busy_nodes) - 1])
+            )
+            wrongly_held_back = {judgement.server for judgement in judged(fleet)} - {BAD}
             await traffic.off()
             print(json.dumps({
-                "nodes": count, "asked": len(busy), "of the budget used": round(
-                    spent / (per_s * (ended - began) / 1e9), 3),
-                "cpu of a core at rest, a node": round(rest, 5),
-                "held back by the first, s": round(first_known, 2), f"by {len(busy)}, s": round(known, 2),
-                "others held back": sorted(wrong),
+                "nodes": count, "asked": len(busy_nodes), "of the budget used": round(
+                    tokens_spent / (tokens_per_s * (end_ns - start_ns) / 1e9), 3),
+                "cpu of a core at rest, a node": round(idle_cpu_fraction, 5),
+                "held back by the first, s": round(first_after_s, 2),
+                f"by {len(busy_nodes)}, s": round(all_after_s, 2),
+                "others held back": sorted(wrongly_held_back),
             }))  # fmt: skip
 
 
 def main() -> None:
-    what, workers = (sys.argv[1:] or ["facts"])[0], max(1, (os.cpu_count() or 2) // 2)
-    if what == "facts":
-        facts(workers)
-    elif what == "judge":
+    """Runs the benchmark that the first argument names."""
+    benchmark, workers = (sys.argv[1:] or ["facts"])[0], max(1, (os.cpu_count() or 2) // 2)
+    if benchmark == "facts":
+        measure_spread(workers)
+    elif benchmark == "judge":
         with ProcessPoolExecutor(workers) as pool:
             for judge in (False, True):
-                rows = list(pool.map(tries, [(judge, FIRST_SEED + seed) for seed in range(8)]))
+                rows = list(pool.map(run_failing_server, [(judge, FIRST_SEED + seed) for seed in range(8)]))
                 print(f"judge = {judge}: tries at the failing server {[row[0] for row in rows]}, "
                       f"others held back {sum(row[1] for row in rows)}, "
                       f"service {[round(row[2], 4) for row in rows]}")  # fmt: skip
-    elif what == "memory":
-        memory()
-    elif what == "request":
-        asyncio.run(_request())
-    elif what == "real":
-        asyncio.run(_real(int(sys.argv[2])))
+    elif benchmark == "memory":
+        measure_memory()
+    elif benchmark == "request":
+        asyncio.run(_measure_request())
+    elif benchmark == "real":
+        asyncio.run(_measure_processes(int(sys.argv[2])))
     else:
-        raise SystemExit(f"{what}: facts, judge, memory, request or real would do")
+        raise SystemExit(f"{benchmark}: expected facts, judge, memory, request or real")
 
 
 if __name__ == "__main__":
