--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -16,7 +16,7 @@
 
 from driftstair.model.tier.budgets import WAYS, Fleet
 from driftstair.model.tier.world import SECOND
-from driftstair.tier.shared.budget import Spec
+from driftstair.tier.shared.budget import BudgetSpec
 
 FIRST_SEED, SEEDS = 1000, 20
 EACH = 2.0  # tokens a second for each node
@@ -31,7 +31,9 @@
     way, count, seed = play
     per_s, random = EACH * count, Random(seed)
     busy = random.sample(range(count), max(1, count // 10))
-    fleet = Fleet(way, count, seed, Spec("b", per_s, BURST), dict.fromkeys(busy, 1.5 * per_s / len(busy)))
+    fleet = Fleet(
+        way, count, seed, BudgetSpec("b", per_s, BURST), dict.fromkeys(busy, 1.5 * per_s / len(busy))
+    )
     fleet.world.run(15.0)
     before = sum(host.bytes_out for host in fleet.world.hosts)
     used = fleet.use(20.0)
--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -75,7 +75,7 @@
             await self.start(*range(self.count))
             await fleet.wait_joined()
             traffic = Traffic(fleet)
-            traffic.on(*range(self.count))
+            traffic.start_clients(*range(self.count))
             asking = asyncio.create_task(self.ask())
             try:
                 for _ in range(FAULTS):
@@ -87,7 +87,7 @@
                 found = await self.books(billing)
             finally:
                 asking.cancel()
-                await traffic.off()
+                await traffic.stop_clients()
                 for one in self.desks:
                     one.release()
             return found + self.judge()
--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -69,26 +69,26 @@
 
 def measure_reports(size: int, folder: Path) -> dict[str, float]:
     """A store that holds the load of `size` nodes, and the cost of taking in reports of failing servers."""
-    from driftstair.tier.shared.facts import EVIDENCE, KINDS, LOAD, Fact, Facts
+    from driftstair.tier.shared.facts import EVIDENCE, KINDS, LOAD, Fact, FactStore
 
-    store = Facts(0, 1, Random(1))
+    store = FactStore(0, 1, Random(1))
     value = (9, 5, 0, 20, 2)
 
     def loads() -> None:
         for owner in range(1, size):
-            store.take(1, Fact(owner, 1, 1, LOAD, 0, 1, value[: KINDS[LOAD].fields]), size)
+            store.merge(1, Fact(owner, 1, 1, LOAD, 0, 1, value[: KINDS[LOAD].field_count]), size)
 
     _, filling = measured(loads)
 
     def report(turn: int) -> None:
         owner = 1 + turn * 37 % max(1, size - 1)
-        store.take(2, Fact(owner, 1, 2 + turn, EVIDENCE, turn % SERVERS_JUDGED, 2, value), size)
+        store.merge(2, Fact(owner, 1, 2 + turn, EVIDENCE, turn % SERVERS_JUDGED, 2, value), size)
 
     taking = median_each(report, OFFERED)
-    reading = median_each(lambda _: store.subjects(3, EVIDENCE), ASKS)
-    ticking = median_each(lambda _: store.tick(3), ASKS)
+    reading = median_each(lambda _: store.by_subject(3, EVIDENCE), ASKS)
+    ticking = median_each(lambda _: store.remove_expired(3), ASKS)
     return {
-        "held": len(store), "dropped": store.dropped, "take_us": taking * 1e6, "read_us": reading * 1e6,
+        "held": len(store), "dropped": store.evicted_count, "take_us": taking * 1e6, "read_us": reading * 1e6,
         "tick_us": ticking * 1e6, "kept_mb": filling.kept_mb,
     }  # fmt: skip
 
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -29,7 +29,7 @@
 from driftstair.tier.ownership.permits import Rules
 from driftstair.tier.peer_config import PeerConfig
 from driftstair.tier.service import generation_at
-from driftstair.tier.shared.budget import Spec
+from driftstair.tier.shared.budget import BudgetSpec
 
 KEY = b"the key of a cluster of hollow nodes"
 BUDGET = "retries"
@@ -94,7 +94,7 @@
         self.tier = TimedTier(
             replace(base_config(), name=f"n{self.number}", seed=seed), told, plan.period, KEY,
             RecordedHistory(self._records, plan.notes(self.number), plan.dilation), self._folder, system,
-            (Spec(BUDGET, PER_S * plan.count, BURST),) if plan.budgets else (), plan.judge, None,
+            (BudgetSpec(BUDGET, PER_S * plan.count, BURST),) if plan.budgets else (), plan.judge, None,
             Rules() if plan.permits else None,
         )  # fmt: skip
         self.tier.steps = self._steps
@@ -154,11 +154,11 @@
         now, core = self._system.monotonic_ns(), self.tier.sharing.core
         if core.outlier_detector is not None:
             judge = core.outlier_detector
-            judge.ready = set(range(SERVERS))
-            for server in {FAILING, self._random.randrange(SERVERS)} - judge.hidden():
+            judge.ready_servers = set(range(SERVERS))
+            for server in {FAILING, self._random.randrange(SERVERS)} - judge.hidden_servers():
                 ok = not (self._plan.failing and server == FAILING)
                 for _ in range(OUTCOMES):
-                    judge.observations.note(now, server, ok, True, ANSWERED_IN)
+                    judge.observations.record_outcome(now, server, ok, True, ANSWERED_IN)
         if self.number % BUSY_EVERY == 0 and BUDGET in core.budgets:
             tokens = self.tier.tokens(BUDGET)
             for _ in range(int(WANTED * PER_S / FEEDS_PER_S)):
--- a/benchmarks/scale/hollow/worker.py
+++ b/benchmarks/scale/hollow/worker.py
@@ -178,9 +178,9 @@
             stood_still=self._records.stood_still, suspicions=self._records.suspicions,
             deaths=self._records.deaths, unsent=spent["unsent"],
             facts=sum(len(one._facts) for one in judges) / max(1, len(judges)),
-            dropped=sum(one._facts.dropped for one in judges),
+            dropped=sum(one._facts.evicted_count for one in judges),
             thrown={why: number for why, number in thrown.items() if number},
-            held_back=sum(FAILING in one.out for one in judges), spent=spent["tokens"],
+            held_back=sum(FAILING in one.held_back for one in judges), spent=spent["tokens"],
             steps=self._steps.count, long_steps=self._steps.long, longest_step=self._steps.longest / 1e9,
         )  # fmt: skip
         self._begin_anew()
--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -156,10 +156,10 @@
     """The node's decisions with the cluster's outlier detection round them, as `judge = true` has it."""
     from driftstair.tier.observed_module import ObservedModule
     from driftstair.tier.shared.evidence import OutlierDetector
-    from driftstair.tier.shared.facts import Facts
+    from driftstair.tier.shared.facts import FactStore
     from lichenspring import interface as api
 
-    judge = OutlierDetector(Facts(0, 1, Random(1)), 0, 0, lambda: True, lambda: {0: 0})
+    judge = OutlierDetector(FactStore(0, 1, Random(1)), 0, 0, lambda: True, lambda: {0: 0})
     module = ObservedModule(node._core, lambda: judge)
     servers = tuple(node.servers._to_server(host) for host in update.hosts)
     module.handle(time.monotonic_ns(), api.ServerList(api.ListKind.FULL, servers))
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -27,11 +27,11 @@
 from typing import Any
 
 from driftstair.tier.shared import wire
-from driftstair.tier.shared.facts import EVIDENCE, LOAD, MS, Fact, Facts
-from driftstair.tier.shared.gossip import ROUND, Gossip
+from driftstair.tier.shared.facts import EVIDENCE, LOAD, NS_PER_MS, Fact, FactStore
+from driftstair.tier.shared.gossip import ROUND_NS, Gossip
 
 FIRST_SEED, SEEDS = 1000, 20
-WARM = 3_000 * MS  # ns
+WARM = 3_000 * NS_PER_MS  # ns
 HEAD = 45  # bytes of a datagram beside its items, about
 VALUE = (9, 5, 0, 20, 2)
 
@@ -42,19 +42,19 @@
     count, loss, seed = play
     random = Random(seed)
     nodes = [
-        Gossip(Facts(one, 1, Random(f"{seed}/{one}")), Random(f"{seed}/g{one}"),
+        Gossip(FactStore(one, 1, Random(f"{seed}/{one}")), Random(f"{seed}/g{one}"),
                lambda one=one: [other for other in range(count) if other != one], Counter())
         for one in range(count)
     ]  # fmt: skip
     now, known_at, datagrams, size = 0, float("inf"), 0, 0
     turns = [random.randrange(40) for _ in range(count)]  # each node's load goes round every 10 s
-    while now < WARM + 5_000 * MS:
+    while now < WARM + 5_000 * NS_PER_MS:
         if now == WARM:
             nodes[0].facts.publish(now, EVIDENCE, 7, VALUE, count)
             datagrams = size = 0
-        now += ROUND
+        now += ROUND_NS
         for number, node in enumerate(nodes):
-            if now // ROUND % 40 == turns[number]:
+            if now // ROUND_NS % 40 == turns[number]:
                 node.facts.publish(now, LOAD, 0, (0, 50, 3, 9, 0), count)
         inbox: list[tuple[int, int, wire.Item]] = []
         for number, node in enumerate(nodes):
@@ -69,7 +69,7 @@
                     datagrams, size = datagrams + 1, size + HEAD + len(data)
                     if random.random() >= loss:
                         for item in wire.unpack_items(data)[0]:
-                            inbox += [(to, *tell) for tell in nodes[to].take(now, source, item)]
+                            inbox += [(to, *tell) for tell in nodes[to].handle_item(now, source, item)]
         known = sum(bool(node.facts.read(now, EVIDENCE, 7)) for node in nodes)
         if known >= 0.99 * count:
             known_at = (now - WARM) / 1e9
@@ -118,15 +118,16 @@
 def memory() -> None:
     for servers, reporters in ((20, 20), (200, 200), (1000, 200)):
         tracemalloc.start()
-        store = Facts(0, 1, Random(0))
+        store = FactStore(0, 1, Random(0))
         version = 0
         for server in range(servers):
             for owner in range(1, reporters):
                 version += 1
-                store.take(0, Fact(owner, 1, version, EVIDENCE, server, 0, VALUE), reporters)
+                store.merge(0, Fact(owner, 1, version, EVIDENCE, server, 0, VALUE), reporters)
                 if version >= 20_000:
                     break
-        print(f"{servers} servers x {reporters} reporters: {len(store)} facts held, {store.dropped} dropped, "
+        print(f"{servers} servers x {reporters} reporters: {len(store)} facts held, "
+              f"{store.evicted_count} dropped, "
               f"{tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB")  # fmt: skip
         tracemalloc.stop()
 
@@ -177,7 +178,7 @@
     sys.path[:0] = ["tests", "tests/tier"]
     from fleet import Fleet
     from rig import Server, answer, sends
-    from test_judgements_processes import BAD, SERVERS, judged
+    from test_judgements_processes import FAILING_SERVER, SERVER_NAMES, hold_back_spans
     from traffic import Traffic
 
     from benchmarks.membership import _cpu
@@ -189,7 +190,7 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         async with AsyncExitStack() as stack:
-            servers = {name: await stack.enter_async_context(Server(name)) for name in SERVERS}
+            servers = {name: await stack.enter_async_context(Server(name)) for name in SERVER_NAMES}
             fleet = await stack.enter_async_context(Fleet(Path(folder), count, table, period="1s"))
             fleet.servers = list(servers.values())
             for first in range(0, count, 10):
@@ -202,22 +203,22 @@
             await asyncio.sleep(10.0)
             rest = (sum(map(_cpu, pids)) - before) / count / (time.monotonic() - at)
             traffic = Traffic(fleet)
-            traffic.on(*busy)
+            traffic.start_clients(*busy)
             await asyncio.sleep(5.0)
             began = time.monotonic_ns()
             await asyncio.sleep(15.0)
             ended = time.monotonic_ns()
             spent = sum(one["event"] == "spend" and began <= one["t_ns"] < ended for one in fleet.events())
             failed = time.monotonic_ns()
-            servers[BAD].script = sends(answer(500))
+            servers[FAILING_SERVER].script = sends(answer(500))
 
             def told() -> list[int]:
-                return sorted(one.begin for one in judged(fleet) if one.server == BAD)
+                return sorted(one.begin for one in hold_back_spans(fleet) if one.server == FAILING_SERVER)
 
             await fleet.wait_until(lambda: len(told()) >= len(busy))
             first_known, known = ((one - failed) / 1e9 for one in (told()[0], told()[len(busy) - 1]))
-            wrong = {one.server for one in judged(fleet)} - {BAD}
-            await traffic.off()
+            wrong = {one.server for one in hold_back_spans(fleet)} - {FAILING_SERVER}
+            await traffic.stop_clients()
             print(json.dumps({
                 "nodes": count, "asked": len(busy), "of the budget used": round(
                     spent / (per_s * (ended - began) / 1e9), 3),
--- a/driftstair/model/tier/budgets.py
+++ b/driftstair/model/tier/budgets.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from driftstair.model.tier.world import NEVER, SECOND, Host, Link, World
-from driftstair.tier.shared.budget import Spec
+from driftstair.tier.shared.budget import BudgetSpec
 from driftstair.tier.shared.core import SendItems, SharedState
 
 HEAD = 45  # bytes of a datagram beside its items, about
@@ -23,7 +23,7 @@
     """The shipped core. `alive`: the numbers that are held alive by all."""
 
     def __init__(
-        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+        self, host: Host, generation: int, spec: BudgetSpec, count: int, seed: int, alive: set[int]
     ) -> None:
         self.host, self.generation, self.count, self.name = host, generation, count, spec.name
         random = Random(f"{seed}/{host.number}/{generation}")
@@ -39,17 +39,17 @@
         return self.core.wake_at
 
     def take(self, datagram: Any) -> None:
-        self._do(self.core.heard(self.host.now(), *datagram))
+        self._do(self.core.on_datagram(self.host.now(), *datagram))
 
     def spend(self) -> bool:
         budget = self.core.budgets[self.name]
         if not budget.spend(self.host.now()):
             return False
-        budget.spent()
+        budget.record_spent()
         return True
 
     def held(self) -> int:
-        return self.core.budgets[self.name].escrow.held(self.host.now())
+        return self.core.budgets[self.name].escrow.held_shares(self.host.now())
 
     def dead(self) -> set[int]:
         return set()
@@ -65,11 +65,11 @@
     """Each node has its part, and no other."""
 
     def __init__(
-        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+        self, host: Host, generation: int, spec: BudgetSpec, count: int, seed: int, alive: set[int]
     ) -> None:
         self.host = host
         self._per_s = spec.per_s / count
-        self._most = self._per_s * spec.burst / 1e9
+        self._most = self._per_s * spec.burst_ns / 1e9
         self._tokens = 0.0
         self._at = 0
 
@@ -103,7 +103,7 @@
     KEPT = 3 * SECOND
 
     def __init__(
-        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+        self, host: Host, generation: int, spec: BudgetSpec, count: int, seed: int, alive: set[int]
     ) -> None:
         super().__init__(host, generation, spec, count, seed, alive)
         self._spec = spec
@@ -134,7 +134,7 @@
         fresh = [rate for at, rate in self._told.values() if at > now - self.KEPT]
         part = self._wanted / sum(fresh) if sum(fresh) > 0 else 0.0
         self._per_s = self._spec.per_s * part
-        self._most = max(1.0, self._per_s * self._spec.burst / 1e9)
+        self._most = max(1.0, self._per_s * self._spec.burst_ns / 1e9)
 
     def take(self, datagram: Any) -> None:
         for number, (at, rate) in datagram:
@@ -156,7 +156,7 @@
     way: str
     count: int
     seed: int
-    spec: Spec
+    spec: BudgetSpec
     demand: dict[int, float]
     link: Link = field(default_factory=Link)
     late: float = 5.0  # s after a crash until all know
--- a/driftstair/rehearsal/tier/liar.py
+++ b/driftstair/rehearsal/tier/liar.py
@@ -17,26 +17,26 @@
     speak = sharing.core.enable_outlier_detection
 
     def lying(
-        now: int, zone: int, sound: Callable[[], bool], zones: Callable[[], dict[int, int]]
+        now_ns: int, zone: int, may_report: Callable[[], bool], zones: Callable[[], dict[int, int]]
     ) -> OutlierDetector:
-        judge = speak(now, zone, sound, zones)
-        judge.observations = _Liar(now)
+        judge = speak(now_ns, zone, may_report, zones)
+        judge.observations = _Liar(now_ns)
         return judge
 
     sharing.core.enable_outlier_detection = lying  # type: ignore[method-assign]
 
 
 class _Liar(ServerObservations):
-    def note(self, now: int, server: int, ok: bool, reached: bool, took: int) -> None:
-        super().note(now, server, False, reached, 0)
+    def record_outcome(self, now_ns: int, server: int, ok: bool, reached: bool, took_ns: int) -> None:
+        super().record_outcome(now_ns, server, False, reached, 0)
 
 
 def main() -> int:
     from driftstair.__main__ import main as daemon
 
-    note = ServerObservations.note
-    ServerObservations.note = (  # type: ignore[method-assign]
-        lambda self, now, server, ok, reached, took: note(self, now, server, False, reached, 0)
+    note = ServerObservations.record_outcome
+    ServerObservations.record_outcome = (  # type: ignore[method-assign]
+        lambda self, now_ns, server, ok, reached, took_ns: note(self, now_ns, server, False, reached, 0)
     )
     return daemon()
 
--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -23,7 +23,7 @@
     from driftstair.observability.event_log import EventLog
     from driftstair.tier.ownership.permits import Rules
     from driftstair.tier.service import Tier
-    from driftstair.tier.shared.budget import Spec
+    from driftstair.tier.shared.budget import BudgetSpec
 
 log = logging.getLogger(__name__)
 
@@ -51,14 +51,14 @@
     return FileRequestTable(loaded.service, config.settings, f"{loaded.file} ({loaded.hash})"), problems
 
 
-def budget_specs(loaded: LoadedService) -> tuple[Spec, ...]:
+def budget_specs(loaded: LoadedService) -> tuple[BudgetSpec, ...]:
     """The fleet budgets that a file defines."""
     tier = loaded.service.tier
     if tier is None or not tier.budgets:
         return ()
-    from driftstair.tier.shared.budget import Spec
+    from driftstair.tier.shared.budget import BudgetSpec
 
-    return tuple(Spec(name, budget.per_s, budget.burst) for name, budget in tier.budgets.items())
+    return tuple(BudgetSpec(name, budget.per_s, budget.burst) for name, budget in tier.budgets.items())
 
 
 def _collect(loaded: LoadedService) -> tuple[Path, tuple[str, int]] | None:
@@ -108,8 +108,8 @@
         self.file = file
         self._text = text
         self._running_tier: Tier | None = None  # set once the process has started
-        self._file_budgets: tuple[Spec, ...] = ()  # fleet budgets defined by the file in use
-        self._configured_budgets: tuple[Spec, ...] = ()  # fleet budgets defined by the configuration
+        self._file_budgets: tuple[BudgetSpec, ...] = ()  # fleet budgets defined by the file in use
+        self._configured_budgets: tuple[BudgetSpec, ...] = ()  # fleet budgets defined by the configuration
         self._tier_created = False
         self._service_in_use: Service | None = None
 
@@ -148,17 +148,17 @@
 
     def configure_budgets(self, budgets: dict[str, FleetBudget]) -> None:
         """Sets the fleet budgets that the configuration defines in addition to the file's."""
-        from driftstair.tier.shared.budget import Spec
+        from driftstair.tier.shared.budget import BudgetSpec
 
         self._configured_budgets = tuple(
-            Spec(name, budget.per_s, budget.burst) for name, budget in budgets.items()
+            BudgetSpec(name, budget.per_s, budget.burst) for name, budget in budgets.items()
         )
         self._update_budget_specs()
 
     def _check_budget_bursts(self, loaded: LoadedService, node_count: int) -> None:
         """Raises ServiceError for a budget whose share of one node never adds up to a whole token."""
         for spec in budget_specs(loaded):
-            max_tokens = spec.per_s / node_count * spec.burst / 1e9
+            max_tokens = spec.per_s / node_count * spec.burst_ns / 1e9
             if max_tokens < 1:
                 min_burst_s = ceil(node_count / spec.per_s * 10) / 10
                 why = (
--- a/driftstair/tier/observed_module.py
+++ b/driftstair/tier/observed_module.py
@@ -48,15 +48,15 @@
         if judge is not None:
             for one in actions:
                 if isinstance(one, api.Send):
-                    judge.observations.sent(server_key(one.server))
+                    judge.observations.on_attempt_sent(server_key(one.server))
             self._open.difference_update(
                 one.request for one in actions if isinstance(one, api.Refuse | api.Fail)
             )
             judge.observations.in_flight = len(self._open)
-            judge.ready = {
+            judge.ready_servers = {
                 server_key(one.id) for one in self._servers.values() if one.state is ServerState.READY
             }
-        out = frozenset() if judge is None else frozenset(judge.hidden()) & judge.ready
+        out = frozenset() if judge is None else frozenset(judge.hidden_servers()) & judge.ready_servers
         if out != self._out:
             self._out = out
             shown = tuple(self._shown(one) for one in self._servers.values())
@@ -65,11 +65,11 @@
         return actions
 
     def _note(self, now: int, judge: OutlierDetector, outcome: api.Outcome) -> None:
-        judge.observations.ended(server_key(outcome.server))
+        judge.observations.on_attempt_ended(server_key(outcome.server))
         if outcome.closed:
             self._open.discard(outcome.request)
         if outcome.result is Result.OK or outcome.result in FAILURES:
-            judge.observations.note(
+            judge.observations.record_outcome(
                 now, server_key(outcome.server), outcome.result is Result.OK,
                 outcome.result is not Result.CONNECT_FAILED, outcome.elapsed,
             )  # fmt: skip
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -27,7 +27,7 @@
     from driftstair.limits.budgets import TokenBudget
     from driftstair.tier.collector import LedgerCollector
     from driftstair.tier.ownership.permits import Rules
-    from driftstair.tier.shared.budget import Spec
+    from driftstair.tier.shared.budget import BudgetSpec
     from driftstair.tier.sharing import Sharing
     from driftstair.tier.tokens import TokenFile
     from lichenspring.interface import DecisionModule
@@ -59,7 +59,7 @@
 
     def __init__(
         self, config: Config, peers: peer_config.PeerConfig, period: int, key: bytes, history: History | None,
-        folder: Path | None, system: System, budgets: Sequence[Spec] = (), judges: bool = False,
+        folder: Path | None, system: System, budgets: Sequence[BudgetSpec] = (), judges: bool = False,
         collect: tuple[Path, tuple[str, int]] | None = None, permits: Rules | None = None,
         shares: bool = False,
     ) -> None:  # fmt: skip
@@ -153,7 +153,7 @@
             )
             self._set_timer()
 
-    def update_specs(self, budgets: Sequence[Spec]) -> None:
+    def update_specs(self, budgets: Sequence[BudgetSpec]) -> None:
         """The service file has been replaced."""
         if self.sharing is not None:
             self.sharing.update_specs(budgets)
--- a/driftstair/tier/shared/__init__.py
+++ b/driftstair/tier/shared/__init__.py
@@ -1,6 +1,8 @@
-"""State that the nodes of a tier share, each part a core without clock, socket or chance of its own.
+"""State that the nodes of a tier share. Each module is pure: the caller passes in the time and a random
+source, and does all I/O.
 
-`escrow` keeps a budget of the fleet from being overspent, whoever hears nothing; `token_bucket` spends on
-what a node holds; `demand` and `budget` decide who lends whom; `core` is all of it as one machine, `wire` its
-items.
+`escrow` keeps a fleet budget from being overspent, even by nodes that cannot reach each other. `token_bucket`
+spends from the shares that a node holds. `demand` and `budget` decide which node lends to which. `facts` and
+`gossip` replicate outcome reports, and `evidence` detects failing servers from them. `core` combines all of
+it in one state machine, and `wire` encodes its messages.
 """
--- a/driftstair/tier/shared/demand.py
+++ b/driftstair/tier/shared/demand.py
@@ -1,29 +1,34 @@
-"""How much of a budget a node wants, lately: what it spent and what it was refused."""
+"""Recent demand of one node for a fleet budget: the tokens that it spent and those that it was refused."""
 
 from __future__ import annotations
 
 from math import exp
 
-UP, DOWN = 1.0, 3.0  # s: how soon it follows what rises, and what falls
+RISE_TIME_S, FALL_TIME_S = 1.0, 3.0  # time constants of the moving average
 
 
 class Demand:
-    """`per_s`: tokens a second. Soon up, since what is missing is lost at once; slowly down, since what is
-    given back has to be asked for anew."""
+    """Exponentially weighted moving average of the demand in tokens per second, `per_s`.
 
-    def __init__(self, now: int) -> None:
+    It rises quickly, because a missing token is lost at once, and falls slowly, because shares that were
+    given back have to be requested again.
+    """
+
+    def __init__(self, now_ns: int) -> None:
         self.per_s = 0.0
-        self._noted = 0.0
-        self._at = now
+        self._recorded_tokens = 0.0
+        self._updated_at_ns = now_ns
 
-    def note(self, tokens: float = 1.0) -> None:
-        self._noted += tokens
+    def record(self, tokens: float = 1.0) -> None:
+        """Adds tokens that were spent or refused since the last `tick`."""
+        self._recorded_tokens += tokens
 
-    def tick(self, now: int) -> None:
-        passed = (now - self._at) / 1e9
-        if passed <= 0:
+    def tick(self, now_ns: int) -> None:
+        """Updates the average with the tokens recorded since the last call."""
+        elapsed_s = (now_ns - self._updated_at_ns) / 1e9
+        if elapsed_s <= 0:
             return
-        lately = self._noted / passed
-        part = 1 - exp(-passed / (UP if lately > self.per_s else DOWN))
-        self.per_s += (lately - self.per_s) * part
-        self._noted, self._at = 0.0, now
+        recent_per_s = self._recorded_tokens / elapsed_s
+        weight = 1 - exp(-elapsed_s / (RISE_TIME_S if recent_per_s > self.per_s else FALL_TIME_S))
+        self.per_s += (recent_per_s - self.per_s) * weight
+        self._recorded_tokens, self._updated_at_ns = 0.0, now_ns
--- a/driftstair/tier/shared/evidence.py
+++ b/driftstair/tier/shared/evidence.py
@@ -1,17 +1,20 @@
-"""What a node has seen of servers itself, and what it makes of what all have seen.
-
-Evidence goes round, not verdicts: tries, failures and how long answers took, by server and reporter, ageing.
-Each node decides for itself, and so that one node's own trouble is no server's fault:
-
-- a server is bad for all if several reporters find it so, from more than one zone where there are more, and
-  most of those who tried it, who had a while to speak; what one alone finds stays its own;
-- a reporter that finds much of what it tries bad is at fault itself, and counts for nothing;
-- a node that is cut off, or doubts itself, tells nothing;
-- what this node has lately tried with success it goes on using, whatever others say;
-- no more than a part of the servers is left out on others' word, the worst first; and as evidence lives for
-  seconds, a server that nobody tries any more is back within that time.
-
-A server is only ever held back by this: which servers there are is for the list alone.
+"""Outlier detection: a node's own observations of servers, and its verdicts from the reports of all nodes.
+
+Nodes replicate evidence instead of verdicts: tries, failures and response times by server and reporter, which
+expire. Each node decides for itself, by rules that keep the trouble of one node from being blamed on a
+server:
+
+- a server is failing if several reporters find it failing, from more than one zone if there are several, and
+  most of the reporters that tried it, after all had time to report; the finding of one reporter alone affects
+  only that node;
+- a reporter that finds a large part of the servers that it tried failing is assumed to be faulty itself, and
+  its reports are ignored;
+- a node that is cut off, or that assumes a fault of its own, reports nothing;
+- a node keeps using a server that it has recently tried with success, whatever other nodes report;
+- at most a part of the servers is held back because of reports of other nodes, the worst first. As evidence
+  expires within seconds, a server that no node tries any more is used again within that time.
+
+Outlier detection only holds servers back; the server list alone determines which servers exist.
 """
 
 from __future__ import annotations
@@ -21,317 +24,378 @@
 from math import ceil, log2
 from typing import Any, NamedTuple
 
-from driftstair.tier.shared.facts import EVIDENCE, FLIGHT, KINDS, LOAD, PROBE, Fact, Facts
+from driftstair.tier.shared.facts import EVIDENCE, FLIGHT, KINDS, LOAD, PROBE, Fact, FactStore
 
-SPAN = 2_500_000_000  # ns: what was seen counts for one to two of these
-SURE = 2  # tries, fewer say nothing; a node leaves a server out itself after two that failed
-BAD = 0.5  # of the tries that fail
-REPORTERS = 3  # that it takes, or all but one of a small tier
-MOST = 0.6  # of those who tried it
-MAX_HELD_BACK_SHARE = 0.2  # of the servers that are ready, left out on others' word
-OWN_FAULT = 1 / 3  # of the servers that a reporter tried: more of them bad is its own fault
+WINDOW_NS = 2_500_000_000  # an observation counts for one to two windows
+MIN_TRIES = 2  # tries before a server is assessed; a node itself stops using a server after two failures
+MIN_FAILURE_SHARE = 0.5  # share of failed tries from which a server is failing
+MIN_REPORTERS = 3  # that find a server failing; in a small tier, all nodes but one
+MIN_REPORTER_SHARE = 0.6  # of the reporters that tried the server
+MAX_HELD_BACK_SHARE = 0.2  # of the ready servers, held back because of reports of other nodes
+MAX_FAILING_SHARE = 1 / 3  # of the servers that a reporter tried; a reporter above this is faulty itself
 MAX_COUNT = 255
-BUSIEST, MANY = 3, 4  # servers that a node tells the attempts of, from so many on
-PROBE_LIVES = 10_000_000_000  # ns that they do where one node tries for all, which it does ever more seldom
-PROBED_MOST = 60_000_000_000  # ns that one node's word alone holds a server back: then all look again
-SOUND = 3  # successes in a row by which a prober finds a server sound
-FAILURE_RUN_LIFETIME_NS = 6_000_000_000  # ns that failures in a row count after the last
-DISSENT_WAIT_NS = 1_500_000_000  # ns: for those who find nothing wrong with a server to say so
-LOOKED = 1_000_000_000  # ns between two looks at the own load
-SOONEST = 1_000_000_000  # ns between two words on the same, unless they say the opposite
+# A node publishes its attempts in flight at its busiest servers, if there are enough of them.
+MAX_BUSY_SERVERS, MIN_BUSY_ATTEMPTS = 3, 4
+# A node that probes a server for all nodes tries it at increasing intervals.
+PROBE_LIFETIME_NS = 10_000_000_000
+MAX_PROBE_HOLD_NS = 60_000_000_000  # the prober alone holds a server back for so long; then the reports count
+MIN_PROBE_SUCCESSES = 3  # consecutive successes after which a prober reports that a server has recovered
+FAILURE_RUN_LIFETIME_NS = 6_000_000_000  # consecutive failures count for so long after the last one
+DISSENT_WAIT_NS = 1_500_000_000  # time for reporters that find the server healthy to report it
+LOAD_INTERVAL_NS = 1_000_000_000  # between two measurements of the node's own load
+MIN_PUBLISH_INTERVAL_NS = 1_000_000_000  # between two facts about a subject that lead to the same conclusion
 
 
 @dataclass(slots=True)
-class Seen:
-    """Of one server, in a span."""
+class OutcomeCounts:
+    """Outcomes of attempts at one server in a window."""
 
     tries: int = 0
     failed: int = 0
-    unreached: int = 0  # of these, that no connection came about for
-    took: int = 0  # ns, of the answers together
-    run: int = 0  # tries that failed since the last that did not
+    unreached: int = 0  # of these, the tries without a connection
+    took_ns: int = 0  # total response time of the answers
+    failure_run: int = 0  # failures since the last success
 
     def value(self) -> Value:
+        """Returns the value of the evidence that is published for the server."""
         answers = self.tries - self.failed
-        slow = int(4 * log2(1 + self.took / answers / 1e6)) if answers else 0
-        most = MAX_COUNT
+        response_time = int(4 * log2(1 + self.took_ns / answers / 1e6)) if answers else 0
+        maximum = MAX_COUNT
         return (
-            min(self.tries, most), min(self.failed, most), min(self.unreached, most), min(slow, most),
-            min(self.run, most),
+            min(self.tries, maximum), min(self.failed, maximum), min(self.unreached, maximum),
+            min(response_time, maximum), min(self.failure_run, maximum),
         )  # fmt: skip
 
-    def bad(self) -> bool:
-        return is_bad(self.value())
+    def is_failing(self) -> bool:
+        """Returns whether the outcomes show that the server fails."""
+        return is_failing_value(self.value())
 
-    def tried(self) -> bool:
-        return is_tried(self.value())
+    def is_assessable(self) -> bool:
+        """Returns whether there were enough tries to assess the server."""
+        return is_assessable_value(self.value())
 
 
 Value = tuple[int, ...]
-"""Of evidence: tries, failed, unreached, how long answers took (4 log2 of ms), failed since a success."""
+"""Value of a fact. That of evidence: tries, failed, unreached, mean response time as 4 log2(1 + ms), and
+failures since the last success."""
 
 
-def is_tried(value: Value) -> bool:
-    return value[0] >= SURE or value[4] >= SURE
+def is_assessable_value(value: Value) -> bool:
+    """Returns whether evidence has enough tries to assess a server."""
+    return value[0] >= MIN_TRIES or value[4] >= MIN_TRIES
 
 
-def is_bad(value: Value) -> bool:
-    """By the last tries, or by most of them: a server that failed just now has a good past, and one that is
-    tried once in a while by then has none."""
-    return value[4] >= SURE or (value[0] >= SURE and value[1] >= BAD * value[0])
+def is_failing_value(value: Value) -> bool:
+    """Returns whether evidence shows that a server fails, by its last tries or by most of them. A server that
+    has just begun to fail still has many successes, and one that is tried rarely may have no other tries in
+    the window."""
+    return value[4] >= MIN_TRIES or (value[0] >= MIN_TRIES and value[1] >= MIN_FAILURE_SHARE * value[0])
 
 
 class Verdict(NamedTuple):
+    """A server that is failing for all nodes, and the reporters that find it failing."""
+
     server: int
     reporters: tuple[int, ...]
-    share: float  # of those who tried it that find it bad
+    failing_share: float  # of the reporters that tried the server
 
 
 class ServerObservations:
-    """What this node has seen, in two spans, of which the older one fades out whole."""
-
-    def __init__(self, now: int) -> None:
-        self._spans: list[dict[int, Seen]] = [{}, {}]
-        self._runs: dict[int, tuple[int, int]] = {}  # failures in a row, and when the last was
-        self._well: dict[int, int] = {}  # successes in a row, of servers that failed lately
-        self._began = now
-        self.answered = 0  # requests, since the last `load`
+    """Outcomes that this node observed, in two windows. The older window is dropped when the newer one
+    ends."""
+
+    def __init__(self, now_ns: int) -> None:
+        self._windows: list[dict[int, OutcomeCounts]] = [{}, {}]
+        self._failure_runs: dict[int, tuple[int, int]] = {}  # consecutive failures, time of the last
+        self._success_runs: dict[int, int] = {}  # consecutive successes since a failure
+        self._window_start_ns = now_ns
+        self.answered_requests = 0  # since the last `measure_rate`
         self.in_flight = 0
-        self.by_server: dict[int, int] = {}  # attempts out now
-        self._load_at = now
-
-    def note(self, now: int, server: int, ok: bool, reached: bool, took: int) -> None:
-        self._turn(now)
-        seen = self._spans[0].setdefault(server, Seen())
-        seen.tries += 1
-        seen.failed += not ok
-        seen.unreached += not reached
-        seen.took += took if ok else 0
-        self.answered += ok
+        self.attempts_by_server: dict[int, int] = {}  # attempts in flight
+        self._rate_measured_at_ns = now_ns
+
+    def record_outcome(self, now_ns: int, server: int, ok: bool, reached: bool, took_ns: int) -> None:
+        """Counts the outcome of an attempt. `reached` is False if there was no connection to the server."""
+        self._rotate_windows(now_ns)
+        counts = self._windows[0].setdefault(server, OutcomeCounts())
+        counts.tries += 1
+        counts.failed += not ok
+        counts.unreached += not reached
+        counts.took_ns += took_ns if ok else 0
+        self.answered_requests += ok
         if not ok:
-            self._runs[server] = self._runs.get(server, (0, 0))[0] + 1, now
-            self._well[server] = 0
+            self._failure_runs[server] = self._failure_runs.get(server, (0, 0))[0] + 1, now_ns
+            self._success_runs[server] = 0
         else:
-            self._runs.pop(server, None)
-            if server in self._well:
-                self._well[server] = min(SOUND, self._well[server] + 1)
-
-    def sent(self, server: int) -> None:
-        self.by_server[server] = self.by_server.get(server, 0) + 1
-
-    def ended(self, server: int) -> None:
-        left = self.by_server.get(server, 0) - 1
-        if left > 0:
-            self.by_server[server] = left
+            self._failure_runs.pop(server, None)
+            if server in self._success_runs:
+                self._success_runs[server] = min(MIN_PROBE_SUCCESSES, self._success_runs[server] + 1)
+
+    def on_attempt_sent(self, server: int) -> None:
+        """Counts an attempt that starts."""
+        self.attempts_by_server[server] = self.attempts_by_server.get(server, 0) + 1
+
+    def on_attempt_ended(self, server: int) -> None:
+        """Uncounts an attempt that has ended."""
+        remaining = self.attempts_by_server.get(server, 0) - 1
+        if remaining > 0:
+            self.attempts_by_server[server] = remaining
         else:
-            self.by_server.pop(server, None)
-
-    def _turn(self, now: int) -> None:
-        if now - self._began >= SPAN:
-            old = self._spans[0] if now - self._began < 2 * SPAN else {}
-            self._spans, self._began = [{}, old], now
-
-    def all(self, now: int) -> dict[int, Seen]:
-        self._turn(now)
-        out: dict[int, Seen] = {}
-        for span in self._spans:
-            for server, one in span.items():
-                seen = out.setdefault(server, Seen())
-                seen.tries += one.tries
-                seen.failed += one.failed
-                seen.unreached += one.unreached
-                seen.took += one.took
-        self._runs = {server: one for server, one in self._runs.items() if now - one[1] < PROBE_LIVES}
-        for server, (count, at) in self._runs.items():
-            if now - at < FAILURE_RUN_LIFETIME_NS:
-                out.setdefault(server, Seen()).run = count
-        return out
-
-    def found(self, now: int, server: int) -> bool | None:
-        """By whoever tries it for all: whether it fails; None: that is not known."""
-        if server in self._runs:
-            return True if now - self._runs[server][1] < PROBE_LIVES else None
-        return False if self._well.get(server) == SOUND else None
-
-    def per_s(self, now: int) -> int:
-        passed = max(1, now - self._load_at)
-        rate = int(self.answered * 1e9 / passed)
-        self.answered, self._load_at = 0, now
+            self.attempts_by_server.pop(server, None)
+
+    def _rotate_windows(self, now_ns: int) -> None:
+        if now_ns - self._window_start_ns >= WINDOW_NS:
+            old = self._windows[0] if now_ns - self._window_start_ns < 2 * WINDOW_NS else {}
+            self._windows, self._window_start_ns = [{}, old], now_ns
+
+    def counts_by_server(self, now_ns: int) -> dict[int, OutcomeCounts]:
+        """Returns the outcomes of both windows by server."""
+        self._rotate_windows(now_ns)
+        total: dict[int, OutcomeCounts] = {}
+        for window in self._windows:
+            for server, part in window.items():
+                counts = total.setdefault(server, OutcomeCounts())
+                counts.tries += part.tries
+                counts.failed += part.failed
+                counts.unreached += part.unreached
+                counts.took_ns += part.took_ns
+        self._failure_runs = {
+            server: run for server, run in self._failure_runs.items() if now_ns - run[1] < PROBE_LIFETIME_NS
+        }
+        for server, (count, failed_at_ns) in self._failure_runs.items():
+            if now_ns - failed_at_ns < FAILURE_RUN_LIFETIME_NS:
+                total.setdefault(server, OutcomeCounts()).failure_run = count
+        return total
+
+    def probe_fails(self, now_ns: int, server: int) -> bool | None:
+        """Returns whether a server that this node probes for all nodes fails, or None if that is not
+        known."""
+        if server in self._failure_runs:
+            return True if now_ns - self._failure_runs[server][1] < PROBE_LIFETIME_NS else None
+        return False if self._success_runs.get(server) == MIN_PROBE_SUCCESSES else None
+
+    def measure_rate(self, now_ns: int) -> int:
+        """Returns the requests answered per second since the last call."""
+        elapsed_ns = max(1, now_ns - self._rate_measured_at_ns)
+        rate = int(self.answered_requests * 1e9 / elapsed_ns)
+        self.answered_requests, self._rate_measured_at_ns = 0, now_ns
         return rate
 
 
 class OutlierDetector:
-    """`sound`: whether this node may speak of servers at all; `ready`: the servers that its own list names
-    ready, by their keys; `zones`: by node, of those that live."""
+    """Verdicts of one node on servers, which are identified by their keys.
+
+    `may_report` returns whether this node may publish its observations, and `zones` the zone of each live
+    node. `ready_servers` are the servers that are ready according to this node's server list.
+    """
 
     def __init__(
-        self, facts: Facts, now: int, zone: int, sound: Callable[[], bool],
+        self, facts: FactStore, now_ns: int, zone: int, may_report: Callable[[], bool],
         zones: Callable[[], dict[int, int]],
     ) -> None:  # fmt: skip
-        self.observations = ServerObservations(now)
-        self.out: dict[int, Verdict] = {}
-        self.ready: set[int] = set()
-        self._disputed: dict[int, int] = {}  # since when there has been evidence on a server
-        self._out_since: dict[int, int] = {}
-        self.probing: dict[int, int] = {}  # servers that this node tries for all, by its token to do so
-        self.probed: dict[int, int] = {}  # by server: the greatest token that somebody tried it with
-        self.refused: list[tuple[int, int]] = []  # servers and older tokens, for the history
+        self.observations = ServerObservations(now_ns)
+        self.held_back: dict[int, Verdict] = {}
+        self.ready_servers: set[int] = set()
+        self._evidence_since_ns: dict[int, int] = {}  # by server, start of the evidence
+        self._held_back_since_ns: dict[int, int] = {}
+        self.probe_tokens: dict[int, int] = {}  # servers that this node probes, with its lease token
+        self.highest_probe_tokens: dict[int, int] = {}  # by server: the greatest token of a probe result
+        self.refused_probes: list[tuple[int, int]] = []  # probes with an older token, for the history
         self._facts = facts
         self._zone = zone
-        self._sound = sound
+        self._may_report = may_report
         self._zones = zones
 
-    def tick(self, now: int) -> tuple[list[Verdict], list[Verdict]]:
-        """Those that are left out from now on, and those that are back."""
+    def tick(self, now_ns: int) -> tuple[list[Verdict], list[Verdict]]:
+        """Publishes observations and updates the verdicts. Returns the new verdicts and the withdrawn
+        ones."""
         zones = self._zones()
-        seen = self.observations.all(now)
-        if self._sound():
-            self._tell(now, seen, len(zones))
-            self._tell_probes(now, len(zones))
-        wanted = {one.server: one for one in self._worst(now, seen, zones)}
-        new = [one for server, one in wanted.items() if server not in self.out]
-        back = [one for server, one in self.out.items() if server not in wanted]
-        self.out = wanted
-        self._out_since = {server: self._out_since.get(server, now) for server in wanted}
-        return new, back
-
-    def state(self, now: int) -> dict[str, Any]:
-        """What is known of the load, by zone: of how many of those that live, and how old at worst, in s."""
+        observed = self.observations.counts_by_server(now_ns)
+        if self._may_report():
+            self._publish_observations(now_ns, observed, len(zones))
+            self._publish_probes(now_ns, len(zones))
+        verdicts = {verdict.server: verdict for verdict in self._select_verdicts(now_ns, observed, zones)}
+        new = [verdict for server, verdict in verdicts.items() if server not in self.held_back]
+        withdrawn = [verdict for server, verdict in self.held_back.items() if server not in verdicts]
+        self.held_back = verdicts
+        self._held_back_since_ns = {
+            server: self._held_back_since_ns.get(server, now_ns) for server in verdicts
+        }
+        return new, withdrawn
+
+    def load_report(self, now_ns: int) -> dict[str, Any]:
+        """Returns the known load by zone, with the number of live nodes that reported it and its maximum age
+        in seconds."""
         zones = self._zones()
-        out: dict[str, Any] = {}
+        report: dict[str, Any] = {}
         for zone in sorted(set(zones.values())):
-            rows = [one for one in self._facts.read(now, LOAD) if zones.get(one.owner) == zone]
-            out[str(zone)] = {
-                "nodes": sum(one == zone for one in zones.values()), "heard": len(rows),
-                "per_s": sum(one.value[1] for one in rows), "in_flight": sum(one.value[2] for one in rows),
-                "oldest_s": round(max((now - one.born for one in rows), default=0) / 1e9, 3),
-                "finding_all_bad": sorted(one.owner for one in rows if at_fault(one)),
+            rows = [row for row in self._facts.read(now_ns, LOAD) if zones.get(row.owner) == zone]
+            report[str(zone)] = {
+                "nodes": sum(node_zone == zone for node_zone in zones.values()), "heard": len(rows),
+                "per_s": sum(row.value[1] for row in rows), "in_flight": sum(row.value[2] for row in rows),
+                "oldest_s": round(max((now_ns - row.written_at for row in rows), default=0) / 1e9, 3),
+                "finding_all_bad": sorted(row.owner for row in rows if is_faulty_reporter(row)),
             }  # fmt: skip
-        return out
+        return report
 
-    def busy(self, now: int) -> dict[int, dict[str, int]]:
-        """Attempts that are out, of servers with many: at least so many, to a factor of two, by so many
-        nodes. What a node has few of, or beside its busiest, it does not tell."""
+    def attempts_report(self, now_ns: int) -> dict[int, dict[str, int]]:
+        """Returns a lower bound of the attempts in flight at busy servers, exact to a factor of two, and the
+        number of nodes that reported them. A node reports only its busiest servers, if they have many
+        attempts."""
         zones = self._zones()
-        out: dict[int, dict[str, int]] = {}
-        for server, facts in self._facts.subjects(now, FLIGHT).items():
-            rows = [one for one in facts if one.owner in zones]
+        report: dict[int, dict[str, int]] = {}
+        for server, facts in self._facts.by_subject(now_ns, FLIGHT).items():
+            rows = [row for row in facts if row.owner in zones]
             if rows:
-                least = sum(1 << one.value[0] - 1 for one in rows if one.value[0])
-                out[server] = {"at_least": least, "by": len(rows)}
-        return out
+                least = sum(1 << row.value[0] - 1 for row in rows if row.value[0])
+                report[server] = {"at_least": least, "by": len(rows)}
+        return report
 
-    def _tell(self, now: int, seen: dict[int, Seen], nodes: int) -> None:
-        disputed = self._facts.subjects(now, EVIDENCE)
-        values = {server: one.value() for server, one in seen.items()}
+    def _publish_observations(self, now_ns: int, observed: dict[int, OutcomeCounts], nodes: int) -> None:
+        evidence = self._facts.by_subject(now_ns, EVIDENCE)
+        values = {server: counts.value() for server, counts in observed.items()}
         for server, value in values.items():
-            if value[1] or value[4] or server in disputed:
-                self._publish(now, EVIDENCE, server, value, nodes, is_bad)
-        bad = sum(map(is_bad, values.values()))
-        tried = sum(map(is_tried, values.values()))
-        own = self._facts.published(LOAD, 0)
-        if (seen or own is not None) and (own is None or now - own.born >= LOOKED):
-            rate = self.observations.per_s(now)
-            load = (self._zone, min(rate, 0xFFFF), min(self.observations.in_flight, 0xFFFF), tried, bad)
-            self._publish(now, LOAD, 0, load, nodes)
-        busiest = sorted(self.observations.by_server.items(), key=lambda one: (-one[1], one[0]))[:BUSIEST]
-        for server, number in busiest:
-            if number >= MANY:
-                self._publish(now, FLIGHT, server, (number.bit_length(),), nodes)
-
-    def _tell_probes(self, now: int, nodes: int) -> None:
-        for server, token in self.probing.items():
-            fails = self.observations.found(now, server)
+            if value[1] or value[4] or server in evidence:
+                self._publish_if_due(now_ns, EVIDENCE, server, value, nodes, is_failing_value)
+        failing_count = sum(map(is_failing_value, values.values()))
+        assessable_count = sum(map(is_assessable_value, values.values()))
+        own_load = self._facts.own_fact(LOAD, 0)
+        if (observed or own_load is not None) and (
+            own_load is None or now_ns - own_load.written_at >= LOAD_INTERVAL_NS
+        ):
+            rate = self.observations.measure_rate(now_ns)
+            load = (
+                self._zone,
+                min(rate, 0xFFFF),
+                min(self.observations.in_flight, 0xFFFF),
+                assessable_count,
+                failing_count,
+            )
+            self._publish_if_due(now_ns, LOAD, 0, load, nodes)
+        busiest = sorted(
+            self.observations.attempts_by_server.items(), key=lambda entry: (-entry[1], entry[0])
+        )[:MAX_BUSY_SERVERS]
+        for server, attempts in busiest:
+            if attempts >= MIN_BUSY_ATTEMPTS:
+                self._publish_if_due(now_ns, FLIGHT, server, (attempts.bit_length(),), nodes)
+
+    def _publish_probes(self, now_ns: int, nodes: int) -> None:
+        for server, token in self.probe_tokens.items():
+            fails = self.observations.probe_fails(now_ns, server)
             if fails is not None:
                 parts = tuple(token >> shift & 0xFFFF for shift in (48, 32, 16, 0))
-                self._publish(now, PROBE, server, (int(fails), *parts), nodes, lambda value: value[0] > 0)
-
-    def _probes(self, now: int, zones: dict[int, int], faulty: set[int]) -> dict[int, Fact]:
-        """By server: what its prober says, unless that finds much of what it tries bad. One with an older
-        token than another has shown was too late."""
-        out: dict[int, Fact] = {}
-        for server, facts in self._facts.subjects(now, PROBE).items():
-            for one in facts:
-                token = token_of(one)
-                if token < self.probed.get(server, 0):
-                    if (server, token) not in self.refused:
-                        self.refused.append((server, token))
-                elif one.owner not in zones or one.owner in faulty:
+                self._publish_if_due(
+                    now_ns, PROBE, server, (int(fails), *parts), nodes, lambda value: value[0] > 0
+                )
+
+    def _valid_probes(self, now_ns: int, zones: dict[int, int], faulty: set[int]) -> dict[int, Fact]:
+        """Returns the valid probe result of each server. Results of faulty reporters are ignored, and a
+        result with an older token than a previous one is refused, because its node has lost the lease."""
+        results: dict[int, Fact] = {}
+        for server, facts in self._facts.by_subject(now_ns, PROBE).items():
+            for fact in facts:
+                token = probe_token(fact)
+                if token < self.highest_probe_tokens.get(server, 0):
+                    if (server, token) not in self.refused_probes:
+                        self.refused_probes.append((server, token))
+                elif fact.owner not in zones or fact.owner in faulty:
                     continue
-                elif server not in out or token > token_of(out[server]):
-                    out[server] = one
-                    self.probed[server] = token
-        return out
-
-    def hidden(self) -> set[int]:
-        """What this node's own module is not to use: it tries those itself that it probes for all."""
-        return self.out.keys() - self.probing.keys()
-
-    def _publish(
-        self, now: int, kind: int, subject: int, value: Value, nodes: int,
-        says: Callable[[Value], bool] = lambda value: False,
+                elif server not in results or token > probe_token(results[server]):
+                    results[server] = fact
+                    self.highest_probe_tokens[server] = token
+        return results
+
+    def hidden_servers(self) -> set[int]:
+        """Returns the servers that the decision module of this node must not use. A server that this node
+        probes for all nodes is not among them."""
+        return self.held_back.keys() - self.probe_tokens.keys()
+
+    def _publish_if_due(
+        self, now_ns: int, kind: int, subject: int, value: Value, nodes: int,
+        conclusion: Callable[[Value], bool] = lambda value: False,
     ) -> None:  # fmt: skip
-        """`says`: what others will make of it, which is told at once where it changes."""
-        known = self._facts.published(kind, subject)
-        if known is not None and says(known.value) == says(value):
-            age, lives = now - known.born, KINDS[kind].lives
-            soonest = lives // 3 if kind == LOAD else SOONEST  # of each node, and so of the fleet the most
-            if age < soonest or (age < lives // 2 and not _differs(known.value, value)):
+        """Publishes a fact unless the last one is recent or similar. `conclusion` is what other nodes
+        conclude from a value; a change of it is published at once."""
+        known = self._facts.own_fact(kind, subject)
+        if known is not None and conclusion(known.value) == conclusion(value):
+            age_ns, lifetime_ns = now_ns - known.written_at, KINDS[kind].lifetime_ns
+            # Every node publishes its load, so it makes up most of the facts.
+            min_interval_ns = lifetime_ns // 3 if kind == LOAD else MIN_PUBLISH_INTERVAL_NS
+            if age_ns < min_interval_ns or (
+                age_ns < lifetime_ns // 2 and not _differs_notably(known.value, value)
+            ):
                 return
-        self._facts.publish(now, kind, subject, value, nodes)
-
-    def _worst(self, now: int, seen: dict[int, Seen], zones: dict[int, int]) -> list[Verdict]:
-        faulty = {one.owner for one in self._facts.read(now, LOAD) if at_fault(one)}
-        found = []
-        probes = self._probes(now, zones, faulty)
-        disputed = self._facts.subjects(now, EVIDENCE)
+        self._facts.publish(now_ns, kind, subject, value, nodes)
+
+    def _select_verdicts(
+        self, now_ns: int, observed: dict[int, OutcomeCounts], zones: dict[int, int]
+    ) -> list[Verdict]:
+        faulty = {load.owner for load in self._facts.read(now_ns, LOAD) if is_faulty_reporter(load)}
+        verdicts = []
+        probes = self._valid_probes(now_ns, zones, faulty)
+        evidence = self._facts.by_subject(now_ns, EVIDENCE)
         for server in probes:
-            disputed.setdefault(server, [])
-        self._disputed = {server: self._disputed.get(server, now) for server in disputed}
-        for server, facts in disputed.items():
-            if server not in self.ready or now - self._disputed[server] < DISSENT_WAIT_NS:
+            evidence.setdefault(server, [])
+        self._evidence_since_ns = {server: self._evidence_since_ns.get(server, now_ns) for server in evidence}
+        for server, facts in evidence.items():
+            if server not in self.ready_servers or now_ns - self._evidence_since_ns[server] < DISSENT_WAIT_NS:
                 continue
             verdict = assess_server(server, facts, zones, faulty)
-            own = seen.get(server)
-            alone = now - self._out_since.get(server, now) < PROBED_MOST
-            if alone and server in self.out and (probe := probes.get(server)) is not None:
-                # Whoever tries it for all knows: it is out for as long as that fails, and no longer.
+            own_counts = observed.get(server)
+            prober_decides = now_ns - self._held_back_since_ns.get(server, now_ns) < MAX_PROBE_HOLD_NS
+            if prober_decides and server in self.held_back and (probe := probes.get(server)) is not None:
+                # The prober decides: the server is held back exactly as long as its probes fail.
                 verdict = Verdict(server, (probe.owner,), 1.0) if probe.value[0] else None
-            if verdict is not None and not (own is not None and own.tried() and not own.bad()):
-                found.append(verdict)
-        room = int(MAX_HELD_BACK_SHARE * len(self.ready))
-        # One that is out stays before one that is not: else two of the same kind take turns.
-        found.sort(key=lambda one: (one.server not in self.out, -one.share, -len(one.reporters), one.server))
-        return found[:room]
-
-
-def at_fault(load: Fact) -> bool:
-    """Whether its owner finds so much bad that the fault is its own."""
-    return load.value[4] > max(1, OWN_FAULT * load.value[3])
-
-
-def token_of(probe: Fact) -> int:
+            if verdict is not None and not (
+                own_counts is not None and own_counts.is_assessable() and not own_counts.is_failing()
+            ):
+                verdicts.append(verdict)
+        max_held_back = int(MAX_HELD_BACK_SHARE * len(self.ready_servers))
+        # Servers that are held back already come first; otherwise two equally bad servers would alternate.
+        verdicts.sort(
+            key=lambda verdict: (
+                verdict.server not in self.held_back,
+                -verdict.failing_share,
+                -len(verdict.reporters),
+                verdict.server,
+            )
+        )
+        return verdicts[:max_held_back]
+
+
+def is_faulty_reporter(load: Fact) -> bool:
+    """Returns whether a reporter finds so many servers failing that it must be faulty itself."""
+    return load.value[4] > max(1, MAX_FAILING_SHARE * load.value[3])
+
+
+def probe_token(probe: Fact) -> int:
+    """Returns the lease token with which a server was probed."""
     high, second, third, low = probe.value[1:5]
     return high << 48 | second << 32 | third << 16 | low
 
 
-def _differs(before: tuple[int, ...], after: tuple[int, ...]) -> bool:
-    """By enough to be told: half as much again, or between nothing and something."""
+def _differs_notably(before: tuple[int, ...], after: tuple[int, ...]) -> bool:
+    """Returns whether a number changed by more than 2 and more than half, or between zero and another
+    value."""
     return any(
-        (one == 0) != (other == 0) or abs(one - other) > max(2, one // 2)
-        for one, other in zip(before, after, strict=True)
+        (old == 0) != (new == 0) or abs(old - new) > max(2, old // 2)
+        for old, new in zip(before, after, strict=True)
     )
 
 
 def assess_server(
     server: int, facts: Iterable[Fact], zones: dict[int, int], faulty: set[int]
 ) -> Verdict | None:
-    """A verdict if the server is bad for all. `faulty`: reporters that count for nothing."""
-    tried = [one for one in facts if one.owner in zones and one.owner not in faulty and is_tried(one.value)]
-    bad = [one.owner for one in tried if is_bad(one.value)]
-    wanted = max(2, min(REPORTERS, len(zones) - 1))
-    if len(bad) < max(wanted, ceil(MOST * len(tried))):
+    """Returns a verdict if the server is failing for all nodes. Reports of `faulty` reporters are ignored."""
+    reports = [
+        fact
+        for fact in facts
+        if fact.owner in zones and fact.owner not in faulty and is_assessable_value(fact.value)
+    ]
+    failing_reporters = [report.owner for report in reports if is_failing_value(report.value)]
+    needed = max(2, min(MIN_REPORTERS, len(zones) - 1))
+    if len(failing_reporters) < max(needed, ceil(MIN_REPORTER_SHARE * len(reports))):
         return None
-    if len(set(zones.values())) > 1 and len({zones[owner] for owner in bad}) < 2:
+    if len(set(zones.values())) > 1 and len({zones[owner] for owner in failing_reporters}) < 2:
         return None
-    return Verdict(server, tuple(sorted(bad)), len(bad) / len(tried))
+    return Verdict(server, tuple(sorted(failing_reporters)), len(failing_reporters) / len(reports))
--- a/driftstair/tier/shared/facts.py
+++ b/driftstair/tier/shared/facts.py
@@ -1,13 +1,14 @@
-"""Small facts that nodes tell of themselves, replicated: each has one writer, whose latest word stands.
+"""Replicated store of facts: small records that each node publishes about itself and what it observes.
 
-A fact is one register of its owner, by kind and subject. (generation, version) rises with each write, so
-keeping the greater is commutative, associative and idempotent: any order, repeat or loss gives the same
-store, as far as it was heard (a map of last-writer registers; Shapiro and others, 2011). Sums, votes and
-counts are taken when they are read, over the owners; so nothing that several write has to be merged.
+A fact is a register with one writer, its owner, identified by owner, kind and subject. (generation, version)
+increases with each write, so keeping the greater one is commutative, associative and idempotent: stores that
+received the same facts are equal in spite of reordering, duplicates and loss (a map of last-writer-wins
+registers; Shapiro and others, 2011). Sums, votes and counts over the owners are computed on reading, so no
+values of several writers have to be merged.
 
-A fact goes out with its age. Whoever takes it adds the longest that a datagram is taken to be on its way, so
-an age is too little only by what is beyond that, and each hop adds. What is older than its kind lives counts
-as unknown, whenever it was heard. Times are monotonic ns of the reader alone.
+A fact is sent with its age. The receiver adds the maximum transit time of a datagram, so an age is too small
+only by the transit time beyond that, and each hop adds to the age. A fact that is older than the lifetime of
+its kind counts as unknown, however recently it was received. Times are monotonic ns of the reader.
 """
 
 from __future__ import annotations
@@ -18,166 +19,191 @@
 from typing import NamedTuple
 from zlib import crc32
 
-MS = 1_000_000
-TRANSIT = 100 * MS  # a datagram's way, at the longest that is reckoned with
-FACTS_MOST = 4096
-FANOUT = 3  # nodes that are told what is urgent, in one round
+NS_PER_MS = 1_000_000
+MAX_TRANSIT_NS = 100 * NS_PER_MS  # added to the age of each received fact
+MAX_FACTS = 4096
+FANOUT = 3  # nodes that receive the pending updates of one round
 
 
-class Kind(NamedTuple):
-    lives: int  # ns
-    worth: int  # the least worthy go first where there is no room
-    fields: int  # whole numbers of its value
+class FactKind(NamedTuple):
+    """Properties of one kind of facts."""
+
+    lifetime_ns: int
+    priority: int  # facts of the lowest priority are evicted first if the store is full
+    field_count: int  # integers in its value
 
 
 EVIDENCE, LOAD, PROBE, FLIGHT = 1, 2, 3, 4
-KINDS = {EVIDENCE: Kind(5_000 * MS, 2, 5), LOAD: Kind(30_000 * MS, 1, 5), PROBE: Kind(5_000 * MS, 3, 5),
-         FLIGHT: Kind(5_000 * MS, 0, 1)}  # fmt: skip
+KINDS = {
+    EVIDENCE: FactKind(5_000 * NS_PER_MS, 2, 5), LOAD: FactKind(30_000 * NS_PER_MS, 1, 5),
+    PROBE: FactKind(5_000 * NS_PER_MS, 3, 5), FLIGHT: FactKind(5_000 * NS_PER_MS, 0, 1),
+}  # fmt: skip
 
-Place = tuple[int, int, int]  # owner, kind, subject
+FactKey = tuple[int, int, int]  # owner, kind, subject
 
 
 class Fact(NamedTuple):
+    """One value of an owner about a subject."""
+
     owner: int
     generation: int
     version: int
     kind: int
     subject: int
-    born: int  # ns by the reader's clock: not later than it was written
+    written_at: int  # on the reader's clock; not later than the actual time of writing
     value: tuple[int, ...]
 
-    def place(self) -> Place:
+    def fact_key(self) -> FactKey:
+        """Returns the register that this fact is a value of."""
         return self.owner, self.kind, self.subject
 
     def rank(self) -> tuple[int, int]:
+        """Returns the order of the writes to one register."""
         return self.generation, self.version
 
 
-class Facts:
-    """What one process holds. `random` chooses what goes round; nothing that is held depends on it."""
+class FactStore:
+    """The facts that one process knows. `random` selects what is sent; the content does not depend on it."""
 
-    def __init__(self, own: int, generation: int, random: Random, most: int = FACTS_MOST) -> None:
-        self.own, self.generation = own, generation
-        self.dropped = 0  # for want of room
-        self._most = most
+    def __init__(self, own_number: int, generation: int, random: Random, limit: int = MAX_FACTS) -> None:
+        self.own_number, self.generation = own_number, generation
+        self.evicted_count = 0  # facts evicted from the full store
+        self._capacity = limit
         self._random = random
         self._version = 0
-        self._held: dict[Place, Fact] = {}
-        self._generations: dict[int, int] = {}  # the latest generation that each owner wrote in
-        self._left: dict[Place, int] = {}  # how often what is news here goes out yet
-        self._round: list[Place] = []
+        self._facts: dict[FactKey, Fact] = {}
+        self._generations: dict[int, int] = {}  # the latest generation of each owner
+        self._sends_left: dict[FactKey, int] = {}  # how often each updated fact is still sent
+        self._rotation: list[FactKey] = []  # the remaining facts of a pass over the store in random order
 
-    # Writing.
+    # Writes.
 
-    def publish(self, now: int, kind: int, subject: int, value: tuple[int, ...], nodes: int) -> None:
-        """Of this node itself; `nodes`: that live, which says how often news goes out."""
+    def publish(self, now_ns: int, kind: int, subject: int, value: tuple[int, ...], nodes: int) -> None:
+        """Writes a fact of this node. The number of live nodes determines how often an update is sent."""
         self._version += 1
-        self._put(Fact(self.own, self.generation, self._version, kind, subject, now, value), nodes)
+        self._store(
+            Fact(self.own_number, self.generation, self._version, kind, subject, now_ns, value), nodes
+        )
 
-    def published(self, kind: int, subject: int) -> Fact | None:
-        return self._held.get((self.own, kind, subject))
+    def own_fact(self, kind: int, subject: int) -> Fact | None:
+        """Returns what this node last published of a subject, if it is still in the store."""
+        return self._facts.get((self.own_number, kind, subject))
 
-    def take(self, now: int, fact: Fact, nodes: int) -> bool:
-        """Whether it is news. `fact.born` is as its sender reckons; the way here is taken off."""
+    def merge(self, now_ns: int, fact: Fact, nodes: int) -> bool:
+        """Merges a received fact and returns whether it is newer than the known one. The maximum transit time
+        is subtracted from the time of writing that the sender stated."""
         kind = KINDS[fact.kind]
-        if fact.owner == self.own or fact.generation < self._generations.get(fact.owner, 0):
+        if fact.owner == self.own_number or fact.generation < self._generations.get(fact.owner, 0):
             return False
-        fact = fact._replace(born=fact.born - TRANSIT)
-        if now - fact.born >= kind.lives:
+        fact = fact._replace(written_at=fact.written_at - MAX_TRANSIT_NS)
+        if now_ns - fact.written_at >= kind.lifetime_ns:
             return False
-        known = self._held.get(fact.place())
+        known = self._facts.get(fact.fact_key())
         if known is not None and fact.rank() <= known.rank():
-            if fact.rank() == known.rank() and fact.born < known.born:
-                self._held[fact.place()] = fact  # the same, and older than was thought
+            if fact.rank() == known.rank() and fact.written_at < known.written_at:
+                self._facts[fact.fact_key()] = fact  # the same value, written earlier than assumed
             return False
-        self._put(fact, nodes)
+        self._store(fact, nodes)
         return True
 
-    def _put(self, fact: Fact, nodes: int) -> None:
-        before = self._generations.get(fact.owner, 0)
-        if fact.generation > before:
+    def _store(self, fact: Fact, nodes: int) -> None:
+        known_generation = self._generations.get(fact.owner, 0)
+        if fact.generation > known_generation:
             self._generations[fact.owner] = fact.generation
-            if before:
-                self.forget(fact.owner)
-        self._held[fact.place()] = fact
-        self._left[fact.place()] = 1 + ceil(log2(max(2, nodes)))
-        if len(self._held) > self._most:
-            self._drop(min(self._held.values(), key=self._worth).place())
-            self.dropped += 1
-
-    def _worth(self, one: Fact) -> tuple[int, bool, int]:
-        return KINDS[one.kind].worth, one.owner == self.own, one.born
-
-    def forget(self, owner: int) -> None:
-        for place in [place for place in self._held if place[0] == owner]:
-            self._drop(place)
-
-    def _drop(self, place: Place) -> None:
-        self._held.pop(place, None)
-        self._left.pop(place, None)
-
-    def tick(self, now: int) -> None:
-        """Let go of what has had its time."""
-        for one in [one for one in self._held.values() if now - one.born >= KINDS[one.kind].lives]:
-            self._drop(one.place())
-
-    # Reading.
-
-    def read(self, now: int, kind: int, subject: int = 0) -> list[Fact]:
-        lives = KINDS[kind].lives
+            if known_generation:
+                self.remove_owner(fact.owner)
+        self._facts[fact.fact_key()] = fact
+        self._sends_left[fact.fact_key()] = 1 + ceil(log2(max(2, nodes)))
+        if len(self._facts) > self._capacity:
+            self._remove(min(self._facts.values(), key=self._eviction_order).fact_key())
+            self.evicted_count += 1
+
+    def _eviction_order(self, fact: Fact) -> tuple[int, bool, int]:
+        return KINDS[fact.kind].priority, fact.owner == self.own_number, fact.written_at
+
+    def remove_owner(self, owner: int) -> None:
+        """Removes all facts of an owner."""
+        for key in [key for key in self._facts if key[0] == owner]:
+            self._remove(key)
+
+    def _remove(self, key: FactKey) -> None:
+        self._facts.pop(key, None)
+        self._sends_left.pop(key, None)
+
+    def remove_expired(self, now_ns: int) -> None:
+        """Removes facts that are older than the lifetime of their kind."""
+        for fact in [
+            fact for fact in self._facts.values() if now_ns - fact.written_at >= KINDS[fact.kind].lifetime_ns
+        ]:
+            self._remove(fact.fact_key())
+
+    # Reads.
+
+    def read(self, now_ns: int, kind: int, subject: int = 0) -> list[Fact]:
+        """Returns the current facts of all owners about a subject."""
+        lifetime_ns = KINDS[kind].lifetime_ns
         return [
-            one for one in self._held.values()
-            if one.kind == kind and one.subject == subject and now - one.born < lives
+            fact for fact in self._facts.values()
+            if fact.kind == kind and fact.subject == subject and now_ns - fact.written_at < lifetime_ns
         ]  # fmt: skip
 
-    def subjects(self, now: int, kind: int) -> dict[int, list[Fact]]:
-        out: dict[int, list[Fact]] = {}
-        for one in self._held.values():
-            if one.kind == kind and now - one.born < KINDS[kind].lives:
-                out.setdefault(one.subject, []).append(one)
-        return out
+    def by_subject(self, now_ns: int, kind: int) -> dict[int, list[Fact]]:
+        """Returns the current facts of a kind by subject."""
+        facts_by_subject: dict[int, list[Fact]] = {}
+        for fact in self._facts.values():
+            if fact.kind == kind and now_ns - fact.written_at < KINDS[kind].lifetime_ns:
+                facts_by_subject.setdefault(fact.subject, []).append(fact)
+        return facts_by_subject
 
     def __len__(self) -> int:
-        return len(self._held)
-
-    # Telling.
-
-    def urgent(self) -> bool:
-        return bool(self._left)
-
-    def news(self, most: int) -> list[Fact]:
-        """The worthiest goes first, and of that what has gone out least; one place at least is for the others
-        in turn, so that each comes round whatever is new."""
-        most_new = max(1, most - 1)
-        places = sorted(self._left, key=lambda one: (-KINDS[one[1]].worth, -self._left[one], one))[:most_new]
-        for place in places:
-            self._left[place] -= 1
-            if self._left[place] <= 0:
-                del self._left[place]
-        chosen = set(places)
-        while len(places) < most and len(chosen) < len(self._held):
-            if not self._round:
-                self._round = list(self._held)
-                self._random.shuffle(self._round)
-            place = self._round.pop()
-            if place in self._held and place not in chosen:
-                chosen.add(place)
-                places.append(place)
-        return [self._held[place] for place in places]
-
-    def of(self, owners: Iterable[int], most: int) -> list[Fact]:
-        wanted = set(owners)
-        found = [one for one in self._held.values() if one.owner in wanted]
-        return sorted(found, key=lambda one: -one.born)[:most]
+        return len(self._facts)
+
+    # Replication.
+
+    def has_updates(self) -> bool:
+        """Returns whether updates are still to be sent."""
+        return bool(self._sends_left)
+
+    def next_to_send(self, limit: int) -> list[Fact]:
+        """Selects up to `limit` facts to send. Updates come first, by priority and then by how seldom they
+        were sent. At least one fact is taken from a pass over the whole store, so that each fact is sent
+        regularly however many updates there are."""
+        max_updates = max(1, limit - 1)
+        keys = sorted(
+            self._sends_left, key=lambda key: (-KINDS[key[1]].priority, -self._sends_left[key], key)
+        )[:max_updates]
+        for key in keys:
+            self._sends_left[key] -= 1
+            if self._sends_left[key] <= 0:
+                del self._sends_left[key]
+        chosen = set(keys)
+        while len(keys) < limit and len(chosen) < len(self._facts):
+            if not self._rotation:
+                self._rotation = list(self._facts)
+                self._random.shuffle(self._rotation)
+            key = self._rotation.pop()
+            if key in self._facts and key not in chosen:
+                chosen.add(key)
+                keys.append(key)
+        return [self._facts[key] for key in keys]
+
+    def newest_of(self, owners: Iterable[int], limit: int) -> list[Fact]:
+        """Returns up to `limit` facts of some owners, the newest first."""
+        wanted_owners = set(owners)
+        matching = [fact for fact in self._facts.values() if fact.owner in wanted_owners]
+        return sorted(matching, key=lambda fact: -fact.written_at)[:limit]
 
     def digest(self, choose: Callable[[list[int]], list[int]]) -> dict[int, int]:
-        """By owner, of those that are chosen: one number for all that is held of it."""
-        out = dict.fromkeys(choose(sorted({one.owner for one in self._held.values()})), 0)
-        for one in self._held.values():
-            if one.owner in out:
-                out[one.owner] ^= crc32(f"{one.kind}/{one.subject}/{one.generation}/{one.version}".encode())
-        return out
-
-    def differing(self, told: dict[int, int]) -> list[int]:
-        mine = self.digest(lambda owners: list(told))
-        return [owner for owner, number in told.items() if mine[owner] != number]
+        """Returns one checksum of all known facts of each owner that `choose` selects."""
+        checksums = dict.fromkeys(choose(sorted({fact.owner for fact in self._facts.values()})), 0)
+        for fact in self._facts.values():
+            if fact.owner in checksums:
+                checksums[fact.owner] ^= crc32(
+                    f"{fact.kind}/{fact.subject}/{fact.generation}/{fact.version}".encode()
+                )
+        return checksums
+
+    def differing_owners(self, digest: dict[int, int]) -> list[int]:
+        """Returns the owners whose checksum differs from that in a received digest."""
+        own_digest = self.digest(lambda owners: list(digest))
+        return [owner for owner, checksum in digest.items() if own_digest[owner] != checksum]
--- a/driftstair/tier/shared/gossip.py
+++ b/driftstair/tier/shared/gossip.py
@@ -1,9 +1,10 @@
-"""How facts go round: what is news to a few nodes at once, and what was missed by digests, at a bounded rate.
+"""Gossip of facts at a bounded rate: updates are pushed, and missed facts are found by exchanging digests.
 
-Each round a node tells what is urgent to `FANOUT` others, one datagram each; once a second it tells one other
-what it holds of each owner in one number, some owners at a time, and both send what the other lacks. So a
-node sends FAN datagrams a round at most, one a second for its digest, and ANSWER_MOST and one for each digest
-that it answers, of which there are ANSWERS_A_ROUND at most. Times are monotonic ns.
+In each round a node sends pending updates to `FANOUT` nodes, one datagram each. Once a second it sends one
+node a digest, which has one checksum for each of some owners, and both then send the facts that the other
+lacks. So a node sends at most `FANOUT` datagrams in a round, one digest in a second, and
+`MAX_DATAGRAMS_PER_ANSWER` and one more datagrams for each digest that it answers, of which it answers at most
+`MAX_ANSWERS_PER_ROUND` in a round. Times are monotonic ns.
 """
 
 from __future__ import annotations
@@ -13,54 +14,59 @@
 from random import Random
 
 from driftstair.tier.shared import wire
-from driftstair.tier.shared.facts import FANOUT, KINDS, MS, Fact, Facts
+from driftstair.tier.shared.facts import FANOUT, KINDS, NS_PER_MS, Fact, FactStore
 from driftstair.tier.shared.wire import InvalidItem, Item, checked_int
 
-ROUND = 250 * MS
-DIGEST_ROUNDS = 4  # rounds between two digests
+ROUND_NS = 250 * NS_PER_MS
+ROUNDS_PER_DIGEST = 4
 FACTS_PER_DATAGRAM = 7
-OWNERS_A_DATAGRAM = 18
-ANSWER_MOST = 4  # datagrams of facts for one digest
-ANSWERS_A_ROUND = 8
-GENERATION_MOST = VERSION_MOST = SUBJECT_MOST = (1 << 32) - 1
+OWNERS_PER_DIGEST = 18
+MAX_DATAGRAMS_PER_ANSWER = 4  # with facts, in answer to one digest
+MAX_ANSWERS_PER_ROUND = 8
+MAX_GENERATION = MAX_VERSION = MAX_SUBJECT = (1 << 32) - 1
 
-Tells = list[tuple[int, Item]]
+OutgoingItems = list[tuple[int, Item]]
+"""Items to send, each with the number of its recipient."""
 
 
 class Gossip:
-    """`others`: the numbers of living nodes that understand this."""
+    """Gossip of one node. `other_nodes` returns the numbers of the live nodes that support it."""
 
     def __init__(
-        self, facts: Facts, random: Random, others: Callable[[], list[int]], thrown: Counter[str]
+        self, facts: FactStore, random: Random, other_nodes: Callable[[], list[int]], discarded: Counter[str]
     ) -> None:
         self.facts = facts
         self._random = random
-        self._others = others
-        self._thrown = thrown
+        self._other_nodes = other_nodes
+        self._discarded = discarded
         self._rounds = 0
-        self._answers = 0
+        self._answers_in_round = 0
 
-    def tick(self, now: int) -> Tells:
-        self.facts.tick(now)
+    def tick(self, now_ns: int) -> OutgoingItems:
+        """Starts a round and returns what to send in it. Must be called once in `ROUND_NS`."""
+        self.facts.remove_expired(now_ns)
         self._rounds += 1
-        self._answers = 0
-        others = self._others()
-        out: Tells = []
-        if not others:
-            return out
-        if self.facts.urgent():
-            for to in self._random.sample(others, min(FANOUT, len(others))):
-                out += [(to, self._item(now, one)) for one in self.facts.news(FACTS_PER_DATAGRAM)]
-        if self._rounds % DIGEST_ROUNDS == 0 and len(self.facts):
-            digest = self.facts.digest(self._some)
-            out.append((self._random.choice(others), _digest(wire.DIGEST, digest)))
-        return out
-
-    def _some(self, owners: list[int]) -> list[int]:
-        return self._random.sample(owners, min(OWNERS_A_DATAGRAM, len(owners)))
-
-    def _item(self, now: int, fact: Fact) -> Item:
-        age = (now - fact.born) // MS
+        self._answers_in_round = 0
+        other_nodes = self._other_nodes()
+        messages: OutgoingItems = []
+        if not other_nodes:
+            return messages
+        if self.facts.has_updates():
+            for to in self._random.sample(other_nodes, min(FANOUT, len(other_nodes))):
+                messages += [
+                    (to, self._encode_fact(now_ns, fact))
+                    for fact in self.facts.next_to_send(FACTS_PER_DATAGRAM)
+                ]
+        if self._rounds % ROUNDS_PER_DIGEST == 0 and len(self.facts):
+            digest = self.facts.digest(self._sample_owners)
+            messages.append((self._random.choice(other_nodes), _encode_digest(wire.DIGEST, digest)))
+        return messages
+
+    def _sample_owners(self, owners: list[int]) -> list[int]:
+        return self._random.sample(owners, min(OWNERS_PER_DIGEST, len(owners)))
+
+    def _encode_fact(self, now_ns: int, fact: Fact) -> Item:
+        age_ms = (now_ns - fact.written_at) // NS_PER_MS
         return (
             wire.FACT,
             fact.owner,
@@ -68,51 +74,55 @@
             fact.version,
             fact.kind,
             fact.subject,
-            age,
+            age_ms,
             *fact.value,
         )
 
-    def take(self, now: int, sender: int, item: Item) -> Tells:
-        """Raises InvalidItem."""
+    def handle_item(self, now_ns: int, sender: int, item: Item) -> OutgoingItems:
+        """Handles a fact or a digest and returns the answer to it. Raises InvalidItem."""
         if item[0] == wire.FACT:
-            self.facts.take(now, _fact(now, item), len(self._others()) + 1)
+            self.facts.merge(now_ns, _decode_fact(now_ns, item), len(self._other_nodes()) + 1)
             return []
-        told = _owners(item)
-        lacking = self.facts.differing(told)
-        if not lacking or self._answers >= ANSWERS_A_ROUND:
+        remote_digest = _decode_digest(item)
+        differing = self.facts.differing_owners(remote_digest)
+        if not differing or self._answers_in_round >= MAX_ANSWERS_PER_ROUND:
             return []
-        self._answers += 1
-        most = ANSWER_MOST * FACTS_PER_DATAGRAM
-        out: Tells = [(sender, self._item(now, one)) for one in self.facts.of(lacking, most)]
-        if item[0] == wire.DIGEST:  # and what is told there comes in return
-            out.append((sender, _digest(wire.DIGEST_BACK, self.facts.digest(lambda owners: lacking))))
-        return out
-
-
-def _digest(kind: int, digest: dict[int, int]) -> Item:
+        self._answers_in_round += 1
+        max_facts = MAX_DATAGRAMS_PER_ANSWER * FACTS_PER_DATAGRAM
+        messages: OutgoingItems = [
+            (sender, self._encode_fact(now_ns, fact)) for fact in self.facts.newest_of(differing, max_facts)
+        ]
+        if item[0] == wire.DIGEST:  # the sender then sends what is missing here
+            messages.append(
+                (sender, _encode_digest(wire.DIGEST_REPLY, self.facts.digest(lambda owners: differing)))
+            )
+        return messages
+
+
+def _encode_digest(kind: int, digest: dict[int, int]) -> Item:
     return (kind, *(number for pair in digest.items() for number in pair))
 
 
-def _owners(item: Item) -> dict[int, int]:
+def _decode_digest(item: Item) -> dict[int, int]:
     numbers = item[1:]
-    if len(numbers) % 2 or len(numbers) > 2 * OWNERS_A_DATAGRAM:
+    if len(numbers) % 2 or len(numbers) > 2 * OWNERS_PER_DIGEST:
         raise InvalidItem("no_digest")
-    owners = [checked_int(one, wire.MAX_NODE) for one in numbers[::2]]
-    return dict(zip(owners, (checked_int(one, SUBJECT_MOST) for one in numbers[1::2]), strict=True))
+    owners = [checked_int(owner, wire.MAX_NODE) for owner in numbers[::2]]
+    return dict(zip(owners, (checked_int(checksum, MAX_SUBJECT) for checksum in numbers[1::2]), strict=True))
 
 
-def _fact(now: int, item: Item) -> Fact:
+def _decode_fact(now_ns: int, item: Item) -> Fact:
     if len(item) < 7:
         raise InvalidItem("too_few_fields")
-    owner, generation, version, kind, subject, age, *value = item[1:]
-    known = KINDS.get(kind) if type(kind) is int else None
-    if known is None:
+    owner, generation, version, kind, subject, age_ms, *value = item[1:]
+    fact_kind = KINDS.get(kind) if type(kind) is int else None
+    if fact_kind is None:
         raise InvalidItem("other_fact")
-    if len(value) < known.fields:
+    if len(value) < fact_kind.field_count:
         raise InvalidItem("too_few_fields")
     return Fact(
-        checked_int(owner, wire.MAX_NODE), checked_int(generation, GENERATION_MOST),
-        checked_int(version, VERSION_MOST, 1), kind, checked_int(subject, SUBJECT_MOST),
-        now - checked_int(age, known.lives // MS) * MS,
-        tuple(checked_int(one, 0xFFFF) for one in value[: known.fields]),
+        checked_int(owner, wire.MAX_NODE), checked_int(generation, MAX_GENERATION),
+        checked_int(version, MAX_VERSION, 1), kind, checked_int(subject, MAX_SUBJECT),
+        now_ns - checked_int(age_ms, fact_kind.lifetime_ns // NS_PER_MS) * NS_PER_MS,
+        tuple(checked_int(field, 0xFFFF) for field in value[: fact_kind.field_count]),
     )  # fmt: skip
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -11,7 +11,7 @@
 from driftstair.tier.ownership.disruption_controller import LiveNodes
 from driftstair.tier.ownership.permit_manager import TASK as PERMITS
 from driftstair.tier.ownership.permits import Kind, Rules
-from driftstair.tier.shared.budget import Spec
+from driftstair.tier.shared.budget import BudgetSpec
 from driftstair.tier.shared.core import Action, PersistToken, SendItems, SharedState
 from driftstair.tier.shared.evidence import OutlierDetector
 from lichenspring.interface import DecisionModule
@@ -57,7 +57,7 @@
             return False
         at = self._clock()
         if self._kept:
-            budget.unspent(at, self._kept)
+            budget.refund(at, self._kept)
             self._kept = 0.0
         if not budget.spend(at, tokens):
             return False
@@ -70,7 +70,7 @@
         self._kept = 0.0
         budget = self._shared.budgets.get(self._name)
         if budget is not None:
-            budget.spent(tokens)
+            budget.record_spent(tokens)
         self._spent(self._name)
         return True
 
@@ -79,7 +79,7 @@
 
     def ns_until(self, now: int, tokens: float = 1.0) -> int:
         budget = self._shared.budgets.get(self._name)
-        return 0 if budget is None else budget.bucket.until(self._clock(), tokens)
+        return 0 if budget is None else budget.bucket.ns_until(self._clock(), tokens)
 
     def carry_over(self, other: object, now: int) -> None:
         """What is saved up is the budget's."""
@@ -91,7 +91,7 @@
     `keep(token)`: puts it on the disk and then calls `token_persisted`, or `persist_failed`."""
 
     def __init__(
-        self, specs: Iterable[Spec], random: Random, clock: Callable[[], int],
+        self, specs: Iterable[BudgetSpec], random: Random, clock: Callable[[], int],
         others: Callable[[], list[int]], carry: Callable[[int, bytes], None], write: Callable[..., None],
         speaks: EvidenceSettings | None = None, tasks: Sequence[str] = (),
         permitted: PermitSettings | None = None, keep: Callable[[int], None] = lambda token: None,
@@ -195,7 +195,7 @@
     def set_generation(self, generation: int) -> None:
         self.core.set_generation(generation)
 
-    def update_specs(self, specs: Iterable[Spec]) -> None:
+    def update_specs(self, specs: Iterable[BudgetSpec]) -> None:
         self._do(self.core.update_specs(self._clock(), specs))
 
     def leave(self) -> None:
@@ -205,7 +205,7 @@
         self._do(self.core.wake(self._clock()))
 
     def heard(self, sender: int, generation: int, items: bytes) -> None:
-        self._do(self.core.heard(self._clock(), sender, generation, items))
+        self._do(self.core.on_datagram(self._clock(), sender, generation, items))
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
@@ -221,19 +221,21 @@
         now = self._clock()
         budgets = {}
         for name, one in self.core.budgets.items():
-            held, lent = one.escrow.held(now), sum(one.escrow.lent_to().values())
+            held, lent = one.escrow.held_shares(now), sum(one.escrow.lent_shares_by_borrower().values())
             budgets[name] = {
-                "per_s": one.spec.per_s, "held_per_s": round(held * one.share, 6),
-                "home_per_s": round(one.spec.terms.shares * one.share, 6),
-                "lent_per_s": round(lent * one.share, 6),
-                "borrowed_per_s": round(sum(loan.shares for _, loan in one.escrow.loans()) * one.share, 6),
+                "per_s": one.spec.per_s, "held_per_s": round(held * one.share_per_s, 6),
+                "home_per_s": round(one.spec.terms.shares * one.share_per_s, 6),
+                "lent_per_s": round(lent * one.share_per_s, 6),
+                "borrowed_per_s": round(
+                    sum(loan.shares for _, loan in one.escrow.borrowed_loans()) * one.share_per_s, 6
+                ),
                 "wanted_per_s": round(one.demand.per_s, 6), "saved": round(one.bucket.tokens(now), 3),
                 **one.counts,
             }  # fmt: skip
         thrown = {f"thrown_{why}": number for why, number in sorted(self.core.discarded.items()) if number}
         judge = self.core.outlier_detector
         judged = {} if judge is None else {
-            "state": judge.state(now), "held_back": _named(judge, servers),
+            "state": judge.load_report(now), "held_back": _named(judge, servers),
             "in_flight": _flight(judge, now, servers),
         }  # fmt: skip
         leases = self.core.leases
@@ -246,7 +248,7 @@
 
 def _flight(judge: OutlierDetector, now: int, servers: Iterable[str]) -> dict[str, dict[str, int]]:
     names = {server_key(digest(one)): one for one in servers}
-    return {names.get(server, f"{server:08x}"): one for server, one in judge.busy(now).items()}
+    return {names.get(server, f"{server:08x}"): one for server, one in judge.attempts_report(now).items()}
 
 
 def _named(judge: OutlierDetector, servers: Iterable[str]) -> list[dict[str, Any]]:
@@ -254,7 +256,7 @@
     return [
         {
             "server": names.get(one.server, f"{one.server:08x}"), "reporters": list(one.reporters),
-            "share": round(one.share, 3),
+            "share": round(one.failing_share, 3),
         }
-        for one in judge.out.values()
+        for one in judge.held_back.values()
     ]  # fmt: skip
--- a/tests/tier/lending.py
+++ b/tests/tier/lending.py
@@ -1,8 +1,10 @@
-"""Lending between one home and some borrowers as a relation of states: for a solver, and beside the core.
+"""Lending between one lender and some borrowers as a transition relation on states, for a solver and for a
+comparison with the escrow.
 
-All is a remaining time of its keeper's clock, 0 or less: over. One loan a borrower; homes don't touch each
-other, and several loans of one borrower are as several borrowers whose clocks agree. A loan's slot is used
-again for the next number: what is under way of the former can't be taken any more (`done`, `D`).
+A time is the remaining time on the clock of the node that keeps it; 0 or less means expired. Each borrower
+has one loan. Lenders are independent of each other, and several loans of one borrower are equivalent to
+several borrowers whose clocks agree. The slot of a loan is used again for the next loan: messages in flight
+about the former loan cannot be accepted any more (`given_back`, `return_memory`).
 """
 
 from __future__ import annotations
@@ -10,59 +12,76 @@
 from dataclasses import dataclass, fields, replace
 from typing import Any
 
-LOAN = ("L", "B", "P", "Q", "N", "D", "done", "back", "shares")
-OLD = ("OB", "OP", "OD", "Odone", "Oshares")
+LOAN_FIELDS = (
+    "lender_time",
+    "borrower_time",
+    "grant_time",
+    "renewal_time",
+    "ask_time",
+    "return_memory",
+    "given_back",
+    "return_sent",
+    "shares",
+)
+OLD_LOAN_FIELDS = ("old_borrower_time", "old_grant_time", "old_return_memory", "old_given_back", "old_shares")
 
 
 @dataclass(frozen=True)
 class Slot:
-    L: Any  # the lender's time
-    B: Any  # the borrower's time
-    P: Any  # of the grant under way that would last longest
-    Q: Any  # of the ask to make it longer that would last longest
-    N: Any  # of the ask for a new loan
-    D: Any  # how long the borrower remembers that it gave it back
-    done: Any
-    back: Any  # that it was given back is under way, or has come
+    """State of the loan of one borrower."""
+
+    lender_time: Any  # until the lender counts the loan as expired
+    borrower_time: Any  # until the loan expires at the borrower
+    grant_time: Any  # of the grant in flight that would last longest
+    renewal_time: Any  # of the request for an extension that would last longest
+    ask_time: Any  # of the request for a new loan
+    return_memory: Any  # how long the borrower remembers that it returned the loan
+    given_back: Any  # the borrower has returned the loan and remembers it
+    return_sent: Any  # the return is in flight or has arrived
     shares: Any
-    OB: Any  # the same of a loan that an earlier generation of the lender gave
-    OP: Any
-    OD: Any
-    Odone: Any
-    Oshares: Any
+    # The same of a loan that an earlier generation of the lender granted.
+    old_borrower_time: Any
+    old_grant_time: Any
+    old_return_memory: Any
+    old_given_back: Any
+    old_shares: Any
 
 
 @dataclass(frozen=True)
 class State:
-    W: Any  # until the home's process knows that nothing of an earlier generation is out
+    """State of the lender and of all loans."""
+
+    earlier_loans_time: Any  # until all loans of an earlier generation of the lender have expired
     slots: tuple[Slot, ...]
 
 
 @dataclass(frozen=True)
-class Figures:
-    S: int
+class Parameters:
+    """Parameters of the relation, as in the terms of the escrow."""
+
+    total_shares: int
     floor: int
-    T: Any
-    waited: Any
+    loan_time: Any
+    lender_wait: Any
     drift: Any
 
 
-NAMES = tuple(one.name for one in fields(Slot))
+SLOT_FIELDS = tuple(field.name for field in fields(Slot))
 
 
-class Plain:
-    """Arithmetic on numbers; the solver has its own."""
+class PlainLogic:
+    """Logic operations on plain values; the solver has its own."""
 
     @staticmethod
-    def ite(condition: Any, one: Any, other: Any) -> Any:
-        return one if condition else other
+    def ite(condition: Any, first: Any, second: Any) -> Any:
+        return first if condition else second
 
     @staticmethod
-    def both(*conditions: Any) -> Any:
+    def all_of(*conditions: Any) -> Any:
         return all(conditions)
 
     @staticmethod
-    def no(condition: Any) -> Any:
+    def negate(condition: Any) -> Any:
         return not condition
 
     true: Any = True
@@ -70,142 +89,261 @@
 
 
 class Lending:
-    """Each step gives what has to be so before, and the state after."""
+    """The steps of the relation. Each returns its precondition and the state after it."""
 
-    def __init__(self, figures: Figures, logic: Any = Plain) -> None:
-        self.f = figures
+    def __init__(self, parameters: Parameters, logic: Any = PlainLogic) -> None:
+        self.parameters = parameters
         self.logic = logic
 
-    def larger(self, one: Any, other: Any) -> Any:
-        return self.logic.ite(one >= other, one, other)
+    def larger(self, first: Any, second: Any) -> Any:
+        """Returns the larger value."""
+        return self.logic.ite(first >= second, first, second)
 
-    def out(self, state: State) -> Any:
-        return sum(self.logic.ite(one.L > 0, one.shares, 0) for one in state.slots)
+    def lent_shares(self, state: State) -> Any:
+        """Returns the shares that are lent."""
+        return sum(self.logic.ite(slot.lender_time > 0, slot.shares, 0) for slot in state.slots)
 
-    def held(self, state: State) -> Any:
-        """By all."""
+    def held_shares(self, state: State) -> Any:
+        """Returns the shares that all nodes hold."""
         ite = self.logic.ite
-        total = ite(state.W > 0, self.f.floor, self.f.S) - self.out(state)
-        for one in state.slots:
-            total += ite(one.B > 0, one.shares, 0) + ite(one.OB > 0, one.Oshares, 0)
+        total = ite(
+            state.earlier_loans_time > 0, self.parameters.floor, self.parameters.total_shares
+        ) - self.lent_shares(state)
+        for slot in state.slots:
+            total += ite(slot.borrower_time > 0, slot.shares, 0) + ite(
+                slot.old_borrower_time > 0, slot.old_shares, 0
+            )
         return total
 
-    def _with(self, state: State, number: int, **changes: Any) -> State:
+    def _with_slot(self, state: State, number: int, **changes: Any) -> State:
         slots = list(state.slots)
         slots[number] = replace(slots[number], **changes)
         return replace(state, slots=tuple(slots))
 
-    def tick(self, state: State, home: Any, others: list[Any]) -> tuple[Any, State]:
-        """What passes on each clock; that they agree up to the drift is for who calls."""
+    def tick(self, state: State, lender_elapsed: Any, elapsed_times: list[Any]) -> tuple[Any, State]:
+        """Advances each clock by a time. The caller ensures that these times agree up to the drift."""
         slots = tuple(
-            replace(one, L=one.L - home, **{name: getattr(one, name) - by for name in
-                    ("B", "P", "Q", "N", "D", "OB", "OP", "OD")})
-            for one, by in zip(state.slots, others, strict=True)
-        )  # fmt: skip
-        return self.logic.true, State(state.W - home, slots)
+            replace(
+                slot,
+                lender_time=slot.lender_time - lender_elapsed,
+                **{
+                    name: getattr(slot, name) - elapsed
+                    for name in (
+                        "borrower_time",
+                        "grant_time",
+                        "renewal_time",
+                        "ask_time",
+                        "return_memory",
+                        "old_borrower_time",
+                        "old_grant_time",
+                        "old_return_memory",
+                    )
+                },
+            )
+            for slot, elapsed in zip(state.slots, elapsed_times, strict=True)
+        )
+        return self.logic.true, State(state.earlier_loans_time - lender_elapsed, slots)
 
     def ask(self, state: State, number: int) -> tuple[Any, State]:
-        return self.logic.true, self._with(state, number, N=self.f.T)
+        return self.logic.true, self._with_slot(state, number, ask_time=self.parameters.loan_time)
 
-    def ask_longer(self, state: State, number: int) -> tuple[Any, State]:
-        return state.slots[number].B > 0, self._with(state, number, Q=self.f.T)
+    def ask_renewal(self, state: State, number: int) -> tuple[Any, State]:
+        return state.slots[number].borrower_time > 0, self._with_slot(
+            state, number, renewal_time=self.parameters.loan_time
+        )
 
     def lend(self, state: State, number: int, shares: Any) -> tuple[Any, State]:
         slot = state.slots[number]
-        may = self.logic.both(
-            state.W <= 0, slot.L <= 0, shares > 0, shares <= self.f.S - self.f.floor - self.out(state)
+        allowed = self.logic.all_of(
+            state.earlier_loans_time <= 0,
+            slot.lender_time <= 0,
+            shares > 0,
+            shares <= self.parameters.total_shares - self.parameters.floor - self.lent_shares(state),
+        )
+        return allowed, self._with_slot(
+            state,
+            number,
+            lender_time=self.parameters.lender_wait,
+            borrower_time=self.parameters.loan_time * 0,
+            grant_time=slot.ask_time,
+            renewal_time=self.parameters.loan_time * 0,
+            return_memory=self.parameters.loan_time * 0,
+            given_back=self.logic.false,
+            return_sent=self.logic.false,
+            shares=shares,
         )
-        return may, self._with(
-            state, number, L=self.f.waited, B=self.f.T * 0, P=slot.N, Q=self.f.T * 0, D=self.f.T * 0,
-            done=self.logic.false, back=self.logic.false, shares=shares,
-        )  # fmt: skip
 
-    def lengthen(self, state: State, number: int) -> tuple[Any, State]:
+    def extend(self, state: State, number: int) -> tuple[Any, State]:
         slot = state.slots[number]
-        return slot.L > 0, self._with(state, number, L=self.f.waited, P=self.larger(slot.P, slot.Q))
+        return slot.lender_time > 0, self._with_slot(
+            state,
+            number,
+            lender_time=self.parameters.lender_wait,
+            grant_time=self.larger(slot.grant_time, slot.renewal_time),
+        )
 
-    def take(self, state: State, number: int) -> tuple[Any, State]:
+    def accept(self, state: State, number: int) -> tuple[Any, State]:
         slot = state.slots[number]
-        may = self.logic.both(self.logic.no(slot.done), slot.P > 0)
-        return may, self._with(state, number, B=self.larger(slot.B, slot.P))
+        allowed = self.logic.all_of(self.logic.negate(slot.given_back), slot.grant_time > 0)
+        return allowed, self._with_slot(
+            state, number, borrower_time=self.larger(slot.borrower_time, slot.grant_time)
+        )
 
-    def take_old(self, state: State, number: int) -> tuple[Any, State]:
+    def accept_old(self, state: State, number: int) -> tuple[Any, State]:
         slot = state.slots[number]
-        may = self.logic.both(self.logic.no(slot.Odone), slot.OP > 0)
-        return may, self._with(state, number, OB=self.larger(slot.OB, slot.OP))
+        allowed = self.logic.all_of(self.logic.negate(slot.old_given_back), slot.old_grant_time > 0)
+        return allowed, self._with_slot(
+            state, number, old_borrower_time=self.larger(slot.old_borrower_time, slot.old_grant_time)
+        )
 
     def give_back(self, state: State, number: int) -> tuple[Any, State]:
-        return state.slots[number].B > 0, self._with(
-            state, number, B=self.f.T * 0, done=self.logic.true, D=self.f.T, back=self.logic.true
+        return state.slots[number].borrower_time > 0, self._with_slot(
+            state,
+            number,
+            borrower_time=self.parameters.loan_time * 0,
+            given_back=self.logic.true,
+            return_memory=self.parameters.loan_time,
+            return_sent=self.logic.true,
         )
 
     def give_back_old(self, state: State, number: int) -> tuple[Any, State]:
-        return state.slots[number].OB > 0, self._with(
-            state, number, OB=self.f.T * 0, Odone=self.logic.true, OD=self.f.T
+        return state.slots[number].old_borrower_time > 0, self._with_slot(
+            state,
+            number,
+            old_borrower_time=self.parameters.loan_time * 0,
+            old_given_back=self.logic.true,
+            old_return_memory=self.parameters.loan_time,
         )
 
-    def returned(self, state: State, number: int) -> tuple[Any, State]:
-        return state.slots[number].back, self._with(state, number, L=self.f.T * 0)
+    def on_give_back(self, state: State, number: int) -> tuple[Any, State]:
+        return state.slots[number].return_sent, self._with_slot(
+            state, number, lender_time=self.parameters.loan_time * 0
+        )
 
-    def forget(self, state: State, number: int) -> tuple[Any, State]:
+    def forget_return(self, state: State, number: int) -> tuple[Any, State]:
         slot = state.slots[number]
-        return self.logic.both(slot.D <= 0), self._with(state, number, done=self.logic.false)
+        return self.logic.all_of(slot.return_memory <= 0), self._with_slot(
+            state, number, given_back=self.logic.false
+        )
 
-    def forget_old(self, state: State, number: int) -> tuple[Any, State]:
+    def forget_old_return(self, state: State, number: int) -> tuple[Any, State]:
         slot = state.slots[number]
-        return self.logic.both(slot.OD <= 0), self._with(state, number, Odone=self.logic.false)
+        return self.logic.all_of(slot.old_return_memory <= 0), self._with_slot(
+            state, number, old_given_back=self.logic.false
+        )
 
     def borrower_restarts(self, state: State, number: int) -> tuple[Any, State]:
-        """Grants name the generation that asked."""
-        none = dict.fromkeys(("B", "P", "Q", "N", "D", "OB", "OP", "OD"), self.f.T * 0)
-        return self.logic.true, self._with(
-            state, number, **none, done=self.logic.false, Odone=self.logic.false
+        """Restarts a borrower. Grants of former requests are not accepted, since they name another
+        generation."""
+        expired = dict.fromkeys(
+            (
+                "borrower_time",
+                "grant_time",
+                "renewal_time",
+                "ask_time",
+                "return_memory",
+                "old_borrower_time",
+                "old_grant_time",
+                "old_return_memory",
+            ),
+            self.parameters.loan_time * 0,
+        )
+        return self.logic.true, self._with_slot(
+            state, number, **expired, given_back=self.logic.false, old_given_back=self.logic.false
         )
 
-    def home_restarts(self, state: State) -> tuple[Any, State]:
-        ite, none = self.logic.ite, self.f.T * 0
+    def lender_restarts(self, state: State) -> tuple[Any, State]:
+        ite, expired = self.logic.ite, self.parameters.loan_time * 0
         slots = []
-        for one in state.slots:
-            was = one.L > 0
-            slots.append(replace(
-                one, OB=ite(was, one.B, one.OB), OP=ite(was, one.P, one.OP), OD=ite(was, one.D, one.OD),
-                Odone=ite(was, one.done, one.Odone), Oshares=ite(was, one.shares, one.Oshares),
-                L=none, B=none, P=none, Q=none, D=none, done=self.logic.false, back=self.logic.false,
-            ))  # fmt: skip
-        return self.logic.true, State(self.f.waited, tuple(slots))
-
-    # What holds in every state that can be reached.
+        for slot in state.slots:
+            was_lent = slot.lender_time > 0
+            slots.append(
+                replace(
+                    slot,
+                    old_borrower_time=ite(was_lent, slot.borrower_time, slot.old_borrower_time),
+                    old_grant_time=ite(was_lent, slot.grant_time, slot.old_grant_time),
+                    old_return_memory=ite(was_lent, slot.return_memory, slot.old_return_memory),
+                    old_given_back=ite(was_lent, slot.given_back, slot.old_given_back),
+                    old_shares=ite(was_lent, slot.shares, slot.old_shares),
+                    lender_time=expired,
+                    borrower_time=expired,
+                    grant_time=expired,
+                    renewal_time=expired,
+                    return_memory=expired,
+                    given_back=self.logic.false,
+                    return_sent=self.logic.false,
+                )
+            )
+        return self.logic.true, State(self.parameters.lender_wait, tuple(slots))
+
+    # Invariants of all reachable states.
 
     def invariant(self, state: State) -> list[Any]:
-        f, logic = self.f, self.logic
-        fast, slow = 1 + f.drift, 1 - f.drift
-
-        def so(condition: Any, then: Any) -> Any:
-            return logic.ite(condition, then, logic.true)
-
-        out = [f.waited >= state.W, self.out(state) <= f.S - f.floor]
-        old = 0
-        for one in state.slots:
-            memory, old_memory = self.larger(one.D, f.T * 0), self.larger(one.OD, f.T * 0)
-            live, old_live = (
-                logic.both(one.P > 0, logic.no(one.done)), logic.both(one.OP > 0, logic.no(one.Odone))
-            )  # fmt: skip
-            out += [
-                f.waited >= one.L, one.P <= f.T, one.Q <= f.T, one.N <= f.T, one.D <= f.T, one.shares >= 0,
-                one.OD <= f.T, one.OP <= f.T, one.Oshares >= 0,
-                so(one.B > 0, logic.both(one.B * fast <= one.L * slow, logic.no(one.done))),
-                so(live, one.P * fast <= one.L * slow),
-                so(one.done, logic.both(memory >= one.P, memory >= one.Q)),
-                so(one.back, logic.both(one.B <= 0, logic.no(live))),
-                so(logic.both(one.back, logic.no(one.done)), one.Q <= 0),
-                so(one.OB > 0, logic.both(one.OB * fast <= state.W * slow, logic.no(one.Odone))),
-                so(old_live, one.OP * fast <= state.W * slow),
-                so(one.Odone, old_memory >= one.OP),
-                so(state.W > 0, one.L <= 0),
-            ]  # fmt: skip
-            old += logic.ite(one.OB > 0, one.Oshares, logic.ite(old_live, one.Oshares, 0))
-        out.append(old <= f.S - f.floor)
-        return out
+        """Returns conditions that hold in every reachable state."""
+        parameters, logic = self.parameters, self.logic
+        fast, slow = 1 + parameters.drift, 1 - parameters.drift
+
+        def implies(condition: Any, consequence: Any) -> Any:
+            return logic.ite(condition, consequence, logic.true)
+
+        conditions = [
+            parameters.lender_wait >= state.earlier_loans_time,
+            self.lent_shares(state) <= parameters.total_shares - parameters.floor,
+        ]
+        old_total = 0
+        for slot in state.slots:
+            return_memory_left, old_return_memory_left = (
+                self.larger(slot.return_memory, parameters.loan_time * 0),
+                self.larger(slot.old_return_memory, parameters.loan_time * 0),
+            )
+            acceptable, old_acceptable = (
+                logic.all_of(slot.grant_time > 0, logic.negate(slot.given_back)),
+                logic.all_of(slot.old_grant_time > 0, logic.negate(slot.old_given_back)),
+            )
+            conditions += [
+                parameters.lender_wait >= slot.lender_time,
+                slot.grant_time <= parameters.loan_time,
+                slot.renewal_time <= parameters.loan_time,
+                slot.ask_time <= parameters.loan_time,
+                slot.return_memory <= parameters.loan_time,
+                slot.shares >= 0,
+                slot.old_return_memory <= parameters.loan_time,
+                slot.old_grant_time <= parameters.loan_time,
+                slot.old_shares >= 0,
+                implies(
+                    slot.borrower_time > 0,
+                    logic.all_of(
+                        slot.borrower_time * fast <= slot.lender_time * slow, logic.negate(slot.given_back)
+                    ),
+                ),
+                implies(acceptable, slot.grant_time * fast <= slot.lender_time * slow),
+                implies(
+                    slot.given_back,
+                    logic.all_of(
+                        return_memory_left >= slot.grant_time, return_memory_left >= slot.renewal_time
+                    ),
+                ),
+                implies(slot.return_sent, logic.all_of(slot.borrower_time <= 0, logic.negate(acceptable))),
+                implies(
+                    logic.all_of(slot.return_sent, logic.negate(slot.given_back)), slot.renewal_time <= 0
+                ),
+                implies(
+                    slot.old_borrower_time > 0,
+                    logic.all_of(
+                        slot.old_borrower_time * fast <= state.earlier_loans_time * slow,
+                        logic.negate(slot.old_given_back),
+                    ),
+                ),
+                implies(old_acceptable, slot.old_grant_time * fast <= state.earlier_loans_time * slow),
+                implies(slot.old_given_back, old_return_memory_left >= slot.old_grant_time),
+                implies(state.earlier_loans_time > 0, slot.lender_time <= 0),
+            ]
+            old_total += logic.ite(
+                slot.old_borrower_time > 0, slot.old_shares, logic.ite(old_acceptable, slot.old_shares, 0)
+            )
+        conditions.append(old_total <= parameters.total_shares - parameters.floor)
+        return conditions
 
     def bound(self, state: State) -> Any:
-        return self.held(state) <= self.f.S
+        """Returns the condition that no share has two holders."""
+        return self.held_shares(state) <= self.parameters.total_shares
--- a/tests/tier/test_budgets_processes.py
+++ b/tests/tier/test_budgets_processes.py
@@ -1,4 +1,4 @@
-"""A budget of the fleet on several processes of the program, with faults between them."""
+"""A fleet budget with several processes of the program, and faults of processes and links."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from driftstair.rehearsal.tier.budgets import check, spending
 from driftstair.tier import history
 
-PER_S, BURST = 60.0, 2
-TABLE = f"""
+RATE_PER_S, BURST_S = 60.0, 2
+SERVICE_TABLE = f"""
 [tier.budgets.admitted]
-per_s = {PER_S}
-burst = "{BURST}s"
+per_s = {RATE_PER_S}
+burst = "{BURST_S}s"
 
 [[route]]
 name = "all"
@@ -27,194 +27,228 @@
 
 
 def events(fleet: Fleet) -> list[dict[str, Any]]:
-    return [one for path in sorted(fleet.histories.glob("*.jsonl")) for one in history.read(path)]
+    return [event for path in sorted(fleet.histories.glob("*.jsonl")) for event in history.read(path)]
 
 
-def moved(fleet: Fleet, what: str, node: int | None = None, other: int | None = None) -> int:
+def loan_event_count(fleet: Fleet, what: str, node: int | None = None, other: int | None = None) -> int:
     return sum(
-        one["event"] == "right" and one["what"] == what and node in (None, one["node"])
-        and other in (None, one["other"]) for one in events(fleet)
+        event["event"] == "right" and event["what"] == what and node in (None, event["node"])
+        and other in (None, event["other"]) for event in events(fleet)
     )  # fmt: skip
 
 
-def spent(fleet: Fleet, *nodes: int) -> int:
-    return sum(one["event"] == "spend" and (not nodes or one["node"] in nodes) for one in events(fleet))
+def spend_count(fleet: Fleet, *nodes: int) -> int:
+    return sum(event["event"] == "spend" and (not nodes or event["node"] in nodes) for event in events(fleet))
 
 
-Act = Callable[[Fleet, Traffic], Awaitable[None]]
+Scenario = Callable[[Fleet, Traffic], Awaitable[None]]
 
 
-def played(
-    folder: Path, count: int, act: Act, bound: bool = True, folder_line: str = "", **more: Any
+def run_fleet(
+    folder: Path,
+    count: int,
+    scenario: Scenario,
+    check_spending: bool = True,
+    folder_line: str = "",
+    **fleet_options: Any,
 ) -> None:
+    """Runs a scenario on a fleet with one server, and checks that the budget was used and not overspent."""
+
     async def test() -> None:
-        async with Fleet(folder, count, folder_line + TABLE, **more) as fleet, Server("s0") as server:
+        async with (
+            Fleet(folder, count, folder_line + SERVICE_TABLE, **fleet_options) as fleet,
+            Server("s0") as server,
+        ):
             fleet.servers.append(server)
             await fleet.start()
             await fleet.wait_joined()
             traffic = Traffic(fleet)
             try:
-                await act(fleet, traffic)
+                await scenario(fleet, traffic)
             finally:
-                await traffic.off()
-            if bound:
+                await traffic.stop_clients()
+            if check_spending:
                 assert check(events(fleet)) == []
                 assert spending(events(fleet))["admitted"].spent > 20
 
     run_for(test(), 180.0)
 
 
-def test_a_node_with_all_the_demand_borrows_from_all_and_a_crashed_lender_is_no_harm(tmp_path: Path) -> None:
-    async def act(fleet: Fleet, traffic: Traffic) -> None:
-        traffic.on(0)
+def test_a_node_with_all_demand_borrows_from_all_nodes_and_survives_the_crash_of_a_lender(
+    tmp_path: Path,
+) -> None:
+    async def scenario(fleet: Fleet, traffic: Traffic) -> None:
+        traffic.start_clients(0)
         for lender in (1, 2, 3, 4):
-            await fleet.wait_until(lambda lender=lender: moved(fleet, "took", 0, lender))  # type: ignore[misc]
+            await fleet.wait_until(lambda lender=lender: loan_event_count(fleet, "took", 0, lender))  # type: ignore[misc]
         await fleet.kill(1)
-        before = moved(fleet, "renewed", 0)
-        await fleet.wait_until(lambda: moved(fleet, "renewed", 0) > before + 12)
-        await fleet.start(1)  # it does not know what it has lent
-        await fleet.wait_until(lambda: moved(fleet, "lent", 1) > 3 and moved(fleet, "took", 0, 1) > 4)
-        assert {200, 503} & set(traffic.answered[0]) == {200, 503}
+        before = loan_event_count(fleet, "renewed", 0)
+        await fleet.wait_until(lambda: loan_event_count(fleet, "renewed", 0) > before + 12)
+        await fleet.start(1)  # it does not know the loans of the killed process
+        await fleet.wait_until(
+            lambda: loan_event_count(fleet, "lent", 1) > 3 and loan_event_count(fleet, "took", 0, 1) > 4
+        )
+        assert {200, 503} & set(traffic.statuses_by_node[0]) == {200, 503}
 
-    played(tmp_path, 5, act)
+    run_fleet(tmp_path, 5, scenario)
 
 
-def test_with_a_folder_a_planned_end_tells_the_next_what_is_lent_and_a_crash_does_not(tmp_path: Path) -> None:
-    kept = tmp_path / "kept"
-    kept.mkdir()
+def test_with_a_folder_the_end_of_loans_is_known_after_a_planned_shutdown_and_not_after_a_crash(
+    tmp_path: Path,
+) -> None:
+    kept_folder = tmp_path / "kept"
+    kept_folder.mkdir()
 
-    async def act(fleet: Fleet, traffic: Traffic) -> None:
-        def begins() -> list[int]:
-            return [one["own"] for one in events(fleet) if one["event"] == "budget" and one["node"] == 1]
+    async def scenario(fleet: Fleet, traffic: Traffic) -> None:
+        def own_shares_at_starts() -> list[int]:
+            return [
+                event["own"] for event in events(fleet) if event["event"] == "budget" and event["node"] == 1
+            ]
 
-        await fleet.wait_until(lambda: (kept / "n1.members").exists())
+        await fleet.wait_until(lambda: (kept_folder / "n1.members").exists())
         assert await fleet.terminate(1) == 0
         await fleet.start(1)
-        await fleet.wait_until(lambda: len(begins()) == 2)
+        await fleet.wait_until(lambda: len(own_shares_at_starts()) == 2)
         await fleet.kill(1)
         await fleet.start(1)
-        await fleet.wait_until(lambda: len(begins()) == 3)
-        # It had been up for longer than a loan lasts, and had lent nothing.
-        assert begins() == [1, 32, 1]
+        await fleet.wait_until(lambda: len(own_shares_at_starts()) == 3)
+        # Before its planned shutdown the process had run for longer than a loan lasts and had lent nothing.
+        assert own_shares_at_starts() == [1, 32, 1]
 
-    played(tmp_path, 3, act, bound=False, folder_line=f'folder = "{kept}"\n')
+    run_fleet(tmp_path, 3, scenario, check_spending=False, folder_line=f'folder = "{kept_folder}"\n')
 
 
-def test_a_borrower_that_stood_still_has_nothing_left_of_its_loans(tmp_path: Path) -> None:
-    async def act(fleet: Fleet, traffic: Traffic) -> None:
-        traffic.on(0, 1)
-        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3)
+def test_the_loans_of_a_suspended_borrower_expire(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, traffic: Traffic) -> None:
+        traffic.start_clients(0, 1)
+        await fleet.wait_until(lambda: loan_event_count(fleet, "took", 0) > 3)
         fleet.stop(0)
-        before = moved(fleet, "took", 1)
-        await fleet.wait_until(lambda: moved(fleet, "took", 1) > before + 3)  # what it had, another has
+        before = loan_event_count(fleet, "took", 1)
+        await fleet.wait_until(
+            lambda: loan_event_count(fleet, "took", 1) > before + 3
+        )  # the shares of the stopped node
         fleet.resume(0)
-        after = spent(fleet, 0)
-        await fleet.wait_until(lambda: spent(fleet, 0) > after + 20)
+        after = spend_count(fleet, 0)
+        await fleet.wait_until(lambda: spend_count(fleet, 0) > after + 20)
 
-    played(tmp_path, 5, act)
+    run_fleet(tmp_path, 5, scenario)
 
 
-def test_halves_that_do_not_hear_each_other_spend_no_more_than_both_have(tmp_path: Path) -> None:
-    async def act(fleet: Fleet, traffic: Traffic) -> None:
-        one, other = (0, 1, 2), (3, 4, 5, 6)
-        traffic.on(0, 3)
-        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3 and moved(fleet, "took", 3) > 3)
-        pairs = [pair for pair in fleet.all_pairs() if (pair[0] in one) != (pair[1] in one)]
+def test_partitioned_halves_spend_no_more_than_the_budget(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, traffic: Traffic) -> None:
+        first_half, second_half = (0, 1, 2), (3, 4, 5, 6)
+        traffic.start_clients(0, 3)
+        await fleet.wait_until(
+            lambda: loan_event_count(fleet, "took", 0) > 3 and loan_event_count(fleet, "took", 3) > 3
+        )
+        pairs = [pair for pair in fleet.all_pairs() if (pair[0] in first_half) != (pair[1] in first_half)]
         heal = fleet.cut(*pairs, blame=tuple(range(7)))
-        await fleet.wait_for_state(other, "dead", by=one)
-        before = spent(fleet, 0), spent(fleet, 3)
-        await fleet.wait_until(lambda: spent(fleet, 0) > before[0] + 60 and spent(fleet, 3) > before[1] + 60)
+        await fleet.wait_for_state(second_half, "dead", by=first_half)
+        before = spend_count(fleet, 0), spend_count(fleet, 3)
+        await fleet.wait_until(
+            lambda: spend_count(fleet, 0) > before[0] + 60 and spend_count(fleet, 3) > before[1] + 60
+        )
         heal()
         await fleet.wait_joined()
-        await traffic.off(3)
-        across = sum(moved(fleet, "took", 0, number) for number in other)
-        await fleet.wait_until(lambda: sum(moved(fleet, "took", 0, number) for number in other) > across)
+        await traffic.stop_clients(3)
+        loans_across = sum(loan_event_count(fleet, "took", 0, number) for number in second_half)
+        await fleet.wait_until(
+            lambda: sum(loan_event_count(fleet, "took", 0, number) for number in second_half) > loans_across
+        )
 
-    played(tmp_path, 7, act)
+    run_fleet(tmp_path, 7, scenario)
 
 
-def test_one_that_reaches_none_has_its_own_part_and_others_take_over_what_it_borrowed(tmp_path: Path) -> None:
-    async def act(fleet: Fleet, traffic: Traffic) -> None:
-        traffic.on(0)
-        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3)
+def test_an_isolated_node_keeps_its_own_shares_and_others_take_over_those_it_borrowed(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, traffic: Traffic) -> None:
+        traffic.start_clients(0)
+        await fleet.wait_until(lambda: loan_event_count(fleet, "took", 0) > 3)
         heal = fleet.cut(*((0, number) for number in (1, 2, 3, 4)), blame=(0,))
-        traffic.on(1)
-        await fleet.wait_until(lambda: moved(fleet, "took", 1) > 8)
-        before = spent(fleet, 0)
-        await fleet.wait_until(lambda: spent(fleet, 0) > before + 40)
+        traffic.start_clients(1)
+        await fleet.wait_until(lambda: loan_event_count(fleet, "took", 1) > 8)
+        before = spend_count(fleet, 0)
+        await fleet.wait_until(lambda: spend_count(fleet, 0) > before + 40)
         heal()
         await fleet.wait_joined()
 
-    played(tmp_path, 5, act)
+    run_fleet(tmp_path, 5, scenario)
 
 
-STOPS_ITSELF = """
+PROGRAM_STOPPING_AT_CHECK = """
 import os, signal, sys
 from pathlib import Path
 from driftstair.tier import sharing
-plain = sharing.FleetTokens.has
+original_has = sharing.FleetTokens.has
 def has(self, now, tokens=1.0):
-    found = plain(self, now, tokens)
+    allowed = original_has(self, now, tokens)
     trigger = Path({trigger!r})
-    if found and trigger.exists() and os.environ["BALANCER_CONFIG"].endswith("n0.json"):
+    if allowed and trigger.exists() and os.environ["BALANCER_CONFIG"].endswith("n0.json"):
         trigger.unlink()
         os.kill(os.getpid(), signal.SIGSTOP)
-    return found
+    return allowed
 sharing.FleetTokens.has = has
 from driftstair.__main__ import main
 sys.exit(main())
 """
 
 
-def test_a_holder_that_stops_between_check_and_act_does_no_more_than_that_one_thing(tmp_path: Path) -> None:
+def test_a_node_suspended_between_check_and_use_spends_no_more_than_that_one_token(tmp_path: Path) -> None:
     trigger = tmp_path / "stop"
 
-    async def act(fleet: Fleet, traffic: Traffic) -> None:
-        traffic.on(0, 1)
-        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3)
+    async def scenario(fleet: Fleet, traffic: Traffic) -> None:
+        traffic.start_clients(0, 1)
+        await fleet.wait_until(lambda: loan_event_count(fleet, "took", 0) > 3)
         trigger.touch()
         await fleet.wait_until(lambda: not trigger.exists())
-        before = moved(fleet, "took", 1)
-        await fleet.wait_until(lambda: moved(fleet, "took", 1) > before + 3)
+        before = loan_event_count(fleet, "took", 1)
+        await fleet.wait_until(lambda: loan_event_count(fleet, "took", 1) > before + 3)
         fleet.resume(0)
-        after = spent(fleet, 0)
-        await fleet.wait_until(lambda: spent(fleet, 0) > after + 20)
+        after = spend_count(fleet, 0)
+        await fleet.wait_until(lambda: spend_count(fleet, 0) > after + 20)
 
-    played(tmp_path, 5, act, program=STOPS_ITSELF.format(trigger=str(trigger)))
+    run_fleet(tmp_path, 5, scenario, program=PROGRAM_STOPPING_AT_CHECK.format(trigger=str(trigger)))
 
 
-DEFECT = """
+PROGRAM_WITH_DEFECT = """
 import sys
 from driftstair.tier.shared import {module}
-{what}
+{defect}
 from driftstair.__main__ import main
 sys.exit(main())
 """
 
 
 @pytest.mark.parametrize(
-    ("module", "what"),
+    ("module", "defect"),
     [
-        # A lender that does not wait its loans out.
-        ("escrow", "escrow.Terms.waited = lambda self: self.lent // 8"),
-        # A borrower that counts it from when it came.
+        # A lender that does not wait until its loans have expired.
+        ("escrow", "escrow.Terms.lender_wait_ns = lambda self: self.lent // 8"),
+        # A borrower that counts the time of a loan from the arrival of the grant.
         (
             "escrow",
-            "plain = escrow.Escrow.take\n"
-            "def take(self, now, grant):\n"
-            "    found = plain(self, now, grant)\n"
-            "    for loan in self._in.values(): loan.until += 2 * 10**9\n"
-            "    return found\n"
-            "escrow.Escrow.take = take",
+            "original_accept = escrow.Escrow.accept\n"
+            "def accept(self, now_ns, grant):\n"
+            "    accepted = original_accept(self, now_ns, grant)\n"
+            "    for loan in self._borrowed_loans.values(): loan.until_ns += 2 * 10**9\n"
+            "    return accepted\n"
+            "escrow.Escrow.accept = accept",
         ),
     ],
 )
-def test_a_planted_defect_is_seen_in_the_histories(module: str, what: str, tmp_path: Path) -> None:
-    async def act(fleet: Fleet, traffic: Traffic) -> None:
-        traffic.on(0, 1)
-        await fleet.wait_until(lambda: moved(fleet, "took", 0) > 3 and moved(fleet, "took", 1) > 3)
+def test_a_planted_defect_is_found_in_the_histories(module: str, defect: str, tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, traffic: Traffic) -> None:
+        traffic.start_clients(0, 1)
+        await fleet.wait_until(
+            lambda: loan_event_count(fleet, "took", 0) > 3 and loan_event_count(fleet, "took", 1) > 3
+        )
         fleet.stop(0)
-        await fleet.wait_until(lambda: any("two holders" in one.rule for one in check(events(fleet))))
+        await fleet.wait_until(lambda: any("two holders" in finding.rule for finding in check(events(fleet))))
         fleet.resume(0)
 
-    played(tmp_path, 5, act, bound=False, program=DEFECT.format(module=module, what=what))
+    run_fleet(
+        tmp_path,
+        5,
+        scenario,
+        check_spending=False,
+        program=PROGRAM_WITH_DEFECT.format(module=module, defect=defect),
+    )
--- a/tests/tier/test_budgets_world.py
+++ b/tests/tier/test_budgets_world.py
@@ -1,4 +1,4 @@
-"""A budget of the fleet in a modelled tier: what is used of it, and never more than there is."""
+"""A fleet budget in a modelled tier: how much of it is used, and that it is never overspent."""
 
 from __future__ import annotations
 
@@ -9,76 +9,93 @@
 
 from driftstair.model.tier.budgets import Fleet, Lending
 from driftstair.model.tier.world import SECOND, Link
-from driftstair.tier.shared.budget import TERMS, Budget, Spec
+from driftstair.tier.shared.budget import TERMS, Budget, BudgetSpec
 from driftstair.tier.shared.core import RecordEvent, SendItems, SharedState
 from driftstair.tier.shared.escrow import Ask, Escrow, GiveBack, Grant, Terms
 
-BURST = 5 * SECOND
-COUNT = 20
-SPEC = Spec("retries", 2.0 * COUNT, BURST)
-SETTLED = 15.0  # s: all have started, and found out who lends
+BURST_NS = 5 * SECOND
+NODE_COUNT = 20
+BUDGET_SPEC = BudgetSpec("retries", 2.0 * NODE_COUNT, BURST_NS)
+SETTLE_TIME_S = 15.0  # until all nodes have started and found lenders
 
 
-def busy(seed: int, count: int = COUNT) -> dict[int, float]:
-    """A tenth of the nodes want half as much again as there is."""
-    some = Random(seed).sample(range(count), count // 10)
-    return dict.fromkeys(some, 1.5 * SPEC.per_s / len(some))
+def concentrated_demand(seed: int, count: int = NODE_COUNT) -> dict[int, float]:
+    """Returns a demand of 1.5 times the budget, at a tenth of the nodes."""
+    nodes = Random(seed).sample(range(count), count // 10)
+    return dict.fromkeys(nodes, 1.5 * BUDGET_SPEC.per_s / len(nodes))
 
 
-def fleet(seed: int, way: str = "lending", link: Link | None = None) -> Fleet:
-    out = Fleet(way, COUNT, seed, SPEC, busy(seed), link or Link())
-    out.world.run(SETTLED)
-    return out
+def start_fleet(seed: int, method: str = "lending", link: Link | None = None) -> Fleet:
+    """Returns a fleet that has run until its loans have settled."""
+    started_fleet = Fleet(method, NODE_COUNT, seed, BUDGET_SPEC, concentrated_demand(seed), link or Link())
+    started_fleet.world.run(SETTLE_TIME_S)
+    return started_fleet
 
 
-def allowed() -> float:
-    """Tokens that a window may go over the rate."""
-    return SPEC.per_s * BURST / SECOND + 1e-6
+def allowed_excess() -> float:
+    """Returns the tokens that may be spent in a window beyond the rate."""
+    return BUDGET_SPEC.per_s * BURST_NS / SECOND + 1e-6
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_nine_tenths_are_used_where_a_tenth_of_the_nodes_want_it(seed: int) -> None:
-    assert fleet(seed).use(20.0) >= 0.9
-    assert fleet(seed, "fixed").use(20.0) < 0.15
+def test_nine_tenths_of_the_budget_are_used_if_a_tenth_of_the_nodes_have_all_demand(seed: int) -> None:
+    assert start_fleet(seed).use(20.0) >= 0.9
+    assert start_fleet(seed, "fixed").use(20.0) < 0.15
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_what_is_left_is_used_again_once_half_of_the_nodes_are_lost(seed: int) -> None:
-    play = fleet(seed)
-    wanting = set(play.demand)
-    play.crash([number for number in range(COUNT) if number not in wanting][: COUNT // 2])
-    play.world.run(5.0)
-    assert play.use(10.0, of=SPEC.per_s / 2) >= 0.9
-
-
-def test_a_node_cut_off_has_its_own_part_again_within_the_time_of_a_loan() -> None:
-    play = fleet(1)
-    idle = next(number for number in range(COUNT) if number not in play.demand)
-    lender: Lending = play.world.hosts[idle].detector  # type: ignore[assignment]
-    assert lender.held() == TERMS.floor  # all else is lent
-    play.cut({idle})
-    play.world.run(TERMS.waited() / SECOND + 0.01)
+def test_the_remaining_budget_is_used_after_half_of_the_nodes_crashed(seed: int) -> None:
+    modelled_fleet = start_fleet(seed)
+    busy_nodes = set(modelled_fleet.demand)
+    modelled_fleet.crash(
+        [number for number in range(NODE_COUNT) if number not in busy_nodes][: NODE_COUNT // 2]
+    )
+    modelled_fleet.world.run(5.0)
+    assert modelled_fleet.use(10.0, of=BUDGET_SPEC.per_s / 2) >= 0.9
+
+
+def test_an_isolated_node_has_its_own_shares_again_within_the_time_of_a_loan() -> None:
+    modelled_fleet = start_fleet(1)
+    idle = next(number for number in range(NODE_COUNT) if number not in modelled_fleet.demand)
+    lender: Lending = modelled_fleet.world.hosts[idle].detector  # type: ignore[assignment]
+    assert lender.held() == TERMS.floor  # all other shares are lent
+    modelled_fleet.cut({idle})
+    modelled_fleet.world.run(TERMS.lender_wait_ns() / SECOND + 0.01)
     assert lender.held() == TERMS.shares
 
 
-def test_by_gossip_two_halves_overspend_and_by_lending_they_do_not() -> None:
-    def over(way: str) -> float:
-        play = fleet(2, way)
-        first = min(play.demand)
-        play.cut({first, *[number for number in range(COUNT) if number not in play.demand][: COUNT // 2]})
-        play.world.run(60.0)
-        return play.most_over()
+def test_partitioned_halves_overspend_with_gossip_and_not_with_lending() -> None:
+    def excess_tokens(method: str) -> float:
+        modelled_fleet = start_fleet(2, method)
+        first = min(modelled_fleet.demand)
+        modelled_fleet.cut(
+            {
+                first,
+                *[number for number in range(NODE_COUNT) if number not in modelled_fleet.demand][
+                    : NODE_COUNT // 2
+                ],
+            }
+        )
+        modelled_fleet.world.run(60.0)
+        return modelled_fleet.most_over()
 
-    assert over("gossip") > allowed() > over("lending")
+    assert excess_tokens("gossip") > allowed_excess() > excess_tokens("lending")
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_befalls_the_nodes_no_window_is_overspent(seed: int) -> None:
+def test_no_window_is_overspent_under_random_faults(seed: int) -> None:
     random = Random(seed)
-    play = Fleet("lending", COUNT, seed, SPEC, busy(seed), Link(loss=0.1, duplicate=0.1, high=SECOND))
-    world = play.world
+    modelled_fleet = Fleet(
+        "lending",
+        NODE_COUNT,
+        seed,
+        BUDGET_SPEC,
+        concentrated_demand(seed),
+        Link(loss=0.1, duplicate=0.1, high=SECOND),
+    )
+    world = modelled_fleet.world
     for _ in range(60):
-        number = random.randrange(COUNT)
+        number = random.randrange(NODE_COUNT)
         match random.randrange(6):
             case 0 if world.runs(number):
                 world.crash(number)
@@ -89,80 +106,88 @@
             case 3 if world.hosts[number].stopped:
                 world.go_on(number)
             case 4:
-                play.cut(set(random.sample(range(COUNT), random.randrange(COUNT))))
+                modelled_fleet.cut(set(random.sample(range(NODE_COUNT), random.randrange(NODE_COUNT))))
             case 5:
-                play.cut(set())
+                modelled_fleet.cut(set())
         world.run(random.uniform(0.1, 2.0))
-    assert len(play.spent) > 100
-    assert play.most_over() <= allowed()
-
-
-def test_those_that_have_little_get_a_part_of_what_others_had_first() -> None:
-    one, other = 0, 1
-    play = Fleet("lending", COUNT, 5, SPEC, {one: 2 * SPEC.per_s})
-    play.world.run(SETTLED)
-    play.demand[other] = 2 * SPEC.per_s
-    play._want(other)
-    play.world.run(SETTLED)
-    held: list[int] = [play.world.hosts[number].detector.held() for number in (one, other)]  # type: ignore
+    assert len(modelled_fleet.spent) > 100
+    assert modelled_fleet.most_over() <= allowed_excess()
+
+
+def test_a_later_borrower_gets_shares_that_were_lent_to_another_before() -> None:
+    first, second = 0, 1
+    modelled_fleet = Fleet("lending", NODE_COUNT, 5, BUDGET_SPEC, {first: 2 * BUDGET_SPEC.per_s})
+    modelled_fleet.world.run(SETTLE_TIME_S)
+    modelled_fleet.demand[second] = 2 * BUDGET_SPEC.per_s
+    modelled_fleet._want(second)
+    modelled_fleet.world.run(SETTLE_TIME_S)
+    held: list[int] = [modelled_fleet.world.hosts[number].detector.held() for number in (first, second)]  # type: ignore
     assert min(held) > 0.4 * max(held)
 
 
-# One node by itself.
+# Nodes without a modelled world.
 
 
-def pair(now: int = 0) -> tuple[SharedState, SharedState]:
-    out = []
-    for own in (0, 1):
-        core = SharedState((SPEC,), Random(own), lambda own=own: [1 - own])  # type: ignore[misc]
-        core.open(now - 10 * SECOND, own, 7, 2)
-        out.append(core)
-    return out[0], out[1]
+def open_pair(now_ns: int = 0) -> tuple[SharedState, SharedState]:
+    """Returns two open nodes, which know each other."""
+    cores = []
+    for own_number in (0, 1):
+        core = SharedState((BUDGET_SPEC,), Random(own_number), lambda own_number=own_number: [1 - own_number])  # type: ignore[misc]
+        core.open(now_ns - 10 * SECOND, own_number, 7, 2)
+        cores.append(core)
+    return cores[0], cores[1]
 
 
-def carried(actions: list[SendItems | RecordEvent]) -> Iterator[bytes]:
+def sent_items(actions: list[SendItems | RecordEvent]) -> Iterator[bytes]:
     return (action.items for action in actions if isinstance(action, SendItems))
 
 
-def wanting(core: SharedState, now: int, tokens: int = 4000) -> None:
+def exhaust_budget(core: SharedState, now_ns: int, tokens: int = 4000) -> None:
+    """Spends all tokens of a node and makes its demand high."""
     for _ in range(tokens):
-        core.budgets["retries"].spend(now)
-
-
-def test_what_is_borrowed_goes_back_at_a_planned_end_and_is_not_asked_for_again() -> None:
-    one, other = pair()
-    wanting(one, 0)
-    (items,) = carried(one.wake(SECOND))
-    (grants,) = carried(other.heard(SECOND, 0, 7, items))
-    one.heard(SECOND, 1, 7, grants)
-    mine, its = one.budgets["retries"].escrow, other.budgets["retries"].escrow
-    assert (mine.held(SECOND), its.held(SECOND)) == (TERMS.shares * 2 - TERMS.floor, TERMS.floor)
-    (back,) = carried(one.leave(SECOND))
-    other.heard(SECOND, 0, 7, back)
-    assert (mine.held(SECOND), its.held(SECOND)) == (TERMS.shares, TERMS.shares)
-    wanting(one, SECOND)
-    assert not list(carried(one.wake(3 * SECOND)))
-
-
-def test_a_superseded_or_unbound_process_holds_nothing() -> None:
-    one, _ = pair()
-    one.close()
-    assert one.budgets == {} and one.wake(10 * SECOND) == []
-    assert one.update_specs(SECOND, (SPEC,)) == []
-
-
-def test_another_rate_counts_from_now_on_and_saves_up_nothing() -> None:
-    one, _ = pair()
-    budget = one.budgets["retries"]
+        core.budgets["retries"].spend(now_ns)
+
+
+def test_a_planned_shutdown_returns_all_loans_and_requests_no_more() -> None:
+    borrower, lender = open_pair()
+    exhaust_budget(borrower, 0)
+    (items,) = sent_items(borrower.wake(SECOND))
+    (grants,) = sent_items(lender.on_datagram(SECOND, 0, 7, items))
+    borrower.on_datagram(SECOND, 1, 7, grants)
+    borrower_escrow, lender_escrow = borrower.budgets["retries"].escrow, lender.budgets["retries"].escrow
+    assert (borrower_escrow.held_shares(SECOND), lender_escrow.held_shares(SECOND)) == (
+        TERMS.shares * 2 - TERMS.floor,
+        TERMS.floor,
+    )
+    (give_back,) = sent_items(borrower.leave(SECOND))
+    lender.on_datagram(SECOND, 0, 7, give_back)
+    assert (borrower_escrow.held_shares(SECOND), lender_escrow.held_shares(SECOND)) == (
+        TERMS.shares,
+        TERMS.shares,
+    )
+    exhaust_budget(borrower, SECOND)
+    assert not list(sent_items(borrower.wake(3 * SECOND)))
+
+
+def test_a_superseded_or_unbound_process_holds_no_shares() -> None:
+    core, _ = open_pair()
+    core.close()
+    assert core.budgets == {} and core.wake(10 * SECOND) == []
+    assert core.update_specs(SECOND, (BUDGET_SPEC,)) == []
+
+
+def test_a_changed_rate_applies_at_once_and_scales_the_accumulated_tokens() -> None:
+    core, _ = open_pair()
+    budget = core.budgets["retries"]
     budget.bucket.advance(0)
     before = budget.bucket.tokens(0)
-    assert before == pytest.approx(SPEC.per_s / 2 * 5)
-    one.update_specs(0, (SPEC._replace(per_s=SPEC.per_s / 10),))
+    assert before == pytest.approx(BUDGET_SPEC.per_s / 2 * 5)
+    core.update_specs(0, (BUDGET_SPEC._replace(per_s=BUDGET_SPEC.per_s / 10),))
     assert budget.bucket.tokens(0) == pytest.approx(before / 10)
-    assert one.update_specs(0, (SPEC._replace(per_s=SPEC.per_s / 10),)) == []
-    one.update_specs(0, (SPEC._replace(name="other"),))
-    assert list(one.budgets) == ["other"]
-    assert one.budgets["other"].escrow.held(0) == TERMS.floor
+    assert core.update_specs(0, (BUDGET_SPEC._replace(per_s=BUDGET_SPEC.per_s / 10),)) == []
+    core.update_specs(0, (BUDGET_SPEC._replace(name="other"),))
+    assert list(core.budgets) == ["other"]
+    assert core.budgets["other"].escrow.held_shares(0) == TERMS.floor
 
 
 @pytest.mark.parametrize(
@@ -174,31 +199,33 @@
         (b"\x91\x96\x01\x07\x01\x01\x01\x01", "other_budget"),
     ],
 )  # fmt: skip
-def test_items_that_are_none_are_counted_and_passed_over(items: bytes, count: str) -> None:
-    one, _ = pair()
-    assert one.heard(SECOND, 1, 7, items) == []
-    assert +one.discarded == {count: 1}
+def test_invalid_items_are_counted_and_ignored(items: bytes, count: str) -> None:
+    core, _ = open_pair()
+    assert core.on_datagram(SECOND, 1, 7, items) == []
+    assert +core.discarded == {count: 1}
 
 
-# Defects that the bound must not bear.
+# Planted defects, which must break the bound.
 
 
-def unwaited(self: Terms) -> int:
+def shortened_wait_ns(self: Terms) -> int:
     return self.lent // 4
 
 
-def minted(self: Escrow, own: int, generation: int, terms: Terms, started: int) -> None:
-    plain(self, own, generation, terms, started - 2 * terms.waited())
+def init_with_all_shares(
+    self: Escrow, own_number: int, generation: int, terms: Terms, started_ns: int
+) -> None:
+    original_init(self, own_number, generation, terms, started_ns - 2 * terms.lender_wait_ns())
 
 
-plain = Escrow.__init__
+original_init = Escrow.__init__
 
 
 @pytest.mark.parametrize(
     ("where", "name", "defect"),
-    [(Terms, "waited", unwaited), (Escrow, "__init__", minted)],
+    [(Terms, "lender_wait_ns", shortened_wait_ns), (Escrow, "__init__", init_with_all_shares)],
 )
-def test_a_planted_defect_overspends(
+def test_a_planted_defect_gives_a_share_two_holders(
     where: type, name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(where, name, defect)
@@ -206,30 +233,31 @@
 
 
 def shares_held_twice(seed: int) -> bool:
+    """Returns whether more shares are held at once than there are, with random crashes and partitions."""
     random = Random(seed)
-    play = Fleet("lending", 8, seed, SPEC._replace(per_s=16.0), {0: 24.0}, Link(loss=0.2))
+    modelled_fleet = Fleet("lending", 8, seed, BUDGET_SPEC._replace(per_s=16.0), {0: 24.0}, Link(loss=0.2))
     for _ in range(80):
         number = random.randrange(1, 8)
-        play.cut(set(random.sample(range(8), random.randrange(8))))
+        modelled_fleet.cut(set(random.sample(range(8), random.randrange(8))))
         if random.random() < 0.3:
-            play.world.crash(number)
-            play.world.start(number)
-        play.world.run(random.uniform(0.2, 1.5))
-        running = [host.detector for host in play.world.hosts if host.detector is not None]
+            modelled_fleet.world.crash(number)
+            modelled_fleet.world.start(number)
+        modelled_fleet.world.run(random.uniform(0.2, 1.5))
+        running = [host.detector for host in modelled_fleet.world.hosts if host.detector is not None]
         if sum(node.held() for node in running) > 8 * TERMS.shares:  # type: ignore[attr-defined]
             return True
     return False
 
 
-def test_without_a_defect_no_share_is_held_twice() -> None:
+def test_without_a_defect_no_share_has_two_holders() -> None:
     assert not any(shares_held_twice(seed) for seed in range(6))
 
 
-def test_a_grant_of_nothing_is_answered_to_one_that_can_not_be_served() -> None:
-    budget = Budget(SPEC, 0, 7, 2, 0, Random(0), lambda: [1])
-    assert budget.asked(SECOND, Ask(1, 7, 5, 3)) == [Grant(0, 7, 0, 1, 7, 5, 0)]
-    later = TERMS.waited()
-    (grant,) = budget.asked(later, Ask(1, 7, 5, 3))
+def test_a_request_that_cannot_be_served_is_answered_with_a_grant_of_no_shares() -> None:
+    budget = Budget(BUDGET_SPEC, 0, 7, 2, 0, Random(0), lambda: [1])
+    assert budget.on_ask(SECOND, Ask(1, 7, 5, 3)) == [Grant(0, 7, 0, 1, 7, 5, 0)]
+    later = TERMS.lender_wait_ns()
+    (grant,) = budget.on_ask(later, Ask(1, 7, 5, 3))
     assert grant.shares == 3
-    budget.returned(later, GiveBack(0, 7, grant.loan, 1))
-    assert [note.what for note in budget.notes] == ["lent", "returned"]
+    budget.on_give_back(later, GiveBack(0, 7, grant.loan, 1))
+    assert [event.action for event in budget.loan_events] == ["lent", "returned"]
--- a/tests/tier/test_collecting_processes.py
+++ b/tests/tier/test_collecting_processes.py
@@ -71,11 +71,11 @@
                 await fleet.start()
                 await fleet.wait_joined()
                 traffic = Traffic(fleet)
-                traffic.on(*range(count))
+                traffic.start_clients(*range(count))
                 try:
                     await act(fleet, traffic, billing, ledgers)
                 finally:
-                    await traffic.off()
+                    await traffic.stop_clients()
                 assert owners.check(events(fleet), fleet.story()) == []
 
     run_for(test(), 180.0)
--- a/tests/tier/test_escrow_every_order.py
+++ b/tests/tier/test_escrow_every_order.py
@@ -1,5 +1,5 @@
-"""Two nodes, one loan at a time, every order of events up to a depth: clocks that run as they like within the
-drift, messages lost, late and repeated, loans given back, restarts."""
+"""Exhaustive search of all orders of events up to a depth, for two nodes with one loan at a time. Clocks run
+fast or slow within the drift, messages are lost, late and repeated, loans are returned and nodes restart."""
 
 from __future__ import annotations
 
@@ -11,65 +11,83 @@
 
 from driftstair.tier.shared.escrow import Ask, Escrow, GiveBack, Grant, Terms
 
-# A clock counts 2 or 4 while 3 pass: a third slow or fast. Then a lender waits 9 of its own for a loan of 4.
+# A clock advances by 2 or 4 in a true time of 3, a third too slow or too fast. A lender therefore waits for 9
+# on its clock until a loan of 4 has expired.
 TERMS = Terms(shares=2, floor=1, lent=4, drift=1 / 3)
 RATES = (2, 4)
-MESSAGES_MOST = 3
-RESTARTS_MOST = 1
+MAX_MESSAGES = 3
+MAX_RESTARTS = 1
 DEPTH = 11
 
 
 class World:
+    """State of both nodes and of all messages."""
+
     __slots__ = ("clocks", "generations", "messages", "nodes", "restarts")
 
     def __init__(self) -> None:
         self.clocks = [0, 1000]
         self.generations = [1, 1]
         self.restarts = 0
-        self.messages: tuple[Ask | Grant | GiveBack, ...] = ()  # all ever sent: any may come, again and again
-        # Both have been up for long.
-        self.nodes = [Escrow(one, 1, TERMS, clock - 100) for one, clock in enumerate(self.clocks)]
+        # All sent messages; each may be delivered repeatedly.
+        self.messages: tuple[Ask | Grant | GiveBack, ...] = ()
+        # Both nodes have run for long.
+        self.nodes = [Escrow(number, 1, TERMS, clock - 100) for number, clock in enumerate(self.clocks)]
 
     def copy(self) -> World:
+        """Returns an independent copy."""
         new = copy.copy(self)
         new.clocks, new.generations = list(self.clocks), list(self.generations)
         new.nodes = [copy.copy(node) for node in self.nodes]
         for node in new.nodes:
-            node._out = {number: (to, copy.copy(loan)) for number, (to, loan) in node._out.items()}
-            node._in = {key: copy.copy(loan) for key, loan in node._in.items()}
-            node._done = dict(node._done)
+            node._lent_loans = {
+                number: (to, copy.copy(loan)) for number, (to, loan) in node._lent_loans.items()
+            }
+            node._borrowed_loans = {key: copy.copy(loan) for key, loan in node._borrowed_loans.items()}
+            node._returned_until_ns = dict(node._returned_until_ns)
         return new
 
-    def key(self) -> Any:
-        """Times as they lie from now on: worlds that differ only in when they came about are one."""
+    def state_key(self) -> Any:
+        """Returns the state with times relative to now, so that worlds that differ only in absolute time are
+        equal."""
 
-        def left(until: int, number: int) -> int:
-            return max(0, until - self.clocks[number])
+        def remaining(until_ns: int, number: int) -> int:
+            return max(0, until_ns - self.clocks[number])
 
         messages = []
-        for one in self.messages:
-            if isinstance(one, GiveBack):
-                messages.append((one,))
+        for message in self.messages:
+            if isinstance(message, GiveBack):
+                messages.append((message,))
             else:
-                at = one.at if isinstance(one, Ask) else one.asked_at
-                rest = (*one[:2], one.renews) if isinstance(one, Ask) else tuple(one[:5])
-                messages.append((rest, left(at + TERMS.lent, one.borrower)))
+                asked_at = message.sent_at if isinstance(message, Ask) else message.asked_at
+                other_fields = (
+                    (*message[:2], message.renewed_loan) if isinstance(message, Ask) else tuple(message[:5])
+                )
+                messages.append((other_fields, remaining(asked_at + TERMS.lent, message.borrower)))
         nodes = tuple(
             (
-                node.generation, left(node._whole_at, one), node._last,
-                tuple((number, to, left(loan.until, one)) for number, (to, loan) in node._out.items()),
-                tuple(sorted((key, left(loan.until, one)) for key, loan in node._in.items())),
-                tuple(sorted((key, left(until, one)) for key, until in node._done.items())),
+                node.generation, remaining(node._earlier_loans_end_ns, own_number), node._last_loan_number,
+                tuple(
+                    (number, to, remaining(loan.until_ns, own_number))
+                    for number, (to, loan) in node._lent_loans.items()
+                ),
+                tuple(sorted(
+                    (key, remaining(loan.until_ns, own_number)) for key, loan in node._borrowed_loans.items()
+                )),
+                tuple(sorted(
+                    (key, remaining(until_ns, own_number))
+                    for key, until_ns in node._returned_until_ns.items()
+                )),
             )
-            for one, node in enumerate(self.nodes)
+            for own_number, node in enumerate(self.nodes)
         )  # fmt: skip
         return tuple(messages), self.restarts, nodes
 
-    def held(self) -> list[int]:
-        return [node.held(clock) for node, clock in zip(self.nodes, self.clocks, strict=True)]
+    def held_shares(self) -> list[int]:
+        return [node.held_shares(clock) for node, clock in zip(self.nodes, self.clocks, strict=True)]
 
     def send(self, message: Ask | Grant | GiveBack) -> None:
-        if message not in self.messages and len(self.messages) < MESSAGES_MOST:
+        if message not in self.messages and len(self.messages) < MAX_MESSAGES:
             self.messages += (message,)
 
     def deliver(self, message: Ask | Grant | GiveBack) -> None:
@@ -79,12 +97,12 @@
             if grant is not None:
                 self.send(grant)
         elif isinstance(message, Grant):
-            self.nodes[message.borrower].take(self.clocks[message.borrower], message)
+            self.nodes[message.borrower].accept(self.clocks[message.borrower], message)
         else:
-            self.nodes[message.lender].returned(message)
+            self.nodes[message.lender].on_give_back(message)
 
-    def after(self) -> Iterator[World]:
-        """All that may happen next."""
+    def successors(self) -> Iterator[World]:
+        """Yields the world after each possible next event."""
         for first in RATES:
             for second in RATES:
                 new = self.copy()
@@ -95,20 +113,20 @@
             new.deliver(message)
             yield new
         for number in range(2):
-            if len(self.messages) < MESSAGES_MOST:
+            if len(self.messages) < MAX_MESSAGES:
                 new = self.copy()
                 new.send(new.nodes[number].ask(new.clocks[number], 1))
                 yield new
-                for (_, _, loan), _ in self.nodes[number].loans():
+                for (_, _, loan), _ in self.nodes[number].borrowed_loans():
                     new = self.copy()
-                    new.send(new.nodes[number].ask(new.clocks[number], 1)._replace(renews=loan))
+                    new.send(new.nodes[number].ask(new.clocks[number], 1)._replace(renewed_loan=loan))
                     yield new
-            if self.nodes[number]._in:
+            if self.nodes[number]._borrowed_loans:
                 new = self.copy()
                 for back in new.nodes[number].give_back(new.clocks[number], 2):
                     new.send(back)
                 yield new
-            if self.restarts < RESTARTS_MOST:
+            if self.restarts < MAX_RESTARTS:
                 new = self.copy()
                 new.restarts += 1
                 new.generations[number] += 1
@@ -116,89 +134,102 @@
                 yield new
 
 
-def with_a_loan() -> World:
-    """One that may be made longer, and given back: the messages that made it don't come again."""
+def world_with_loan() -> World:
+    """Returns a world with a loan that may be extended or returned. The messages that made it are not
+    delivered again."""
     world = World()
     grant = world.nodes[0].lend(world.clocks[0], world.nodes[1].ask(world.clocks[1], 1), 1)
-    assert grant is not None and world.nodes[1].take(world.clocks[1], grant)
+    assert grant is not None and world.nodes[1].accept(world.clocks[1], grant)
     return world
 
 
 def explore(depth: int, start: Callable[[], World] = World) -> tuple[int, bool, str]:
-    """Worlds seen, whether one had a loan in use, and the first in which a share has two holders."""
-    seen, lent = set(), False
+    """Returns the number of different worlds, whether a loan was in use in one of them, and the first world
+    in which a share has two holders."""
+    seen_keys, loan_used = set(), False
     frontier = [start()]
     for _ in range(depth):
         if not frontier:
             break
-        following = []
+        next_frontier = []
         for world in frontier:
-            for new in world.after():
-                held = new.held()
-                if sum(held) > 2 * TERMS.shares:
-                    return len(seen), lent, f"{held}: {new.messages} {new.clocks}"
-                lent = lent or max(held) > TERMS.shares
-                key = new.key()
-                if key not in seen:
-                    seen.add(key)
-                    following.append(new)
-        frontier = following
-    return len(seen), lent, ""
+            for new in world.successors():
+                held_shares = new.held_shares()
+                if sum(held_shares) > 2 * TERMS.shares:
+                    return len(seen_keys), loan_used, f"{held_shares}: {new.messages} {new.clocks}"
+                loan_used = loan_used or max(held_shares) > TERMS.shares
+                key = new.state_key()
+                if key not in seen_keys:
+                    seen_keys.add(key)
+                    next_frontier.append(new)
+        frontier = next_frontier
+    return len(seen_keys), loan_used, ""
 
 
 def test_no_order_of_events_gives_a_share_two_holders() -> None:
-    worlds, lent, broken = explore(DEPTH)
-    assert broken == ""
-    assert lent and worlds > 10_000
+    worlds, loan_used, violation = explore(DEPTH)
+    assert violation == ""
+    assert loan_used and worlds > 10_000
 
 
-def test_no_order_of_what_follows_a_loan_gives_a_share_two_holders() -> None:
-    worlds, lent, broken = explore(DEPTH, with_a_loan)
-    assert broken == ""
-    assert lent and worlds > 10_000
+def test_no_order_of_events_after_a_loan_gives_a_share_two_holders() -> None:
+    worlds, loan_used, violation = explore(DEPTH, world_with_loan)
+    assert violation == ""
+    assert loan_used and worlds > 10_000
 
 
-def too_short(self: Terms) -> int:
+def wait_without_drift(self: Terms) -> int:
     return self.lent
 
 
-def minted(self: Escrow, own: int, generation: int, terms: Terms, started: int) -> None:
-    plain(self, own, generation, terms, started - 100)
+def init_with_all_shares(
+    self: Escrow, own_number: int, generation: int, terms: Terms, started_ns: int
+) -> None:
+    original_init(self, own_number, generation, terms, started_ns - 100)
 
 
-def from_arrival(self: Escrow, now: int, grant: Grant) -> bool:
-    return taken(self, now, grant._replace(asked_at=now))
+def accept_counting_from_arrival(self: Escrow, now: int, grant: Grant) -> bool:
+    return original_accept(self, now, grant._replace(asked_at=now))
 
 
-def taken_again(self: Escrow, now: int, grant: Grant) -> bool:
-    self._done.clear()
-    return taken(self, now, grant)
+def accept_after_return(self: Escrow, now: int, grant: Grant) -> bool:
+    self._returned_until_ns.clear()
+    return original_accept(self, now, grant)
 
 
-def forgets_what_it_gave_back(self: Escrow, now: int, shares: int) -> list[GiveBack]:
-    ends = {key: loan.until for key, loan in self._in.items()}
-    out = given(self, now, shares)
-    for key in self._done.keys() & ends.keys():
-        self._done[key] = ends[key]
-    return out
+def give_back_with_short_memory(self: Escrow, now: int, shares: int) -> list[GiveBack]:
+    expiries = {key: loan.until_ns for key, loan in self._borrowed_loans.items()}
+    messages = original_give_back(self, now, shares)
+    for key in self._returned_until_ns.keys() & expiries.keys():
+        self._returned_until_ns[key] = expiries[key]
+    return messages
 
 
-def longer_in_vain(self: Escrow, now: int, ask: Ask) -> Grant | None:
-    before = {number: loan.until for number, (_, loan) in self._out.items()}
-    grant = lengthened(self, now, ask)
+def extend_without_waiting(self: Escrow, now: int, ask: Ask) -> Grant | None:
+    before = {number: loan.until_ns for number, (_, loan) in self._lent_loans.items()}
+    grant = original_extend(self, now, ask)
     if grant is not None:
-        self._out[ask.renews][1].until = before[ask.renews]
+        self._lent_loans[ask.renewed_loan][1].until_ns = before[ask.renewed_loan]
     return grant
 
 
-plain, taken, given, lengthened = Escrow.__init__, Escrow.take, Escrow.give_back, Escrow._lengthen
+original_init, original_accept, original_give_back, original_extend = (
+    Escrow.__init__,
+    Escrow.accept,
+    Escrow.give_back,
+    Escrow._extend,
+)
 
 
 @pytest.mark.parametrize(
     ("where", "name", "defect"),
-    [(Terms, "waited", too_short), (Escrow, "__init__", minted), (Escrow, "take", from_arrival),
-     (Escrow, "take", taken_again)],
-)  # fmt: skip
+    [
+        (Terms, "lender_wait_ns", wait_without_drift),
+        (Escrow, "__init__", init_with_all_shares),
+        (Escrow, "accept", accept_counting_from_arrival),
+        (Escrow, "accept", accept_after_return),
+    ],
+)
 def test_a_planted_defect_is_found(
     where: type, name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -207,10 +238,10 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "defect"), [("give_back", forgets_what_it_gave_back), ("_lengthen", longer_in_vain)]
+    ("name", "defect"), [("give_back", give_back_with_short_memory), ("_extend", extend_without_waiting)]
 )
-def test_a_defect_of_what_follows_a_loan_is_found(
+def test_a_planted_defect_in_events_after_a_loan_is_found(
     name: str, defect: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(Escrow, name, defect)
-    assert explore(DEPTH, with_a_loan)[2]
+    assert explore(DEPTH, world_with_loan)[2]
--- a/tests/tier/test_loan_expiry.py
+++ b/tests/tier/test_loan_expiry.py
@@ -43,10 +43,10 @@
     first = Escrow(0, 1, TERMS, -(10**12))
     assert first.lend(0, Ask(1, 1, 0, 4), 4) is not None
     until = first.lent_until()
-    assert until == TERMS.waited()
+    assert until == TERMS.lender_wait_ns()
     following = Escrow(0, 2, TERMS, 10**9)
-    following.known(until)
-    assert following.held(until - 1) == TERMS.floor and following.held(until) == TERMS.shares
+    following.set_earlier_loans_end(until)
+    assert following.held_shares(until - 1) == TERMS.floor and following.held_shares(until) == TERMS.shares
     late = Escrow(0, 3, TERMS, 10**9)
-    late.known(10**15)  # whatever the file says, no longer than a loan can last
-    assert late.held(10**9 + TERMS.waited()) == TERMS.shares
+    late.set_earlier_loans_end(10**15)  # whatever the file says, no longer than a loan can last
+    assert late.held_shares(10**9 + TERMS.lender_wait_ns()) == TERMS.shares
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -23,7 +23,7 @@
 LIGHT = {"load": {"rate": 15.0, "keys": 30}, "boxes": {"count": 4}}
 
 
-plain, taken = Escrow.__init__, Escrow.take
+plain, taken = Escrow.__init__, Escrow.accept
 
 
 def report(name: str, changes: dict[str, Any] = LIGHT) -> dict[str, Any]:
@@ -106,9 +106,9 @@
         ))  # fmt: skip
         found = report("shared-liar", {})
     else:
-        monkeypatch.setattr(evidence, "OWN_FAULT", 9.0)
-        monkeypatch.setattr(evidence, "MOST", 0.0)
-        monkeypatch.setattr(evidence, "REPORTERS", 2)
+        monkeypatch.setattr(evidence, "MAX_FAILING_SHARE", 9.0)
+        monkeypatch.setattr(evidence, "MIN_REPORTER_SHARE", 0.0)
+        monkeypatch.setattr(evidence, "MIN_REPORTERS", 2)
         found = report("shared-liar", {})
     assert {one["rule"] for one in found["tier"]["findings"]} == {"a sound server is held back"}
 
@@ -122,10 +122,10 @@
 @pytest.mark.parametrize(
     ("name", "where", "attribute", "defect"),
     [
-        ("shared-stalled-holder", Terms, "waited", lambda self: self.lent // 8),
+        ("shared-stalled-holder", Terms, "lender_wait_ns", lambda self: self.lent // 8),
         ("shared-mass-kill", Escrow, "__init__", lambda self, own, generation, terms, started: plain(
             self, own, generation, terms, started - 10 * terms.lent)),
-        ("shared-late", Escrow, "take", lambda self, now, grant: taken(
+        ("shared-late", Escrow, "accept", lambda self, now, grant: taken(
             self, now, grant._replace(asked_at=now))),
     ],
     ids=["unwaited", "minted", "from-arrival"],
