--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -17,7 +17,7 @@
 
 from driftstair.model.tier.budgets import STRATEGIES, Fleet
 from driftstair.model.tier.world import NS_PER_S
-from driftstair.tier.shared.budget import Spec
+from driftstair.tier.shared.budget import BudgetSpec
 
 FIRST_SEED, SEED_COUNT = 1000, 20
 TOKENS_PER_NODE_S = 2.0  # tokens per second and node
@@ -40,7 +40,7 @@
         strategy,
         node_count,
         seed,
-        Spec("b", tokens_per_s, BURST_NS),
+        BudgetSpec("b", tokens_per_s, BURST_NS),
         dict.fromkeys(busy_nodes, 1.5 * tokens_per_s / len(busy_nodes)),
     )
     fleet.world.run(15.0)
--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -81,7 +81,7 @@
             await self.start_nodes(*range(self.count))
             await fleet.wait_joined()
             traffic = Traffic(fleet)
-            traffic.on(*range(self.count))
+            traffic.start_clients(*range(self.count))
             operators_task = asyncio.create_task(self.operate())
             try:
                 for _ in range(FAULT_COUNT):
@@ -93,7 +93,7 @@
                 findings = await self.check_collected_ledgers(billing)
             finally:
                 operators_task.cancel()
-                await traffic.off()
+                await traffic.stop_clients()
                 for port in self.operator_ports:
                     port.release()
             return findings + self.check_histories()
--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -81,26 +81,26 @@
 def measure_reports(size: int, folder: Path) -> dict[str, float]:
     """Measures a store that holds the load of `size` nodes: adding reports of failing servers, reading and
     ticks."""
-    from driftstair.tier.shared.facts import EVIDENCE, KINDS, LOAD, Fact, Facts
+    from driftstair.tier.shared.facts import EVIDENCE, KINDS, LOAD, Fact, FactStore
 
-    store = Facts(0, 1, Random(1))
+    store = FactStore(0, 1, Random(1))
     value = (9, 5, 0, 20, 2)
 
     def add_loads() -> None:
         for owner in range(1, size):
-            store.take(1, Fact(owner, 1, 1, LOAD, 0, 1, value[: KINDS[LOAD].fields]), size)
+            store.merge(1, Fact(owner, 1, 1, LOAD, 0, 1, value[: KINDS[LOAD].field_count]), size)
 
     _, fill_cost = measure_step(add_loads)
 
     def add_report(index: int) -> None:
         owner = 1 + index * 37 % max(1, size - 1)
-        store.take(2, Fact(owner, 1, 2 + index, EVIDENCE, index % JUDGED_SERVERS, 2, value), size)
+        store.merge(2, Fact(owner, 1, 2 + index, EVIDENCE, index % JUDGED_SERVERS, 2, value), size)
 
     take_s = median_cpu_s(add_report, REPORT_COUNT)
-    read_s = median_cpu_s(lambda _: store.subjects(3, EVIDENCE), REPETITIONS)
-    tick_s = median_cpu_s(lambda _: store.tick(3), REPETITIONS)
+    read_s = median_cpu_s(lambda _: store.by_subject(3, EVIDENCE), REPETITIONS)
+    tick_s = median_cpu_s(lambda _: store.remove_expired(3), REPETITIONS)
     return {
-        "held": len(store), "dropped": store.dropped, "take_us": take_s * 1e6, "read_us": read_s * 1e6,
+        "held": len(store), "dropped": store.evicted_count, "take_us": take_s * 1e6, "read_us": read_s * 1e6,
         "tick_us": tick_s * 1e6, "kept_mb": fill_cost.kept_mb,
     }  # fmt: skip
 
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -29,7 +29,7 @@
 from driftstair.tier.ownership.permits import Rules
 from driftstair.tier.peer_config import PeerConfig
 from driftstair.tier.service import generation_at
-from driftstair.tier.shared.budget import Spec
+from driftstair.tier.shared.budget import BudgetSpec
 
 CLUSTER_KEY = b"the key of a cluster of hollow nodes"
 BUDGET_NAME = "retries"
@@ -97,7 +97,9 @@
             replace(base_config(), name=f"n{self.number}", seed=seed), peer_config, plan.period, CLUSTER_KEY,
             RecordingHistory(self._records, plan.is_recorded(self.number), plan.dilation), self._folder,
             system,
-            (Spec(BUDGET_NAME, BUDGET_TOKENS_PER_S * plan.count, BUDGET_BURST_NS),) if plan.budgets else (),
+            (BudgetSpec(BUDGET_NAME, BUDGET_TOKENS_PER_S * plan.count, BUDGET_BURST_NS),)
+            if plan.budgets
+            else (),
             plan.judge, None,
             Rules() if plan.permits else None,
         )  # fmt: skip
@@ -163,11 +165,11 @@
         now_ns, core = self._system.monotonic_ns(), self.tier.sharing.core
         if core.outlier_detector is not None:
             detector = core.outlier_detector
-            detector.ready = set(range(SERVER_COUNT))
-            for server in {FAILING_SERVER, self._random.randrange(SERVER_COUNT)} - detector.hidden():
+            detector.ready_servers = set(range(SERVER_COUNT))
+            for server in {FAILING_SERVER, self._random.randrange(SERVER_COUNT)} - detector.hidden_servers():
                 succeeded = not (self._plan.failing and server == FAILING_SERVER)
                 for _ in range(OUTCOMES_PER_FEED):
-                    detector.observations.note(now_ns, server, succeeded, True, ANSWER_TIME_NS)
+                    detector.observations.record_outcome(now_ns, server, succeeded, True, ANSWER_TIME_NS)
         if self.number % BUSY_NODE_STRIDE == 0 and BUDGET_NAME in core.budgets:
             tokens = self.tier.tokens(BUDGET_NAME)
             for _ in range(int(BUSY_DEMAND_FACTOR * BUDGET_TOKENS_PER_S / FEEDS_PER_S)):
--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -170,10 +170,10 @@
     does."""
     from driftstair.tier.observed_module import ObservedModule
     from driftstair.tier.shared.evidence import OutlierDetector
-    from driftstair.tier.shared.facts import Facts
+    from driftstair.tier.shared.facts import FactStore
     from lichenspring import interface as api
 
-    detector = OutlierDetector(Facts(0, 1, Random(1)), 0, 0, lambda: True, lambda: {0: 0})
+    detector = OutlierDetector(FactStore(0, 1, Random(1)), 0, 0, lambda: True, lambda: {0: 0})
     module = ObservedModule(node._core, lambda: detector)
     servers = tuple(node.servers._to_server(host) for host in update.hosts)
     module.handle(time.monotonic_ns(), api.ServerList(api.ListKind.FULL, servers))
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -28,11 +28,11 @@
 from typing import Any
 
 from driftstair.tier.shared import wire
-from driftstair.tier.shared.facts import EVIDENCE, LOAD, MS, Fact, Facts
-from driftstair.tier.shared.gossip import ROUND, Gossip
+from driftstair.tier.shared.facts import EVIDENCE, LOAD, NS_PER_MS, Fact, FactStore
+from driftstair.tier.shared.gossip import ROUND_NS, Gossip
 
 FIRST_SEED, SEED_COUNT = 1000, 20
-WARM_UP_NS = 3_000 * MS
+WARM_UP_NS = 3_000 * NS_PER_MS  # ns
 HEADER_BYTES = 45  # of a datagram without its items, approximately
 EVIDENCE_VALUE = (9, 5, 0, 20, 2)
 
@@ -46,19 +46,19 @@
     count, loss, seed = job
     random = Random(seed)
     nodes = [
-        Gossip(Facts(number, 1, Random(f"{seed}/{number}")), Random(f"{seed}/g{number}"),
+        Gossip(FactStore(number, 1, Random(f"{seed}/{number}")), Random(f"{seed}/g{number}"),
                lambda number=number: [peer for peer in range(count) if peer != number], Counter())
         for number in range(count)
     ]  # fmt: skip
     now, known_after_s, datagram_count, byte_count = 0, float("inf"), 0, 0
     load_rounds = [random.randrange(40) for _ in range(count)]  # each node publishes its load every 10 s
-    while now < WARM_UP_NS + 5_000 * MS:
+    while now < WARM_UP_NS + 5_000 * NS_PER_MS:
         if now == WARM_UP_NS:
             nodes[0].facts.publish(now, EVIDENCE, 7, EVIDENCE_VALUE, count)
             datagram_count = byte_count = 0
-        now += ROUND
+        now += ROUND_NS
         for number, node in enumerate(nodes):
-            if now // ROUND % 40 == load_rounds[number]:
+            if now // ROUND_NS % 40 == load_rounds[number]:
                 node.facts.publish(now, LOAD, 0, (0, 50, 3, 9, 0), count)
         inbox: list[tuple[int, int, wire.Item]] = []
         for number, node in enumerate(nodes):
@@ -73,7 +73,9 @@
                     datagram_count, byte_count = datagram_count + 1, byte_count + HEADER_BYTES + len(data)
                     if random.random() >= loss:
                         for item in wire.unpack_items(data)[0]:
-                            inbox += [(target, *message) for message in nodes[target].take(now, source, item)]
+                            inbox += [
+                                (target, *message) for message in nodes[target].handle_item(now, source, item)
+                            ]
         informed_nodes = sum(bool(node.facts.read(now, EVIDENCE, 7)) for node in nodes)
         if informed_nodes >= 0.99 * count:
             known_after_s = (now - WARM_UP_NS) / 1e9
@@ -133,15 +135,16 @@
     """Prints the memory of one store by the number of servers and reporters."""
     for servers, reporters in ((20, 20), (200, 200), (1000, 200)):
         tracemalloc.start()
-        store = Facts(0, 1, Random(0))
+        store = FactStore(0, 1, Random(0))
         version = 0
         for server in range(servers):
             for owner in range(1, reporters):
                 version += 1
-                store.take(0, Fact(owner, 1, version, EVIDENCE, server, 0, EVIDENCE_VALUE), reporters)
+                store.merge(0, Fact(owner, 1, version, EVIDENCE, server, 0, EVIDENCE_VALUE), reporters)
                 if version >= 20_000:
                     break
-        print(f"{servers} servers x {reporters} reporters: {len(store)} facts held, {store.dropped} dropped, "
+        print(f"{servers} servers x {reporters} reporters: {len(store)} facts held, "
+              f"{store.evicted_count} dropped, "
               f"{tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB")  # fmt: skip
         tracemalloc.stop()
 
@@ -196,7 +199,7 @@
     sys.path[:0] = ["tests", "tests/tier"]
     from fleet import Fleet
     from rig import Server, answer, sends
-    from test_judgements_processes import BAD, SERVERS, judged
+    from test_judgements_processes import FAILING_SERVER, SERVER_NAMES, hold_back_spans
     from traffic import Traffic
 
     from benchmarks.membership import _process_cpu_s
@@ -208,7 +211,7 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         async with AsyncExitStack() as stack:
-            servers = {name: await stack.enter_async_context(Server(name)) for name in SERVERS}
+            servers = {name: await stack.enter_async_context(Server(name)) for name in SERVER_NAMES}
             fleet = await stack.enter_async_context(Fleet(Path(folder), count, tier_table, period="1s"))
             fleet.servers = list(servers.values())
             for first_node in range(0, count, 10):
@@ -225,7 +228,7 @@
                 / (time.monotonic() - measured_since_s)
             )
             traffic = Traffic(fleet)
-            traffic.on(*busy_nodes)
+            traffic.start_clients(*busy_nodes)
             await asyncio.sleep(5.0)
             start_ns = time.monotonic_ns()
             await asyncio.sleep(15.0)
@@ -234,18 +237,22 @@
                 event["event"] == "spend" and start_ns <= event["t_ns"] < end_ns for event in fleet.events()
             )
             failed_at_ns = time.monotonic_ns()
-            servers[BAD].script = sends(answer(500))
+            servers[FAILING_SERVER].script = sends(answer(500))
 
             def judgement_times_ns() -> list[int]:
-                return sorted(judgement.begin for judgement in judged(fleet) if judgement.server == BAD)
+                return sorted(
+                    judgement.begin
+                    for judgement in hold_back_spans(fleet)
+                    if judgement.server == FAILING_SERVER
+                )
 
             await fleet.wait_until(lambda: len(judgement_times_ns()) >= len(busy_nodes))
             first_after_s, all_after_s = (
                 (time_ns - failed_at_ns) / 1e9
                 for time_ns in (judgement_times_ns()[0], judgement_times_ns()[len(busy_nodes) - 1])
             )
-            wrongly_held_back = {judgement.server for judgement in judged(fleet)} - {BAD}
-            await traffic.off()
+            wrongly_held_back = {judgement.server for judgement in hold_back_spans(fleet)} - {FAILING_SERVER}
+            await traffic.stop_clients()
             print(json.dumps({
                 "nodes": count, "asked": len(busy_nodes), "of the budget used": round(
                     tokens_spent / (tokens_per_s * (end_ns - start_ns) / 1e9), 3),
--- a/driftstair/model/tier/budgets.py
+++ b/driftstair/model/tier/budgets.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from driftstair.model.tier.world import NEVER, NS_PER_S, Host, Link, World
-from driftstair.tier.shared.budget import Spec
+from driftstair.tier.shared.budget import BudgetSpec
 from driftstair.tier.shared.core import SendItems, SharedState
 
 DATAGRAM_HEADER_BYTES = 45  # approximate size without the items
@@ -23,7 +23,7 @@
     """The shipped core, in which nodes lend their shares. `alive`: the nodes that all nodes hold alive."""
 
     def __init__(
-        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+        self, host: Host, generation: int, spec: BudgetSpec, count: int, seed: int, alive: set[int]
     ) -> None:
         self.host, self.generation, self.count, self.name = host, generation, count, spec.name
         random = Random(f"{seed}/{host.number}/{generation}")
@@ -41,19 +41,19 @@
         return self.core.wake_at
 
     def receive(self, datagram: Any) -> None:
-        self._execute(self.core.heard(self.host.now(), *datagram))
+        self._execute(self.core.on_datagram(self.host.now(), *datagram))
 
     def spend(self) -> bool:
         """Spends a token, if the node has one."""
         budget = self.core.budgets[self.name]
         if not budget.spend(self.host.now()):
             return False
-        budget.spent()
+        budget.record_spent()
         return True
 
     def held_shares(self) -> int:
         """Returns how many shares of the budget the node holds now."""
-        return self.core.budgets[self.name].escrow.held(self.host.now())
+        return self.core.budgets[self.name].escrow.held_shares(self.host.now())
 
     def dead(self) -> set[int]:
         return set()
@@ -69,11 +69,11 @@
     """Each node has an equal share of the budget and lends none of it."""
 
     def __init__(
-        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+        self, host: Host, generation: int, spec: BudgetSpec, count: int, seed: int, alive: set[int]
     ) -> None:
         self.host = host
         self._per_s = spec.per_s / count
-        self._max_tokens = self._per_s * spec.burst / 1e9
+        self._max_tokens = self._per_s * spec.burst_ns / 1e9
         self._tokens = 0.0
         self._refilled_at_ns = 0
 
@@ -107,7 +107,7 @@
     RETENTION_NS = 3 * NS_PER_S
 
     def __init__(
-        self, host: Host, generation: int, spec: Spec, count: int, seed: int, alive: set[int]
+        self, host: Host, generation: int, spec: BudgetSpec, count: int, seed: int, alive: set[int]
     ) -> None:
         super().__init__(host, generation, spec, count, seed, alive)
         self._spec = spec
@@ -142,7 +142,7 @@
         ]
         share = self._demand_per_s / sum(recent_rates) if sum(recent_rates) > 0 else 0.0
         self._per_s = self._spec.per_s * share
-        self._max_tokens = max(1.0, self._per_s * self._spec.burst / 1e9)
+        self._max_tokens = max(1.0, self._per_s * self._spec.burst_ns / 1e9)
 
     def receive(self, datagram: Any) -> None:
         for number, (noted_ns, rate) in datagram:
@@ -165,7 +165,7 @@
     strategy: str
     count: int
     seed: int
-    spec: Spec
+    spec: BudgetSpec
     demand: dict[int, float]
     link: Link = field(default_factory=Link)
     detection_delay_s: float = 5.0  # from a crash until all nodes know of it
