--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -108,7 +108,7 @@
 
         config = load({"BALANCER_CONFIG": str(folder / "old.json")})
         process = Tier(config, peer_config.read(config), PERIOD, KEY, None, None, SOCKET_SYSTEM)
-        process._tell(all_alive(size))
+        process._handle_event(all_alive(size))
         return {
             "report_bytes": len(json.dumps(process.report())),
             "report_hold_ms": median_each(lambda _: json.dumps(process.report()), ASKS) * 1e3,
--- a/benchmarks/scale/daemons.py
+++ b/benchmarks/scale/daemons.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.hollow.plan import NS, PER_S, host_of, zone_of
 from benchmarks.scale.rows import ROOT
 from driftstair.rehearsal import load, platform, ports
-from driftstair.tier.command import AskError, ask
+from driftstair.tier.command import RequestError, fetch_report
 
 READY_WITHIN = 120.0  # s
 LOOK = 0.25  # s
@@ -105,11 +105,11 @@
         await asyncio.gather(*(process.wait() for process in self._processes))
 
     async def counts(self) -> list[Counts]:
-        """Of each. Raises AskError."""
+        """Of each. Raises RequestError."""
         return [await asyncio.to_thread(self._counts, number) for number in range(self.count)]
 
     def _counts(self, number: int) -> Counts:
-        report = ask(HOST, self._desks[number])
+        report = fetch_report(HOST, self._desks[number])
         counts = report["counts"]
         alive = sum(one["state"] == "alive" for one in report["members"])
         pid = self._processes[number].pid
@@ -125,7 +125,7 @@
                 try:
                     if all(one.alive == self.count - 1 for one in await self.counts()):
                         return
-                except AskError:
+                except RequestError:
                     pass  # not yet there
                 await asyncio.sleep(LOOK)
 
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -160,7 +160,7 @@
                 for _ in range(OUTCOMES):
                     judge.observations.note(now, server, ok, True, ANSWERED_IN)
         if self.number % BUSY_EVERY == 0 and BUDGET in core.budgets:
-            tokens = self.tier.tokens(BUDGET)
+            tokens = self.tier.fleet_tokens(BUDGET)
             for _ in range(int(WANTED * PER_S / FEEDS_PER_S)):
                 if tokens.has(now):
                     tokens.take(now)
--- a/benchmarks/scale/hollow/steps.py
+++ b/benchmarks/scale/hollow/steps.py
@@ -37,7 +37,7 @@
         super()._wake()
         self.steps.note(time.thread_time_ns() - began)
 
-    def _came(self, data: bytes, source: tuple[str, int]) -> None:
+    def _on_datagram(self, data: bytes, source: tuple[str, int]) -> None:
         began = time.thread_time_ns()
-        super()._came(data, source)
+        super()._on_datagram(data, source)
         self.steps.note(time.thread_time_ns() - began)
--- a/benchmarks/scale/hollow/worker.py
+++ b/benchmarks/scale/hollow/worker.py
@@ -167,7 +167,7 @@
         judges = [core.outlier_detector for core in shared if core.outlier_detector is not None]
         thrown: Counter[str] = Counter()
         for tier in running:
-            thrown.update(tier._thrown_all)
+            thrown.update(tier._dropped)
         for core in shared:
             thrown.update({f"shared_{why}": number for why, number in core.discarded.items()})
         out = orders.Figures(
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -42,8 +42,8 @@
     claims = all_alive(size)
 
     def start() -> Tier:
-        process = Tier(config, peers, PERIOD, KEY, None, None, SOCKET_SYSTEM, judges=True)
-        process._tell(claims)
+        process = Tier(config, peers, PERIOD, KEY, None, None, SOCKET_SYSTEM, shares_evidence=True)
+        process._handle_event(claims)
         return process
 
     process, starting = measured(start)
@@ -53,7 +53,7 @@
         "peers_bytes": len(json.dumps(documents.platform(peers=size)["peers"])),
         "read_cpu_s": reading.cpu_s, "start_cpu_s": starting.cpu_s,
         "kept_mb": reading.kept_mb + starting.kept_mb, "change_hold_s": change.cpu_s,
-        "wake_us": _wake_us(size) , "zones_us": cpu_each(lambda _: process._zones(), WAKES) * 1e6,
+        "wake_us": _wake_us(size) , "zones_us": cpu_each(lambda _: process._zones_by_node(), WAKES) * 1e6,
     }  # fmt: skip
 
 
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -156,7 +156,7 @@
         config = operations.config
     tier = None if service is None else service.tier(config, system)
     if table is not None and tier is not None:
-        table.fleet_budget, table.wrap_module = tier.tokens, tier.wrap_module
+        table.fleet_budget, table.wrap_module = tier.fleet_tokens, tier.wrap_module
     configuration = (
         None if service is None else service.configuration(config, split_descriptors(config)[0], system)
     )
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -118,7 +118,7 @@
                     self._number, action.message.recipient, self._peers.codec.encode(action.message)
                 )
             elif isinstance(action, api.PayloadReceived) and self.sharing is not None:
-                self.sharing.heard(action.sender, action.generation, action.payload)
+                self.sharing.receive_items(action.sender, action.generation, action.payload)
             elif isinstance(action, api.Superseded) and self.sharing is not None:
                 self.sharing.close()
         self._set_timer()
--- a/driftstair/node_configuration/effects.py
+++ b/driftstair/node_configuration/effects.py
@@ -34,7 +34,7 @@
         """Whether the nodes of this cluster share budgets."""
         ...
 
-    def nodes(self) -> int:
+    def node_count(self) -> int:
         """How many nodes the cluster has."""
         ...
 
@@ -139,7 +139,7 @@
             budget = parse_budget(name, content)
         except ContentError:
             return None  # the validator reports all faults of the content
-        node_count = self.cluster.nodes()
+        node_count = self.cluster.node_count()
         burst_tokens = budget.per_s / node_count * budget.burst / 1e9  # of one node's share
         if burst_tokens < 1:
             return (
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -148,9 +148,9 @@
                 return 404, {"error": "this node watches no configuration"}
             return 200, self.configuration()
         if call.order in TIER_ORDERS:
-            from driftstair.tier.operator_commands import obey
+            from driftstair.tier.operator_commands import execute_order
 
-            return obey(self.tier, call)
+            return execute_order(self.tier, call)
         if call.order is Order.NODE_OUT:
             monotonic_ms = self._monotonic_ms()
             await self._change_orders(
--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -135,7 +135,7 @@
                 why = f"{name}: this process began without a budget of the fleet; it has to be started anew"
                 raise ServiceError([loaded.problem(path, why)])
         if sharing and self._running_tier is not None and budget_specs(loaded):
-            self._check_budget_bursts(loaded, self._running_tier.nodes())
+            self._check_budget_bursts(loaded, self._running_tier.node_count())
             self._file_budgets = budget_specs(loaded)
             self._update_budget_specs()
 
--- a/driftstair/tier/__init__.py
+++ b/driftstair/tier/__init__.py
@@ -1,7 +1,7 @@
-"""What the nodes of one tier know of each other, by datagrams between them; off unless the service file has
-`[tier]`.
+"""Membership and shared state of the nodes of one tier, which exchange datagrams. Off unless the service file
+has `[tier]`.
 
-`membership` decides who lives (no clock, no socket, no chance of its own); `wire` is the form of a datagram,
-`replay` keeps old ones out, `history` writes down what a process came to hold, `peer_config` is what the
-platform says of the peers, and `service` alone does I/O.
+`membership` decides which members are alive, without a clock, a socket or randomness of its own. `wire` is
+the datagram format, `replay` rejects replayed datagrams, `history` records the views of a process,
+`peer_config` validates what the platform says of the peers, and `service` alone does I/O.
 """
--- a/driftstair/tier/collector.py
+++ b/driftstair/tier/collector.py
@@ -1,8 +1,9 @@
-"""The collector: one node brings in the ledgers of nodes that are gone, from a folder that all reach.
+"""The collector: one node exports the ledgers of nodes that are gone, from a folder that all nodes can reach.
 
-A ledger whose writer lives is locked (flock), so one that is not is nobody's. Whoever has the task's lease
-exports it with the lease's token; the billing side refuses an older one's. Entries are numbered and chained,
-so what an owner leaves half done the next goes on with, and none comes twice. The work runs beside the loop.
+A running writer locks its ledger (flock), so an unlocked ledger has no writer. The node that holds the lease
+on the task exports such ledgers with the lease's token; the billing side refuses an older token. Entries are
+numbered and chained, so the next owner continues where the previous one stopped, and no entry is exported
+twice. Exports run off the event loop.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 log = logging.getLogger(__name__)
 
 TASK = "collect"
-EVERY = 1.0  # s between two looks at the folder
-GIVE_UP = 5.0  # s without anything new in the books
+SCAN_INTERVAL_S = 1.0
+EXPORT_STALL_TIMEOUT_S = 5.0  # without a newly acknowledged entry
 
 
 def is_unlocked(folder: Path, node: str) -> bool:
-    """Whether nobody writes that node's ledger. Raises OSError."""
+    """Whether no process writes that node's ledger. Raises OSError."""
     lock = os.open(folder / f"{node}.lock", os.O_RDWR | os.O_CREAT, 0o644)
     try:
         fcntl.flock(lock, fcntl.LOCK_SH | fcntl.LOCK_NB)
@@ -38,76 +39,83 @@
 
 
 def ledger_nodes(folder: Path) -> list[str]:
-    """The nodes that have one there."""
+    """Names of the nodes that have a ledger in the folder."""
     return sorted(path.name.removesuffix("-00000001.ledger") for path in folder.glob("*-00000001.ledger"))
 
 
 class LedgerCollector:
-    """`token()`: to act with now, 0 for none; `floor(token)`: the books know a greater one; `write`: for the
-    history; `aside`: does what waits, off the loop's turn."""
+    """Exports the unlocked ledgers of a folder to the billing side at `address`. `current_token()`: the token
+    of the lease, 0 without one; `raise_token_floor(token)`: reports that the billing side knows a greater
+    token; `write_event`: writes to the history; `run_blocking`: runs blocking work off the event loop."""
 
     def __init__(
-        self, folder: Path, address: tuple[str, int], token: Callable[[], int], floor: Callable[[int], None],
-        write: Callable[..., None], aside: Callable[[Callable[[], None]], Awaitable[None]],
+        self, folder: Path, address: tuple[str, int], current_token: Callable[[], int],
+        raise_token_floor: Callable[[int], None], write_event: Callable[..., None],
+        run_blocking: Callable[[Callable[[], None]], Awaitable[None]],
     ) -> None:  # fmt: skip
         self._folder = folder
         self._address = address
-        self._token = token
-        self._floor = floor
-        self._write = write
-        self._aside = aside
-        self._brought: dict[str, int] = {}  # by node: the size of its ledger when all of it was in the books
-        self._task: asyncio.Task[None] | None = None
+        self._current_token = current_token
+        self._raise_token_floor = raise_token_floor
+        self._write_event = write_event
+        self._run_blocking = run_blocking
+        # By node: size of its ledger when it was exported completely.
+        self._exported_bytes: dict[str, int] = {}
+        self._scan_task: asyncio.Task[None] | None = None
         self._exporter: Exporter | None = None
-        self._said = ""  # the last line of the log: the same is not said again
+        self._last_warning = ""  # a warning that repeats is logged once
 
     def start(self) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._run())
+        """Starts scanning the folder."""
+        self._scan_task = asyncio.get_running_loop().create_task(self._run())
 
     async def close(self) -> None:
+        """Stops scanning, and tells an export that is running to stop."""
         if self._exporter is not None:
             self._exporter.stopped = "the process ends"
-        if self._task is not None:
-            self._task.cancel()
-            await asyncio.gather(self._task, return_exceptions=True)
+        if self._scan_task is not None:
+            self._scan_task.cancel()
+            await asyncio.gather(self._scan_task, return_exceptions=True)
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(EVERY)
+            await asyncio.sleep(SCAN_INTERVAL_S)
             try:
                 for node in ledger_nodes(self._folder):
-                    if token := self._token():
-                        await self._bring_in(node, token)
-            except (OSError, StoreError) as problem:
-                self._say(f"ledgers can't be collected: {problem}")
-
-    async def _bring_in(self, node: str, token: int) -> None:
-        size = sum(path.stat().st_size for path in self._folder.glob(f"{node}-*.ledger"))
-        if self._brought.get(node) == size or not is_unlocked(self._folder, node):
+                    if token := self._current_token():
+                        await self._export_ledger(node, token)
+            except (OSError, StoreError) as error:
+                self._warn_once(f"ledgers can't be collected: {error}")
+
+    async def _export_ledger(self, node: str, token: int) -> None:
+        size_bytes = sum(path.stat().st_size for path in self._folder.glob(f"{node}-*.ledger"))
+        if self._exported_bytes.get(node) == size_bytes or not is_unlocked(self._folder, node):
             return
         exporter = Exporter(node, Segments(self._folder, node).lines(), token, token, token)
-        ended: list[str] = []
+        failures: list[str] = []
         self._exporter = exporter
-        working = asyncio.ensure_future(
-            self._aside(lambda: ended.append(asyncio.run(carry(exporter, self._address, GIVE_UP))))
+        export = asyncio.ensure_future(
+            self._run_blocking(
+                lambda: failures.append(asyncio.run(carry(exporter, self._address, EXPORT_STALL_TIMEOUT_S)))
+            )
         )
-        while not working.done():
-            await asyncio.wait((working,), timeout=0.1)
-            if self._token() != token and not exporter.stopped:
-                exporter.stopped = "its lease is over"  # what is done so far the next need not do
-        working.result()
+        while not export.done():
+            await asyncio.wait((export,), timeout=0.1)
+            if self._current_token() != token and not exporter.stopped:
+                exporter.stopped = "the lease has ended"  # the next owner continues from here
+        export.result()
         self._exporter = None
         if exporter.older:
-            self._floor(exporter.older)
-            self._write("refused", task=TASK, token=token)
-        elif not ended[0]:
-            self._brought[node] = size
+            self._raise_token_floor(exporter.older)
+            self._write_event("refused", task=TASK, token=token)
+        elif not failures[0]:
+            self._exported_bytes[node] = size_bytes
         if exporter.acknowledged > 0:
-            self._write("act", task=TASK, token=token, what=node, upto=exporter.acknowledged)
-        if ended[0]:
-            self._say(f"the ledger of {node} is not whole in the books: {ended[0]}")
-
-    def _say(self, line: str) -> None:
-        if line != self._said:
-            log.warning("%s", line)
-        self._said = line
+            self._write_event("act", task=TASK, token=token, what=node, upto=exporter.acknowledged)
+        if failures[0]:
+            self._warn_once(f"the ledger of {node} was not exported completely: {failures[0]}")
+
+    def _warn_once(self, text: str) -> None:
+        if text != self._last_warning:
+            log.warning("%s", text)
+        self._last_warning = text
--- a/driftstair/tier/history.py
+++ b/driftstair/tier/history.py
@@ -1,7 +1,9 @@
-"""What a process came to hold, one JSON object a line: `t_ns` (monotonic), `node`, `life`, `event`, fields.
+"""The history of a process's views, one JSON object a line: `t_ns` (monotonic), `node`, `life`, `event` and
+the event's fields.
 
-Each line is one write at the file's end: a process that is killed leaves whole lines, but for the last at
-most. Events and their fields are in `EVENTS`; checkers read nothing else of a node.
+Each line is appended with a single write, so a process that is killed leaves at most its last line
+incomplete.
+`EVENTS` defines the events and their fields; checkers read nothing else of a node.
 """
 
 from __future__ import annotations
@@ -58,72 +60,74 @@
     "permit": {"what": str, "kind": str, "token": int, "until_ns": int},
     "act": {"task": str, "token": int, "what": str, "upto": int},
 }
-"""By event: its fields. `state`: alive, suspect, dead or left; `told`: whether others hear of it, or the node
-holds it so for itself alone, since it hears nobody."""
-COMMON: dict[str, type] = {"t_ns": int, "node": int, "life": int, "event": str}
-NAME = re.compile(r"[0-9A-Za-z][0-9A-Za-z._-]{0,63}")
+"""The fields of each event, with their types. `state`: alive, suspect, dead or left; `told`: whether the
+state is announced to other nodes, or held by this node alone since it hears from none."""
+COMMON_FIELDS: dict[str, type] = {"t_ns": int, "node": int, "life": int, "event": str}
+NAME_PATTERN = re.compile(r"[0-9A-Za-z][0-9A-Za-z._-]{0,63}")
 
 
 class HistoryError(Exception):
-    """A folder that takes no history, or a line that is none."""
+    """A history that can't be opened, or a line that is no valid event."""
 
 
 class History:
-    """Appends to FOLDER/NAME.jsonl; raises HistoryError where that can't be."""
+    """Appends events to FOLDER/NAME.jsonl. Raises HistoryError if the file can't be opened."""
 
     def __init__(self, folder: str, name: str) -> None:
-        if not NAME.fullmatch(name):
-            raise HistoryError(f"the node's name {name!r} is no file's")
+        if not NAME_PATTERN.fullmatch(name):
+            raise HistoryError(f"the node's name {name!r} can't be used as a file name")
         path = Path(folder) / f"{name}.jsonl"
         try:
             self._file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o644)
-        except OSError as problem:
-            raise HistoryError(f"{path}: {problem.strerror}") from None
+        except OSError as error:
+            raise HistoryError(f"{path}: {error.strerror}") from None
 
     def write(self, t_ns: int, node: int, generation: int, event: str, **fields: Any) -> None:
+        """Appends an event. Does nothing once the history is closed; a failed write closes it."""
         if self._file < 0:
             return
         line = json.dumps({"t_ns": t_ns, "node": node, "life": generation, "event": event, **fields})
         try:
             os.write(self._file, line.encode() + b"\n")
-        except OSError as problem:
-            log.error("no history any more: %s", problem.strerror)
+        except OSError as error:
+            log.error("no history any more: %s", error.strerror)
             self.close()
 
     def close(self) -> None:
+        """Closes the file. May be called again."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
 
 
 def read_line(line: str) -> dict[str, Any]:
-    """One event; raises HistoryError."""
+    """Parses and validates one event. Raises HistoryError."""
     try:
-        found = json.loads(line)
+        event = json.loads(line)
     except ValueError:
         raise HistoryError("no JSON") from None
-    if not isinstance(found, dict) or not isinstance(found.get("event"), str):
+    if not isinstance(event, dict) or not isinstance(event.get("event"), str):
         raise HistoryError("no event")
-    for key, kind in (COMMON | EVENTS.get(found["event"], {})).items():
-        if type(found.get(key)) is not kind:
-            raise HistoryError(f"{found['event']}: {key} is no {kind.__name__}")
-    return found
+    for key, kind in (COMMON_FIELDS | EVENTS.get(event["event"], {})).items():
+        if type(event.get(key)) is not kind:
+            raise HistoryError(f"{event['event']}: {key} is no {kind.__name__}")
+    return event
 
 
 def read(path: Path) -> list[dict[str, Any]]:
-    """All of a file; a last line that was cut off counts as not written. Raises HistoryError."""
+    """Reads all events of a file, without a last line that is incomplete. Raises HistoryError."""
     text = path.read_text()
     lines = text.split("\n")
-    whole, cut = lines[:-1], lines[-1]
-    out = []
-    for number, line in enumerate(whole, 1):
+    complete_lines, last_line = lines[:-1], lines[-1]
+    events = []
+    for number, line in enumerate(complete_lines, 1):
         try:
-            out.append(read_line(line))
-        except HistoryError as problem:
-            raise HistoryError(f"{path.name}:{number}: {problem}") from None
-    if cut:
+            events.append(read_line(line))
+        except HistoryError as error:
+            raise HistoryError(f"{path.name}:{number}: {error}") from None
+    if last_line:
         try:
-            out.append(read_line(cut))
+            events.append(read_line(last_line))
         except HistoryError:
             log.info("%s ends in half a line", path.name)
-    return out
+    return events
--- a/driftstair/tier/observed_module.py
+++ b/driftstair/tier/observed_module.py
@@ -1,7 +1,8 @@
-"""Round the decision module: what attempts came to is evidence for the tier, and a server that the tier finds
-bad for all is shown as draining. Pure: no I/O, the clock comes in with each event.
+"""A wrapper of the decision module: the outcomes of attempts become evidence for the tier, and a server that
+the tier judges failing is presented to the module as draining. Pure: no I/O, and the clock comes in with each
+event.
 
-The list alone says which servers there are; of what it names ready, some are held back for a while.
+Only the server list decides which servers exist. Some of those that it names ready are held back for a while.
 """
 
 from __future__ import annotations
@@ -12,80 +13,87 @@
 from lichenspring import interface as api
 from lichenspring.interface import ListKind, Result, ServerState
 
-FAILURES = frozenset((Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CONNECT_FAILED))
+FAILED_RESULTS = frozenset((Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CONNECT_FAILED))
 
 
 def server_key(server: api.ServerId) -> int:
-    """Names a server between nodes: as much of its identity as fits a datagram well."""
+    """The key of a server in datagrams between nodes: the first 4 bytes of its identity, to save space."""
     return int.from_bytes(server[:4], "big")
 
 
 class ObservedModule:
-    """`judge`: as it is now; None while this process is not that node."""
+    """Passes events to a decision module and records evidence. `detector`: returns the current detector, None
+    while this process does not hold its node's number."""
 
-    def __init__(self, module: api.DecisionModule, judge: Callable[[], OutlierDetector | None]) -> None:
+    def __init__(self, module: api.DecisionModule, detector: Callable[[], OutlierDetector | None]) -> None:
         self._module = module
-        self._judge = judge
-        self._servers: dict[api.ServerId, api.Server] = {}  # as the list tells them
-        self._out: frozenset[int] = frozenset()
-        self._open: set[int] = set()  # requests without a final answer
+        self._detector = detector
+        self._servers: dict[api.ServerId, api.Server] = {}  # as stated by the server list
+        self._held_back: frozenset[int] = frozenset()
+        self._open_requests: set[int] = set()  # ids of requests without a final answer
 
     def start(self, now: int) -> list[api.Action]:
+        """Starts the module."""
         return self._module.start(now)
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        judge = self._judge()
+        """Passes an event to the module, and a changed server list if other servers are held back now."""
+        detector = self._detector()
         if isinstance(event, api.ServerList):
-            event = self._follow(event)
-        elif judge is not None:
+            event = self._update_servers(event)
+        elif detector is not None:
             if isinstance(event, api.Outcome):
-                self._note(now, judge, event)
+                self._record_outcome(now, detector, event)
             elif isinstance(event, api.Request):
-                self._open.add(event.id)
+                self._open_requests.add(event.id)
             elif isinstance(event, api.ClientGone):
-                self._open.discard(event.request)
+                self._open_requests.discard(event.request)
         actions = self._module.handle(now, event)
-        if judge is not None:
-            for one in actions:
-                if isinstance(one, api.Send):
-                    judge.observations.sent(server_key(one.server))
-            self._open.difference_update(
-                one.request for one in actions if isinstance(one, api.Refuse | api.Fail)
+        if detector is not None:
+            for action in actions:
+                if isinstance(action, api.Send):
+                    detector.observations.sent(server_key(action.server))
+            self._open_requests.difference_update(
+                action.request for action in actions if isinstance(action, api.Refuse | api.Fail)
             )
-            judge.observations.in_flight = len(self._open)
-            judge.ready = {
-                server_key(one.id) for one in self._servers.values() if one.state is ServerState.READY
+            detector.observations.in_flight = len(self._open_requests)
+            detector.ready = {
+                server_key(server.id)
+                for server in self._servers.values()
+                if server.state is ServerState.READY
             }
-        out = frozenset() if judge is None else frozenset(judge.hidden()) & judge.ready
-        if out != self._out:
-            self._out = out
-            shown = tuple(self._shown(one) for one in self._servers.values())
-            # The module takes what a node has kept for no news from discovery, and asks on for that.
-            actions = actions + self._module.handle(now, api.ServerList(ListKind.CACHED, shown))
+        held_back = frozenset() if detector is None else frozenset(detector.hidden()) & detector.ready
+        if held_back != self._held_back:
+            self._held_back = held_back
+            presented = tuple(self._present(server) for server in self._servers.values())
+            # The module does not take a cached list for an answer of discovery and keeps asking for one.
+            actions = actions + self._module.handle(now, api.ServerList(ListKind.CACHED, presented))
         return actions
 
-    def _note(self, now: int, judge: OutlierDetector, outcome: api.Outcome) -> None:
-        judge.observations.ended(server_key(outcome.server))
+    def _record_outcome(self, now: int, detector: OutlierDetector, outcome: api.Outcome) -> None:
+        detector.observations.ended(server_key(outcome.server))
         if outcome.closed:
-            self._open.discard(outcome.request)
-        if outcome.result is Result.OK or outcome.result in FAILURES:
-            judge.observations.note(
+            self._open_requests.discard(outcome.request)
+        if outcome.result is Result.OK or outcome.result in FAILED_RESULTS:
+            detector.observations.note(
                 now, server_key(outcome.server), outcome.result is Result.OK,
                 outcome.result is not Result.CONNECT_FAILED, outcome.elapsed,
             )  # fmt: skip
 
-    def _follow(self, event: api.ServerList) -> api.ServerList:
+    def _update_servers(self, event: api.ServerList) -> api.ServerList:
+        """Stores a server list and returns it as the module is to see it."""
         if event.kind is ListKind.FAILED:
             return event
         if event.kind is not ListKind.DELTA:
             self._servers.clear()
-        for one in event.servers:
-            if one.state is ServerState.GONE:
-                self._servers.pop(one.id, None)
+        for server in event.servers:
+            if server.state is ServerState.GONE:
+                self._servers.pop(server.id, None)
             else:
-                self._servers[one.id] = one
-        return event._replace(servers=tuple(self._shown(one) for one in event.servers))
+                self._servers[server.id] = server
+        return event._replace(servers=tuple(self._present(server) for server in event.servers))
 
-    def _shown(self, server: api.Server) -> api.Server:
-        held_back = server.state is ServerState.READY and server_key(server.id) in self._out
-        return server._replace(state=ServerState.DRAINING) if held_back else server
+    def _present(self, server: api.Server) -> api.Server:
+        """Returns the server as the module is to see it: as draining while it is held back."""
+        is_held_back = server.state is ServerState.READY and server_key(server.id) in self._held_back
+        return server._replace(state=ServerState.DRAINING) if is_held_back else server
--- a/driftstair/tier/operator_commands.py
+++ b/driftstair/tier/operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators order of the tier, at the node that they call: permits, and who owns a task."""
+"""Operators' orders to the tier at the node that they call: permits, and the ownership of tasks."""
 
 from __future__ import annotations
 
@@ -11,43 +11,49 @@
     from driftstair.tier.ownership.permits import Kind
     from driftstair.tier.service import Tier
 
-NO_MORE = "none"  # in the place of what a permit is for
-MAX_TOKEN = 1 << 64
+NO_PERMIT = "none"  # stands in the path for the purpose of a permit when the node no longer wants one
+TOKEN_LIMIT = 1 << 64  # exclusive
 
 
-def obey(tier: Tier | None, call: Call) -> Answer:
-    """Status 409: the node is asked for something that it can't do; nothing has changed."""
+def execute_order(tier: Tier | None, call: Call) -> Answer:
+    """Carries out the order of a call and returns the HTTP status with the answer. Status 409 means that the
+    node can't carry out the order and that nothing has changed."""
     if tier is None or tier.sharing is None:
         return 404, {"error": "this node is in no tier that shares anything"}
     from driftstair.tier.sharing import NotOwnerError
 
     try:
         if call.order is Order.PERMIT:
-            return 200, tier.sharing.request_permit(_kind(call.arguments[0]))
-        task, about = call.arguments
+            return 200, tier.sharing.request_permit(_parse_kind(call.arguments[0]))
+        task, argument = call.arguments
         if call.order is Order.HAND_OVER:
-            return 200, {"task": task, "over": tier.sharing.hand_over(task, _number(about, 1 << 16))}
-        return 200, {"task": task, "over": tier.sharing.release_task(task, _number(about, MAX_TOKEN))}
-    except NotOwnerError as problem:
-        return 409, {"error": str(problem)}
-    except ValueError as problem:
-        return 400, {"error": str(problem)}
-
-
-def _kind(word: str) -> Kind | None:
-    """Raises ValueError."""
+            return 200, {"task": task, "over": tier.sharing.hand_over(task, _parse_number(argument, 1 << 16))}
+        return 200, {
+            "task": task,
+            "over": tier.sharing.release_task(task, _parse_number(argument, TOKEN_LIMIT)),
+        }
+    except NotOwnerError as error:
+        return 409, {"error": str(error)}
+    except ValueError as error:
+        return 400, {"error": str(error)}
+
+
+def _parse_kind(text: str) -> Kind | None:
+    """Returns None for NO_PERMIT. Raises ValueError."""
     from driftstair.tier.ownership.permits import Kind
 
-    if word == NO_MORE:
+    if text == NO_PERMIT:
         return None
-    names = {one.name.lower(): one for one in Kind}
-    if word not in names:
-        raise ValueError(f"{word[:40]!r} is nothing to be out for; {', '.join(names)} or {NO_MORE} would do")
-    return names[word]
-
-
-def _number(word: str, most: int) -> int:
-    """Raises ValueError."""
-    if not word.isascii() or not word.isdigit() or len(word) > 20 or int(word) >= most:
-        raise ValueError(f"{word[:40]!r} is no number")
-    return int(word)
+    kinds = {kind.name.lower(): kind for kind in Kind}
+    if text not in kinds:
+        raise ValueError(
+            f"{text[:40]!r} is nothing to be out for; {', '.join(kinds)} or {NO_PERMIT} would do"
+        )
+    return kinds[text]
+
+
+def _parse_number(text: str, limit: int) -> int:
+    """Parses a decimal number below `limit`. Raises ValueError."""
+    if not text.isascii() or not text.isdigit() or len(text) > 20 or int(text) >= limit:
+        raise ValueError(f"{text[:40]!r} is no number")
+    return int(text)
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -1,4 +1,5 @@
-"""Shared state in the daemon: between its core, the tier's datagrams, and routes that spend on budgets."""
+"""Shared state in the daemon: connects its core with the tier's datagrams and with routes that spend
+budgets."""
 
 from __future__ import annotations
 
@@ -18,156 +19,173 @@
 
 
 class EvidenceSettings(NamedTuple):
-    """Of a node that shares judgements: its zone, whether it may speak, the zones of those that live."""
+    """Settings of a node that shares evidence on servers. `is_reliable`: whether this node may report
+    evidence now; `zones_by_node`: the zones of the live nodes."""
 
     zone: int
-    sound: Callable[[], bool]
-    zones: Callable[[], dict[int, int]]
+    is_reliable: Callable[[], bool]
+    zones_by_node: Callable[[], dict[int, int]]
 
 
 class PermitSettings(NamedTuple):
-    """Of a node that asks before it is out: the fleet's rules, and generation and zone of those that live."""
+    """Settings of a node that requests a permit before it is out. `rules`: the fleet's; `live_nodes`:
+    generation and zone of each live node."""
 
     rules: Rules
-    living: Callable[[], LiveNodes]
+    live_nodes: Callable[[], LiveNodes]
 
 
 class NotOwnerError(Exception):
-    """An order on a task that this node can't carry out; the text says why."""
+    """This node can't carry out an order on a task; the text says why."""
 
 
 class FleetTokens:
-    """A budget of the fleet for a route, asked as a bucket of its own would be. Each check reads the clock
-    itself, since the time that an event came with may be long past."""
+    """A budget of the fleet with the interface of a route's own token bucket. Each check reads the clock
+    itself, because the time of the event that caused it may be long past."""
 
     def __init__(
-        self, shared: SharedState, name: str, clock: Callable[[], int], spent: Callable[[str], None]
+        self, shared: SharedState, name: str, clock: Callable[[], int], on_spent: Callable[[str], None]
     ) -> None:
         self._shared = shared
         self._name = name
         self._clock = clock
-        self._spent = spent
-        self._kept = 0.0  # tokens taken by `has`, which `take` is about to confirm
+        self._on_spent = on_spent
+        self._reserved = 0.0  # tokens that `has` took and `take` has yet to confirm
 
     def has(self, now: int, tokens: float = 1.0) -> bool:
-        """Takes them out at once: between a check and what is done by it no loan may end unseen."""
+        """Reserves the tokens at once, so that no loan can expire unnoticed between the check and the action
+        that it allows."""
         budget = self._shared.budgets.get(self._name)
         if budget is None:
-            self._kept = 0.0
+            self._reserved = 0.0
             return False
-        at = self._clock()
-        if self._kept:
-            budget.unspent(at, self._kept)
-            self._kept = 0.0
-        if not budget.spend(at, tokens):
+        current_ns = self._clock()
+        if self._reserved:
+            budget.unspent(current_ns, self._reserved)
+            self._reserved = 0.0
+        if not budget.spend(current_ns, tokens):
             return False
-        self._kept = tokens
+        self._reserved = tokens
         return True
 
     def take(self, now: int, tokens: float = 1.0) -> bool:
-        if self._kept != tokens and not self.has(now, tokens):
+        """Spends the tokens that the latest `has` reserved, or else reserves and spends them."""
+        if self._reserved != tokens and not self.has(now, tokens):
             return False
-        self._kept = 0.0
+        self._reserved = 0.0
         budget = self._shared.budgets.get(self._name)
         if budget is not None:
             budget.spent(tokens)
-        self._spent(self._name)
+        self._on_spent(self._name)
         return True
 
     def earn(self, now: int, tokens: float) -> None:
-        """It is told by the fleet's rate, not by what a route carries."""
+        """Has no effect: the budget refills at the fleet's rate, not by the requests of a route."""
 
     def ns_until(self, now: int, tokens: float = 1.0) -> int:
+        """Time until `tokens` are available; 0 if they are, or if this node has no such budget."""
         budget = self._shared.budgets.get(self._name)
         return 0 if budget is None else budget.bucket.until(self._clock(), tokens)
 
-    def carry_over(self, other: object, now: int) -> None:
-        """What is saved up is the budget's."""
+    def carry_over(self, previous: object, now: int) -> None:
+        """Has no effect: saved tokens belong to the budget, not to the route."""
 
 
 class Sharing:
-    """`carry(to, items)`; `write(event, **fields)`; `others`: living nodes that understand this; `speaks`:
-    where judgements on servers are shared; `permitted`: where nodes ask before they are out;
-    `keep(token)`: puts it on the disk and then calls `token_persisted`, or `persist_failed`."""
+    """The shared state of one process. `live_peers`: live nodes that support shared state; `send(to, items)`:
+    sends a payload to a node; `write_event(event, **fields)`: writes to the history; `evidence`: set if
+    evidence on servers is shared; `tasks`: to be owned by one node at a time; `permits`: set if nodes request
+    permits before they are out; `persist_token(token)`: writes the token to disk and then calls
+    `token_persisted` or `persist_failed`."""
 
     def __init__(
         self, specs: Iterable[Spec], random: Random, clock: Callable[[], int],
-        others: Callable[[], list[int]], carry: Callable[[int, bytes], None], write: Callable[..., None],
-        speaks: EvidenceSettings | None = None, tasks: Sequence[str] = (),
-        permitted: PermitSettings | None = None, keep: Callable[[int], None] = lambda token: None,
+        live_peers: Callable[[], list[int]], send: Callable[[int, bytes], None],
+        write_event: Callable[..., None], evidence: EvidenceSettings | None = None,
+        tasks: Sequence[str] = (), permits: PermitSettings | None = None,
+        persist_token: Callable[[int], None] = lambda token: None,
     ) -> None:  # fmt: skip
-        self.core = SharedState(specs, random, others)
+        self.core = SharedState(specs, random, live_peers)
         self._clock = clock
-        self._carry = carry
-        self._write = write
-        self._speaks = speaks
-        self._tasks = (*tasks, PERMITS) if permitted is not None else tuple(tasks)
-        self._permitted = permitted
-        self._keep = keep
-        self._others = others
-        self._tokens: dict[str, FleetTokens] = {}
-
-    def tokens(self, name: str) -> FleetTokens:
-        if name not in self._tokens:
-            self._tokens[name] = FleetTokens(self.core, name, self._clock, self._spent)
-        return self._tokens[name]
-
-    def _spent(self, name: str) -> None:
-        self._write("spend", budget=name, amount=1.0)
+        self._send = send
+        self._write_event = write_event
+        self._evidence = evidence
+        self._tasks = (*tasks, PERMITS) if permits is not None else tuple(tasks)
+        self._permits = permits
+        self._persist_token = persist_token
+        self._live_peers = live_peers
+        self._tokens_by_budget: dict[str, FleetTokens] = {}
+
+    def fleet_tokens(self, name: str) -> FleetTokens:
+        """The tokens of the budget of this name, which need not exist yet."""
+        if name not in self._tokens_by_budget:
+            self._tokens_by_budget[name] = FleetTokens(self.core, name, self._clock, self._record_spend)
+        return self._tokens_by_budget[name]
+
+    def _record_spend(self, name: str) -> None:
+        self._write_event("spend", budget=name, amount=1.0)
 
     def open(
-        self, own: int, generation: int, count: int, lent_until: int | None = None, token: int | None = None
-    ) -> None:
-        """`token`: that of this voter on the disk; None: it has no disk."""
-        self._do(self.core.open(self._clock(), own, generation, count, lent_until))
-        if self._speaks is not None:
-            self.core.enable_outlier_detection(self._clock(), *self._speaks)
-        if self._speaks is not None or self._tasks:
-            self.core.enable_leases(self._clock(), self._tasks, lambda: sorted([own, *self._others()]), token)
-        if self._permitted is not None:
-            self.core.enable_permits(self._clock(), *self._permitted)
-
-    def token(self, task: str) -> int:
-        """To act with now; 0: the task is not this node's."""
+        self, own: int, generation: int, count: int, loans_expire_at_ns: int | None = None,
+        stored_token: int | None = None,
+    ) -> None:  # fmt: skip
+        """Takes part as node number `own` of `count`. `loans_expire_at_ns`: when the last loan of the
+        previous process expires, None if unknown; `stored_token`: this voter's token on disk, None without a
+        disk."""
+        self._execute(self.core.open(self._clock(), own, generation, count, loans_expire_at_ns))
+        if self._evidence is not None:
+            self.core.enable_outlier_detection(self._clock(), *self._evidence)
+        if self._evidence is not None or self._tasks:
+            self.core.enable_leases(
+                self._clock(), self._tasks, lambda: sorted([own, *self._live_peers()]), stored_token
+            )
+        if self._permits is not None:
+            self.core.enable_permits(self._clock(), *self._permits)
+
+    def lease_token(self, task: str) -> int:
+        """The token of this node's lease on the task; 0 if it does not own the task now."""
         leases = self.core.leases
         return 0 if leases is None else leases.token(self._clock(), task)
 
-    # What operators order.
+    # Operators' orders.
 
     def request_permit(self, kind: Kind | None) -> dict[str, Any]:
-        """A permit to be out, or (None) none any more; what stands. Raises NotOwnerError."""
+        """Requests a permit to be out, or with None gives it back; returns a report. Raises NotOwnerError."""
         if self.core.permits is None:
             raise NotOwnerError("no permits here: [tier.permits] in the service file would do")
-        self._do(self.core.request_permit(self._clock(), kind))
-        return self._permits()
+        self._execute(self.core.request_permit(self._clock(), kind))
+        return self._permit_report()
 
-    def _permits(self) -> dict[str, Any]:
+    def _permit_report(self) -> dict[str, Any]:
         assert self.core.permits is not None
-        return self.core.permits.report(self._clock(), self.token(PERMITS))
+        return self.core.permits.report(self._clock(), self.lease_token(PERMITS))
 
-    def hand_over(self, task: str, heir: int) -> int:
-        """This node's lease on a task to another; the token that is over. Raises NotOwnerError."""
-        token = self._owned(task)
-        if heir not in self._others():
-            raise NotOwnerError(f"node {heir} is not among those that live and could have it")
-        return self._release(task, token, heir)
+    def hand_over(self, task: str, successor: int) -> int:
+        """Hands this node's lease on a task to another node; returns the token that ended. Raises
+        NotOwnerError."""
+        token = self._owned_token(task)
+        if successor not in self._live_peers():
+            raise NotOwnerError(f"node {successor} is not among those that live and could have it")
+        return self._release_lease(task, token, successor)
 
     def release_task(self, task: str, token: int) -> int:
-        """This node's lease to whoever asks next, where it has that token. Raises NotOwnerError."""
-        held = self._owned(task)
-        if held != token:
-            raise NotOwnerError(f"the token of {task} is {held}, not {token}")
-        return self._release(task, token, -1)
-
-    def _release(self, task: str, token: int, heir: int) -> int:
-        self._do(self.core.release(self._clock(), task, heir))
+        """Releases this node's lease, if it has that token, to the next node that asks; returns the token
+        that ended. Raises NotOwnerError."""
+        owned_token = self._owned_token(task)
+        if owned_token != token:
+            raise NotOwnerError(f"the token of {task} is {owned_token}, not {token}")
+        return self._release_lease(task, token, -1)
+
+    def _release_lease(self, task: str, token: int, successor: int) -> int:
+        self._execute(self.core.release(self._clock(), task, successor))
         return token
 
-    def _owned(self, task: str) -> int:
+    def _owned_token(self, task: str) -> int:
+        """Raises NotOwnerError if this node does not own the task."""
         leases = self.core.leases
         if leases is None or task not in leases.tasks:
             raise NotOwnerError(f"no task {task} here")
-        token = self.token(task)
+        token = self.lease_token(task)
         if not token:
             owner = leases.report(self._clock())[task]["owner"]
             raise NotOwnerError(
@@ -175,86 +193,105 @@
             )
         return token
 
-    def floor(self, task: str, token: int) -> None:
+    def raise_token_floor(self, task: str, token: int) -> None:
+        """Makes later leases on the task use tokens greater than this one."""
         if self.core.leases is not None:
             self.core.leases.floor(task, token)
 
     def wrap_module(self, module: DecisionModule) -> DecisionModule:
-        """The decision module, watched and told on where judgements are shared."""
-        return module if self._speaks is None else ObservedModule(module, lambda: self.core.outlier_detector)
+        """Returns the decision module, wrapped in an ObservedModule if evidence on servers is shared."""
+        return (
+            module if self._evidence is None else ObservedModule(module, lambda: self.core.outlier_detector)
+        )
 
     def token_persisted(self, token: int) -> None:
-        self._do(self.core.token_persisted(self._clock(), token))
+        """The token is on disk."""
+        self._execute(self.core.token_persisted(self._clock(), token))
 
     def persist_failed(self) -> None:
+        """The token could not be written to disk."""
         self.core.persist_failed(self._clock())
 
     def close(self) -> None:
+        """Stops taking part; this process no longer holds its node's number."""
         self.core.close()
 
     def set_generation(self, generation: int) -> None:
+        """The process continues under a later generation."""
         self.core.set_generation(generation)
 
     def update_specs(self, specs: Iterable[Spec]) -> None:
-        self._do(self.core.update_specs(self._clock(), specs))
+        """Replaces the budgets."""
+        self._execute(self.core.update_specs(self._clock(), specs))
 
     def leave(self) -> None:
-        self._do(self.core.leave(self._clock()))
+        """The process is about to shut down as planned: returns loans and leases."""
+        self._execute(self.core.leave(self._clock()))
 
     def wake(self) -> None:
-        self._do(self.core.wake(self._clock()))
+        """To be called at `core.wake_at`."""
+        self._execute(self.core.wake(self._clock()))
 
-    def heard(self, sender: int, generation: int, items: bytes) -> None:
-        self._do(self.core.heard(self._clock(), sender, generation, items))
+    def receive_items(self, sender: int, generation: int, items: bytes) -> None:
+        """Handles the payload of a datagram from another node."""
+        self._execute(self.core.heard(self._clock(), sender, generation, items))
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendItems):
-                self._carry(action.to, action.items)
+                self._send(action.to, action.items)
             elif isinstance(action, PersistToken):
-                self._keep(action.token)
+                self._persist_token(action.token)
             else:
-                self._write(action.event, **action.fields)
+                self._write_event(action.event, **action.fields)
 
     def report(self, servers: Iterable[str] = ()) -> dict[str, Any]:
-        """As JSON. Rates are tokens a second. `servers`: names of those that the list tells of."""
+        """The state as JSON. Rates are in tokens a second. `servers`: names of the servers on the list."""
         now = self._clock()
         budgets = {}
-        for name, one in self.core.budgets.items():
-            held, lent = one.escrow.held(now), sum(one.escrow.lent_to().values())
+        for name, budget in self.core.budgets.items():
+            held_shares, lent_shares = budget.escrow.held(now), sum(budget.escrow.lent_to().values())
             budgets[name] = {
-                "per_s": one.spec.per_s, "held_per_s": round(held * one.share, 6),
-                "home_per_s": round(one.spec.terms.shares * one.share, 6),
-                "lent_per_s": round(lent * one.share, 6),
-                "borrowed_per_s": round(sum(loan.shares for _, loan in one.escrow.loans()) * one.share, 6),
-                "wanted_per_s": round(one.demand.per_s, 6), "saved": round(one.bucket.tokens(now), 3),
-                **one.counts,
+                "per_s": budget.spec.per_s, "held_per_s": round(held_shares * budget.share, 6),
+                "home_per_s": round(budget.spec.terms.shares * budget.share, 6),
+                "lent_per_s": round(lent_shares * budget.share, 6),
+                "borrowed_per_s": round(
+                    sum(loan.shares for _, loan in budget.escrow.loans()) * budget.share, 6
+                ),
+                "wanted_per_s": round(budget.demand.per_s, 6), "saved": round(budget.bucket.tokens(now), 3),
+                **budget.counts,
             }  # fmt: skip
-        thrown = {f"thrown_{why}": number for why, number in sorted(self.core.discarded.items()) if number}
-        judge = self.core.outlier_detector
-        judged = {} if judge is None else {
-            "state": judge.state(now), "held_back": _named(judge, servers),
-            "in_flight": _flight(judge, now, servers),
+        discarded = {
+            f"thrown_{reason}": number for reason, number in sorted(self.core.discarded.items()) if number
+        }
+        detector = self.core.outlier_detector
+        detector_report = {} if detector is None else {
+            "state": detector.state(now), "held_back": _held_back_report(detector, servers),
+            "in_flight": _in_flight_report(detector, now, servers),
         }  # fmt: skip
         leases = self.core.leases
-        led = {} if leases is None else {
+        lease_report = {} if leases is None else {
             "council": list(leases.voters), "silent": leases.silent(now), "tasks": leases.report(now),
         }  # fmt: skip
-        permits = {} if self.core.permits is None else {"permits": self._permits()}
-        return {"budgets": budgets, "counts": thrown, **judged, **led, **permits}
+        permit_report = {} if self.core.permits is None else {"permits": self._permit_report()}
+        return {
+            "budgets": budgets, "counts": discarded, **detector_report, **lease_report, **permit_report,
+        }  # fmt: skip
 
 
-def _flight(judge: OutlierDetector, now: int, servers: Iterable[str]) -> dict[str, dict[str, int]]:
-    names = {server_key(digest(one)): one for one in servers}
-    return {names.get(server, f"{server:08x}"): one for server, one in judge.busy(now).items()}
+def _in_flight_report(
+    detector: OutlierDetector, now: int, servers: Iterable[str]
+) -> dict[str, dict[str, int]]:
+    names = {server_key(digest(name)): name for name in servers}
+    return {names.get(server, f"{server:08x}"): counts for server, counts in detector.busy(now).items()}
 
 
-def _named(judge: OutlierDetector, servers: Iterable[str]) -> list[dict[str, Any]]:
-    names = {server_key(digest(one)): one for one in servers}
+def _held_back_report(detector: OutlierDetector, servers: Iterable[str]) -> list[dict[str, Any]]:
+    names = {server_key(digest(name)): name for name in servers}
     return [
         {
-            "server": names.get(one.server, f"{one.server:08x}"), "reporters": list(one.reporters),
-            "share": round(one.share, 3),
+            "server": names.get(verdict.server, f"{verdict.server:08x}"),
+            "reporters": list(verdict.reporters), "share": round(verdict.share, 3),
         }
-        for one in judge.out.values()
+        for verdict in detector.out.values()
     ]  # fmt: skip
--- a/tests/tier/test_budget_checks.py
+++ b/tests/tier/test_budget_checks.py
@@ -139,7 +139,7 @@
     sharing = Sharing((SPEC,), Random(0), clock, lambda: [1], lambda to, items: None, write)
     sharing.open(0, 1, 2)
     clock.now = 10 * SECOND
-    assert sharing.tokens("b").take(0) and written == ["budget", "spend"]
+    assert sharing.fleet_tokens("b").take(0) and written == ["budget", "spend"]
     (budget,) = sharing.report()["budgets"].values()
     assert (budget["held_per_s"], budget["home_per_s"], budget["lent_per_s"]) == (5.0, 5.0, 0.0)
     assert budget["saved"] == pytest.approx(9.0, abs=0.5) and budget["spent"] == 1
--- a/tests/tier/test_collecting.py
+++ b/tests/tier/test_collecting.py
@@ -1,4 +1,4 @@
-"""The collector beside the loop: what is nobody's, and that a process that ends does not wait for it."""
+"""The collector in one process: which ledgers it may export, and its shutdown during an export."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from driftstair.tier.collector import LedgerCollector, is_unlocked, ledger_nodes
 
 
-def test_a_ledger_is_free_once_nobody_writes_it(tmp_path: Path) -> None:
+def test_a_ledger_is_unlocked_once_no_process_writes_it(tmp_path: Path) -> None:
     (tmp_path / "n1-00000001.ledger").touch()
     (tmp_path / "n1-00000002.ledger").touch()
     assert ledger_nodes(tmp_path) == ["n1"]
@@ -27,50 +27,54 @@
     assert is_unlocked(tmp_path, "n1")
 
 
-def nothing(*_: object, **__: object) -> None: ...
+def ignore(*_: object, **__: object) -> None: ...
 
 
-async def beside(what: Callable[[], None]) -> None:
-    await asyncio.to_thread(what)
+async def run_in_thread(work: Callable[[], None]) -> None:
+    await asyncio.to_thread(work)
 
 
-def test_a_process_that_ends_does_not_wait_for_a_billing_side_that_is_away(
+def test_shutdown_does_not_wait_for_an_unreachable_billing_side(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(collector, "EVERY", 0.01)
-    monkeypatch.setattr(collector, "GIVE_UP", 3600.0)  # whoever waits for it never ends
+    monkeypatch.setattr(collector, "SCAN_INTERVAL_S", 0.01)
+    monkeypatch.setattr(collector, "EXPORT_STALL_TIMEOUT_S", 3600.0)  # waiting for it fails the test
     (tmp_path / "n1-00000001.ledger").write_bytes(b"0" * 64 + b"\n")
 
     async def test() -> None:
-        mine = LedgerCollector(tmp_path, ("127.0.0.1", 1), lambda: 7, nothing, nothing, beside)
-        mine.start()
-        while mine._exporter is None:
+        ledger_collector = LedgerCollector(
+            tmp_path, ("127.0.0.1", 1), lambda: 7, ignore, ignore, run_in_thread
+        )
+        ledger_collector.start()
+        while ledger_collector._exporter is None:
             await asyncio.sleep(0.01)
-        await mine.close()
+        await ledger_collector.close()
         await asyncio.get_running_loop().shutdown_default_executor()
 
     asyncio.run(asyncio.wait_for(test(), 60.0))
 
 
-def test_what_is_wrong_with_the_folder_is_said_once(
+def test_an_invalid_folder_is_logged_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(collector, "EVERY", 0.001)
+    monkeypatch.setattr(collector, "SCAN_INTERVAL_S", 0.001)
     (tmp_path / "n1-00000001.ledger").touch()
-    (tmp_path / "n1-00000003.ledger").touch()  # the second is missing
-    asked = 0
+    (tmp_path / "n1-00000003.ledger").touch()  # the second segment is missing
+    token_calls = 0
 
-    def token() -> int:
-        nonlocal asked
-        asked += 1
+    def current_token() -> int:
+        nonlocal token_calls
+        token_calls += 1
         return 7
 
     async def test() -> None:
-        mine = LedgerCollector(tmp_path, ("127.0.0.1", 1), token, nothing, nothing, beside)
-        mine.start()
-        while asked < 5:
+        ledger_collector = LedgerCollector(
+            tmp_path, ("127.0.0.1", 1), current_token, ignore, ignore, run_in_thread
+        )
+        ledger_collector.start()
+        while token_calls < 5:
             await asyncio.sleep(0.005)
-        await mine.close()
+        await ledger_collector.close()
 
     with caplog.at_level(logging.WARNING):
         asyncio.run(asyncio.wait_for(test(), 60.0))
