--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -196,7 +196,7 @@
         ledgers = self.folder / "ledgers"
         await self.fleet.kill(gone)
         try:
-            await self.fleet.wait_until(lambda: billing.has(ledgers, f"n{gone}"), "not in the books")
+            await self.fleet.wait_until(lambda: billing.has_ledger(ledgers, f"n{gone}"), "not in the books")
         except AssertionError:
             return [f"the ledger of n{gone} is not in the books, once and in order"]
         return [
--- a/tests/tier/fleet.py
+++ b/tests/tier/fleet.py
@@ -119,8 +119,8 @@
         assert process.stderr is not None
         while line := (await process.stderr.readline()).decode().rstrip():
             self.log_lines.setdefault(number, []).append(line)
-            if found := re.search(r"serving on (\S+):(\d+)$", line):
-                self.addresses[number] = (found[1], int(found[2]))
+            if match := re.search(r"serving on (\S+):(\d+)$", line):
+                self.addresses[number] = (match[1], int(match[2]))
 
     def process(self, number: int) -> asyncio.subprocess.Process:
         return self._processes[number]
@@ -158,19 +158,19 @@
 
     def cut(self, *pairs: tuple[int, int], blame: tuple[int, ...] = ()) -> Callable[[], None]:
         """Cuts links and returns a function that heals them. `blame`: nodes unreachable meanwhile."""
-        fault, chosen = Fault(cut=True), list(pairs)
-        self.links.begin(chosen, fault)
+        fault, cut_pairs = Fault(cut=True), list(pairs)
+        self.links.begin(cut_pairs, fault)
         self._begin("cut off", *blame)
 
         def heal() -> None:
-            self.links.end(chosen, fault)
+            self.links.end(cut_pairs, fault)
             self._end("cut off", *blame)
 
         return heal
 
     def all_pairs(self) -> list[tuple[int, int]]:
-        every = range(self.count)
-        return [(one, other) for one in every for other in every if one != other]
+        numbers = range(self.count)
+        return [(source, target) for source in numbers for target in numbers if source != target]
 
     # The nodes' views.
 
@@ -184,7 +184,7 @@
 
     def events(self) -> list[dict[str, Any]]:
         """Events of all histories."""
-        return [event for one in read_events(self.histories) for event in one]
+        return [event for history in read_events(self.histories) for event in history]
 
     def findings(self, bounds: Bounds) -> list[Finding]:
         return check(self.story(), bounds)
@@ -194,18 +194,18 @@
         story = self.story()
         stalled = {process.node for process in story.processes if process.stood_still}
         return [
-            (process.node, one) for process in story.processes for one in process.held
-            if one.state == "dead" and not stalled & {process.node, one.member}
+            (process.node, held) for process in story.processes for held in process.held
+            if held.state == "dead" and not stalled & {process.node, held.member}
         ]  # fmt: skip
 
     def views(self) -> dict[int, dict[int, str]]:
         """The latest states of the other members, by node, at its latest process."""
-        out: dict[int, dict[int, str]] = {}
+        views: dict[int, dict[int, str]] = {}
         for process in self.story().processes:
-            out[process.node] = {
+            views[process.node] = {
                 member: held.state for member, held in process.last().items() if member != process.node
             }
-        return out
+        return views
 
     async def wait_until(self, condition: Callable[[], object], description: str = "") -> None:
         """Waits for a condition on the histories."""
@@ -215,7 +215,7 @@
                     await asyncio.sleep(POLL_INTERVAL_S * max(1.0, self.count / RELAY_PROCESS_MIN_NODES))
         except TimeoutError:
             logs = "\n".join(
-                f"n{one}: {line}" for one, lines in self.log_lines.items() for line in lines[-15:]
+                f"n{number}: {line}" for number, lines in self.log_lines.items() for line in lines[-15:]
             )
             raise AssertionError(f"{description or 'condition not met'}: {self.views()}\n{logs}") from None
 
@@ -226,23 +226,23 @@
         def is_held() -> bool:
             views = self.views()
             return all(
-                views.get(one, {}).get(member) in states for one in watchers for member in members
-                if one != member
+                views.get(watcher, {}).get(member) in states for watcher in watchers for member in members
+                if watcher != member
             )  # fmt: skip
 
         await self.wait_until(is_held, f"{members} never {states} at {watchers}")
 
     async def wait_joined(self) -> None:
         """Waits until every node holds every other alive and all views agree."""
-        every = tuple(range(self.count))
-        await self.wait_for_state(every, "alive", by=every)
+        numbers = tuple(range(self.count))
+        await self.wait_for_state(numbers, "alive", by=numbers)
         await self.wait_agreed()
 
-    async def wait_joined_except(self, *gone: int) -> None:
-        """Waits until the remaining nodes hold each other alive and `gone` dead."""
-        rest = tuple(number for number in range(self.count) if number not in gone)
-        await self.wait_for_state(rest, "alive", by=rest)
-        await self.wait_for_state(gone, "dead", by=rest)
+    async def wait_joined_except(self, *dead: int) -> None:
+        """Waits until the remaining nodes hold each other alive and `dead` dead."""
+        remaining = tuple(number for number in range(self.count) if number not in dead)
+        await self.wait_for_state(remaining, "alive", by=remaining)
+        await self.wait_for_state(dead, "dead", by=remaining)
 
     async def wait_agreed(self) -> None:
         await self.wait_until(lambda: disagreement(self.story(), Bounds(settle=0.0)) == [], "views differ")
--- a/tests/tier/test_collecting_processes.py
+++ b/tests/tier/test_collecting_processes.py
@@ -1,4 +1,4 @@
-"""One node brings in the ledgers of nodes that are gone: several processes, faults, and a billing side."""
+"""The collector in several processes with faults: one node exports the ledgers of nodes that are gone."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 
 
 def events(fleet: Fleet, *kinds: str) -> list[dict[str, Any]]:
-    found = [one for path in sorted(fleet.histories.glob("*.jsonl")) for one in history.read(path)]
-    some = [one for one in found if not kinds or one["event"] in kinds]
-    return sorted(some, key=lambda one: int(one["t_ns"]))
+    """The events of these kinds, or all without any, in the order of time."""
+    recorded = [event for path in sorted(fleet.histories.glob("*.jsonl")) for event in history.read(path)]
+    selected = [event for event in recorded if not kinds or event["event"] in kinds]
+    return sorted(selected, key=lambda event: int(event["t_ns"]))
 
 
 class Billing:
-    """The fake, a process of its own."""
+    """The fake billing side, in its own process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -49,15 +50,19 @@
     async def __aexit__(self, *_: object) -> None:
         await self.kill()
 
-    def has(self, ledgers: Path, node: str) -> bool:
-        """Every line of that node's ledger, once and in order, and nothing else."""
+    def has_ledger(self, ledgers: Path, node: str) -> bool:
+        """Whether it has every line of that node's ledger, once and in order, and nothing else."""
         path = self.folder / f"{node}-00000001.ledger"
-        mine = (ledgers / f"{node}-00000001.ledger").read_bytes()
-        whole = mine[: mine.rfind(b"\n") + 1]
-        return path.exists() and bool(whole) and path.read_bytes() == whole
+        ledger = (ledgers / f"{node}-00000001.ledger").read_bytes()
+        complete_lines = ledger[: ledger.rfind(b"\n") + 1]
+        return path.exists() and bool(complete_lines) and path.read_bytes() == complete_lines
 
 
-def played(folder: Path, count: int, act: Callable[[Fleet, Traffic, Billing, Path], Awaitable[None]]) -> None:
+def run_fleet(
+    folder: Path, count: int, scenario: Callable[[Fleet, Traffic, Billing, Path], Awaitable[None]]
+) -> None:
+    """Runs a scenario with traffic to all nodes, and checks the ownership of tasks."""
+
     async def test() -> None:
         ledgers = folder / "ledgers"
         ledgers.mkdir()
@@ -73,7 +78,7 @@
                 traffic = Traffic(fleet)
                 traffic.on(*range(count))
                 try:
-                    await act(fleet, traffic, billing, ledgers)
+                    await scenario(fleet, traffic, billing, ledgers)
                 finally:
                     await traffic.off()
                 assert owners.check(events(fleet), fleet.story()) == []
@@ -82,47 +87,47 @@
 
 
 def owner(fleet: Fleet) -> int:
-    """Who had the task last; -1: nobody so far."""
-    had = [one["node"] for one in events(fleet, "own") if one["task"] == "collect"]
-    return int(had[-1]) if had else -1
+    """The latest owner of the collector's task, -1 if there has been none."""
+    owners_so_far = [event["node"] for event in events(fleet, "own") if event["task"] == "collect"]
+    return int(owners_so_far[-1]) if owners_so_far else -1
 
 
-def test_the_ledgers_of_dead_nodes_come_in_once_across_owners_and_a_billing_side_that_is_killed(
+def test_ledgers_of_dead_nodes_are_exported_once_despite_a_new_owner_and_a_restart_of_the_billing_side(
     tmp_path: Path,
 ) -> None:
-    async def act(fleet: Fleet, traffic: Traffic, billing: Billing, ledgers: Path) -> None:
+    async def scenario(fleet: Fleet, traffic: Traffic, billing: Billing, ledgers: Path) -> None:
         await fleet.wait_until(lambda: owner(fleet) >= 0)
         first = owner(fleet)
-        gone = [number for number in range(5) if number != first][:1]
-        await fleet.kill(*gone)
-        await fleet.wait_until(lambda: billing.has(ledgers, f"n{gone[0]}"))
+        killed = [number for number in range(5) if number != first][:1]
+        await fleet.kill(*killed)
+        await fleet.wait_until(lambda: billing.has_ledger(ledgers, f"n{killed[0]}"))
         await billing.kill()
-        await fleet.kill(first)  # whoever brought it in is gone as well
+        await fleet.kill(first)  # the node that exported it
         await billing.start()
-        await fleet.wait_until(lambda: billing.has(ledgers, f"n{first}"))
-        assert owner(fleet) not in (first, *gone)
-        await fleet.start(first, *gone)
-        living = [path.name for path in billing.folder.glob("*.ledger")]
-        assert sorted(living) == sorted(f"n{number}-00000001.ledger" for number in (first, *gone))
-        acts = events(fleet, "act")
-        assert [one["token"] for one in acts] == sorted(one["token"] for one in acts)
+        await fleet.wait_until(lambda: billing.has_ledger(ledgers, f"n{first}"))
+        assert owner(fleet) not in (first, *killed)
+        await fleet.start(first, *killed)
+        exported = [path.name for path in billing.folder.glob("*.ledger")]
+        assert sorted(exported) == sorted(f"n{number}-00000001.ledger" for number in (first, *killed))
+        exports = events(fleet, "act")
+        assert [event["token"] for event in exports] == sorted(event["token"] for event in exports)
 
-    played(tmp_path, 5, act)
+    run_fleet(tmp_path, 5, scenario)
 
 
-def test_an_owner_that_stood_still_between_check_and_act_changes_nothing(tmp_path: Path) -> None:
-    async def act(fleet: Fleet, traffic: Traffic, billing: Billing, ledgers: Path) -> None:
+def test_an_owner_that_stalls_between_check_and_export_changes_nothing(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, traffic: Traffic, billing: Billing, ledgers: Path) -> None:
         await fleet.wait_until(lambda: owner(fleet) >= 0)
         first = owner(fleet)
-        victims = [number for number in range(5) if number != first]
+        candidates = [number for number in range(5) if number != first]
         fleet.stop(first)
         await fleet.wait_until(lambda: owner(fleet) != first)
         second = owner(fleet)
-        victim = next(number for number in victims if number != second)
+        victim = next(number for number in candidates if number != second)
         await fleet.kill(victim)
-        await fleet.wait_until(lambda: billing.has(ledgers, f"n{victim}"))
+        await fleet.wait_until(lambda: billing.has_ledger(ledgers, f"n{victim}"))
         fleet.resume(first)
         await fleet.wait_joined_except(victim)
-        assert billing.has(ledgers, f"n{victim}")
+        assert billing.has_ledger(ledgers, f"n{victim}")
 
-    played(tmp_path, 5, act)
+    run_fleet(tmp_path, 5, scenario)
--- a/tests/tier/test_membership_world.py
+++ b/tests/tier/test_membership_world.py
@@ -36,9 +36,9 @@
 @pytest.mark.parametrize("count", [2, 3, 7, 40])
 def test_a_crash_is_detected_by_all(count: int) -> None:
     tier = joined_tier(count)
-    found = detection(tier, count - 1, 15.0)
-    assert found.last <= (12.0 if count == 2 else 6.0)
-    assert found.wrong == 0
+    result = detection(tier, count - 1, 15.0)
+    assert result.last <= (12.0 if count == 2 else 6.0)
+    assert result.wrong == 0
 
 
 def test_a_sole_survivor_presumes_the_others_dead_and_restores_them() -> None:
@@ -47,7 +47,7 @@
     for number in (1, 2):
         tier.world.crash(number)
     tier.until(lambda: tier.cores()[0].dead() == {1, 2}, 30.0)
-    assert all(one.presumed_dead for one in tier.cores()[0].core.members.values())
+    assert all(member.presumed_dead for member in tier.cores()[0].core.members.values())
     tier.world.start(1)
     tier.until(lambda: tier.cores()[0].dead() == {2}, 20.0)
     tier.until(lambda: not tier.cores()[0].core.members[2].presumed_dead, 20.0)
@@ -64,7 +64,7 @@
     for number in chosen:
         tier.world.stop(number)
     tier.world.run(10.0)
-    assert {one.member for one in tier.deaths()} == chosen
+    assert {change.member for change in tier.deaths()} == chosen
     before = tier.world.now
     for number in chosen:
         tier.world.go_on(number)
@@ -81,9 +81,11 @@
     cut_out, cut_in = direction != "hears none", direction != "reaches none"
     tier.world.cut = lambda source, target: (source == 0 and cut_out) or (target == 0 and cut_in)
     tier.world.run(40.0)
-    assert {one.member for one in tier.deaths() if one.observer != 0} == {0}
-    assert {one.member for one in tier.deaths() if one.observer == 0} <= {0}
-    assert any(one.observer == 0 and not one.told for one in tier.events) is (direction != "reaches none")
+    assert {change.member for change in tier.deaths() if change.observer != 0} == {0}
+    assert {change.member for change in tier.deaths() if change.observer == 0} <= {0}
+    assert any(change.observer == 0 and not change.told for change in tier.events) is (
+        direction != "reaches none"
+    )
     since = tier.world.now
     tier.world.cut = lambda source, target: False
     tier.until(tier.all_alive, 10.0)
@@ -104,8 +106,8 @@
     tier.world.cut = lambda source, target: (source < 10) != (target < 10)
     tier.world.run(30.0)
     for node in tier.cores():
-        mine = node.core.own_number < 10
-        assert node.dead() == {number for number in range(20) if (number < 10) != mine}
+        is_in_first = node.core.own_number < 10
+        assert node.dead() == {number for number in range(20) if (number < 10) != is_in_first}
     tier.world.crash(3)
     tier.world.run(10.0)
     tier.world.cut = lambda source, target: False
@@ -149,14 +151,14 @@
 
 def test_a_leave_is_disseminated_without_suspicion() -> None:
     tier = joined_tier(20)
-    at = len(tier.events)
+    event_count = len(tier.events)
     node = tier.world.hosts[4].detector
     assert isinstance(node, Swim)
     node.leave()
     tier.world.run(1.0)
     tier.world.crash(4)
     tier.world.run(20.0)
-    assert {(one.member, one.state) for one in tier.events[at:]} == {(4, State.LEFT)}
+    assert {(change.member, change.state) for change in tier.events[event_count:]} == {(4, State.LEFT)}
     assert all(4 in node.dead() for node in tier.cores())
 
 
@@ -165,7 +167,7 @@
     tier = joined_tier(20)
     tier.world.hosts[0].slow = 1.5
     tier.world.run(120.0)
-    assert {one.member for one in tier.deaths()} <= {0}
+    assert {change.member for change in tier.deaths()} <= {0}
 
 
 def test_dissemination_stays_within_its_datagram_rate_in_a_storm() -> None:
@@ -299,7 +301,7 @@
     since = tier.world.now
     tier.world.go_on(0)
     tier.world.run(3.0)
-    return sum(1 for one in tier.deaths(since, of={1}) if one.observer == 0)
+    return sum(1 for change in tier.deaths(since, of={1}) if change.observer == 0)
 
 
 def test_without_the_stall_check_a_resumed_node_causes_false_deaths(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/tier/test_permit_checks.py
+++ b/tests/tier/test_permit_checks.py
@@ -1,4 +1,4 @@
-"""The checker of permits finds what it is there for."""
+"""The checker of permits on constructed histories."""
 
 from __future__ import annotations
 
@@ -6,51 +6,53 @@
 
 from driftstair.rehearsal.tier.permits import check, outs
 
-S = 1_000_000_000
+SECOND = 1_000_000_000
 
 
-def start(node: int, at: float) -> dict[str, Any]:
-    return {"t_ns": int(at * S), "node": node, "event": "start"}
+def start(node: int, at_s: float) -> dict[str, Any]:
+    return {"t_ns": int(at_s * SECOND), "node": node, "event": "start"}
 
 
-def permit(node: int, at: float, what: str, token: int = 5, until: float = 60.0) -> dict[str, Any]:
+def permit(node: int, at_s: float, what: str, token: int = 5, until_s: float = 60.0) -> dict[str, Any]:
     return {
-        "t_ns": int(at * S), "node": node, "event": "permit", "what": what, "token": token,
-        "until_ns": int(until * S),
+        "t_ns": int(at_s * SECOND), "node": node, "event": "permit", "what": what, "token": token,
+        "until_ns": int(until_s * SECOND),
     }  # fmt: skip
 
 
-def whats(events: list[dict[str, Any]], at_once: int = 1, zones: dict[int, int] | None = None) -> list[str]:
-    return [one.rule for one in check(events, at_once, zones or {})]
+def broken_rules(
+    events: list[dict[str, Any]], at_once: int = 1, zones: dict[int, int] | None = None
+) -> list[str]:
+    return [finding.rule for finding in check(events, at_once, zones or {})]
 
 
-def test_one_after_the_other_is_nothing_to_find() -> None:
+def test_successive_permits_are_valid() -> None:
     events = [permit(0, 1, "took"), permit(0, 5, "gave"), permit(1, 6, "took"), permit(1, 7, "gave")]
-    assert whats(events) == []
+    assert broken_rules(events) == []
 
 
-def test_two_at_once_where_one_may_be() -> None:
+def test_two_concurrent_permits_where_one_is_allowed_are_found() -> None:
     events = [permit(0, 1, "took"), permit(1, 3, "took"), permit(0, 5, "gave")]
-    assert whats(events) == ["too many are out by permits"]
-    assert whats(events, 2) == []
+    assert broken_rules(events) == ["too many are out by permits"]
+    assert broken_rules(events, 2) == []
 
 
-def test_two_zones_at_once() -> None:
+def test_concurrent_permits_in_two_zones_are_found() -> None:
     events = [permit(0, 1, "took"), permit(1, 3, "took")]
-    assert whats(events, 2, {1: 1}) == ["two zones are out by permits"]
+    assert broken_rules(events, 2, {1: 1}) == ["two zones are out by permits"]
 
 
-def test_who_ended_with_a_permit_is_out_until_it_is_back() -> None:
+def test_a_node_whose_process_ended_with_a_permit_is_out_until_the_next_start() -> None:
     events = [permit(0, 1, "took"), start(0, 9), permit(1, 8, "took")]
-    assert whats(events) == ["too many are out by permits"]
-    assert whats([permit(0, 1, "took"), start(0, 9), permit(1, 9.5, "took")]) == []
+    assert broken_rules(events) == ["too many are out by permits"]
+    assert broken_rules([permit(0, 1, "took"), start(0, 9), permit(1, 9.5, "took")]) == []
 
 
-def test_a_permit_is_over_with_its_term() -> None:
-    assert [one.end for one in outs([permit(0, 1, "took", until=6.0)])] == [6 * S]
-    assert whats([permit(0, 1, "took", until=6.0), permit(1, 7, "took")]) == []
+def test_a_permit_ends_with_its_term() -> None:
+    assert [out.end for out in outs([permit(0, 1, "took", until_s=6.0)])] == [6 * SECOND]
+    assert broken_rules([permit(0, 1, "took", until_s=6.0), permit(1, 7, "took")]) == []
 
 
-def test_a_token_that_falls_at_one_node() -> None:
+def test_a_decreasing_token_at_one_node_is_found() -> None:
     events = [permit(0, 1, "took", 9), permit(0, 2, "gave"), permit(0, 3, "took", 8), permit(0, 4, "gave")]
-    assert whats(events) == ["an older steward's permit was taken"]
+    assert broken_rules(events) == ["an older steward's permit was taken"]
--- a/tests/tier/test_tier_parts.py
+++ b/tests/tier/test_tier_parts.py
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize(
-    ("content", "mode", "why"),
+    ("content", "mode", "reason"),
     [
         (b"", 0o600, "holds a key of 0 bytes; 16 to 64 are required"),
         (b"x" * 65, 0o600, "holds a key of 65 bytes"), (KEY, 0o640, "is accessible to others (mode 640)"),
@@ -175,14 +175,14 @@
     ],
 )  # fmt: skip
 def test_an_invalid_key_is_refused_with_the_requirement(
-    content: bytes, mode: int, why: str, tmp_path: Path
+    content: bytes, mode: int, reason: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "key"
     path.write_bytes(content)
     path.chmod(mode)
-    with pytest.raises(FileError) as found:
+    with pytest.raises(FileError) as error:
         read_key(str(path))
-    assert why in str(found.value)
+    assert reason in str(error.value)
 
 
 def test_a_key_that_is_not_in_a_regular_file_is_refused_at_once(tmp_path: Path) -> None:
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -1,4 +1,4 @@
-"""Shipped scenarios of a tier, with little load: the same verdict in virtual time whatever the machine."""
+"""Shipped scenarios of a tier in virtual time, with little load, whatever the speed of the machine."""
 
 from __future__ import annotations
 
@@ -17,165 +17,174 @@
 from driftstair.tier.shared import evidence
 from driftstair.tier.shared.escrow import Escrow, Terms
 
-SCENARIOS = [name for name in shipped() if name.startswith("tier-")]
-JUDGED = ["shared-bad-eighth", "shared-liar"]
-SHARED = [name for name in shipped() if name.startswith("shared-") and name not in JUDGED]
-LIGHT = {"load": {"rate": 15.0, "keys": 30}, "boxes": {"count": 4}}
+TIER_SCENARIOS = [name for name in shipped() if name.startswith("tier-")]
+EVIDENCE_SCENARIOS = ["shared-bad-eighth", "shared-liar"]
+BUDGET_SCENARIOS = [
+    name for name in shipped() if name.startswith("shared-") and name not in EVIDENCE_SCENARIOS
+]
+LIGHT_LOAD = {"load": {"rate": 15.0, "keys": 30}, "boxes": {"count": 4}}
 
 
-plain, taken = Escrow.__init__, Escrow.take
+original_init, original_take = Escrow.__init__, Escrow.take
 
 
-def report(name: str, changes: dict[str, Any] = LIGHT) -> dict[str, Any]:
+def report(name: str, changes: dict[str, Any] = LIGHT_LOAD) -> dict[str, Any]:
     rehearsal, log, _ = virtual.play(load(name, changes))
     return build.build(rehearsal, log, "virtual")
 
 
-@pytest.mark.parametrize("name", SCENARIOS)
+@pytest.mark.parametrize("name", TIER_SCENARIOS)
 def test_a_shipped_scenario_of_a_tier_has_no_finding(name: str) -> None:
-    found = report(name)
-    assert found["tier"]["findings"] == []
-    assert found["verdict"]["rules_kept"] and not found["verdict"]["crashes"], found["breaks"]
-    assert found["tier"]["datagrams"] > 500
-    assert "nodes, as the others hold them" in html.page(found)
+    result = report(name)
+    assert result["tier"]["findings"] == []
+    assert result["verdict"]["rules_kept"] and not result["verdict"]["crashes"], result["breaks"]
+    assert result["tier"]["datagrams"] > 500
+    assert "nodes, as the others hold them" in html.page(result)
 
 
-@pytest.mark.parametrize("name", SHARED)
+@pytest.mark.parametrize("name", BUDGET_SCENARIOS)
 def test_a_shipped_scenario_of_shared_budgets_has_no_finding_and_uses_the_budget(name: str) -> None:
-    found = report(name, {})
-    assert found["tier"]["findings"] == []
-    assert found["verdict"]["rules_kept"] and not found["verdict"]["crashes"], found["breaks"]
-    budget = found["tier"]["budgets"]["admitted"]
+    result = report(name, {})
+    assert result["tier"]["findings"] == []
+    assert result["verdict"]["rules_kept"] and not result["verdict"]["crashes"], result["breaks"]
+    budget = result["tier"]["budgets"]["admitted"]
     assert budget["over"] <= budget["allowed"]
     assert budget["spent"] > 0.6 * budget["per_s"] * 60
 
 
-def test_a_server_that_fails_is_held_back_by_all_and_in_use_again_once_it_is_sound() -> None:
-    found = report("shared-bad-eighth", {})
-    held = found["tier"]["held_back"]
-    assert found["tier"]["findings"] == [] and found["verdict"]["rules_kept"], found["breaks"]
-    assert {one["node"] for one in held} == {f"n{number}" for number in range(8)}
-    assert {one["server"] for one in held} == {"s-03"}
-    assert all(15 < one["at"] < one["until"] < 35 + 8 for one in held)
+def test_a_failing_server_is_held_back_by_all_nodes_until_it_has_recovered() -> None:
+    result = report("shared-bad-eighth", {})
+    periods = result["tier"]["held_back"]
+    assert result["tier"]["findings"] == [] and result["verdict"]["rules_kept"], result["breaks"]
+    assert {period["node"] for period in periods} == {f"n{number}" for number in range(8)}
+    assert {period["server"] for period in periods} == {"s-03"}
+    assert all(15 < period["at"] < period["until"] < 35 + 8 for period in periods)
 
 
 @pytest.mark.parametrize("name", [name for name in shipped() if name.startswith("owner-")])
-def test_one_node_at_a_time_tries_a_failing_server_whatever_befalls_the_nodes(name: str) -> None:
+def test_one_node_at_a_time_probes_a_failing_server_despite_faults_of_nodes(name: str) -> None:
     rehearsal, log, _ = virtual.play(load(name, {}))
-    found = build.build(rehearsal, log, "virtual")
-    assert found["tier"]["findings"] == []
-    assert not found["verdict"]["crashes"]
-    had = owners.leases([one for events in rehearsal.environment.histories() for one in events])
-    for task, some in had.items():
-        # Who has it is told by rank, so the first in rank has it again after its restart: by a new lease.
+    result = build.build(rehearsal, log, "virtual")
+    assert result["tier"]["findings"] == []
+    assert not result["verdict"]["crashes"]
+    leases = owners.leases([event for events in rehearsal.environment.histories() for event in events])
+    for task, task_leases in leases.items():
+        # The owner follows from the ranks, so the first-ranked node owns the task again after its restart,
+        # with a new lease.
         first = rank_nodes(task_key(task), range(8))[0]
-        nodes = {node for _, _, _, node in some}
-        tokens = {token for _, _, token, _ in some}
-        assert len(nodes) > 1 or (nodes == {first} and len(tokens) == len(some) > 1), had
-    assert had
+        nodes = {node for _, _, _, node in task_leases}
+        tokens = {token for _, _, token, _ in task_leases}
+        assert len(nodes) > 1 or (nodes == {first} and len(tokens) == len(task_leases) > 1), leases
+    assert leases
 
 
 @pytest.mark.parametrize("seed", [7, 10])
-def test_a_clock_that_is_slower_than_the_stated_drift_makes_two_owners_and_that_is_found(seed: int) -> None:
-    # What lies beyond the bound: an owner that is cut off counts its lease too long. Tokens still rise.
-    # Whether another node wants the task in that moment is chance: it is so on two of ten seeds.
-    slow = {"nodes": {"tier": {"clock_rates": {"n1": 0.6, "n7": 0.6}}}, "seed": seed}
-    rules = {one["rule"] for one in report("owner-cut-off", slow)["tier"]["findings"]}
+def test_two_owners_by_a_clock_slower_than_the_stated_drift_are_found(seed: int) -> None:
+    # Beyond the bound on drift, an owner that is cut off lets its lease run too long. Tokens still rise.
+    # Another node requests the task at that moment on two of ten seeds only.
+    slow_clocks = {"nodes": {"tier": {"clock_rates": {"n1": 0.6, "n7": 0.6}}}, "seed": seed}
+    rules = {finding["rule"] for finding in report("owner-cut-off", slow_clocks)["tier"]["findings"]}
     assert "a task has two owners" in rules and "a token does not rise" not in rules
 
 
-def test_a_member_that_forgets_and_speaks_at_once_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_voter_that_loses_its_promises_and_answers_at_once_is_found(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Acceptor, "silent", lambda self, now: False)
     monkeypatch.setattr(Acceptor, "lease", lambda self, now, task: None)
-    rules = {one["rule"] for one in report("owner-one-sided", {})["tier"]["findings"]}
+    rules = {finding["rule"] for finding in report("owner-one-sided", {})["tier"]["findings"]}
     assert rules & {"a task has two owners", "a token does not rise"}
 
 
-def test_two_nodes_that_find_every_server_failing_get_no_sound_one_held_back() -> None:
-    found = report("shared-liar", {})
-    assert found["tier"]["findings"] == []
-    assert found["verdict"]["rules_kept"], found["breaks"]
-    assert {one["server"] for one in found["tier"]["held_back"]} == {"s-03"}
+def test_two_nodes_that_report_every_server_as_failing_get_no_healthy_one_held_back() -> None:
+    result = report("shared-liar", {})
+    assert result["tier"]["findings"] == []
+    assert result["verdict"]["rules_kept"], result["breaks"]
+    assert {period["server"] for period in result["tier"]["held_back"]} == {"s-03"}
 
 
-@pytest.mark.parametrize("defect", ["one reporter is enough", "who finds all bad is believed"])
-def test_a_planted_defect_of_judging_is_found(defect: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("defect", ["one reporter is enough", "reporters at fault are believed"])
+def test_an_injected_defect_of_outlier_detection_is_found(
+    defect: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     if defect == "one reporter is enough":
         monkeypatch.setattr(evidence, "assess_server", lambda server, facts, zones, at_fault: next(
-            (evidence.Verdict(server, (one.owner,), 1.0) for one in facts if one.value[1] >= 2), None
+            (evidence.Verdict(server, (fact.owner,), 1.0) for fact in facts if fact.value[1] >= 2), None
         ))  # fmt: skip
-        found = report("shared-liar", {})
+        result = report("shared-liar", {})
     else:
         monkeypatch.setattr(evidence, "OWN_FAULT", 9.0)
         monkeypatch.setattr(evidence, "MOST", 0.0)
         monkeypatch.setattr(evidence, "REPORTERS", 2)
-        found = report("shared-liar", {})
-    assert {one["rule"] for one in found["tier"]["findings"]} == {"a sound server is held back"}
+        result = report("shared-liar", {})
+    assert {finding["rule"] for finding in result["tier"]["findings"]} == {"a sound server is held back"}
 
 
-def test_a_node_with_twelve_times_the_demand_is_let_in_for_more_than_its_part() -> None:
+def test_a_node_with_twelve_times_the_demand_spends_more_than_its_own_share() -> None:
     rehearsal, _, _ = virtual.play(load("shared-halves", {}))
-    spent = [sum(one["event"] == "spend" for one in events) for events in rehearsal.environment.histories()]
+    spent = [
+        sum(event["event"] == "spend" for event in events) for events in rehearsal.environment.histories()
+    ]
     assert spent[0] > 2 * sum(spent) / len(spent), spent
 
 
 @pytest.mark.parametrize(
-    ("name", "where", "attribute", "defect"),
+    ("name", "owner", "attribute", "defect"),
     [
         ("shared-stalled-holder", Terms, "waited", lambda self: self.lent // 8),
-        ("shared-mass-kill", Escrow, "__init__", lambda self, own, generation, terms, started: plain(
+        ("shared-mass-kill", Escrow, "__init__", lambda self, own, generation, terms, started: original_init(
             self, own, generation, terms, started - 10 * terms.lent)),
-        ("shared-late", Escrow, "take", lambda self, now, grant: taken(
+        ("shared-late", Escrow, "take", lambda self, now, grant: original_take(
             self, now, grant._replace(asked_at=now))),
     ],
-    ids=["unwaited", "minted", "from-arrival"],
+    ids=["lender-reuses-early", "restart-skips-wait", "loan-from-arrival"],
 )  # fmt: skip
-def test_a_planted_defect_of_the_escrow_is_found(
-    name: str, where: type, attribute: str, defect: Any, monkeypatch: pytest.MonkeyPatch
+def test_an_injected_defect_of_the_escrow_is_found(
+    name: str, owner: type, attribute: str, defect: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(where, attribute, defect)
-    rules = {one["rule"] for one in report(name, {})["tier"]["findings"]}
+    monkeypatch.setattr(owner, attribute, defect)
+    rules = {finding["rule"] for finding in report(name, {})["tier"]["findings"]}
     assert rules & {"a share of a budget has two holders", "a budget of the fleet is overspent"}
 
 
-def test_the_same_run_gives_the_same_report_to_the_byte() -> None:
+def test_identical_runs_give_identical_reports() -> None:
     assert build.text_of(report("tier-pauses")) == build.text_of(report("tier-pauses"))
 
 
-def test_members_by_time_show_who_was_held_dead() -> None:
-    found = report("tier-crashes")["tier"]["members"]
-    dead = {name for name, spells in found.items() for spell in spells if spell.get("dead")}
+def test_member_states_over_time_show_which_nodes_were_held_dead() -> None:
+    members = report("tier-crashes")["tier"]["members"]
+    dead = {name for name, periods in members.items() for period in periods if period.get("dead")}
     assert dead == {"n1", "n2", "n5"}
-    assert all(spells[-1].get("alive") == 6 for spells in found.values())
+    assert all(periods[-1].get("alive") == 6 for periods in members.values())
 
 
-def test_a_run_that_a_person_ends_is_judged_as_far_as_it_went(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its report once said that every node had judged as it should, with no history looked at."""
+def test_an_interrupted_run_is_checked_up_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a report of an interrupted run that has no findings because no history was read."""
     monkeypatch.setattr(Suspicion, "deadline_ns", lambda self: NEVER)
-    seconds: list[float] = []
+    elapsed_s: list[float] = []
     rehearsal, log, _ = virtual.play(
-        load("tier-crashes", LIGHT), seconds.append, lambda: bool(seconds) and seconds[-1] > 16
+        load("tier-crashes", LIGHT_LOAD), elapsed_s.append, lambda: bool(elapsed_s) and elapsed_s[-1] > 16
     )
-    found = build.build(rehearsal, log, "virtual")
-    assert found["ended"] == "cut off"
-    assert found["tier"]["findings"] and found["tier"]["members"]["n1"]
+    result = build.build(rehearsal, log, "virtual")
+    assert result["ended"] == "cut off"
+    assert result["tier"]["findings"] and result["tier"]["members"]["n1"]
 
 
-def test_a_tier_that_does_not_refute_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_tier_that_does_not_refute_suspicions_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Membership, "_refute", lambda self, now_ns, claim: None)
-    found = report("tier-pauses")
-    assert found["verdict"]["tier_findings"] > 0
-    assert {one["member"] for one in found["tier"]["findings"]} <= {"n2", "n4", "n3"}
+    result = report("tier-pauses")
+    assert result["verdict"]["tier_findings"] > 0
+    assert {finding["member"] for finding in result["tier"]["findings"]} <= {"n2", "n4", "n3"}
 
 
-def test_a_tier_that_never_finds_a_death_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_tier_that_never_detects_a_death_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Suspicion, "deadline_ns", lambda self: NEVER)
-    rules = {one["rule"] for one in report("tier-crashes")["tier"]["findings"]}
+    rules = {finding["rule"] for finding in report("tier-crashes")["tier"]["findings"]}
     assert "a dead node is not held dead" in rules
 
 
 @pytest.mark.parametrize(
-    ("tree", "why"),
+    ("tree", "reason"),
     [
         ({"fault": [{"kind": "links", "at_s": 1}]}, "nodes send each other nothing without a table"),
         ({"nodes": {"tier": {"perod_ms": 3}}}, "nodes.tier.perod_ms: no such key"),
@@ -192,7 +201,7 @@
         ({"nodes": {"tier": {}}, "fault": [{"kind": "links", "at_s": 1, "loss": 2}]}, "fault[0].loss"),
     ],
 )  # fmt: skip
-def test_what_can_t_be_played_is_refused(tree: dict[str, Any], why: str) -> None:
-    with pytest.raises(ScenarioError) as found:
+def test_an_invalid_scenario_is_refused(tree: dict[str, Any], reason: str) -> None:
+    with pytest.raises(ScenarioError) as error:
         parse({"version": 1, **tree}, "f")
-    assert why in str(found.value)
+    assert reason in str(error.value)
