--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -216,7 +216,7 @@
         await self.fleet.kill(killed_node)
         try:
             await self.fleet.wait_until(
-                lambda: billing.has(ledger_folder, f"n{killed_node}"), "not in the books"
+                lambda: billing.has_ledger(ledger_folder, f"n{killed_node}"), "not in the books"
             )
         except AssertionError:
             return [f"the ledger of n{killed_node} is not in the books, once and in order"]
--- a/benchmarks/scale/coordination.py
+++ b/benchmarks/scale/coordination.py
@@ -121,7 +121,7 @@
 
         config = load({"BALANCER_CONFIG": str(folder / "old.json")})
         tier = Tier(config, peer_config.read(config), PROBE_PERIOD_NS, CLUSTER_KEY, None, None, SOCKET_SYSTEM)
-        tier._tell(all_peers_alive(size))
+        tier._handle_event(all_peers_alive(size))
         return {
             "report_bytes": len(json.dumps(tier.report())),
             "report_hold_ms": median_cpu_s(lambda _: json.dumps(tier.report()), REPETITIONS) * 1e3,
--- a/benchmarks/scale/daemons.py
+++ b/benchmarks/scale/daemons.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.hollow.plan import BUDGET_TOKENS_PER_S, SECOND_NS, host_of, zone_of
 from benchmarks.scale.rows import ROOT
 from driftstair.rehearsal import load, platform, ports
-from driftstair.tier.command import AskError, ask
+from driftstair.tier.command import RequestError, fetch_report
 
 READY_TIMEOUT_S = 120.0
 POLL_INTERVAL_S = 0.25
@@ -106,11 +106,11 @@
         await asyncio.gather(*(process.wait() for process in self._processes))
 
     async def counts(self) -> list[Counts]:
-        """Returns the counts of each daemon. Raises AskError."""
+        """Returns the counts of each daemon. Raises RequestError."""
         return [await asyncio.to_thread(self._read_counts, number) for number in range(self.count)]
 
     def _read_counts(self, number: int) -> Counts:
-        report = ask(HOST, self._operator_ports[number])
+        report = fetch_report(HOST, self._operator_ports[number])
         counts = report["counts"]
         alive = sum(member["state"] == "alive" for member in report["members"])
         pid = self._processes[number].pid
@@ -126,7 +126,7 @@
                 try:
                     if all(counts.alive == self.count - 1 for counts in await self.counts()):
                         return
-                except AskError:
+                except RequestError:
                     pass  # a daemon does not listen yet
                 await asyncio.sleep(POLL_INTERVAL_S)
 
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -171,7 +171,7 @@
                 for _ in range(OUTCOMES_PER_FEED):
                     detector.observations.record_outcome(now_ns, server, succeeded, True, ANSWER_TIME_NS)
         if self.number % BUSY_NODE_STRIDE == 0 and BUDGET_NAME in core.budgets:
-            tokens = self.tier.tokens(BUDGET_NAME)
+            tokens = self.tier.fleet_tokens(BUDGET_NAME)
             for _ in range(int(BUSY_DEMAND_FACTOR * BUDGET_TOKENS_PER_S / FEEDS_PER_S)):
                 if tokens.has(now_ns):
                     tokens.take(now_ns)
--- a/benchmarks/scale/hollow/steps.py
+++ b/benchmarks/scale/hollow/steps.py
@@ -39,7 +39,7 @@
         super()._wake()
         self.steps.add(time.thread_time_ns() - began_ns)
 
-    def _came(self, data: bytes, source: tuple[str, int]) -> None:
+    def _on_datagram(self, data: bytes, source: tuple[str, int]) -> None:
         began_ns = time.thread_time_ns()
-        super()._came(data, source)
+        super()._on_datagram(data, source)
         self.steps.add(time.thread_time_ns() - began_ns)
--- a/tests/tier/test_budget_checks.py
+++ b/tests/tier/test_budget_checks.py
@@ -152,7 +152,7 @@
     sharing = Sharing((BUDGET_SPEC,), Random(0), clock, lambda: [1], lambda to, items: None, record_event)
     sharing.open(0, 1, 2)
     clock.now = 10 * SECOND
-    assert sharing.tokens("b").take(0) and written_events == ["budget", "spend"]
+    assert sharing.fleet_tokens("b").take(0) and written_events == ["budget", "spend"]
     (budget,) = sharing.report()["budgets"].values()
     assert (budget["held_per_s"], budget["home_per_s"], budget["lent_per_s"]) == (5.0, 5.0, 0.0)
     assert budget["saved"] == pytest.approx(9.0, abs=0.5) and budget["spent"] == 1
