--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -45,7 +45,9 @@
     claims = all_peers_alive(size)
 
     def start() -> Tier:
-        tier = Tier(config, peers, PROBE_PERIOD_NS, CLUSTER_KEY, None, None, SOCKET_SYSTEM, shares_evidence=True)
+        tier = Tier(
+            config, peers, PROBE_PERIOD_NS, CLUSTER_KEY, None, None, SOCKET_SYSTEM, shares_evidence=True
+        )
         tier._handle_event(claims)
         return tier
 
@@ -56,7 +58,8 @@
         "peers_bytes": len(json.dumps(documents.platform_document(peers=size)["peers"])),
         "read_cpu_s": read_cost.cpu_s, "start_cpu_s": start_cost.cpu_s,
         "kept_mb": read_cost.kept_mb + start_cost.kept_mb, "change_hold_s": reload_cost.cpu_s,
-        "wake_us": _wake_us(size) , "zones_us": mean_cpu_s(lambda _: tier._zones_by_node(), REPETITIONS) * 1e6,
+        "wake_us": _wake_us(size),
+        "zones_us": mean_cpu_s(lambda _: tier._zones_by_node(), REPETITIONS) * 1e6,
     }  # fmt: skip
 
 
--- a/driftstair/tier/collector.py
+++ b/driftstair/tier/collector.py
@@ -96,7 +96,9 @@
         self._exporter = exporter
         export = asyncio.ensure_future(
             self._run_blocking(
-                lambda: failures.append(asyncio.run(export_ledger(exporter, self._address, EXPORT_STALL_TIMEOUT_S)))
+                lambda: failures.append(
+                    asyncio.run(export_ledger(exporter, self._address, EXPORT_STALL_TIMEOUT_S))
+                )
             )
         )
         while not export.done():
@@ -113,7 +115,7 @@
         if exporter.acknowledged > 0:
             self._write_event("act", task=TASK, token=token, what=node, upto=exporter.acknowledged)
         if failures[0]:
-            self._warn_once(f"the ledger of {node} was not exported completely: {failures[0]}")
+            self._warn_once(f"the ledger of {node} is not whole in the books: {failures[0]}")
 
     def _warn_once(self, text: str) -> None:
         if text != self._last_warning:
--- a/driftstair/tier/observed_module.py
+++ b/driftstair/tier/observed_module.py
@@ -62,7 +62,9 @@
                 for server in self._servers.values()
                 if server.state is ServerState.READY
             }
-        held_back = frozenset() if detector is None else frozenset(detector.hidden_servers()) & detector.ready_servers
+        held_back = (
+            frozenset() if detector is None else frozenset(detector.hidden_servers()) & detector.ready_servers
+        )
         if held_back != self._held_back:
             self._held_back = held_back
             presented = tuple(self._present(server) for server in self._servers.values())
--- a/driftstair/tier/service.py
+++ b/driftstair/tier/service.py
@@ -61,9 +61,9 @@
 
     def __init__(
         self, config: Config, peers: peer_config.PeerConfig, period: int, key: bytes, history: History | None,
-        folder: Path | None, system: System, budgets: Sequence[BudgetSpec] = (), shares_evidence: bool = False,
-        collection: tuple[Path, tuple[str, int]] | None = None, permit_rules: Rules | None = None,
-        expects_budgets: bool = False,
+        folder: Path | None, system: System, budgets: Sequence[BudgetSpec] = (),
+        shares_evidence: bool = False, collection: tuple[Path, tuple[str, int]] | None = None,
+        permit_rules: Rules | None = None, expects_budgets: bool = False,
     ) -> None:  # fmt: skip
         self._peer_config = peers
         self._system = system
@@ -434,7 +434,7 @@
             await self._system.run_blocking(lambda: token_file.write(token))
         except OSError as error:
             if not self._token_write_failed:
-                log.error("cannot save a token, so this voter makes no promises: %s", error.strerror)
+                log.error("this member of the council promises nothing: %s", error.strerror)
             self._token_write_failed = True
             sharing.persist_failed()
         else:
--- a/driftstair/tier/sharing.py
+++ b/driftstair/tier/sharing.py
@@ -250,7 +250,10 @@
         now = self._clock()
         budgets = {}
         for name, budget in self.core.budgets.items():
-            held_shares, lent_shares = budget.escrow.held_shares(now), sum(budget.escrow.lent_shares_by_borrower().values())
+            held_shares, lent_shares = (
+                budget.escrow.held_shares(now),
+                sum(budget.escrow.lent_shares_by_borrower().values()),
+            )
             budgets[name] = {
                 "per_s": budget.spec.per_s, "held_per_s": round(held_shares * budget.share_per_s, 6),
                 "home_per_s": round(budget.spec.terms.shares * budget.share_per_s, 6),
@@ -283,7 +286,9 @@
     detector: OutlierDetector, now: int, servers: Iterable[str]
 ) -> dict[str, dict[str, int]]:
     names = {server_key(digest(name)): name for name in servers}
-    return {names.get(server, f"{server:08x}"): counts for server, counts in detector.attempts_report(now).items()}
+    return {
+        names.get(server, f"{server:08x}"): counts for server, counts in detector.attempts_report(now).items()
+    }
 
 
 def _held_back_report(detector: OutlierDetector, servers: Iterable[str]) -> list[dict[str, Any]]:
--- a/tests/tier/test_other_detectors.py
+++ b/tests/tier/test_other_detectors.py
@@ -21,7 +21,9 @@
 
 
 @pytest.mark.parametrize("make", DETECTORS)
-def test_other_detectors_detect_a_crash_and_nothing_else_on_healthy_links(make: DetectorFactoryBuilder) -> None:
+def test_other_detectors_detect_a_crash_and_nothing_else_on_healthy_links(
+    make: DetectorFactoryBuilder,
+) -> None:
     tier = Tier(8, 1, make=make)
     tier.start()
     tier.world.run(60.0)
