--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -206,10 +206,10 @@
         ]
 
     def judge(self) -> list[str]:
-        events, story = self.fleet.events(), self.fleet.story()
-        found = owners.check(events, story) + owners.linear(events)
+        events, run_record = self.fleet.events(), self.fleet.run_record()
+        found = owners.check(events, run_record) + owners.check_linearizable(events)
         found += permits.check(events, self.at_once, {})
-        found += checks.old_generations(story)
+        found += checks.find_old_claims(run_record)
         self.owned = sum(one["event"] == "own" for one in events)
         self.refused = sum(one["event"] == "refused" for one in events)
         self.crashes = [
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -53,11 +53,11 @@
     changes = {"nodes.count": nodes, "nodes.descriptors": max(384, 384 * 40 // nodes)}
     scenario = load("large-fleet", by_path({**changes, "seed": seed, "seconds": seconds}))
     rehearsal, _, _ = play(scenario, prepare=watch)
-    asked, attempts = rehearsal.account.whole.asked, sum(sent.values())
+    asked, attempts = rehearsal.account.total.requests, sum(sent.values())
     busiest = sorted(sent.values(), reverse=True)
     tenth = max(1, len(busiest) // 10)
     return {
-        "nodes": nodes, "service": rehearsal.account.whole.service(), "attempts": attempts / asked,
+        "nodes": nodes, "service": rehearsal.account.total.service(), "attempts": attempts / asked,
         "unanswered": 1.0 - ran / max(1, attempts),
         "uneven": sum(busiest[:tenth]) / max(1, attempts) * len(busiest) / tenth,
         "lists_peak": max(lists.values(), default=0), "breaks": len(rehearsal.checker.breaks),
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -49,10 +49,10 @@
         pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
     cpu = time.process_time() - began
     passed = rehearsal.now() / 1e9
-    asked = rehearsal.account.whole.asked
+    asked = rehearsal.account.total.requests
     return {
         "nodes": nodes, "boxes": boxes, "rate": rate, "seconds": seconds, "asked": asked, "events": events,
-        "service": round(rehearsal.account.whole.service(), 4), "breaks": len(rehearsal.checker.breaks),
+        "service": round(rehearsal.account.total.service(), 4), "breaks": len(rehearsal.checker.breaks),
         "simulated_per_cpu_second": round(passed / cpu, 2), "cpu_us_per_request": round(cpu / asked * 1e6),
         "rss_before_mb": round(before / 1024, 1),
         "rss_peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
--- a/driftstair/model/clients.py
+++ b/driftstair/model/clients.py
@@ -202,6 +202,6 @@
         ask.open = False
         del self.open[ask.number]
         tenant = self._tenant_names[ask.tenant]
-        self._ledger.close(
+        self._ledger.record_outcome(
             ask.kind.name, tenant, ask.phase, ask.began, ask.kind.worth, ask.why, latency, ask.tries
         )
--- a/driftstair/model/command.py
+++ b/driftstair/model/command.py
@@ -53,7 +53,7 @@
     second = world.account.seconds.get(number)
     if second is None or not second.worth:
         return {"asked": 0, "service": None}
-    return {"asked": second.asked, "service": round(second.worth_served / second.worth, 4)}
+    return {"asked": second.requests, "service": round(second.worth_served / second.worth, 4)}
 
 
 def run(options: argparse.Namespace) -> int:
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -12,7 +12,7 @@
 from driftstair.model.clock import Clock
 from driftstair.rehearsal import scenario as kit
 from driftstair.rehearsal.seeds import random_for
-from driftstair.rehearsal.tier.stage import KEY, TierStage
+from driftstair.rehearsal.tier.stage import TIER_KEY, TierMonitor
 from driftstair.tier import wire
 from driftstair.tier.membership import events as api
 from driftstair.tier.membership.core import NEVER, Membership
@@ -34,12 +34,12 @@
 class Peers:
     """All nodes of a tier; `names` by number."""
 
-    def __init__(self, of: kit.Tier, names: list[str], world: Surroundings, stage: TierStage) -> None:
+    def __init__(self, of: kit.Tier, names: list[str], world: Surroundings, stage: TierMonitor) -> None:
         self.of = of
         self.world = world
         self.names = names
         self.stage = stage
-        self.codec = Codec(KEY)
+        self.codec = Codec(TIER_KEY)
         self.bytes = self.datagrams = 0  # sent
         self.living: dict[int, Peer] = {}
         self._generations = dict.fromkeys(range(len(names)), 0)
@@ -62,7 +62,7 @@
     def carry(self, source: int, target: int, data: bytes) -> None:
         self.datagrams += 1
         self.bytes += len(data)
-        for late, what in self.stage.links.pass_on(source, target, data):
+        for late, what in self.stage.links.deliver(source, target, data):
             wait = self.world.inside() + int(late * 1e9)
             self.world.clock.after(wait, self._arrive, source, target, what)
 
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -26,7 +26,7 @@
 from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, kinds_in_order
 from driftstair.rehearsal.scenario import Scenario
 from driftstair.rehearsal.seeds import random_for, seed_for
-from driftstair.rehearsal.tier.stage import TierStage
+from driftstair.rehearsal.tier.stage import TierMonitor
 from driftstair.rehearsal.wire import HostState
 from lichenspring import Balancer
 from lichenspring import interface as api
@@ -86,10 +86,10 @@
     peer_bytes_s: float = 0.0  # that a node sends to others, each second
 
     def row(self) -> dict[str, Any]:
-        whole = self.account.whole
-        asked = max(1, whole.asked)
+        whole = self.account.total
+        asked = max(1, whole.requests)
         return {
-            "asked": whole.asked, "service": round(whole.service(), 4),
+            "asked": whole.requests, "service": round(whole.service(), 4),
             "by_class": {
                 name: round(one.service(), 3) for name, one in sorted(self.account.by_class.items())
             },
@@ -162,14 +162,14 @@
         self.box_list = Membership(
             clock, of.list.lines_per_s, of.list.call_lines, int(of.list.timeout_ms * 1e6), self.inside
         )
-        self.tier: TierStage | None = None
+        self.tier: TierMonitor | None = None
         self.peers: Peers | None = None
         if of.nodes.tier is not None:
             from driftstair.model.peers import Peers
 
             seed = seed_for(self.seed, "links")
             names = load.box_names(of.boxes.count)
-            self.tier = TierStage(of.nodes.tier, self.node_names, seed, names)
+            self.tier = TierMonitor(of.nodes.tier, self.node_names, seed, names)
             self.peers = Peers(of.nodes.tier, self.node_names, self, self.tier)
         self.boxes: dict[str, Server] = {}
         self._by_id: dict[api.ServerId, Server] = {}
@@ -241,7 +241,7 @@
         return self._counted()
 
     def _begin(self) -> None:
-        self.account.origin = self.clock.now
+        self.account.origin_ns = self.clock.now
         self.load.phase = self.scenario.phases[0].name if self.scenario.phases else "whole run"
         if self.scenario.phases and self.scenario.phases[0].at_s > 0:
             self.load.phase = "before"
--- a/driftstair/rehearsal/command.py
+++ b/driftstair/rehearsal/command.py
@@ -128,12 +128,12 @@
     with interruptible() as interrupted, progress(scenario.seconds, scenario.name) as tick:
         report = play(scenario, options.sockets, tick, interrupted)
     if options.json == "-":
-        sys.stdout.write(build.text_of(report))
+        sys.stdout.write(build.to_json(report))
     else:
         text.show(report, console)
         took = time.monotonic() - began
         console.print(f"[dim]{scenario.seconds:g} s rehearsed in {took:.1f} s[/dim]")
-        _write(options.json, build.text_of(report))
+        _write(options.json, build.to_json(report))
     if options.html:
         _write(options.html, html.page(report))
     return status_of(report)
@@ -189,7 +189,7 @@
         raise UseError("compare wants two reports: compare A.json B.json")
     found = compare.compare(*(build.read(path) for path in paths))
     if options.json:
-        content = build.text_of(found)
+        content = build.to_json(found)
         if options.json == "-":
             sys.stdout.write(content)
         else:
--- a/driftstair/rehearsal/fakes/clients.py
+++ b/driftstair/rehearsal/fakes/clients.py
@@ -298,7 +298,7 @@
         ask.open = False
         self.asks_open -= 1
         del self._asks[ask]
-        self.ledger.close(
+        self.ledger.record_outcome(
             ask.kind.name, ask.tenant, ask.phase, ask.began, ask.kind.worth, ask.why, latency, ask.tries
         )
 
--- a/driftstair/rehearsal/faults.py
+++ b/driftstair/rehearsal/faults.py
@@ -47,7 +47,7 @@
         chosen = self._boxes_of(fault, index)
         if self._stage.tier is not None:
             now = self._stage.now()
-            self._stage.tier.blame([box.name for box in chosen], now, now + int(fault.for_s * 1e9))
+            self._stage.tier.add_box_fault([box.name for box in chosen], now, now + int(fault.for_s * 1e9))
         return chosen
 
     def _boxes_of(self, fault: model._AtBoxes, index: int) -> list[Box]:
@@ -295,7 +295,10 @@
     def _links(self, fault: model.Links, index: int) -> End:
         tier, random = self._stage.tier, random_for(self._stage.seed, SEED_LABEL, index)
         assert tier is not None
-        senders, receivers = tier.chosen(fault.senders, random), tier.chosen(fault.receivers, random)
+        senders, receivers = (
+            tier.select_nodes(fault.senders, random),
+            tier.select_nodes(fault.receivers, random),
+        )
         low, high = fault.delay_ms
         link_fault = LinkFault(
             fault.cut, fault.loss, (low / 1e3, high / 1e3), fault.duplicate, fault.reorder,
--- a/driftstair/rehearsal/hunt.py
+++ b/driftstair/rehearsal/hunt.py
@@ -24,7 +24,7 @@
 
 from driftstair.rehearsal import virtual
 from driftstair.rehearsal.load import parse
-from driftstair.rehearsal.report.build import text_of
+from driftstair.rehearsal.report.build import to_json
 from driftstair.rehearsal.seeds import random_for
 
 FORMAT = "driftstair.rehearsal.hunt/1"
@@ -66,7 +66,7 @@
         # play: seen with two replacements of one box.
         cause = problem.__cause__ or problem
         return Finding(f"kit {type(cause).__name__}", 0.0, 0, f"{problem}: {cause!r}")
-    lost = 1.0 - rehearsal.account.whole.service()
+    lost = 1.0 - rehearsal.account.total.service()
     breaks = rehearsal.checker.breaks
     if rehearsal.crashes:
         crash = rehearsal.crashes[0]
@@ -304,11 +304,11 @@
             file.write(file_text(result, tree, found))
         err.print(f"{found.way}: the kit itself failed; kept in {kept}", markup=False, highlight=False)
     if options.json == "-":
-        sys.stdout.write(text_of(result.as_data()))
+        sys.stdout.write(to_json(result.as_data()))
     else:
         if options.json:
             with open(options.json, "w", encoding="utf-8") as file:
-                file.write(text_of(result.as_data()))
+                file.write(to_json(result.as_data()))
         style = "red" if result.found.is_grave() else "yellow"
         console.print(f"[bold {style}]{result.found.way}[/] after {result.runs} runs", highlight=False)
         console.print(result.found.evidence, markup=False, highlight=False)
--- a/driftstair/rehearsal/report/__init__.py
+++ b/driftstair/rehearsal/report/__init__.py
@@ -1,1 +1,1 @@
-"""What a rehearsal found: `build` makes the report, plain data with a version; the others show it."""
+"""Reports of rehearsals: `build` makes the report as versioned plain data; the other modules show it."""
--- a/driftstair/rehearsal/report/html.py
+++ b/driftstair/rehearsal/report/html.py
@@ -1,7 +1,7 @@
-"""The report as one page that needs nothing else: plots over one time axis, then tables.
+"""The report as one self-contained HTML page: plots over a common time axis, then tables.
 
-The plots are SVG made here: a plotting library would weigh more than the kit, and a page that loads one would
-need the network.
+The plots are SVG written here. A plotting library would be larger than the kit, and a page that loads one
+would need the network.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from html import escape
 from typing import Any
 
-from driftstair.rehearsal.account import REASONS
+from driftstair.rehearsal.account import LOSS_REASONS
 from driftstair.rehearsal.report.build import Report
 
 WIDTH, LEFT, RIGHT = 1060, 70, 130
 HEIGHT, TOP, BOTTOM = 150, 24, 22
-ROW = 12  # of one box in the map
+ROW_HEIGHT = 12  # of a map
 COLOURS = ("#2b6cb0", "#c05621", "#2f855a", "#6b46c1", "#b83280", "#718096", "#975a16", "#285e61")
 REASON_COLOURS = {
     "late": "#d69e2e", "refused": "#dd6b20", "failed": "#c53030", "gave up": "#822727",
@@ -50,21 +50,22 @@
 
     def ticks(self) -> list[float]:
         span = self.end - self.begin
-        step = next(one for one in (1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200, 14400)
-                    if span / one <= 16)  # fmt: skip
+        step = next(option for option in (1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200, 14400)
+                    if span / option <= 16)  # fmt: skip
         first = -(-self.begin // step) * step
         return [first + index * step for index in range(int((self.end - first) // step) + 1)]
 
 
 def page(report: Report) -> str:
-    of = report["scenario"]
-    last = max(
-        [one["at"] + 1 for one in report["seconds"]] + [one["at"] for one in report["samples"]] + [1.0]
+    """Returns the page as text."""
+    scenario = report["scenario"]
+    end_s = max(
+        [item["at"] + 1 for item in report["seconds"]] + [item["at"] for item in report["samples"]] + [1.0]
     )
-    axis = Axis(0.0, last)
+    axis = Axis(0.0, end_s)
     plots = [
         _service(report, axis),
-        _asked(report, axis),
+        _request_rate(report, axis),
         _lines(report, axis, "in flight, by node", "in_flight"),
         _boxes(report, axis),
         _lines(report, axis, "descriptors, by node", "descriptors"),
@@ -73,15 +74,15 @@
         plots.append(_members(report, axis))
     where = "virtual time" if report["ground"] == "virtual" else "loopback sockets"
     subtitle = (
-        f"{of['nodes']} nodes, {of['boxes']} boxes, {of['rate']:g} requests/s for {of['seconds']:g} s, seed "
-        f"{of['seed']}, {where}"
+        f"{scenario['nodes']} nodes, {scenario['boxes']} boxes, {scenario['rate']:g} requests/s "
+        f"for {scenario['seconds']:g} s, seed {scenario['seed']}, {where}"
     )
     return "".join(
         (
             "<!doctype html><html lang='en'><head><meta charset='utf-8'>",
-            f"<title>{escape(of['name'])}</title><style>{STYLE}</style></head><body>",
-            f"<h1>{escape(of['name'])}</h1>",
-            f"<p class='sub'>{escape(of['title'])}<br>{escape(subtitle)}</p>",
+            f"<title>{escape(scenario['name'])}</title><style>{STYLE}</style></head><body>",
+            f"<h1>{escape(scenario['name'])}</h1>",
+            f"<p class='sub'>{escape(scenario['title'])}<br>{escape(subtitle)}</p>",
             _verdict(report),
             *plots,
             _losses(report),
@@ -92,33 +93,34 @@
 
 
 def _verdict(report: Report) -> str:
-    found = report["verdict"]
+    verdict = report["verdict"]
     parts = [f"<p>Service <b>{report['service']:.3f}</b>: worth answered in time over worth asked for. "]
-    if found["breaks"]:
-        parts.append(f"<span class='broken'>Rules broken {found['breaks']} times.</span>")
+    if verdict["breaks"]:
+        parts.append(f"<span class='broken'>Rules broken {verdict['breaks']} times.</span>")
     else:
         parts.append(
-            f"<span class='kept'>All four rules kept over {found['requests_judged']} requests.</span>"
+            f"<span class='kept'>All four rules kept over {verdict['requests_judged']} requests.</span>"
         )
-    if found["crashes"]:
-        parts.append(f" <span class='broken'>{found['crashes']} crashes.</span>")
-    if found.get("tier_findings"):
-        parts.append(f" <span class='broken'>{found['tier_findings']} findings on the tier.</span>")
+    if verdict["crashes"]:
+        parts.append(f" <span class='broken'>{verdict['crashes']} crashes.</span>")
+    if verdict.get("tier_findings"):
+        parts.append(f" <span class='broken'>{verdict['tier_findings']} findings on the tier.</span>")
     if report["ended"] != "whole":
         parts.append(f" <span class='broken'>{escape(report['ended'])}</span>")
     parts.append("</p>")
     lines = [
-        f"{one['at']:.3f} s  rule {one['rule']}, {one['name']}: {one['node']} {one['box']} {one['request']}\n"
-        f"    {one['evidence']}"
-        for one in report["breaks"][:20]
+        f"{item['at']:.3f} s  rule {item['rule']}, {item['name']}: "
+        f"{item['node']} {item['box']} {item['request']}\n"
+        f"    {item['evidence']}"
+        for item in report["breaks"][:20]
     ]
     lines += [
-        f"{one['at']:.3f} s  {one['node']} crashed: {one['what']}\n    " + "\n    ".join(one["trace"])
-        for one in report["crashes"][:10]
+        f"{item['at']:.3f} s  {item['node']} crashed: {item['what']}\n    " + "\n    ".join(item["trace"])
+        for item in report["crashes"][:10]
     ]
     lines += [
-        f"{one['at']:.3f} s  {one['rule']}: {one['node']} of {one['member']}\n    {one['evidence']}"
-        for one in report.get("tier", {}).get("findings", [])[:20]
+        f"{item['at']:.3f} s  {item['rule']}: {item['node']} of {item['member']}\n    {item['evidence']}"
+        for item in report.get("tier", {}).get("findings", [])[:20]
     ]
     if lines:
         parts.append(f"<pre>{escape(chr(10).join(lines))}</pre>")
@@ -131,12 +133,12 @@
 def _frame(title: str, axis: Axis, height: int, faults: list[dict[str, Any]], inside: str) -> str:
     bottom = height - BOTTOM
     marks = []
-    for index, one in enumerate(faults):
-        x1, x2 = axis.x(one["from"]), axis.x(one["to"])
-        shade = COLOURS[index % len(COLOURS)]
+    for index, fault in enumerate(faults):
+        x1, x2 = axis.x(fault["from"]), axis.x(fault["to"])
+        colour = COLOURS[index % len(COLOURS)]
         marks.append(
             f"<rect x='{x1:.1f}' y='{TOP}' width='{max(1.0, x2 - x1):.1f}' height='{bottom - TOP}' "
-            f"fill='{shade}' opacity='.10'><title>{escape(one['kind'])}</title></rect>"
+            f"fill='{colour}' opacity='.10'><title>{escape(fault['kind'])}</title></rect>"
         )
     ticks = "".join(
         f"<line x1='{axis.x(at):.1f}' x2='{axis.x(at):.1f}' y1='{bottom}' y2='{bottom + 4}' "
@@ -160,8 +162,8 @@
     )
 
 
-def _step(points: list[tuple[float, float]], axis: Axis, top: float, height: int) -> str:
-    """A line through (s, value)."""
+def _polyline_points(points: list[tuple[float, float]], axis: Axis, top: float, height: int) -> str:
+    """Returns the points of an SVG polyline through (s, value) pairs."""
     bottom = height - BOTTOM
     return " ".join(
         f"{axis.x(at):.1f},{bottom - (bottom - TOP) * min(1.0, value / top if top else 0.0):.1f}"
@@ -171,73 +173,77 @@
 
 def _service(report: Report, axis: Axis) -> str:
     height = HEIGHT + 14 * len(report["troubles"])
-    body = HEIGHT
+    plot_height = HEIGHT
     points = [
-        (one["at"] + 0.5, one["worth_served"] / one["worth"] if one["worth"] else 1.0)
-        for one in report["seconds"]
+        (item["at"] + 0.5, item["worth_served"] / item["worth"] if item["worth"] else 1.0)
+        for item in report["seconds"]
     ]
     line = (
-        f"<polyline points='{_step(points, axis, 1.0, body)}' fill='none' stroke='#2f855a' "
+        f"<polyline points='{_polyline_points(points, axis, 1.0, plot_height)}' fill='none' stroke='#2f855a' "
         f"stroke-width='1.8'/>"
     )
     names = "".join(
-        f"<rect x='{axis.x(one['from']):.1f}' y='{body + 14 * index}' height='10' rx='2' "
-        f"width='{max(2.0, axis.x(one['to']) - axis.x(one['from'])):.1f}' "
+        f"<rect x='{axis.x(item['from']):.1f}' y='{plot_height + 14 * index}' height='10' rx='2' "
+        f"width='{max(2.0, axis.x(item['to']) - axis.x(item['from'])):.1f}' "
         f"fill='{COLOURS[index % len(COLOURS)]}' opacity='.55'/>"
-        f"<text x='{min(axis.x(one['to']) + 4, WIDTH - RIGHT):.1f}' y='{body + 9 + 14 * index}'>"
-        f"{escape(one['kind'])}</text>"
-        for index, one in enumerate(report["troubles"])
+        f"<text x='{min(axis.x(item['to']) + 4, WIDTH - RIGHT):.1f}' y='{plot_height + 9 + 14 * index}'>"
+        f"{escape(item['kind'])}</text>"
+        for index, item in enumerate(report["troubles"])
     )
     inner = _frame(
-        "service by worth, by when it was asked", axis, body, report["troubles"], _scale(1.0, body) + line
+        "service by worth, by when it was asked",
+        axis,
+        plot_height,
+        report["troubles"],
+        _scale(1.0, plot_height) + line,
     )
     return f"<svg viewBox='0 0 {WIDTH} {height}' width='{WIDTH}' height='{height}'>{inner}{names}</svg>"
 
 
-def _asked(report: Report, axis: Axis) -> str:
+def _request_rate(report: Report, axis: Axis) -> str:
     seconds = report["seconds"]
-    top = float(max([one["asked"] for one in seconds] + [1]))
+    top = float(max([item["asked"] for item in seconds] + [1]))
     bottom = HEIGHT - BOTTOM
     bars = []
-    for one in seconds:
-        x1, x2 = axis.x(one["at"]), axis.x(one["at"] + 1)
+    for item in seconds:
+        x1, x2 = axis.x(item["at"]), axis.x(item["at"] + 1)
         y = float(bottom)
-        for reason in REASONS:
-            number = one["lost"].get(reason, 0)
+        for reason in LOSS_REASONS:
+            number = item["lost"].get(reason, 0)
             if number:
-                tall = (bottom - TOP) * number / top
-                y -= tall
+                bar_height = (bottom - TOP) * number / top
+                y -= bar_height
                 bars.append(
                     f"<rect x='{x1:.1f}' y='{y:.1f}' width='{max(0.5, x2 - x1 - 0.4):.1f}' "
-                    f"height='{tall:.1f}' fill='{REASON_COLOURS[reason]}'/>"
+                    f"height='{bar_height:.1f}' fill='{REASON_COLOURS[reason]}'/>"
                 )
-    points = [(one["at"] + 0.5, float(one["asked"])) for one in seconds]
-    line = f"<polyline points='{_step(points, axis, top, HEIGHT)}' fill='none' stroke='#2b6cb0'/>"
-    shown = [("first tries", "#2b6cb0")] + [
-        (reason, REASON_COLOURS[reason]) for reason in REASONS if reason in report["lost"]
+    points = [(item["at"] + 0.5, float(item["asked"])) for item in seconds]
+    line = f"<polyline points='{_polyline_points(points, axis, top, HEIGHT)}' fill='none' stroke='#2b6cb0'/>"
+    legend_entries = [("first tries", "#2b6cb0")] + [
+        (reason, REASON_COLOURS[reason]) for reason in LOSS_REASONS if reason in report["lost"]
     ]
-    inside = _scale(top, HEIGHT) + "".join(bars) + line + _legend(shown)
+    inside = _scale(top, HEIGHT) + "".join(bars) + line + _legend(legend_entries)
     return _frame("first tries a second, and those lost, by reason", axis, HEIGHT, report["troubles"], inside)
 
 
-def _legend(shown: list[tuple[str, str]]) -> str:
+def _legend(entries: list[tuple[str, str]]) -> str:
     return "".join(
         f"<rect x='{WIDTH - RIGHT + 8}' y='{TOP + 14 * index}' width='10' height='10' fill='{colour}'/>"
         f"<text x='{WIDTH - RIGHT + 22}' y='{TOP + 9 + 14 * index}'>{escape(name)}</text>"
-        for index, (name, colour) in enumerate(shown[:8])
+        for index, (name, colour) in enumerate(entries[:8])
     )
 
 
 def _lines(report: Report, axis: Axis, title: str, key: str) -> str:
     samples = report["samples"]
     names = list(samples[0][key]) if samples else []
-    top = float(max([value for one in samples for value in one[key].values()] + [1]))
+    top = float(max([value for sample in samples for value in sample[key].values()] + [1]))
     lines = ""
     for index, name in enumerate(names):
-        points = [(one["at"], float(one[key].get(name, 0))) for one in samples]
+        points = [(sample["at"], float(sample[key].get(name, 0))) for sample in samples]
         colour = COLOURS[index % len(COLOURS)]
         lines += (
-            f"<polyline points='{_step(points, axis, top, HEIGHT)}' fill='none' stroke='{colour}' "
+            f"<polyline points='{_polyline_points(points, axis, top, HEIGHT)}' fill='none' stroke='{colour}' "
             f"opacity='.85'/>"
         )
     legend = _legend([(name, COLOURS[index % len(COLOURS)]) for index, name in enumerate(names)])
@@ -245,9 +251,10 @@
 
 
 def _members(report: Report, axis: Axis) -> str:
-    """A map: one row a node, by what most of the others that run hold it for; darker the more of them."""
+    """A map with one row for each node, coloured by the state in which most of the other running nodes hold
+    it; the more nodes, the darker."""
     rows = report["tier"]["members"]
-    height = TOP + BOTTOM + ROW * max(1, len(rows))
+    height = TOP + BOTTOM + ROW_HEIGHT * max(1, len(rows))
     cells = []
     for row, (name, spells) in enumerate(rows.items()):
         for spell, following in zip(spells, [*spells[1:], None], strict=True):
@@ -255,15 +262,16 @@
             worst = next((state for state in ("dead", "suspect", "left", "alive") if spell.get(state)), None)
             if worst is None or x2 <= x1:
                 continue
-            of = sum(spell.get(state, 0) for state in STATE_COLOURS)
-            told = ", ".join(f"{spell[state]} {state}" for state in STATE_COLOURS if spell.get(state))
+            total = sum(spell.get(state, 0) for state in STATE_COLOURS)
+            description = ", ".join(f"{spell[state]} {state}" for state in STATE_COLOURS if spell.get(state))
             cells.append(
-                f"<rect x='{x1:.1f}' y='{TOP + ROW * row}' width='{x2 - x1 + 0.2:.1f}' height='{ROW - 1}' "
-                f"fill='{STATE_COLOURS[worst]}' opacity='{0.3 + 0.7 * spell[worst] / of:.2f}'>"
-                f"<title>{escape(name)} from {spell['at']:.2f} s: {told}</title></rect>"
+                f"<rect x='{x1:.1f}' y='{TOP + ROW_HEIGHT * row}' width='{x2 - x1 + 0.2:.1f}' "
+                f"height='{ROW_HEIGHT - 1}' "
+                f"fill='{STATE_COLOURS[worst]}' opacity='{0.3 + 0.7 * spell[worst] / total:.2f}'>"
+                f"<title>{escape(name)} from {spell['at']:.2f} s: {description}</title></rect>"
             )
     labels = "".join(
-        f"<text x='{LEFT - 6}' y='{TOP + ROW * row + 9}' text-anchor='end'>{escape(name)}</text>"
+        f"<text x='{LEFT - 6}' y='{TOP + ROW_HEIGHT * row + 9}' text-anchor='end'>{escape(name)}</text>"
         for row, name in enumerate(rows)
     )
     legend = _legend(list(STATE_COLOURS.items()))
@@ -272,30 +280,31 @@
 
 
 def _boxes(report: Report, axis: Axis) -> str:
-    """A map: one row a box, darker where more requests are held for each that it can work on at once."""
+    """A map with one row for each box; the more requests it holds, the darker."""
     samples = report["samples"]
     names = list(report["boxes"])
-    height = TOP + BOTTOM + ROW * max(1, len(names))
-    top = max([one["held"] for sample in samples for one in sample["boxes"].values()] + [1])
+    height = TOP + BOTTOM + ROW_HEIGHT * max(1, len(names))
+    top = max([box["held"] for sample in samples for box in sample["boxes"].values()] + [1])
     cells = []
     for sample, following in zip(samples, [*samples[1:], None], strict=True):
         x1 = axis.x(sample["at"])
         x2 = axis.x(following["at"] if following else sample["at"] + 1)
         for row, name in enumerate(names):
-            one = sample["boxes"].get(name)
-            if one is None:
+            box = sample["boxes"].get(name)
+            if box is None:
                 continue
-            part = (one["held"] / top) ** 0.6
-            red, green, blue = (round(247 - part * gap) for gap in (60, 190, 205))
+            darkness = (box["held"] / top) ** 0.6
+            red, green, blue = (round(247 - darkness * gap) for gap in (60, 190, 205))
             cells.append(
-                f"<rect x='{x1:.1f}' y='{TOP + ROW * row}' width='{x2 - x1 + 0.3:.1f}' height='{ROW - 1}' "
-                f"fill='rgb({red},{green},{blue})'><title>{name}: {one['held']} held, "
-                f"{one['waiting']} waiting, cores {one['busy']:.0%}, "
-                f"{one['connections']} connections</title></rect>"
+                f"<rect x='{x1:.1f}' y='{TOP + ROW_HEIGHT * row}' width='{x2 - x1 + 0.3:.1f}' "
+                f"height='{ROW_HEIGHT - 1}' "
+                f"fill='rgb({red},{green},{blue})'><title>{name}: {box['held']} held, "
+                f"{box['waiting']} waiting, cores {box['busy']:.0%}, "
+                f"{box['connections']} connections</title></rect>"
             )
     labels = "".join(
-        f"<text x='{LEFT - 6}' y='{TOP + ROW * row + 9}' text-anchor='end'>{name}</text>"
-        f"<text x='{WIDTH - RIGHT + 8}' y='{TOP + ROW * row + 9}'>"
+        f"<text x='{LEFT - 6}' y='{TOP + ROW_HEIGHT * row + 9}' text-anchor='end'>{name}</text>"
+        f"<text x='{WIDTH - RIGHT + 8}' y='{TOP + ROW_HEIGHT * row + 9}'>"
         f"{escape(report['boxes'][name]['kind'])}</text>"
         for row, name in enumerate(names)
     )
@@ -312,16 +321,16 @@
 
 
 def _losses(report: Report) -> str:
-    reasons = [reason for reason in REASONS if reason in report["lost"]]
-    out = []
+    reasons = [reason for reason in LOSS_REASONS if reason in report["lost"]]
+    sections = []
     for title, groups in (
         ("class", {**report["classes"], "all": report}),
         ("phase", report["phases"]),
         ("tenant", report["tenants"]),
     ):
         head = "".join(
-            f"<th>{escape(one)}</th>"
-            for one in (title, "asked", "service", "p50 ms", "p95 ms", "p99 ms", *reasons)
+            f"<th>{escape(heading)}</th>"
+            for heading in (title, "asked", "service", "p50 ms", "p95 ms", "p99 ms", *reasons)
         )
         rows = []
         for name, group in groups.items():
@@ -332,13 +341,13 @@
                 *(str(group["lost"].get(reason, {}).get("requests", "")) for reason in reasons),
             ]  # fmt: skip
             rows.append("<tr>" + "".join(f"<td>{cell}</td>" for cell in cells) + "</tr>")
-        out.append(f"<h2>By {title}</h2><table><tr>{head}</tr>{''.join(rows)}</table>")
-    return "".join(out)
+        sections.append(f"<h2>By {title}</h2><table><tr>{head}</tr>{''.join(rows)}</table>")
+    return "".join(sections)
 
 
 def _events(report: Report) -> str:
     rows = "".join(
-        f"<tr><td>{one['at']:.2f} s</td><td class='text'>{escape(one['what'])}</td></tr>"
-        for one in report["events"]
+        f"<tr><td>{event['at']:.2f} s</td><td class='text'>{escape(event['what'])}</td></tr>"
+        for event in report["events"]
     )
     return f"<h2>What happened</h2><table>{rows}</table>" if rows else ""
--- a/driftstair/rehearsal/report/text.py
+++ b/driftstair/rehearsal/report/text.py
@@ -1,4 +1,4 @@
-"""The report for people at a terminal."""
+"""The report as terminal output."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from rich.table import Table
 from rich.text import Text
 
-from driftstair.rehearsal.account import REASONS
+from driftstair.rehearsal.account import LOSS_REASONS
 from driftstair.rehearsal.report import tier
 from driftstair.rehearsal.report.build import Report
 
 BLOCKS = " ▁▂▃▄▅▆▇█"
-BREAKS_SHOWN = 10
-BAR_MOST = 72  # cells
+MAX_BREAKS_SHOWN = 10
+MAX_BAR_CELLS = 72
 
 
 def show(report: Report, console: Console, log_lines: int = 0) -> None:
+    """Prints a report, with the first `log_lines` lines of the nodes' log."""
     console.print(headline(report))
     console.print(bar(report))
     console.print(losses(report, "classes", "class"))
@@ -32,20 +33,22 @@
     if report["breaks"]:
         console.print(breaks(report))
     if "tier" in report:
-        console.print(tier.shown(report))
+        console.print(tier.render(report))
     for line in report["log"][:log_lines]:
         console.print(f"{line['at']:8.3f} {line['node']} {line['level']} {line['text']}", markup=False)
     console.print(verdict(report))
 
 
 def headline(report: Report) -> RenderableType:
-    of = report["scenario"]
-    where = "in virtual time" if report["ground"] == "virtual" else "on loopback sockets"
-    title = f" — {of['title']}" if of["title"] else ""
+    """Renders the scenario's title and size."""
+    scenario = report["scenario"]
+    environment = "in virtual time" if report["ground"] == "virtual" else "on loopback sockets"
+    title = f" — {scenario['title']}" if scenario["title"] else ""
     lines = [
-        f"[bold]{of['name']}[/bold]{title}",
-        f"{of['nodes']} nodes, {of['boxes']} boxes, {of['rate']:g} requests/s for {of['seconds']:g} s, "
-        f"seed {of['seed']}, {where}",
+        f"[bold]{scenario['name']}[/bold]{title}",
+        f"{scenario['nodes']} nodes, {scenario['boxes']} boxes, {scenario['rate']:g} requests/s "
+        f"for {scenario['seconds']:g} s, "
+        f"seed {scenario['seed']}, {environment}",
     ]
     return Group(*(Text.from_markup(line) for line in lines))
 
@@ -55,33 +58,35 @@
 
 
 def bar(report: Report) -> RenderableType:
-    """Worth served over worth asked for, by when it was asked; below it the faults."""
+    """Renders the share of worth served for each time cell, by when requests were made, with the faults
+    below."""
     seconds = report["seconds"]
     if not seconds:
         return Text("nothing was asked")
-    span = max(1, -(-len(seconds) // BAR_MOST))
+    cell_s = max(1, -(-len(seconds) // MAX_BAR_CELLS))
     line = Text("service  ")
-    for start in range(0, len(seconds), span):
-        part = seconds[start : start + span]
-        worth = sum(one["worth"] for one in part)
-        share = sum(one["worth_served"] for one in part) / worth if worth else 1.0
+    for start in range(0, len(seconds), cell_s):
+        part = seconds[start : start + cell_s]
+        worth = sum(item["worth"] for item in part)
+        share = sum(item["worth_served"] for item in part) / worth if worth else 1.0
         line.append(BLOCKS[round(share * (len(BLOCKS) - 1))], style=_color(share))
     rows: list[RenderableType] = [line]
-    cells = -(-len(seconds) // span)
+    cells = -(-len(seconds) // cell_s)
     for fault in report["troubles"]:
-        first = int(max(0.0, fault["from"]) / span)
-        last = max(first + 1, min(cells, int(fault["to"] / span) + 1))
+        first = int(max(0.0, fault["from"]) / cell_s)
+        last = max(first + 1, min(cells, int(fault["to"] / cell_s) + 1))
         rows.append(Text("         " + " " * first + "─" * (last - first) + " " + fault["kind"], style="dim"))
-    rows.append(Text(f"         each cell {span} s", style="dim"))
+    rows.append(Text(f"         each cell {cell_s} s", style="dim"))
     return Group(*rows)
 
 
 def losses(report: Report, key: str, name: str) -> RenderableType:
+    """Renders a table of service and losses for the classes, phases or tenants."""
     table = Table(box=None, pad_edge=False, header_style="dim")
     table.add_column(name)
     for column in ("asked", "service", "p50 ms", "p95 ms"):
         table.add_column(column, justify="right")
-    reasons = [reason for reason in REASONS if reason in report["lost"]]
+    reasons = [reason for reason in LOSS_REASONS if reason in report["lost"]]
     for reason in reasons:
         table.add_column(reason, justify="right")
     rows: list[tuple[str, dict[str, Any]]] = list(report[key].items())
@@ -105,6 +110,7 @@
 
 
 def events(report: Report) -> RenderableType:
+    """Renders the events of the run."""
     table = Table(box=None, pad_edge=False, show_header=False)
     table.add_column(justify="right", style="dim")
     table.add_column()
@@ -114,43 +120,48 @@
 
 
 def crashes(report: Report) -> RenderableType:
+    """Renders the crashes of nodes."""
     lines = []
-    for crash in report["crashes"][:BREAKS_SHOWN]:
+    for crash in report["crashes"][:MAX_BREAKS_SHOWN]:
         lines.append(f"{crash['at']:.3f} s  {crash['node']}: {crash['what']}")
         lines += [f"    {frame}" for frame in crash["trace"]]
-    more = len(report["crashes"]) - BREAKS_SHOWN
+    more = len(report["crashes"]) - MAX_BREAKS_SHOWN
     if more > 0:
         lines.append(f"and {more} more")
     return Panel(Text("\n".join(lines)), title="crashes", border_style="red", title_align="left")
 
 
 def breaks(report: Report) -> RenderableType:
+    """Renders the violations of the rules."""
     lines = []
-    for one in report["breaks"][:BREAKS_SHOWN]:
-        where = " ".join(filter(None, (one["node"], one["box"], one["request"])))
-        lines.append(f"{one['at']:.3f} s  rule {one['rule']}, {one['name']}: {where}\n    {one['evidence']}")
-    more = report["verdict"]["breaks"] - BREAKS_SHOWN
+    for item in report["breaks"][:MAX_BREAKS_SHOWN]:
+        location = " ".join(filter(None, (item["node"], item["box"], item["request"])))
+        lines.append(
+            f"{item['at']:.3f} s  rule {item['rule']}, {item['name']}: {location}\n    {item['evidence']}"
+        )
+    more = report["verdict"]["breaks"] - MAX_BREAKS_SHOWN
     if more > 0:
         lines.append(f"and {more} more")
     return Panel(Text("\n".join(lines)), title="rules broken", border_style="red", title_align="left")
 
 
 def verdict(report: Report) -> RenderableType:
-    found = report["verdict"]
+    """Renders the summary line."""
+    verdict_data = report["verdict"]
     service = report["service"]
     line = Text("service ")
     line.append(f"{service:.3f}", style=f"bold {_color(service)}")
-    if found["breaks"]:
+    if verdict_data["breaks"]:
         counts = ", ".join(
-            f"rule {rule}: {number}" for rule, number in found["breaks_by_rule"].items() if number
+            f"rule {rule}: {number}" for rule, number in verdict_data["breaks_by_rule"].items() if number
         )
-        line.append(f"; rules broken {found['breaks']} times ({counts})", style="bold red")
+        line.append(f"; rules broken {verdict_data['breaks']} times ({counts})", style="bold red")
     else:
-        line.append(f"; all four rules kept over {found['requests_judged']} requests", style="green")
-    if found["crashes"]:
-        line.append(f"; {found['crashes']} crashes", style="bold red")
-    if found.get("tier_findings"):
-        line.append(f"; {found['tier_findings']} findings on the tier", style="bold red")
+        line.append(f"; all four rules kept over {verdict_data['requests_judged']} requests", style="green")
+    if verdict_data["crashes"]:
+        line.append(f"; {verdict_data['crashes']} crashes", style="bold red")
+    if verdict_data.get("tier_findings"):
+        line.append(f"; {verdict_data['tier_findings']} findings on the tier", style="bold red")
     if report["ended"] != "whole":
         line.append(f"; {report['ended']}", style="bold yellow")
     return line
--- a/driftstair/rehearsal/rules.py
+++ b/driftstair/rehearsal/rules.py
@@ -23,7 +23,7 @@
 
 MS = 1_000_000  # ns
 
-NAMES = {
+RULE_NAMES = {
     1: "no request is lost",
     2: "no effect happens twice",
     3: "drains are kept",
@@ -67,7 +67,7 @@
 
     @property
     def name(self) -> str:
-        return NAMES[self.rule]
+        return RULE_NAMES[self.rule]
 
 
 @dataclass(slots=True)
--- a/driftstair/rehearsal/runner.py
+++ b/driftstair/rehearsal/runner.py
@@ -27,7 +27,7 @@
 from driftstair.rehearsal.rules import Checker
 from driftstair.rehearsal.scenario import Scenario
 from driftstair.rehearsal.seeds import random_for, seed_for
-from driftstair.rehearsal.tier.stage import TierStage
+from driftstair.rehearsal.tier.stage import TierMonitor
 from driftstair.rehearsal.wire import HostState
 
 READY_WITHIN = 30.0  # s; clients come then, all nodes up or not
@@ -142,9 +142,9 @@
         for name, kind_index in zip(names, kinds_in_order(of, random), strict=True):
             self.boxes[name] = self._box(name, server_kinds[kind_index], environment.place(name))
         self.nodes = {name: environment.node(name, self._node_ended) for name in self.node_names}
-        self.tier: TierStage | None = None
+        self.tier: TierMonitor | None = None
         if of.nodes.tier is not None:
-            self.tier = TierStage(
+            self.tier = TierMonitor(
                 of.nodes.tier, self.node_names, seed_for(self.seed, "links"), load.box_names(of.boxes.count)
             )  # fmt: skip
             environment.join(self.tier.links)
@@ -196,7 +196,7 @@
         if self.stuck:
             self._end()
         elif all(self.front.has(name) for name in self.node_names) or waited >= READY_WITHIN:
-            self.began = self.account.origin = self.now()
+            self.began = self.account.origin_ns = self.now()
             if waited >= READY_WITHIN:
                 self.say("clients come, though not all nodes are up")
             self._begin()
--- a/driftstair/rehearsal/sockets.py
+++ b/driftstair/rehearsal/sockets.py
@@ -37,12 +37,12 @@
 from driftstair.rehearsal.report.build import LogLine
 from driftstair.rehearsal.runner import Rehearsal
 from driftstair.rehearsal.scenario import Scenario
-from driftstair.rehearsal.tier.clocked import CLOCK
+from driftstair.rehearsal.tier.clocked import CLOCK_VARIABLE
 from driftstair.rehearsal.tier.histories import Event, read_events
 from driftstair.rehearsal.tier.links import Links
 from driftstair.rehearsal.tier.relay import RelayProcess
-from driftstair.rehearsal.tier.service import budgets
-from driftstair.rehearsal.tier.stage import KEY
+from driftstair.rehearsal.tier.service import budget_tables
+from driftstair.rehearsal.tier.stage import TIER_KEY
 
 LINE = re.compile(r"(DEBUG|INFO|WARNING|ERROR|CRITICAL) (\S+): (.*)")
 TRACE_MOST = 12  # lines of a crash that are kept
@@ -245,7 +245,7 @@
             **{key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")},
             "BALANCER_CONFIG": str(self._path()), "BALANCER_NAME": self.name,
             "BALANCER_LISTEN": f"{HOST}:{self._port}",
-            CLOCK: "{},{}".format(*self._environment.clock(self.name)),
+            CLOCK_VARIABLE: "{},{}".format(*self._environment.clock(self.name)),
         }  # fmt: skip
         self._environment.give(self.name)
         service = self._environment.service
@@ -339,7 +339,7 @@
 class SocketEnvironment:
     def __init__(self, folder: Path, nodes: model.Nodes) -> None:
         service, tier = nodes.service, nodes.tier
-        self._budgets = budgets(nodes)
+        self._budgets = budget_tables(nodes)
         self.liars = () if tier is None else tier.liars
         self.clock = nodes.clock
         self.folder = folder
@@ -377,7 +377,7 @@
         assert self._tier is not None
         histories, key, service = self.folder / "histories", self.folder / "key", self.folder / "tier.toml"
         histories.mkdir()
-        key.write_bytes(KEY)
+        key.write_bytes(TIER_KEY)
         key.chmod(0o600)
         base = "version = 1\n" if self.service is None else Path(self.service).read_text(encoding="utf-8")
         period = f"{self._tier.period_ms:g}ms"
@@ -391,7 +391,7 @@
     def peers(self, name: str) -> Peers:
         assert self._relay is not None
         number = [node.name for node in self.nodes].index(name)
-        return Peers(f"{HOST}:{self._peer_held[number].number}", self._relay.peers(number))
+        return Peers(f"{HOST}:{self._peer_held[number].number}", self._relay.peer_addresses(number))
 
     def give(self, name: str) -> None:
         """The port for this node's peers to its process, which starts now."""
--- a/driftstair/rehearsal/tier/__init__.py
+++ b/driftstair/rehearsal/tier/__init__.py
@@ -1,5 +1,6 @@
-"""The network between nodes in a rehearsal, what may befall it, and checkers of what the nodes came to hold.
+"""The network between the nodes of a rehearsed tier, its faults, and checkers of the nodes' histories.
 
-`links` decides the fate of each datagram, the same in both environments; `relay` applies it on real sockets,
-`histories` reads what the processes wrote, and `checks` judges it; `stage` is the runner's part of it.
+`links` decides the fate of each datagram, identically in both environments; `relay` applies it on real
+sockets. `histories` reads the events that the processes wrote, and `checks` judges the membership views in
+them. `stage` is the runner's part.
 """
--- a/driftstair/rehearsal/tier/budgets.py
+++ b/driftstair/rehearsal/tier/budgets.py
@@ -1,7 +1,7 @@
-"""What must hold of the fleet's budgets, by the histories of all nodes: spent, and held.
+"""Checks the histories of all nodes against the fleet's budgets: tokens spent and shares held.
 
-Times of one machine's monotonic clock, which the nodes share here; so a loan that ended while its holder
-stood still is over, whatever that holder has come to write of it.
+Times are of the machine's monotonic clock, which all nodes share here. A loan whose term ended while its
+holder was stopped is therefore over, whatever the holder writes about it later.
 """
 
 from __future__ import annotations
@@ -10,16 +10,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from driftstair.rehearsal.tier.checks import SECOND, Finding
+from driftstair.rehearsal.tier.checks import NS_PER_S, Finding
 
 Event = dict[str, Any]
-Move = tuple[int, int, int, int]
-"""When; by how much what a home has lent changes, and what others hold of it; what it says that it holds."""
+ShareChange = tuple[int, int, int, int]
+"""Time in ns; change of the shares that a home node has lent; change of the shares that others hold of it;
+shares that it reports as its own."""
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """Of one budget, as the nodes were told it; where that differs, the most that any was told."""
+class BudgetTerms:
+    """Terms of one budget as announced to the nodes; where announcements differ, the largest values."""
 
     per_s: float
     burst_ns: int
@@ -30,77 +31,83 @@
 
 @dataclass(slots=True)
 class Spending:
-    """Of one budget over a whole play. `over`: tokens by which the worst window goes over per_s x t."""
+    """Spending from one budget over a whole run. `excess_tokens`: tokens by which the worst window exceeds
+    per_s x t."""
 
-    terms: Terms
+    terms: BudgetTerms
     spent: float
-    over: float
+    excess_tokens: float
     window: tuple[int, int]
 
-    def allowed(self) -> float:
-        """Tokens that a window may go over per_s x t."""
-        return self.terms.per_s * self.terms.burst_ns / SECOND
+    def allowed_excess(self) -> float:
+        """Returns the number of tokens by which a window may exceed per_s x t."""
+        return self.terms.per_s * self.terms.burst_ns / NS_PER_S
 
 
-def terms_of(events: list[Event]) -> dict[str, Terms]:
-    out: dict[str, Terms] = {}
-    for one in events:
-        if one["event"] != "budget":
+def budget_terms(events: list[Event]) -> dict[str, BudgetTerms]:
+    """Returns the terms of each budget, by its name."""
+    terms_by_budget: dict[str, BudgetTerms] = {}
+    for event in events:
+        if event["event"] != "budget":
             continue
-        known = out.get(one["budget"])
-        told = (one["per_s"], one["burst_ns"], one["nodes"], one["shares"], one["drift"])
-        most = told if known is None else tuple(map(max, told, vars_of(known)))
-        out[one["budget"]] = Terms(*most)
-    return out
+        previous = terms_by_budget.get(event["budget"])
+        announced = (event["per_s"], event["burst_ns"], event["nodes"], event["shares"], event["drift"])
+        largest = announced if previous is None else tuple(map(max, announced, terms_tuple(previous)))
+        terms_by_budget[event["budget"]] = BudgetTerms(*largest)
+    return terms_by_budget
 
 
-def vars_of(terms: Terms) -> tuple[Any, ...]:
+def terms_tuple(terms: BudgetTerms) -> tuple[Any, ...]:
+    """Returns the terms as a tuple, in the order of the fields."""
     return terms.per_s, terms.burst_ns, terms.nodes, terms.shares, terms.drift
 
 
 def spending(events: list[Event]) -> dict[str, Spending]:
-    """The worst window of each budget, of all windows: in one pass, by the least that came before."""
-    out = {}
-    for name, terms in terms_of(events).items():
-        its = [one for one in events if one["event"] == "spend" and one["budget"] == name]
-        spends = sorted((one["t_ns"], one["amount"]) for one in its)
-        per_ns = terms.per_s * (1 + terms.drift) / SECOND
-        total, over, window = 0.0, 0.0, (0, 0)
-        least, began = float("inf"), 0
-        for at, amount in spends:
-            if total - per_ns * at < least:
-                least, began = total - per_ns * at, at
+    """Finds the worst of all windows of each budget in one pass, by keeping the lowest earlier balance."""
+    spending_by_budget = {}
+    for name, terms in budget_terms(events).items():
+        spend_events = [event for event in events if event["event"] == "spend" and event["budget"] == name]
+        amounts = sorted((event["t_ns"], event["amount"]) for event in spend_events)
+        per_ns = terms.per_s * (1 + terms.drift) / NS_PER_S
+        total, excess, window = 0.0, 0.0, (0, 0)
+        lowest_balance, lowest_at = float("inf"), 0
+        for at, amount in amounts:
+            if total - per_ns * at < lowest_balance:
+                lowest_balance, lowest_at = total - per_ns * at, at
             total += amount
-            if total - per_ns * at - least > over:
-                over, window = total - per_ns * at - least, (began, at)
-        out[name] = Spending(terms, total, over, window)
-    return out
+            if total - per_ns * at - lowest_balance > excess:
+                excess, window = total - per_ns * at - lowest_balance, (lowest_at, at)
+        spending_by_budget[name] = Spending(terms, total, excess, window)
+    return spending_by_budget
 
 
-def overspent(events: list[Event]) -> list[Finding]:
-    """Over every window; so over every subset of the nodes as well, which spends no more than all."""
+def find_overspending(events: list[Event]) -> list[Finding]:
+    """Reports budgets that were overspent in any window. This covers every subset of the nodes as well, since
+    a subset spends no more than all nodes."""
     return [
         Finding(
             "a budget of the fleet is overspent",
-            one.window[0],
+            budget_spending.window[0],
             -1,
             -1,
-            f"{name}: in {(one.window[1] - one.window[0]) / SECOND:.2f} s {one.over:.1f} more than "
-            f"{one.terms.per_s:g}/s; {one.allowed():.1f} may be saved up",
+            f"{name}: in {(budget_spending.window[1] - budget_spending.window[0]) / NS_PER_S:.2f} s "
+            f"{budget_spending.excess_tokens:.1f} more than "
+            f"{budget_spending.terms.per_s:g}/s; {budget_spending.allowed_excess():.1f} may be saved up",
         )  # fmt: skip
-        for name, one in spending(events).items()
-        if one.over > one.allowed() * (1 + one.terms.drift) + 1e-6
+        for name, budget_spending in spending(events).items()
+        if budget_spending.excess_tokens
+        > budget_spending.allowed_excess() * (1 + budget_spending.terms.drift) + 1e-6
     ]
 
 
-def twice_held(events: list[Event]) -> list[Finding]:
-    """A share has one holder: of a home, others never hold more than it has lent, and what a process of it
-    begins with is not with others."""
-    out = []
-    for name, terms in terms_of(events).items():
-        lent = _spans(events, name, ("lent", "extended"), "returned")
-        borrowed = _spans(events, name, ("took", "renewed"), "gave")
-        by_home: dict[int, list[Move]] = defaultdict(list)
+def find_double_holders(events: list[Event]) -> list[Finding]:
+    """Reports shares with two holders: borrowers together must never hold more shares of a home node than it
+    has lent, and the shares with which a process of the home node starts must not be held by others."""
+    findings = []
+    for name, terms in budget_terms(events).items():
+        lent = _loan_spans(events, name, ("lent", "extended"), "returned")
+        borrowed = _loan_spans(events, name, ("took", "renewed"), "gave")
+        by_home: dict[int, list[ShareChange]] = defaultdict(list)
         for home, spans, is_lent in [
             *((home, spans, True) for (home, *_), spans in lent.items()),
             *((home, spans, False) for (home, *_), spans in borrowed.items()),
@@ -108,57 +115,64 @@
             for begin, end, shares in spans:
                 for at, change in ((begin, shares), (end, -shares)):
                     by_home[home].append((at, change if is_lent else 0, 0 if is_lent else change, 0))
-        for one in events:
-            if one["event"] == "budget" and one["budget"] == name:
-                by_home[one["node"]].append((one["t_ns"], 0, 0, one["own"]))
-        for home, moves in sorted(by_home.items()):
-            finding = _held_more(name, home, terms, moves)
+        for event in events:
+            if event["event"] == "budget" and event["budget"] == name:
+                by_home[event["node"]].append((event["t_ns"], 0, 0, event["own"]))
+        for home, changes in sorted(by_home.items()):
+            finding = _first_excess(name, home, terms, changes)
             if finding is not None:
-                out.append(finding)
-    return out
-
-
-def _held_more(name: str, home: int, terms: Terms, moves: list[Move]) -> Finding | None:
-    # At one moment a lender's loan begins before and ends after the borrower's.
-    moves.sort(key=lambda one: (one[0], (0 if one[1] > 0 else 1 if one[2] < 0 else 2 if one[2] > 0 else 3)))
-    lent = held = 0
-    for at, of_lender, of_borrower, own in moves:
-        lent, held = lent + of_lender, held + of_borrower
-        if held + own > terms.shares:
+                findings.append(finding)
+    return findings
+
+
+def _first_excess(name: str, home: int, terms: BudgetTerms, changes: list[ShareChange]) -> Finding | None:
+    # Of events at the same time, a lender's loan begins before the borrower's and ends after it.
+    changes.sort(
+        key=lambda entry: (entry[0], (0 if entry[1] > 0 else 1 if entry[2] < 0 else 2 if entry[2] > 0 else 3))
+    )
+    lent_shares = held_shares = 0
+    for at, lent_change, held_change, own in changes:
+        lent_shares, held_shares = lent_shares + lent_change, held_shares + held_change
+        if held_shares + own > terms.shares:
             return Finding(
                 "a share of a budget has two holders", at, home, -1,
-                f"{name}: others hold {held} of {terms.shares} shares of node {home}, and it {own}",
+                f"{name}: others hold {held_shares} of {terms.shares} shares of node {home}, and it {own}",
             )  # fmt: skip
-        if held > lent or lent > terms.shares:
+        if held_shares > lent_shares or lent_shares > terms.shares:
             return Finding(
                 "a share of a budget has two holders", at, home, -1,
-                f"{name}: others hold {held} shares of node {home}, which has lent {lent} of {terms.shares}",
+                f"{name}: others hold {held_shares} shares of node {home}, "
+                f"which has lent {lent_shares} of {terms.shares}",
             )  # fmt: skip
     return None
 
 
-def _spans(
-    events: list[Event], name: str, begins: tuple[str, str], ends: str
+def _loan_spans(
+    events: list[Event], name: str, begin_events: tuple[str, str], end_event: str
 ) -> dict[tuple[int, int, int], list[tuple[int, int, int]]]:
-    """By home, its generation and loan: when that loan was out, and its shares. As its keeper wrote it."""
-    first, longer = begins
-    out: dict[tuple[int, int, int], list[tuple[int, int, int]]] = {}
-    for one in sorted((one for one in events if one["event"] == "right"), key=lambda one: one["t_ns"]):
-        if one["budget"] != name:
+    """Returns when each loan was outstanding and for how many shares, by home node, its generation and the
+    loan's number, as recorded by the lender or by the borrower."""
+    begin_event, extend_event = begin_events
+    spans_by_loan: dict[tuple[int, int, int], list[tuple[int, int, int]]] = {}
+    for event in sorted(
+        (event for event in events if event["event"] == "right"), key=lambda event: event["t_ns"]
+    ):
+        if event["budget"] != name:
             continue
-        home = one["node"] if first == "lent" else one["other"]
-        key = (home, one["lender_life"], one["loan"])
-        at, until, shares = one["t_ns"], one["until_ns"], one["shares"]
-        if one["what"] == first or (one["what"] == longer and key not in out):
-            out.setdefault(key, []).append((at, until, shares))
-        elif one["what"] == longer:
-            begin, end, shares = out[key][-1]
-            out[key][-1] = (begin, max(end, until), shares)
-        elif one["what"] == ends and key in out:
-            begin, _, shares = out[key][-1]
-            out[key][-1] = (begin, at, shares)
-    return out
+        home = event["node"] if begin_event == "lent" else event["other"]
+        key = (home, event["lender_life"], event["loan"])
+        at, until, shares = event["t_ns"], event["until_ns"], event["shares"]
+        if event["what"] == begin_event or (event["what"] == extend_event and key not in spans_by_loan):
+            spans_by_loan.setdefault(key, []).append((at, until, shares))
+        elif event["what"] == extend_event:
+            begin, end, shares = spans_by_loan[key][-1]
+            spans_by_loan[key][-1] = (begin, max(end, until), shares)
+        elif event["what"] == end_event and key in spans_by_loan:
+            begin, _, shares = spans_by_loan[key][-1]
+            spans_by_loan[key][-1] = (begin, at, shares)
+    return spans_by_loan
 
 
 def check(events: list[Event]) -> list[Finding]:
-    return [*overspent(events), *twice_held(events)]
+    """Returns all findings on budgets."""
+    return [*find_overspending(events), *find_double_holders(events)]
--- a/driftstair/rehearsal/tier/checks.py
+++ b/driftstair/rehearsal/tier/checks.py
@@ -1,7 +1,7 @@
-"""What must hold of the histories of a tier, given what befell it.
+"""Checks of membership histories of a tier, given the faults that the nodes were subjected to.
 
-What befell it is told by whoever played it, but for one thing: a process that stood still by its own word is
-excused for that while, since on a busy machine nobody else knows.
+Faults are reported by whoever injected them, with one exception: a process that recorded a stall of its own
+is excused for that time, since nobody else knows about it on a busy machine.
 """
 
 from __future__ import annotations
@@ -10,46 +10,50 @@
 
 from driftstair.rehearsal.tier.histories import FOREVER, Process, Rank
 
-SECOND = 1_000_000_000  # ns
+NS_PER_S = 1_000_000_000  # ns
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """ns. A node that did not run, stood still, or that links kept apart from others, one way or both."""
+    """Time in ns during which a node did not run, was stopped, or was separated from others by link faults in
+    one or both directions."""
 
     node: int
     begin: int
     end: int
-    down: bool = False  # it did not run
-    apart: frozenset[int] | None = None  # from these alone; None: from all
+    down: bool = False  # the process did not run
+    apart: frozenset[int] | None = None  # nodes it was separated from; None: all
 
     def excuses(self, other: int, settle: int) -> tuple[int, int]:
-        """When this node and that one may be wrong about each other: ns, and so many after its end."""
+        """Returns the time in ns during which this node and the other may hold wrong views of each other: the
+        fault and a settling time after its end."""
         concerned = self.apart is None or other in self.apart
         return (self.begin if concerned else self.end), self.end + settle
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """s."""
+    """Limits of the checks, in seconds."""
 
-    wrongly: float = 0.0  # that a node which runs and is reached may be held dead
-    settle: float = 10.0  # after a fault's end, in which what it caused may still show
-    death: float = 10.0  # after its end, until all hold a node dead
+    wrongly: float = 0.0  # how long a running, reachable node may be held dead
+    settle: float = 10.0  # time after a fault's end in which its effects may still show
+    death: float = 10.0  # time after a node's end until all hold it dead
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
+    """One violated check. `node` holds the view, `member` is the node that the view is about."""
+
     rule: str
     at: int  # ns
-    node: int  # who held it
-    member: int  # of whom
+    node: int
+    member: int
     evidence: str
 
 
 @dataclass(slots=True)
-class Story:
-    """`faults`: what befell nodes. `until`: ns, the end of it all."""
+class RunRecord:
+    """The processes of a run and the faults on its nodes. `until`: end of the run in ns."""
 
     processes: list[Process]
     faults: list[Span] = field(default_factory=list)
@@ -60,123 +64,129 @@
             Span(process.node, begin, end) for process in self.processes for begin, end in process.stood_still
         ]
 
-    def of(self, node: int) -> list[Span]:
-        return [one for one in self.faults if one.node == node]
+    def faults_of(self, node: int) -> list[Span]:
+        """Returns the faults on one node."""
+        return [fault for fault in self.faults if fault.node == node]
 
 
-def check(story: Story, bounds: Bounds) -> list[Finding]:
+def check(record: RunRecord, bounds: Bounds) -> list[Finding]:
+    """Returns all findings on membership views."""
     return [
-        *wrongly_dead(story, bounds), *missed_deaths(story, bounds), *disagreement(story, bounds),
-        *old_generations(story),
+        *find_wrongly_dead(record, bounds), *find_missed_deaths(record, bounds),
+        *find_disagreement(record, bounds),
+        *find_old_claims(record),
     ]  # fmt: skip
 
 
-def wrongly_dead(story: Story, bounds: Bounds) -> list[Finding]:
-    """A reachable, running node is not held dead, for longer than is stated."""
-    out = []
-    members = {one.node for one in story.processes}
-    settle = int(bounds.settle * SECOND)
-    for process in story.processes:
+def find_wrongly_dead(record: RunRecord, bounds: Bounds) -> list[Finding]:
+    """Reports reachable, running nodes that were held dead for longer than the bound."""
+    findings = []
+    members = {one.node for one in record.processes}
+    settle = int(bounds.settle * NS_PER_S)
+    for process in record.processes:
         for member in members - {process.node}:
             excused = [(0, process.began + settle)]
-            excused += [one.excuses(process.node, settle) for one in story.of(member)]
-            excused += [one.excuses(member, settle) for one in story.of(process.node)]
-            for begin, end, held in process.spans(member, "dead", story.until):
-                for lasted in _outside(begin, end, excused):
-                    if lasted[1] - lasted[0] > bounds.wrongly * SECOND:
-                        out.append(Finding(
-                            "a node that runs is held dead", lasted[0], process.node, member,
-                            f"for {(lasted[1] - lasted[0]) / SECOND:.2f} s: {held.why}",
+            excused += [one.excuses(process.node, settle) for one in record.faults_of(member)]
+            excused += [one.excuses(member, settle) for one in record.faults_of(process.node)]
+            for begin, end, change in process.spans(member, "dead", record.until):
+                for remaining in _subtract_spans(begin, end, excused):
+                    if remaining[1] - remaining[0] > bounds.wrongly * NS_PER_S:
+                        findings.append(Finding(
+                            "a node that runs is held dead", remaining[0], process.node, member,
+                            f"for {(remaining[1] - remaining[0]) / NS_PER_S:.2f} s: {change.why}",
                         ))  # fmt: skip
-    return out
+    return findings
 
 
-def missed_deaths(story: Story, bounds: Bounds) -> list[Finding]:
-    """A node that does not run is held dead, or gone, by all within the stated time."""
-    out = []
-    within = int(bounds.death * SECOND)
-    settle = int(bounds.settle * SECOND)
-    for down in story.faults:
-        late = down.begin + within
-        if not down.down or late >= min(down.end, story.until):
+def find_missed_deaths(record: RunRecord, bounds: Bounds) -> list[Finding]:
+    """Reports nodes that did not run and were not held dead or gone by every other node within the bound."""
+    findings = []
+    death_ns = int(bounds.death * NS_PER_S)
+    settle = int(bounds.settle * NS_PER_S)
+    for outage in record.faults:
+        deadline = outage.begin + death_ns
+        if not outage.down or deadline >= min(outage.end, record.until):
             continue
-        for process in story.processes:
-            if process.node == down.node or process.began + settle > late or process.ended < late:
+        for process in record.processes:
+            if process.node == outage.node or process.began + settle > deadline or process.ended < deadline:
                 continue
-            spans = [one.excuses(down.node, settle) for one in story.of(process.node)]
-            if any(begin < late < end for begin, end in spans):
+            spans = [fault.excuses(outage.node, settle) for fault in record.faults_of(process.node)]
+            if any(begin < deadline < end for begin, end in spans):
                 continue
-            state = process.state(down.node, late)
+            state = process.state(outage.node, deadline)
             if state not in ("dead", "left", "unknown"):
-                out.append(Finding(
-                    "a dead node is not held dead", late, process.node, down.node,
+                findings.append(Finding(
+                    "a dead node is not held dead", deadline, process.node, outage.node,
                     f"held {state} {bounds.death:g} s after its end",
                 ))  # fmt: skip
-    return out
+    return findings
 
 
-def disagreement(story: Story, bounds: Bounds) -> list[Finding]:
-    """Once all faults have been over for the stated time, those that run hold the same of everyone, and
-    nobody that runs to be anything but alive."""
-    now = story.until
-    over = max((one.end for one in story.faults if one.end < now), default=0)
-    if now < over + bounds.settle * SECOND:
+def find_disagreement(record: RunRecord, bounds: Bounds) -> list[Finding]:
+    """Once all faults have been over for the settling time, reports running nodes whose views differ, and
+    running nodes that are not held alive."""
+    now = record.until
+    last_fault_end = max((one.end for one in record.faults if one.end < now), default=0)
+    if now < last_fault_end + bounds.settle * NS_PER_S:
         return []
     running = [
-        one for one in _latest(story.processes)
-        if one.ended >= now and not any(span.begin <= now < span.end for span in story.of(one.node))
+        one for one in _latest_processes(record.processes)
+        if one.ended >= now and not any(span.begin <= now < span.end for span in record.faults_of(one.node))
     ]  # fmt: skip
-    out = []
-    for member in sorted({one.node for one in story.processes}):
+    findings = []
+    for member in sorted({one.node for one in record.processes}):
         views: dict[Rank | None, list[int]] = {}
         for process in running:
-            last = process.last().get(member)
-            views.setdefault(last.rank if last else None, []).append(process.node)
+            latest = process.latest_changes().get(member)
+            views.setdefault(latest.rank if latest else None, []).append(process.node)
         if len(views) > 1:
-            told = "; ".join(f"{rank} by {nodes}" for rank, nodes in views.items())
-            out.append(Finding("views differ when all is over", now, -1, member, told))
+            description = "; ".join(f"{rank} by {nodes}" for rank, nodes in views.items())
+            findings.append(Finding("views differ when all is over", now, -1, member, description))
     for process in running:
-        for member, held in process.last().items():
-            if held.state != "alive" and any(one.node == member for one in running):
-                out.append(Finding(
+        for member, change in process.latest_changes().items():
+            if change.state != "alive" and any(one.node == member for one in running):
+                findings.append(Finding(
                     "a node that runs is not held alive when all is over", now, process.node, member,
-                    f"{held.state}: {held.why}",
+                    f"{change.state}: {change.why}",
                 ))  # fmt: skip
-    return out
+    return findings
 
 
-def old_generations(story: Story) -> list[Finding]:
-    """What a process holds of a member only rises: an old generation or a refuted claim never comes back."""
-    out = []
-    for process in story.processes:
+def find_old_claims(record: RunRecord) -> list[Finding]:
+    """Reports views whose rank fell: a process's view of a member may only rise, so an old generation or a
+    refuted claim never comes back."""
+    findings = []
+    for process in record.processes:
         highest: dict[int, Rank] = {}
-        for held in process.held:
-            if not held.told:
+        for change in process.view_changes:
+            if not change.told:
                 continue
-            before = highest.get(held.member)
-            if before is not None and held.rank < before:
-                out.append(Finding(
-                    "an old claim replaced a newer one", held.at, process.node, held.member,
-                    f"{held.rank} after {before}",
+            before = highest.get(change.member)
+            if before is not None and change.rank < before:
+                findings.append(Finding(
+                    "an old claim replaced a newer one", change.at, process.node, change.member,
+                    f"{change.rank} after {before}",
                 ))  # fmt: skip
-            highest[held.member] = max(held.rank, before or held.rank)
-    return out
+            highest[change.member] = max(change.rank, before or change.rank)
+    return findings
 
 
-def _latest(processes: list[Process]) -> list[Process]:
+def _latest_processes(processes: list[Process]) -> list[Process]:
+    """Returns the latest process of each node."""
     latest: dict[int, Process] = {}
-    for one in processes:
-        if one.node not in latest or one.began >= latest[one.node].began:
-            latest[one.node] = one
+    for process in processes:
+        if process.node not in latest or process.began >= latest[process.node].began:
+            latest[process.node] = process
     return list(latest.values())
 
 
-def _outside(begin: int, end: int, excused: list[tuple[int, int]]) -> list[tuple[int, int]]:
-    """What is left of a span."""
-    left = [(begin, end)]
+def _subtract_spans(begin: int, end: int, excused: list[tuple[int, int]]) -> list[tuple[int, int]]:
+    """Returns the parts of a time span that lie outside the excused spans."""
+    remaining = [(begin, end)]
     for low, high in excused:
-        left = [
-            part for one in left for part in ((one[0], min(one[1], low)), (max(one[0], high), one[1]))
+        remaining = [
+            part for span in remaining
+            for part in ((span[0], min(span[1], low)), (max(span[0], high), span[1]))
             if part[0] < part[1]
         ]  # fmt: skip
-    return left
+    return remaining
--- a/driftstair/rehearsal/tier/judgements.py
+++ b/driftstair/rehearsal/tier/judgements.py
@@ -1,4 +1,4 @@
-"""What must hold of shared judgements on servers, by the nodes' histories and by what befell the servers."""
+"""Checks shared judgements on servers, by the nodes' histories and the faults on the servers."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from typing import Any
 
 from driftstair.net.identifiers import digest
-from driftstair.rehearsal.tier.checks import SECOND, Finding
+from driftstair.rehearsal.tier.checks import NS_PER_S, Finding
 from driftstair.tier.observed_module import server_key
 
 FOREVER = 1 << 62
 
 
 @dataclass(slots=True)
-class Judged:
-    """One server, as one node held it back: ns."""
+class HeldBackServer:
+    """A period, in ns, during which one node held one server back."""
 
     node: int
     server: str
@@ -24,31 +24,41 @@
     reporters: list[int] = field(default_factory=list)
 
 
-def held_back(events: Iterable[dict[str, Any]], servers: Iterable[str]) -> list[Judged]:
-    names = {server_key(digest(one)): one for one in servers}
-    out: list[Judged] = []
-    open_: dict[tuple[int, int], Judged] = {}
-    for one in sorted(events, key=lambda one: int(one["t_ns"])):
-        if one["event"] == "start":
-            for place in [place for place in open_ if place[0] == one["node"]]:
-                open_.pop(place).end = one["t_ns"]
-        elif one["event"] == "judge":
-            place = one["node"], one["server"]
-            if one["verdict"] == "out" and place not in open_:
-                name = names.get(one["server"], f"{one['server']:08x}")
-                open_[place] = Judged(one["node"], name, one["t_ns"], FOREVER, one["reporters"])
-                out.append(open_[place])
-            elif one["verdict"] == "back" and place in open_:
-                open_.pop(place).end = one["t_ns"]
-    return out
-
-
-def check(judged: list[Judged], blamed: dict[str, list[tuple[int, int]]], settle: float) -> list[Finding]:
-    """No server is held back on others' word but where it had trouble itself, and for so many s after."""
-    out = []
-    for one in judged:
-        spans = blamed.get(one.server, [])
-        if not any(begin <= one.begin and one.end <= end + settle * SECOND for begin, end in spans):
-            told = f"{one.server} is held back on the word of {one.reporters}"
-            out.append(Finding("a sound server is held back", one.begin, one.node, -1, told))
-    return out
+def held_back_servers(events: Iterable[dict[str, Any]], servers: Iterable[str]) -> list[HeldBackServer]:
+    """Returns the periods in which nodes held servers back on the reports of other nodes."""
+    names = {server_key(digest(server)): server for server in servers}
+    periods: list[HeldBackServer] = []
+    ongoing: dict[tuple[int, int], HeldBackServer] = {}
+    for event in sorted(events, key=lambda event: int(event["t_ns"])):
+        if event["event"] == "start":
+            for node_and_server in [
+                node_and_server for node_and_server in ongoing if node_and_server[0] == event["node"]
+            ]:
+                ongoing.pop(node_and_server).end = event["t_ns"]
+        elif event["event"] == "judge":
+            node_and_server = event["node"], event["server"]
+            if event["verdict"] == "out" and node_and_server not in ongoing:
+                name = names.get(event["server"], f"{event['server']:08x}")
+                ongoing[node_and_server] = HeldBackServer(
+                    event["node"], name, event["t_ns"], FOREVER, event["reporters"]
+                )
+                periods.append(ongoing[node_and_server])
+            elif event["verdict"] == "back" and node_and_server in ongoing:
+                ongoing.pop(node_and_server).end = event["t_ns"]
+    return periods
+
+
+def check(
+    periods: list[HeldBackServer], box_faults: dict[str, list[tuple[int, int]]], settle: float
+) -> list[Finding]:
+    """Reports servers that were held back on other nodes' reports without a fault of their own, or for longer
+    than `settle` seconds after it."""
+    findings = []
+    for period in periods:
+        spans = box_faults.get(period.server, [])
+        if not any(begin <= period.begin and period.end <= end + settle * NS_PER_S for begin, end in spans):
+            description = f"{period.server} is held back on the word of {period.reporters}"
+            findings.append(
+                Finding("a sound server is held back", period.begin, period.node, -1, description)
+            )
+    return findings
--- a/driftstair/rehearsal/tier/liar.py
+++ b/driftstair/rehearsal/tier/liar.py
@@ -1,4 +1,4 @@
-"""A node that finds every server failing, whatever they answer, and says so to the others.
+"""A node that reports every server as failing to the other nodes, whatever the servers answer.
 
 python -m driftstair.rehearsal.tier.liar [options of the daemon]
 """
@@ -12,31 +12,32 @@
 from driftstair.tier.sharing import Sharing
 
 
-def lie(sharing: Sharing) -> None:
-    """From now on; only what it tells is wrong, not what it does."""
-    speak = sharing.core.enable_outlier_detection
+def misreport_failures(sharing: Sharing) -> None:
+    """Makes the node misreport from now on. Only its reports are wrong; its own routing is unaffected."""
+    enable_detection = sharing.core.enable_outlier_detection
 
-    def lying(
+    def enable_misreporting(
         now: int, zone: int, sound: Callable[[], bool], zones: Callable[[], dict[int, int]]
     ) -> OutlierDetector:
-        judge = speak(now, zone, sound, zones)
-        judge.observations = _Liar(now)
-        return judge
+        detector = enable_detection(now, zone, sound, zones)
+        detector.observations = _FailureReporter(now)
+        return detector
 
-    sharing.core.enable_outlier_detection = lying  # type: ignore[method-assign]
+    sharing.core.enable_outlier_detection = enable_misreporting  # type: ignore[method-assign]
 
 
-class _Liar(ServerObservations):
+class _FailureReporter(ServerObservations):
     def note(self, now: int, server: int, ok: bool, reached: bool, took: int) -> None:
         super().note(now, server, False, reached, 0)
 
 
 def main() -> int:
+    """Replaces the recording of server results and runs the daemon."""
     from driftstair.__main__ import main as daemon
 
-    note = ServerObservations.note
+    record_result = ServerObservations.note
     ServerObservations.note = (  # type: ignore[method-assign]
-        lambda self, now, server, ok, reached, took: note(self, now, server, False, reached, 0)
+        lambda self, now, server, ok, reached, took: record_result(self, now, server, False, reached, 0)
     )
     return daemon()
 
--- a/driftstair/rehearsal/tier/owners.py
+++ b/driftstair/rehearsal/tier/owners.py
@@ -1,77 +1,91 @@
-"""What must hold of the tasks that one node at a time has, by the nodes' histories and what befell them."""
+"""Checks tasks that one node at a time owns, by the nodes' histories and the faults on the nodes."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-from driftstair.rehearsal.tier.checks import SECOND, Finding, Story
-from driftstair.rehearsal.tier.linear import Op, stuck
+from driftstair.rehearsal.tier.checks import NS_PER_S, Finding, RunRecord
+from driftstair.rehearsal.tier.linear import Operation, find_violation
 
 FOREVER = 1 << 62
 Lease = tuple[int, int, int, int]
-"""When it was had, and until when by its owner's word (ns); its token; who."""
+"""Begin and recorded end of a lease in ns, its token and the owner's number."""
 
 
 def leases(events: list[dict[str, Any]]) -> dict[str, list[Lease]]:
-    """By task, in the order of time; each until it was over by its owner's clock, whenever that was written.
-    One that its process did not live to write the end of lasts until the next process of that node begins."""
-    out: dict[str, list[Lease]] = {}
-    running: dict[tuple[str, int], tuple[int, int]] = {}
-
-    def end(task: str, node: int, at: int) -> None:
-        begin, token = running.pop((task, node))
-        out.setdefault(task, []).append((begin, at, token, node))
-
-    for one in sorted(events, key=lambda one: int(one["t_ns"])):
-        node, at = one["node"], one["t_ns"]
-        if one["event"] in ("start", "end"):
-            for task, holder in list(running):
+    """Returns the leases of each task in the order of time. A lease lasts until the owner's clock ended it,
+    whenever that was recorded. One whose end its process did not live to record lasts until the next process
+    of that node begins."""
+    leases_by_task: dict[str, list[Lease]] = {}
+    ongoing: dict[tuple[str, int], tuple[int, int]] = {}
+
+    def end_lease(task: str, node: int, at: int) -> None:
+        begin, token = ongoing.pop((task, node))
+        leases_by_task.setdefault(task, []).append((begin, at, token, node))
+
+    for event in sorted(events, key=lambda event: int(event["t_ns"])):
+        node, at = event["node"], event["t_ns"]
+        if event["event"] in ("start", "end"):
+            for task, holder in list(ongoing):
                 if holder == node:
-                    end(task, node, at)
-        elif one["event"] == "own":
-            running[one["task"], node] = at, one["token"]
-        elif one["event"] == "lost" and (one["task"], node) in running:
-            end(one["task"], node, one["over_ns"])
-    for task, node in list(running):
-        end(task, node, FOREVER)
-    return {task: sorted(some) for task, some in out.items()}
-
-
-def check(events: list[dict[str, Any]], story: Story) -> list[Finding]:
-    """Tokens only rise. Two leases of a task don't overlap, but where who had the first stood still or was
-    dead: it can't have written the end, and what it did later carried an old token."""
-    out = []
-    for task, some in leases(events).items():
-        greatest, last = 0, None
-        for lease in some:
+                    end_lease(task, node, at)
+        elif event["event"] == "own":
+            ongoing[event["task"], node] = at, event["token"]
+        elif event["event"] == "lost" and (event["task"], node) in ongoing:
+            end_lease(event["task"], node, event["over_ns"])
+    for task, node in list(ongoing):
+        end_lease(task, node, FOREVER)
+    return {task: sorted(task_leases) for task, task_leases in leases_by_task.items()}
+
+
+def check(events: list[dict[str, Any]], record: RunRecord) -> list[Finding]:
+    """Reports tokens that do not rise and leases of a task that overlap. An overlap is excused where the
+    first owner was stopped or dead: it can't have recorded the end, and its later actions carried an old
+    token."""
+    findings = []
+    for task, task_leases in leases(events).items():
+        greatest, previous = 0, None
+        for lease in task_leases:
             begin, _, token, node = lease
             if token <= greatest:
-                told = f"{task}: {token} after {greatest}"
-                out.append(Finding("a token does not rise", begin, node, -1, told))
+                description = f"{task}: {token} after {greatest}"
+                findings.append(Finding("a token does not rise", begin, node, -1, description))
             greatest = max(greatest, token)
-            if last is not None and last[3] != node and begin < last[1] and not _excused(story, last, begin):
-                told = f"{task}: node {last[3]} had it until {(last[1] - begin) / SECOND:.3f} s later"
-                out.append(Finding("a task has two owners", begin, node, last[3], told))
-            if last is None or lease[1] >= last[1]:
-                last = lease
-    return out
-
-
-def _excused(story: Story, lease: Lease, at: int) -> bool:
-    """It did not run when the next one began, or its record was never ended since it was killed before."""
-    return any(one.begin <= at <= one.end + SECOND for one in story.of(lease[3]) if one.apart is None)
-
-
-class Step(NamedTuple):
-    """Of a task: `own`, `over` or `act`, by whom and with which token."""
+            if (
+                previous is not None
+                and previous[3] != node
+                and begin < previous[1]
+                and not _is_excused(record, previous, begin)
+            ):
+                description = (
+                    f"{task}: node {previous[3]} had it until {(previous[1] - begin) / NS_PER_S:.3f} s later"
+                )
+                findings.append(Finding("a task has two owners", begin, node, previous[3], description))
+            if previous is None or lease[1] >= previous[1]:
+                previous = lease
+    return findings
+
+
+def _is_excused(record: RunRecord, lease: Lease, at: int) -> bool:
+    """Whether the owner did not run when the next lease began, or was killed before, so that the end was
+    never recorded."""
+    return any(
+        fault.begin <= at <= fault.end + NS_PER_S
+        for fault in record.faults_of(lease[3])
+        if fault.apart is None
+    )
+
+
+class LeaseStep(NamedTuple):
+    """A step of a task: `own`, `over` or `act`, with the node and its token."""
 
     what: str
     node: int
     token: int
 
 
-def allowed(state: tuple[int, int], step: Step) -> tuple[int, int] | None:
-    """A lease as an object; the state is who has it (-1: nobody) and the greatest token."""
+def next_lease_state(state: tuple[int, int], step: LeaseStep) -> tuple[int, int] | None:
+    """The state machine of a lease. The state is the owner (-1: none) and the greatest token so far."""
     holder, greatest = state
     if step.what == "own":
         return (step.node, step.token) if holder < 0 and step.token > greatest else None
@@ -80,52 +94,62 @@
     return (-1, greatest) if step.what == "over" else state
 
 
-def steps(events: list[dict[str, Any]]) -> dict[str, list[Op[Step]]]:
-    """By task. A lease begins between its owner's last word on the task and its own; it is over by the time
-    that its owner tells, or at an unknown time where the owner was killed; an act lies between the one
-    before it, or the begin of the lease, and its own word, which may come when the lease is over."""
-    out: dict[str, list[Op[Step]]] = {}
-    last: dict[tuple[str, int], int] = {}  # the node's last word on the task
-    acted: dict[tuple[str, int], int] = {}  # but for that it is over
-    running: dict[tuple[str, int], tuple[int, int]] = {}  # since when, with which token
+def lease_steps(events: list[dict[str, Any]]) -> dict[str, list[Operation[LeaseStep]]]:
+    """Returns the steps of each task as operations with the time spans in which they may have taken effect.
+
+    A lease begins between its owner's previous event on the task and the event that records it. It ends at
+    the time that its owner records, or at an unknown time if the owner was killed. An act lies between the
+    previous act, or the begin of the lease, and its own event, which may be recorded after the end of the
+    lease.
+    """
+    steps_by_task: dict[str, list[Operation[LeaseStep]]] = {}
+    last_event_at: dict[tuple[str, int], int] = {}  # time of the node's last event on the task
+    last_own_or_act_at: dict[tuple[str, int], int] = {}  # the same without events that end a lease
+    ongoing: dict[tuple[str, int], tuple[int, int]] = {}  # begin and token
 
-    def over(task: str, node: int, at: int) -> None:
-        begin, token = running.pop((task, node))
-        out[task].append(Op(begin, at, Step("over", node, token)))
+    def end_lease(task: str, node: int, at: int) -> None:
+        begin, token = ongoing.pop((task, node))
+        steps_by_task[task].append(Operation(begin, at, LeaseStep("over", node, token)))
 
-    for one in sorted(events, key=lambda one: int(one["t_ns"])):
-        node, at, kind = one["node"], one["t_ns"], one["event"]
-        if kind in ("start", "end"):
-            for task, holder in list(running):
+    for event in sorted(events, key=lambda event: int(event["t_ns"])):
+        node, at, event_name = event["node"], event["t_ns"], event["event"]
+        if event_name in ("start", "end"):
+            for task, holder in list(ongoing):
                 if holder == node:
-                    over(task, node, at)
-            for task in out:
-                last[task, node] = at
-        elif kind in ("own", "lost", "act"):
-            task, token = one["task"], one["token"]
-            some = out.setdefault(task, [])
-            if kind == "own":
-                some.append(Op(last.get((task, node), -FOREVER), at, Step("own", node, token)))
-                running[task, node] = at, token
-            elif kind == "lost" and (task, node) in running:
-                over(task, node, one["over_ns"])
-            elif kind == "act":
-                some.append(Op(acted.get((task, node), -FOREVER), at, Step("act", node, token)))
-            if kind != "lost":
-                acted[task, node] = at
-            last[task, node] = at
-    for task, node in list(running):
-        over(task, node, FOREVER)
-    return out
-
-
-def linear(events: list[dict[str, Any]]) -> list[Finding]:
-    """Whether leases and acts could have followed one another as on one machine."""
-    out = []
-    for task, some in steps(events).items():
-        found = stuck(some, (-1, 0), allowed)
-        if found is not None:
-            what, node, token = found.what
-            told = f"{task}: {what} with token {token} fits into no order"
-            out.append(Finding("leases follow no order", found.end, node, -1, told))
-    return out
+                    end_lease(task, node, at)
+            for task in steps_by_task:
+                last_event_at[task, node] = at
+        elif event_name in ("own", "lost", "act"):
+            task, token = event["task"], event["token"]
+            task_steps = steps_by_task.setdefault(task, [])
+            if event_name == "own":
+                task_steps.append(
+                    Operation(last_event_at.get((task, node), -FOREVER), at, LeaseStep("own", node, token))
+                )
+                ongoing[task, node] = at, token
+            elif event_name == "lost" and (task, node) in ongoing:
+                end_lease(task, node, event["over_ns"])
+            elif event_name == "act":
+                task_steps.append(
+                    Operation(
+                        last_own_or_act_at.get((task, node), -FOREVER), at, LeaseStep("act", node, token)
+                    )
+                )
+            if event_name != "lost":
+                last_own_or_act_at[task, node] = at
+            last_event_at[task, node] = at
+    for task, node in list(ongoing):
+        end_lease(task, node, FOREVER)
+    return steps_by_task
+
+
+def check_linearizable(events: list[dict[str, Any]]) -> list[Finding]:
+    """Reports tasks whose leases and acts could not have followed one another as on one machine."""
+    findings = []
+    for task, operations in lease_steps(events).items():
+        violation = find_violation(operations, (-1, 0), next_lease_state)
+        if violation is not None:
+            what, node, token = violation.what
+            description = f"{task}: {what} with token {token} fits into no order"
+            findings.append(Finding("leases follow no order", violation.end, node, -1, description))
+    return findings
--- a/driftstair/rehearsal/tier/service.py
+++ b/driftstair/rehearsal/tier/service.py
@@ -1,20 +1,22 @@
-"""Of a rehearsed tier's service file: what the scenario says of budgets, and a route that spends on them."""
+"""The service file of a rehearsed tier: the scenario's budgets, and a route that spends from them."""
 
 from __future__ import annotations
 
 from driftstair.rehearsal import scenario as model
 
-SPENT = {"admitted": "admit = { rate = { fleet = \"admitted\" } }",
+ROUTE_SETTINGS = {"admitted": "admit = { rate = { fleet = \"admitted\" } }",
          "retries": "retry = { budget = { fleet = \"retries\" } }"}  # fmt: skip
 
 
-def budgets(nodes: model.Nodes) -> str:
-    """Tables that stand after [tier]."""
-    given = nodes.budgets()
-    if not given:
+def budget_tables(nodes: model.Nodes) -> str:
+    """Returns the tables that follow [tier] in the service file."""
+    fleet_budgets = nodes.budgets()
+    if not fleet_budgets:
         return ""
-    out = [
-        f'[tier.budgets.{name}]\nper_s = {float(one.per_s)!r}\nburst = "{one.burst_s * 1000:.0f}ms"'
-        for name, one in given.items()
+    tables = [
+        f'[tier.budgets.{name}]\nper_s = {float(budget.per_s)!r}\nburst = "{budget.burst_s * 1000:.0f}ms"'
+        for name, budget in fleet_budgets.items()
     ]
-    return "\n".join([*out, '[[route]]\nname = "all"', *(SPENT[name] for name in given), ""])
+    return "\n".join(
+        [*tables, '[[route]]\nname = "all"', *(ROUTE_SETTINGS[name] for name in fleet_budgets), ""]
+    )
--- a/driftstair/rehearsal/tier/stage.py
+++ b/driftstair/rehearsal/tier/stage.py
@@ -1,4 +1,5 @@
-"""What a rehearsal has besides where its nodes are a tier: the links, and whom they keep apart from whom."""
+"""The runner's part of a rehearsed tier: its links, the nodes separated by link faults, and the final
+checks."""
 
 from __future__ import annotations
 
@@ -9,19 +10,19 @@
 from driftstair.rehearsal import scenario as model
 from driftstair.rehearsal import wire
 from driftstair.rehearsal.tier import budgets, judgements, owners
-from driftstair.rehearsal.tier.checks import Bounds, Finding, Span, Story, check
+from driftstair.rehearsal.tier.checks import Bounds, Finding, RunRecord, Span, check
 from driftstair.rehearsal.tier.histories import Event, Process, processes
 from driftstair.rehearsal.tier.links import Fault, Links
 
-AS_GOOD_AS_CUT = 0.5  # of the datagrams on a link that are lost
-KEY = b"the key of a rehearsed tier"
+SEVERING_LOSS = 0.5  # share of lost datagrams from which on a link counts as severed
+TIER_KEY = b"the key of a rehearsed tier"
 
 Pair = tuple[int, int]
 
 
 @dataclass(slots=True)
-class Cut:
-    """A fault of links that lasts."""
+class ActiveFault:
+    """A link fault that is active."""
 
     pairs: list[Pair]
     fault: Fault
@@ -29,86 +30,112 @@
     apart: dict[int, frozenset[int]] = field(default_factory=dict)
 
 
-class TierStage:
-    """`names` of the nodes, by number; of the boxes at the start."""
+class TierMonitor:
+    """Tracks the faults of a tier's nodes and judges their histories at the end. `names` are the nodes' by
+    number; `boxes` those present at the start."""
 
-    def __init__(self, of: model.Tier, names: list[str], seed: int, boxes: list[str]) -> None:
+    def __init__(self, tier: model.Tier, names: list[str], seed: int, boxes: list[str]) -> None:
         self.links = Links(seed)
         self.names = names
         self.findings: list[Finding] = []
         self.processes: list[Process] = []
         self.boxes = boxes
-        self.blamed: dict[str, list[tuple[int, int]]] = {}  # by box: when it had trouble
-        self.held_back: list[judgements.Judged] = []
+        self.box_faults: dict[str, list[tuple[int, int]]] = {}  # by box: when it had a fault
+        self.held_back: list[judgements.HeldBackServer] = []
         self.spending: dict[str, budgets.Spending] = {}
-        self._bounds = Bounds(of.wrongly_s, of.settle_s, of.death_s)
+        self._bounds = Bounds(tier.wrongly_s, tier.settle_s, tier.death_s)
         self._numbers = {name: number for number, name in enumerate(names)}
-        self._spans: list[Span] = []
-        self._down: dict[str, int] = {}  # since when, ns
-        self._cuts: list[Cut] = []
-
-    def note(self, seen: wire.Observation) -> None:
-        """Nodes that end, start, are cut off or stand still."""
-        if isinstance(seen, wire.NodeDown):
-            self._down.setdefault(seen.node, seen.at)
-        elif isinstance(seen, wire.NodeUp) and seen.node in self._down:
-            begin = self._down.pop(seen.node)
-            self._spans.append(Span(self._numbers[seen.node], begin, seen.at, down=True))
-
-    def blame(self, boxes: list[str], begin: int, end: int) -> None:
-        """These have trouble themselves for so long."""
+        self._fault_spans: list[Span] = []
+        self._down_since: dict[str, int] = {}  # ns
+        self._active_faults: list[ActiveFault] = []
+
+    def note(self, observation: wire.Observation) -> None:
+        """Records nodes that end, start, are disconnected or are stopped."""
+        if isinstance(observation, wire.NodeDown):
+            self._down_since.setdefault(observation.node, observation.at)
+        elif isinstance(observation, wire.NodeUp) and observation.node in self._down_since:
+            begin = self._down_since.pop(observation.node)
+            self._fault_spans.append(Span(self._numbers[observation.node], begin, observation.at, down=True))
+
+    def add_box_fault(self, boxes: list[str], begin: int, end: int) -> None:
+        """Records that these boxes have a fault of their own during a time span."""
         for name in boxes:
-            self.blamed.setdefault(name, []).append((begin, end))
+            self.box_faults.setdefault(name, []).append((begin, end))
 
-    def chosen(self, which: model.Chosen, random: Random) -> list[int]:
+    def select_nodes(self, which: model.Chosen, random: Random) -> list[int]:
+        """Returns the numbers of the nodes that a scenario selects; an integer selects that many at
+        random."""
         if which is None:
             return list(range(len(self.names)))
         if isinstance(which, int):
             return sorted(random.sample(range(len(self.names)), which))
         return [self._numbers[name] for name in which]
 
-    def begin(self, now: int, senders: list[int], receivers: list[int], fault: Fault, both: bool) -> Cut:
-        pairs = {(one, other) for one in senders for other in receivers if one != other}
+    def begin(
+        self, now: int, senders: list[int], receivers: list[int], fault: Fault, both: bool
+    ) -> ActiveFault:
+        """Starts a link fault from each sender to each receiver."""
+        pairs = {(source, target) for source in senders for target in receivers if source != target}
         if both:
-            pairs |= {(other, one) for one, other in pairs}
-        cut = Cut(sorted(pairs), fault, now)
-        self.links.begin(cut.pairs, fault)
-        self._cuts.append(cut)
-        cut.apart = self._apart(pair for one in self._cuts if _severs(one.fault) for pair in one.pairs)
-        return cut
-
-    def end(self, now: int, cut: Cut) -> None:
-        self.links.end(cut.pairs, cut.fault)
-        self._cuts.remove(cut)
-        self._spans += [Span(node, cut.begin, now, apart=others) for node, others in cut.apart.items()]
-
-    def _apart(self, severed: Iterable[Pair]) -> dict[int, frozenset[int]]:
-        """By node: those that it does not reach both ways, directly or through a third one."""
-        gone, every = set(severed), range(len(self.names))
-        near = {
-            one: {other for other in every if (one, other) not in gone and (other, one) not in gone}
-            for one in every
+            pairs |= {(target, source) for source, target in pairs}
+        active = ActiveFault(sorted(pairs), fault, now)
+        self.links.begin(active.pairs, fault)
+        self._active_faults.append(active)
+        active.apart = self._separated_nodes(
+            pair for source in self._active_faults if _is_severing(source.fault) for pair in source.pairs
+        )
+        return active
+
+    def end(self, now: int, active: ActiveFault) -> None:
+        """Ends a link fault."""
+        self.links.end(active.pairs, active.fault)
+        self._active_faults.remove(active)
+        self._fault_spans += [
+            Span(node, active.begin, now, apart=others) for node, others in active.apart.items()
+        ]
+
+    def _separated_nodes(self, severed_pairs: Iterable[Pair]) -> dict[int, frozenset[int]]:
+        """Returns for each node those that it can't reach in both directions, directly or through a third
+        node."""
+        severed_set, numbers = set(severed_pairs), range(len(self.names))
+        neighbours = {
+            node: {
+                other
+                for other in numbers
+                if (node, other) not in severed_set and (other, node) not in severed_set
+            }
+            for node in numbers
         }
-        found = {
-            one: frozenset(other for other in every if other not in near[one] and not near[one] & near[other])
-            for one in every
+        separated = {
+            node: frozenset(
+                other
+                for other in numbers
+                if other not in neighbours[node] and not neighbours[node] & neighbours[other]
+            )
+            for node in numbers
         }
-        return {one: others for one, others in found.items() if others}
+        return {node: others for node, others in separated.items() if others}
 
     def finish(self, now: int, histories: list[list[Event]]) -> None:
-        """Judge what was written down until now."""
-        events = [event for one in histories for event in one]
-        lasting = [Span(self._numbers[name], begin, now + 1, down=True) for name, begin in self._down.items()]
-        for cut in self._cuts:
-            lasting += [Span(node, cut.begin, now + 1, apart=others) for node, others in cut.apart.items()]
-        self.processes = [process for one in histories for process in processes(one)]
-        story = Story(self.processes, self._spans + lasting, now)
-        self.findings = check(story, self._bounds) + owners.check(events, story) + owners.linear(events)
+        """Judges the histories that were written until now."""
+        events = [event for history in histories for event in history]
+        ongoing_spans = [
+            Span(self._numbers[name], begin, now + 1, down=True) for name, begin in self._down_since.items()
+        ]
+        for active in self._active_faults:
+            ongoing_spans += [
+                Span(node, active.begin, now + 1, apart=others) for node, others in active.apart.items()
+            ]
+        self.processes = [process for history in histories for process in processes(history)]
+        record = RunRecord(self.processes, self._fault_spans + ongoing_spans, now)
+        self.findings = (
+            check(record, self._bounds) + owners.check(events, record) + owners.check_linearizable(events)
+        )
         self.findings += budgets.check(events)
         self.spending = budgets.spending(events)
-        self.held_back = judgements.held_back(events, self.boxes)
-        self.findings += judgements.check(self.held_back, self.blamed, self._bounds.settle)
+        self.held_back = judgements.held_back_servers(events, self.boxes)
+        self.findings += judgements.check(self.held_back, self.box_faults, self._bounds.settle)
 
 
-def _severs(fault: Fault) -> bool:
-    return fault.cut or fault.loss >= AS_GOOD_AS_CUT
+def _is_severing(fault: Fault) -> bool:
+    return fault.cut or fault.loss >= SEVERING_LOSS
--- a/driftstair/rehearsal/virtual.py
+++ b/driftstair/rehearsal/virtual.py
@@ -22,9 +22,9 @@
 from driftstair.rehearsal.sim.scheduler import Deadlock, Runaway, Scheduler
 from driftstair.rehearsal.sim.stream import Endpoint
 from driftstair.rehearsal.sim.system import SimulatedSystem
-from driftstair.rehearsal.tier.histories import Event, of_the_run
+from driftstair.rehearsal.tier.histories import Event, to_run_time
 from driftstair.rehearsal.tier.links import Links
-from driftstair.rehearsal.tier.service import budgets
+from driftstair.rehearsal.tier.service import budget_tables
 from driftstair.service.service_file import ServiceFile
 from driftstair.settings import Config
 
@@ -179,7 +179,7 @@
             self.service = ServiceFile(scenario.nodes.service)
         self._tier = scenario.nodes.tier
         self.clock = scenario.nodes.clock
-        self._budgets = budgets(scenario.nodes)
+        self._budgets = budget_tables(scenario.nodes)
         self._written: dict[str, list[dict[str, Any]]] = {}  # by node: its history
         self._loops: list[ProcessLoop] = []
 
@@ -210,7 +210,7 @@
 
         assert self._tier is not None
         numbers = {node.machine: number for number, node in enumerate(self._nodes)}
-        self.network.fate = lambda source, target, data: links.pass_on(numbers[source], numbers[target], data)
+        self.network.fate = lambda source, target, data: links.deliver(numbers[source], numbers[target], data)
         period = int(self._tier.period_ms * 1e6)
         self.service = TierFile(
             self.service, period, lambda name: self._written.setdefault(name, []), self._budgets,
@@ -222,7 +222,7 @@
         return Peers(addresses[name], list(addresses.values()))
 
     def histories(self) -> list[list[Event]]:
-        return [of_the_run(events, self.clock(name)[0]) for name, events in self._written.items()]
+        return [to_run_time(events, self.clock(name)[0]) for name, events in self._written.items()]
 
     def stuck(self) -> str:
         """A node that runs, and for which nothing can ever happen again."""
--- a/tests/model/test_model_world.py
+++ b/tests/model/test_model_world.py
@@ -45,9 +45,9 @@
     rate = boxes * cores * load_part / 0.1
     world = World(bare(rate, boxes, cores, seconds=400), AtRandom)
     outcome = world.play()
-    took = world.account.whole.latencies
+    took = world.account.total.latencies
     wanted = 0.1 * (1 + erlang_c(cores, cores * load_part) / (cores * (1 - load_part)))
-    assert len(took) == outcome.account.whole.asked
+    assert len(took) == outcome.account.total.requests
     assert sum(took) / len(took) / 1e9 == pytest.approx(wanted, rel=0.05)
 
 
@@ -65,10 +65,10 @@
     tree = by_path({"nodes.count": 24, "boxes.count": 16, "load.rate": 260, "seconds": 16, "seed": 5})
     world = World(load("whole-fleet", tree), POLICIES[policy])
     outcome = world.play()
-    whole = world.account.whole
-    assert whole.asked == world.clients.first == whole.served + sum(whole.lost.values())
+    whole = world.account.total
+    assert whole.requests == world.clients.first == whole.served + sum(whole.lost.values())
     assert not world.clients.open
-    assert outcome.tries >= whole.asked
+    assert outcome.tries >= whole.requests
     for box in world.boxes.values():
         assert box.open >= 0
     for node in world.nodes.values():
@@ -96,7 +96,7 @@
     world.play()
     assert all(node.generation == 3 - 2 * (node.generation == 1) for node in world.nodes.values())
     assert sum(node.generation == 3 for node in world.nodes.values()) == 14
-    assert world.account.whole.asked == world.clients.first
+    assert world.account.total.requests == world.clients.first
 
 
 def test_replaced_and_dead_boxes_leave_no_connection_behind() -> None:
@@ -129,7 +129,7 @@
     tree = by_path({"nodes.count": 2, "boxes.count": 4, "load.rate": 20, "seconds": 11})
     world = World(load("whole-fleet", tree), Lost)
     assert world.play().row()["service"] == 0
-    assert world.account.whole.lost["refused"] == world.account.whole.asked
+    assert world.account.total.lost["refused"] == world.account.total.requests
 
 
 def test_a_clock_keeps_the_order_of_times_and_then_of_asking() -> None:
--- a/tests/rehearsal/test_rehearse_command.py
+++ b/tests/rehearsal/test_rehearse_command.py
@@ -173,7 +173,7 @@
     paths = []
     for name, report in (("a", Run(small()).report), ("b", broken(monkeypatch))):
         paths.append(tmp_path / f"{name}.json")
-        paths[-1].write_text(build.text_of(report))
+        paths[-1].write_text(build.to_json(report))
     done = command("rehearse", "compare", *map(str, paths))
     assert done.returncode == 0
     assert "class paid-live" in done.stdout and "breaks: 0 →" in done.stdout
--- a/tests/tier/fleet.py
+++ b/tests/tier/fleet.py
@@ -17,8 +17,8 @@
 from rig import Discovery, Server, configuration
 
 from driftstair.rehearsal import ports
-from driftstair.rehearsal.tier.checks import Bounds, Finding, Span, Story, check, disagreement
-from driftstair.rehearsal.tier.histories import Following, Held, read_events
+from driftstair.rehearsal.tier.checks import Bounds, Finding, RunRecord, Span, check, find_disagreement
+from driftstair.rehearsal.tier.histories import HistoryFollower, ViewChange, read_events
 from driftstair.rehearsal.tier.links import Fault, Links
 from driftstair.rehearsal.tier.relay import Relay, RelayProcess
 
@@ -59,7 +59,7 @@
         self._ongoing: dict[tuple[str, int], int] = {}  # faults by kind and node, with their begin in ns
         self.histories = folder / "histories"
         self.histories.mkdir()
-        self._histories_reader = Following(self.histories)
+        self._histories_reader = HistoryFollower(self.histories)
         key = folder / "key"
         key.write_text(KEY)
         key.chmod(0o600)
@@ -95,7 +95,7 @@
         document["name"] = f"n{number}"
         document["seed"] = f"{number + 1:016x}"
         document["peer_listen"] = f"127.0.0.1:{self._ports[number].number}"
-        document["peers"] = self.relay.peers(number)
+        document["peers"] = self.relay.peer_addresses(number)
         return document
 
     async def start(self, *numbers: int, env: dict[str, str] | None = None) -> None:
@@ -174,36 +174,38 @@
 
     # The nodes' views.
 
-    def story(self) -> Story:
+    def run_record(self) -> RunRecord:
         now_ns = time.monotonic_ns()
         ongoing = [
             Span(number, begin_ns, now_ns + 1, kind == "down")
             for (kind, number), begin_ns in self._ongoing.items()
         ]
-        return Story(self._histories_reader.processes(), self.faults + ongoing, now_ns)
+        return RunRecord(self._histories_reader.processes(), self.faults + ongoing, now_ns)
 
     def events(self) -> list[dict[str, Any]]:
         """Events of all histories."""
         return [event for one in read_events(self.histories) for event in one]
 
     def findings(self, bounds: Bounds) -> list[Finding]:
-        return check(self.story(), bounds)
+        return check(self.run_record(), bounds)
 
-    def dead_verdicts(self) -> list[tuple[int, Held]]:
+    def dead_verdicts(self) -> list[tuple[int, ViewChange]]:
         """Who declared whom dead, leaving out nodes that recorded a stall, as on a busy machine."""
-        story = self.story()
-        stalled = {process.node for process in story.processes if process.stood_still}
+        run_record = self.run_record()
+        stalled = {process.node for process in run_record.processes if process.stood_still}
         return [
-            (process.node, one) for process in story.processes for one in process.held
+            (process.node, one) for process in run_record.processes for one in process.view_changes
             if one.state == "dead" and not stalled & {process.node, one.member}
         ]  # fmt: skip
 
     def views(self) -> dict[int, dict[int, str]]:
         """The latest states of the other members, by node, at its latest process."""
         out: dict[int, dict[int, str]] = {}
-        for process in self.story().processes:
+        for process in self.run_record().processes:
             out[process.node] = {
-                member: held.state for member, held in process.last().items() if member != process.node
+                member: held.state
+                for member, held in process.latest_changes().items()
+                if member != process.node
             }
         return out
 
@@ -245,4 +247,6 @@
         await self.wait_for_state(gone, "dead", by=rest)
 
     async def wait_agreed(self) -> None:
-        await self.wait_until(lambda: disagreement(self.story(), Bounds(settle=0.0)) == [], "views differ")
+        await self.wait_until(
+            lambda: find_disagreement(self.run_record(), Bounds(settle=0.0)) == [], "views differ"
+        )
--- a/tests/tier/test_collecting_processes.py
+++ b/tests/tier/test_collecting_processes.py
@@ -76,7 +76,7 @@
                     await act(fleet, traffic, billing, ledgers)
                 finally:
                     await traffic.off()
-                assert owners.check(events(fleet), fleet.story()) == []
+                assert owners.check(events(fleet), fleet.run_record()) == []
 
     run_for(test(), 180.0)
 
--- a/tests/tier/test_judgements_processes.py
+++ b/tests/tier/test_judgements_processes.py
@@ -17,7 +17,7 @@
 from traffic import Traffic
 
 from driftstair.rehearsal.tier import owners
-from driftstair.rehearsal.tier.judgements import Judged, held_back
+from driftstair.rehearsal.tier.judgements import HeldBackServer, held_back_servers
 from driftstair.tier import history
 
 SERVERS = [f"s{number}" for number in range(6)]
@@ -31,8 +31,8 @@
     return [one for path in sorted(fleet.histories.glob("*.jsonl")) for one in history.read(path)]
 
 
-def judged(fleet: Fleet) -> list[Judged]:
-    return held_back(events(fleet), SERVERS)
+def judged(fleet: Fleet) -> list[HeldBackServer]:
+    return held_back_servers(events(fleet), SERVERS)
 
 
 def holding(fleet: Fleet, *nodes: int) -> Callable[[], bool]:
@@ -64,7 +64,7 @@
             finally:
                 await traffic.off()
             assert {one.server for one in judged(fleet)} <= {BAD}
-            assert owners.check(events(fleet), fleet.story()) == []
+            assert owners.check(events(fleet), fleet.run_record()) == []
 
     run_for(test(), 180.0)
 
--- a/tests/tier/test_linear.py
+++ b/tests/tier/test_linear.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftstair.rehearsal.tier.linear import FOREVER, Op, stuck
-from driftstair.rehearsal.tier.owners import linear
+from driftstair.rehearsal.tier.linear import FOREVER, Operation, find_violation
+from driftstair.rehearsal.tier.owners import check_linearizable
 
 # A register: ("w", value) writes, ("r", value) reads.
 Word = tuple[str, int]
@@ -23,7 +23,7 @@
     return state if state == value else None
 
 
-def by_trying_all(ops: list[Op[Word]]) -> bool:
+def by_trying_all(ops: list[Operation[Word]]) -> bool:
     """Any subset that holds all that ended, in any order that respects begins and ends."""
     ended = [one for one in ops if one.end < FOREVER]
     open_ = [one for one in ops if one.end == FOREVER]
@@ -48,8 +48,11 @@
 @settings(max_examples=400, deadline=None)
 @given(st.lists(st.tuples(spans, words), max_size=5))
 def test_it_finds_an_order_where_trying_all_does(found: list[Any]) -> None:
-    ops = [Op(begin, FOREVER if length is None else begin + length, word) for (begin, length), word in found]
-    assert (stuck(ops, 0, register) is None) == by_trying_all(ops)
+    ops = [
+        Operation(begin, FOREVER if length is None else begin + length, word)
+        for (begin, length), word in found
+    ]
+    assert (find_violation(ops, 0, register) is None) == by_trying_all(ops)
 
 
 def test_a_long_history_of_many_at_once_is_judged_soon() -> None:
@@ -58,10 +61,10 @@
     for at in range(0, 6000, 10):
         word = ("w", random.randrange(3)) if random.random() < 0.5 else ("r", state)
         state = word[1] if word[0] == "w" else state
-        ops.append(Op(at - random.randrange(25), at + random.randrange(25), word))
-    assert stuck(ops, 0, register) is None
-    wrong = Op(3000, 3001, ("r", 9))
-    assert stuck([*ops, wrong], 0, register) is not None
+        ops.append(Operation(at - random.randrange(25), at + random.randrange(25), word))
+    assert find_violation(ops, 0, register) is None
+    wrong = Operation(3000, 3001, ("r", 9))
+    assert find_violation([*ops, wrong], 0, register) is not None
 
 
 def event(at: int, node: int, kind: str, token: int = 0, task: str = "work", over: int = 0) -> dict[str, Any]:
@@ -70,7 +73,7 @@
 
 
 def rules(*events: dict[str, Any]) -> list[str]:
-    return [one.rule for one in linear(list(events))]
+    return [one.rule for one in check_linearizable(list(events))]
 
 
 def test_leases_one_after_the_other_and_an_owner_that_woke_late() -> None:
--- a/tests/tier/test_other_detectors.py
+++ b/tests/tier/test_other_detectors.py
@@ -10,7 +10,7 @@
 from driftstair.model.tier.heartbeats import Heartbeats
 from driftstair.model.tier.measure import MakeOf, Tier, detection
 from driftstair.model.tier.world import Link
-from driftstair.rehearsal.tier.checks import Bounds, Span, Story, check
+from driftstair.rehearsal.tier.checks import Bounds, RunRecord, Span, check
 from driftstair.rehearsal.tier.histories import Process, processes
 
 NS_PER_S = 1_000_000_000
@@ -86,7 +86,7 @@
     histories = sound_histories()
     change(histories)
     found: list[Process] = [process for events in histories for process in processes(events)]
-    return {finding.rule for finding in check(Story(found, list(faults), int(until * NS_PER_S)), BOUNDS)}
+    return {finding.rule for finding in check(RunRecord(found, list(faults), int(until * NS_PER_S)), BOUNDS)}
 
 
 def down(node: int, begin: float, end: float) -> Span:
--- a/tests/tier/test_owner_checks.py
+++ b/tests/tier/test_owner_checks.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from driftstair.rehearsal.tier.checks import Span, Story
+from driftstair.rehearsal.tier.checks import RunRecord, Span
 from driftstair.rehearsal.tier.owners import check
 from driftstair.tier.ownership import wire
 from driftstair.tier.ownership.messages import Accepted, Message, Prepare, Promise, Propose, Refused, Release
@@ -45,7 +45,7 @@
 def test_tokens_rise_and_owners_do_not_overlap(
     more: list[dict[str, Any]], faults: list[Span], rules: list[str]
 ) -> None:
-    found = check([*FIRST, *more], Story([], faults))
+    found = check([*FIRST, *more], RunRecord([], faults))
     assert [one.rule for one in found] == rules
 
 
--- a/tests/tier/test_permit_checks.py
+++ b/tests/tier/test_permit_checks.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from driftstair.rehearsal.tier.permits import check, outs
+from driftstair.rehearsal.tier.permits import absences, check
 
 S = 1_000_000_000
 
@@ -47,7 +47,7 @@
 
 
 def test_a_permit_is_over_with_its_term() -> None:
-    assert [one.end for one in outs([permit(0, 1, "took", until=6.0)])] == [6 * S]
+    assert [one.end for one in absences([permit(0, 1, "took", until=6.0)])] == [6 * S]
     assert whats([permit(0, 1, "took", until=6.0), permit(1, 7, "took")]) == []
 
 
--- a/tests/tier/test_relay_process.py
+++ b/tests/tier/test_relay_process.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from driftstair.rehearsal.tier.histories import Following, processes, read_events
+from driftstair.rehearsal.tier.histories import HistoryFollower, processes, read_events
 from driftstair.rehearsal.tier.links import Fault, Links
 from driftstair.rehearsal.tier.relay import RelayProcess
 
@@ -22,7 +22,7 @@
     relay = RelayProcess(links, [one.getsockname()[1] for one in nodes])
     try:
         told = [
-            [(host, int(port)) for host, port in (peer.rsplit(":", 1) for peer in relay.peers(own))]
+            [(host, int(port)) for host, port in (peer.rsplit(":", 1) for peer in relay.peer_addresses(own))]
             for own in range(3)
         ]
 
@@ -63,11 +63,11 @@
     about = {"member": 1, "state": "alive", "incarnation": 0, "member_life": 3, "told": True, "why": ""}
     dead = about | {"state": "dead"}
     text = line(1, "start", nodes=2) + line(2, "member", **about) + line(3, "member", **dead)
-    path, following = tmp_path / "n0.jsonl", Following(tmp_path)
+    path, following = tmp_path / "n0.jsonl", HistoryFollower(tmp_path)
     assert following.processes() == []
     for end in range(0, len(text) + 1, 7):
         path.write_text(text[:end])
         following.processes()
     path.write_text(text)
     assert following.processes() == [one for events in read_events(tmp_path) for one in processes(events)]
-    assert [held.state for held in following.processes()[0].held] == ["alive", "dead"]
+    assert [held.state for held in following.processes()[0].view_changes] == ["alive", "dead"]
--- a/tests/tier/test_tier_in_service.py
+++ b/tests/tier/test_tier_in_service.py
@@ -141,15 +141,15 @@
             ports = [int(before[number]["peer_listen"].rsplit(":", 1)[1]) for number in (0, 2)]
             fleet.relay = Relay(fleet.links, ports)
             for place, number in enumerate((0, 2)):
-                document = before[number] | {"peers": fleet.relay.peers(place)}
+                document = before[number] | {"peers": fleet.relay.peer_addresses(place)}
                 document["settings"] |= {"SelfIndex": place, "PeersTotal": 2}
                 (tmp_path / f"n{number}.json").write_text(json.dumps(document))
                 fleet.process(number).send_signal(signal.SIGHUP)
 
             def both() -> bool:
                 latest = {}
-                for process in fleet.story().processes:
-                    for held in process.held:
+                for process in fleet.run_record().processes:
+                    for held in process.view_changes:
                         latest[process.node, held.member] = held.state
                 return latest.get((0, 1)) == "alive" and latest.get((1, 0)) == "alive"
 
--- a/tests/tier/test_tier_processes.py
+++ b/tests/tier/test_tier_processes.py
@@ -60,8 +60,8 @@
         fleet.resume(3)
         await fleet.wait_joined()
         assert {one.member for _, one in fleet.dead_verdicts()} <= {3}
-        stalled = [process for process in fleet.story().processes if process.node == 3]
-        assert all(one.state != "dead" for process in stalled for one in process.held)
+        stalled = [process for process in fleet.run_record().processes if process.node == 3]
+        assert all(one.state != "dead" for process in stalled for one in process.view_changes)
         assert stalled[0].stood_still
 
     run_fleet(tmp_path, 5, act)
@@ -122,15 +122,15 @@
             }
             await fleet.start()
             await fleet.wait_joined()
-            before = fleet.story().processes
+            before = fleet.run_record().processes
             await fleet.kill(3)
             await fleet.wait_for_state((3,), "dead")
             fleet.programs[3] = SHIFTED_CLOCK_PROGRAM.format(hours=-24)
             await fleet.start(3)
             await fleet.wait_joined()
-            generations = [process.last()[3].rank[0] for process in before if process.node == 3]
-            assert fleet.story().processes[-2].node == 3
-            assert fleet.story().processes[-2].last()[3].rank[0] > max(generations)
+            generations = [process.latest_changes()[3].rank[0] for process in before if process.node == 3]
+            assert fleet.run_record().processes[-2].node == 3
+            assert fleet.run_record().processes[-2].latest_changes()[3].rank[0] > max(generations)
             assert {one.member for _, one in fleet.dead_verdicts()} == {3}
             assert fleet.findings(LOOSE_BOUNDS) == []
 
@@ -168,9 +168,9 @@
         await fleet.wait_for_state((0, 4), "dead")
         fleet.resume(0, 4)
         await fleet.wait_joined()
-        stalled = [process for process in fleet.story().processes if process.node in (0, 4)]
+        stalled = [process for process in fleet.run_record().processes if process.node in (0, 4)]
         # A stalled node may detect the other, which was stalled as well.
-        assert not [one for process in stalled for one in process.held if one.state == "dead"
+        assert not [one for process in stalled for one in process.view_changes if one.state == "dead"
                     and one.member not in (0, 4)]  # fmt: skip
 
     run_fleet(tmp_path, 7, act)
@@ -182,7 +182,8 @@
 
     async def act(fleet: Fleet) -> None:
         generations = {
-            process.node: process.last()[process.node].rank[0] for process in fleet.story().processes
+            process.node: process.latest_changes()[process.node].rank[0]
+            for process in fleet.run_record().processes
         }
         for number in range(fleet.count):
             fleet.process(number).send_signal(signal.SIGTERM)
@@ -190,7 +191,7 @@
         assert sorted(path.name for path in kept.iterdir()) == ["n0.members", "n1.members", "n2.members"]
         await fleet.start()
         await fleet.wait_joined()
-        for process in fleet.story().processes[1::2]:
-            assert process.last()[process.node].rank[0] > generations[process.node]
+        for process in fleet.run_record().processes[1::2]:
+            assert process.latest_changes()[process.node].rank[0] > generations[process.node]
 
     run_fleet(tmp_path, 3, act, f'folder = "{kept}"')
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -139,7 +139,7 @@
 
 
 def test_the_same_run_gives_the_same_report_to_the_byte() -> None:
-    assert build.text_of(report("tier-pauses")) == build.text_of(report("tier-pauses"))
+    assert build.to_json(report("tier-pauses")) == build.to_json(report("tier-pauses"))
 
 
 def test_members_by_time_show_who_was_held_dead() -> None:
