--- a/benchmarks/breaker.py
+++ b/benchmarks/breaker.py
@@ -97,7 +97,7 @@
         return []
     finally:
         balance.Balancer._on_timer = wake  # type: ignore[method-assign]
-    cores = {box: one.figures.cores for box, one in (rehearsal.boxes | rehearsal.gone).items()}
+    cores = {box: one.figures.cores for box, one in (rehearsal.boxes | rehearsal.removed_boxes).items()}
     truth = {}
     for sample in rehearsal.samples:
         busy = sum(figures[0] * cores[box] for box, figures in sample.boxes.items())
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -37,15 +37,15 @@
     def watch(rehearsal: Rehearsal) -> None:
         judge = rehearsal.checker.note
 
-        def note(seen: wire.Observation) -> None:
+        def note(observation: wire.Observation) -> None:
             nonlocal ran
-            if isinstance(seen, wire.Sent):
-                sent[seen.box] += 1
-            elif isinstance(seen, wire.Ran):
+            if isinstance(observation, wire.Sent):
+                sent[observation.box] += 1
+            elif isinstance(observation, wire.Ran):
                 ran += 1
-            elif isinstance(seen, wire.Contact):
-                lists[seen.at // 1_000_000_000] += 1
-            judge(seen)
+            elif isinstance(observation, wire.Contact):
+                lists[observation.at // 1_000_000_000] += 1
+            judge(observation)
 
         rehearsal.checker.note = note  # type: ignore[method-assign]
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -202,7 +202,8 @@
             await fleet.kill(count - 1)
             await fleet.wait_for_state((count - 1,), "dead")
             known = [
-                (held.at - killed) / 1e9 for process in fleet.story().processes for held in process.held
+                (held.at - killed) / 1e9 for process in fleet.run_record().processes
+                for held in process.view_changes
                 if held.member == count - 1 and held.state == "dead"
             ]  # fmt: skip
             print(json.dumps({
--- a/driftstair/model/server.py
+++ b/driftstair/model/server.py
@@ -118,7 +118,7 @@
         self.tries_while_bad += bool(self.answer_faults)
         ask = attempt.request.ask
         work = self.engine.estimate(ask.work, ask.key_name, now / 1e9)
-        if self._budget is not None and not self._budget.arrive(now, work, attempt.node.name):
+        if self._budget is not None and not self._budget.add_arrival(now, work, attempt.node.name):
             self.fallen = True
             self.stop()
             attempt.lost(Result.RESET)
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -23,7 +23,7 @@
 from driftstair.rehearsal.fakes.clients import ClientFigures, Load
 from driftstair.rehearsal.fakes.workload import Choice, Workload
 from driftstair.rehearsal.faults import FaultInjector
-from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, kinds_in_order
+from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, draw_kind_order
 from driftstair.rehearsal.scenario import Scenario
 from driftstair.rehearsal.seeds import random_for, seed_for
 from driftstair.rehearsal.tier.stage import TierMonitor
@@ -124,10 +124,10 @@
         self.dial_trips = 1.5
         self.descriptors = of.nodes.descriptors - int(of.clients.connections_share * of.nodes.descriptors)
         self.handshakes = 0
-        self.over = False
-        self.spans: list[tuple[int, int, str]] = []
+        self.finished = False
+        self.fault_spans: list[tuple[int, int, str]] = []
         self.events: list[tuple[int, str]] = []
-        self.cuts: dict[str, tuple[int, int]] = {}
+        self.network_cuts: dict[str, tuple[int, int]] = {}
         self.account = Account()
         self.outcome = Outcome(self.account)
         self._way_random = random_for(self.seed, "network")
@@ -175,7 +175,7 @@
         self._by_id: dict[api.ServerId, Server] = {}
         self._count = 0
         self._width = max(2, len(str(of.boxes.count)))  # of names, as the kit's
-        for kind_index in kinds_in_order(self.scenario, random):
+        for kind_index in draw_kind_order(self.scenario, random):
             self._make(kind_index)
 
     def _weights(self, random: Random) -> list[float]:
@@ -236,7 +236,7 @@
         self.clients.stop()
         longest = max(one.given_up_ms for one in load.classes(of)) / 1e3
         self.clock.run(self.clock.now + int((longest + 1.0) * SECOND) + STILL)
-        self.over = True
+        self.finished = True
         self.clients.cut_off()
         return self._counted()
 
@@ -247,9 +247,9 @@
             self.load.phase = "before"
         faults = FaultInjector(self)  # type: ignore[arg-type]
         for phase in self.scenario.phases:
-            self.after(phase.at_s, faults.enter_phase, phase)
+            self.call_later(phase.at_s, faults.enter_phase, phase)
         for index, fault in enumerate(self.scenario.faults):
-            self.after(fault.at_s, faults.begin, fault, index)
+            self.call_later(fault.at_s, faults.begin, fault, index)
         self.clients.start()
 
     def _sample(self) -> None:
@@ -286,17 +286,17 @@
     def now(self) -> int:
         return self.clock.now
 
-    def after(self, seconds: float, what: Callable[..., None], *args: Any) -> None:
+    def call_later(self, seconds: float, what: Callable[..., None], *args: Any) -> None:
         self.clock.after(int(seconds * SECOND), what, *args)
 
-    def say(self, what: str) -> None:
+    def log_event(self, what: str) -> None:
         self.events.append((self.clock.now, what))
 
     def _entry(self, box: Server, state: HostState) -> api.Server:
         started = box.started if box.started >= 0 else 0
         return api.Server(box.id, 0, box.cell, STATES[state], 1.0, started, box.kind_index)
 
-    def tell_list(self, box: Server, state: HostState, silent: bool = False) -> None:
+    def update_box_list(self, box: Server, state: HostState, silent: bool = False) -> None:
         self.box_list.change(self._entry(box, state), self.silent_notice if silent else self.list_notice)
 
     def _module(self, name: str) -> api.DecisionModule:
@@ -305,10 +305,10 @@
         module = self.policy(settings, seed_for(self.seed, "node", name, generation))
         return module if self.peers is None else self.peers.start(name, module)
 
-    def kill(self, name: str) -> None:
+    def kill_node(self, name: str) -> None:
         node = self.nodes[name]
         if node.running:
-            self.say(f"{name} dies")
+            self.log_event(f"{name} dies")
             node.stop()
             if self.peers is not None:
                 self.peers.stop(name)
@@ -316,8 +316,8 @@
 
     def start_node(self, name: str) -> None:
         node = self.nodes[name]
-        if not self.over and not node.running:
-            self.say(f"{name} starts again")
+        if not self.finished and not node.running:
+            self.log_event(f"{name} starts again")
             node.start(self._module(name))
             self.front.node_starts(node)
 
@@ -326,34 +326,34 @@
         for node in self.nodes.values():
             node.server_died(box)
 
-    def box_dies(self, box: Server) -> None:
+    def kill_box(self, box: Server) -> None:
         if self.boxes.get(box.name) is box:
-            self.say(f"box {box.name} dies")
+            self.log_event(f"box {box.name} dies")
             self._stop(box)
-            self.tell_list(box, HostState.GONE)
+            self.update_box_list(box, HostState.GONE)
 
-    def box_starts(self, box: Server) -> None:
-        if not self.over and not box.running and self.boxes.get(box.name) is box:
-            self.say(f"box {box.name} starts, cold")
+    def restart_box(self, box: Server) -> None:
+        if not self.finished and not box.running and self.boxes.get(box.name) is box:
+            self.log_event(f"box {box.name} starts, cold")
             box.start(cold=True)
-            self.tell_list(box, HostState.READY)
+            self.update_box_list(box, HostState.READY)
 
-    def replace(self, box: Server, same_address: bool) -> None:
+    def replace_box(self, box: Server, same_address: bool) -> None:
         """Drains, then is gone, then another one is there."""
-        if self.over or not box.running or box.draining or self.boxes.get(box.name) is not box:
+        if self.finished or not box.running or box.draining or self.boxes.get(box.name) is not box:
             return
-        self.say(f"box {box.name} drains")
+        self.log_event(f"box {box.name} drains")
         box.drain()
-        self.tell_list(box, HostState.DRAINING)
-        self.after(self.scenario.boxes.grace_s, self._replaced, box)
+        self.update_box_list(box, HostState.DRAINING)
+        self.call_later(self.scenario.boxes.grace_s, self._replaced, box)
 
     def _replaced(self, old: Server) -> None:
-        if self.over:
+        if self.finished:
             return
         self._stop(old)
-        self.tell_list(old, HostState.GONE)
+        self.update_box_list(old, HostState.GONE)
         del self.boxes[old.name]
         new = self._make(old.kind_index)
-        self.say(f"box {old.name} is gone; {new.name} starts")
+        self.log_event(f"box {old.name} is gone; {new.name} starts")
         new.start(cold=True)
-        self.tell_list(new, HostState.READY)
+        self.update_box_list(new, HostState.READY)
--- a/driftstair/rehearsal/__init__.py
+++ b/driftstair/rehearsal/__init__.py
@@ -1,7 +1,7 @@
-"""The rehearsal kit: past faults played against the daemon on one machine, judged by the four rules.
+"""The rehearsal kit: plays past faults against the daemon on one machine and judges the run by four rules.
 
-The daemon under rehearsal is the shipped one. `sim` gives it a clock that jumps and a network in memory, or
-`sockets` starts it as processes on loopback; `fakes` plays the boxes, the box list, the clients and the
-front layer round it; `scenario` reads what is to happen; `rules` judges what crossed the wire; `report`
-tells. Nothing here is imported by the daemon.
+The daemon under rehearsal is the shipped one. `sim` gives it a simulated clock and a network in memory, or
+`sockets` starts it as processes on loopback. `fakes` plays the boxes, the box list, the clients and the front
+layer around it. `scenario` defines what happens, `rules` judges what crossed the wire, and `report` presents
+the result. The daemon imports nothing from this package.
 """
--- a/driftstair/rehearsal/command.py
+++ b/driftstair/rehearsal/command.py
@@ -1,4 +1,4 @@
-"""`driftstair rehearse`: what its options start."""
+"""Implements `driftstair rehearse`."""
 
 from __future__ import annotations
 
@@ -19,42 +19,43 @@
 from driftstair.rehearsal.report.build import Report, ReportError
 from driftstair.rehearsal.scenario import Scenario
 
-KEPT, BROKEN, BAD_USE = 0, 1, 2
+EXIT_RULES_KEPT, EXIT_RULES_BROKEN, EXIT_BAD_USE = 0, 1, 2
 
 
-class UseError(Exception):
-    """Options that don't go together; the text says which."""
+class UsageError(Exception):
+    """Options that can't be combined; the text says which."""
 
 
 def run(options: argparse.Namespace) -> int:
+    """Runs the command and returns its exit status."""
     console = Console()
     try:
-        words = options.scenario
+        arguments = options.scenario
         if options.list:
             return _list(console)
-        if not words:
-            raise UseError("which scenario? --list names them")
-        if words[0] == "compare":
-            return _compare(words[1:], options, console)
-        if words[0] == "hunt":
-            return _hunt(words[1:], options, console)
-        if len(words) > 1:
-            raise UseError(f"one scenario at a time, not {' '.join(words)}")
+        if not arguments:
+            raise UsageError("which scenario? --list names them")
+        if arguments[0] == "compare":
+            return _compare(arguments[1:], options, console)
+        if arguments[0] == "hunt":
+            return _hunt(arguments[1:], options, console)
+        if len(arguments) > 1:
+            raise UsageError(f"one scenario at a time, not {' '.join(arguments)}")
         if options.show:
-            return _show(words[0])
-        return _rehearse(load(words[0], _changes(options)), options, console)
-    except (ScenarioError, ReportError, UseError) as problem:
+            return _show(arguments[0])
+        return _rehearse(load(arguments[0], _changes(options)), options, console)
+    except (ScenarioError, ReportError, UsageError) as problem:
         print(f"driftstair: {problem}", file=sys.stderr)
-        return BAD_USE
+        return EXIT_BAD_USE
 
 
 def _changes(options: argparse.Namespace) -> dict[str, Any]:
-    """What the command line sets, as a file that extends the scenario would."""
-    given = {
+    """Returns the settings of the command line in the form of a file that extends the scenario."""
+    values = {
         "seed": options.seed, "nodes.count": options.nodes, "boxes.count": options.boxes,
         "load.rate": options.rate, "seconds": options.seconds, "nodes.service": options.service,
     }  # fmt: skip
-    return by_path({path: value for path, value in given.items() if value is not None})
+    return by_path({path: value for path, value in values.items() if value is not None})
 
 
 def _list(console: Console) -> int:
@@ -62,53 +63,54 @@
     for name in shipped():
         table.add_row(f"[bold]{name}[/bold]", load(name).title)
     console.print(table)
-    return KEPT
+    return EXIT_RULES_KEPT
 
 
 def _show(name: str) -> int:
-    known = shipped()
-    if name not in known:
-        raise UseError(f"{name}: no shipped scenario; --list names them")
-    sys.stdout.write(known[name])
-    return KEPT
+    scenarios = shipped()
+    if name not in scenarios:
+        raise UsageError(f"{name}: no shipped scenario; --list names them")
+    sys.stdout.write(scenarios[name])
+    return EXIT_RULES_KEPT
 
 
 @contextmanager
 def interruptible() -> Iterator[Callable[[], bool]]:
-    """Ctrl-C ends the run and not the program; the second one ends the program."""
-    pressed: list[int] = []
+    """Makes the first Ctrl-C end the run instead of the program; a second one ends the program."""
+    interrupts: list[int] = []
 
-    def handle(number: int, _: object) -> None:
-        pressed.append(number)
-        signal.signal(signal.SIGINT, before)
+    def handle(signal_number: int, _: object) -> None:
+        interrupts.append(signal_number)
+        signal.signal(signal.SIGINT, previous_handler)
 
-    before = signal.signal(signal.SIGINT, handle)
+    previous_handler = signal.signal(signal.SIGINT, handle)
     try:
-        yield lambda: bool(pressed)
+        yield lambda: bool(interrupts)
     finally:
-        signal.signal(signal.SIGINT, before)
+        signal.signal(signal.SIGINT, previous_handler)
 
 
 @contextmanager
-def progress(total: float, what: str) -> Iterator[Callable[[float], None]]:
-    """A line on a terminal; nothing where the output is none."""
+def progress(total: float, description: str) -> Iterator[Callable[[float], None]]:
+    """Shows a progress line on a terminal; shows nothing if the output is not a terminal."""
     console = Console(stderr=True)
     if not console.is_terminal:
         yield lambda _: None
         return
-    shown = Progress(
+    bar = Progress(
         TextColumn("{task.description}"), BarColumn(),
         TextColumn("{task.completed:.0f} of {task.total:.0f} s"), TimeElapsedColumn(), console=console,
         transient=True,
     )  # fmt: skip
-    with shown:
-        task = shown.add_task(what, total=total)
-        yield lambda done: shown.update(task, completed=min(done, total))
+    with bar:
+        task = bar.add_task(description, total=total)
+        yield lambda done_s: bar.update(task, completed=min(done_s, total))
 
 
-def play(
+def play_scenario(
     scenario: Scenario, sockets: bool, tick: Callable[[float], None], interrupted: Callable[[], bool]
 ) -> Report:
+    """Plays a scenario in virtual time or on sockets and returns its report."""
     if sockets:
         from driftstair.rehearsal import sockets as environment
 
@@ -124,23 +126,23 @@
     _check_service(scenario)
     for path in (options.json, options.html):
         _check_writable(path)
-    began = time.monotonic()
+    began_s = time.monotonic()
     with interruptible() as interrupted, progress(scenario.seconds, scenario.name) as tick:
-        report = play(scenario, options.sockets, tick, interrupted)
+        report = play_scenario(scenario, options.sockets, tick, interrupted)
     if options.json == "-":
         sys.stdout.write(build.to_json(report))
     else:
         text.show(report, console)
-        took = time.monotonic() - began
-        console.print(f"[dim]{scenario.seconds:g} s rehearsed in {took:.1f} s[/dim]")
+        took_s = time.monotonic() - began_s
+        console.print(f"[dim]{scenario.seconds:g} s rehearsed in {took_s:.1f} s[/dim]")
         _write(options.json, build.to_json(report))
     if options.html:
         _write(options.html, html.page(report))
-    return status_of(report)
+    return exit_status(report)
 
 
 def _check_service(scenario: Scenario) -> None:
-    """A file that the nodes would not start with is no rehearsal."""
+    """Refuses a service file with which the nodes would not start."""
     if scenario.nodes.service is not None:
         from driftstair.config import parse_document
         from driftstair.daemon import split_descriptors
@@ -148,34 +150,37 @@
         from driftstair.service.load import ServiceError
         from driftstair.service.service_file import ServiceFile
 
-        known = {"version": 1, "full": True, "servers": []}
-        nowhere = ("127.0.0.1", 1)
-        config = parse_document({}, platform.document(scenario, "n0", nowhere, nowhere, 1, known))
+        box_list = {"version": 1, "full": True, "servers": []}
+        unused_address = ("127.0.0.1", 1)
+        config = parse_document(
+            {}, platform.document(scenario, "n0", unused_address, unused_address, 1, box_list)
+        )
         try:
-            file = ServiceFile(scenario.nodes.service)
-            file.table(config, split_descriptors(config)[0])
-            if scenario.nodes.tier is not None and file.load().service.tier is not None:
-                raise UseError(f"{file.file}: tier: the scenario's [nodes.tier] says the same")
+            service_file = ServiceFile(scenario.nodes.service)
+            service_file.table(config, split_descriptors(config)[0])
+            if scenario.nodes.tier is not None and service_file.load().service.tier is not None:
+                raise UsageError(f"{service_file.file}: tier: the scenario's [nodes.tier] says the same")
         except ServiceError as problem:
-            first, more = problem.problems[0], len(problem.problems) - 1
-            raise UseError(f"{first}" + (f" (and {more} more)" if more else "")) from None
+            first, remaining = problem.problems[0], len(problem.problems) - 1
+            raise UsageError(f"{first}" + (f" (and {remaining} more)" if remaining else "")) from None
 
 
-def status_of(report: Report) -> int:
+def exit_status(report: Report) -> int:
+    """Returns the exit status for a report."""
     verdict = report["verdict"]
-    stuck = report["ended"].startswith("stuck")
-    found = verdict["breaks"] or verdict["crashes"] or verdict.get("tier_findings")
-    return BROKEN if found or stuck else KEPT
+    is_stuck = report["ended"].startswith("stuck")
+    has_failure = verdict["breaks"] or verdict["crashes"] or verdict.get("tier_findings")
+    return EXIT_RULES_BROKEN if has_failure or is_stuck else EXIT_RULES_KEPT
 
 
 def _check_writable(path: str | None) -> None:
-    """Before a run of minutes, and without touching what is there."""
+    """Checks before a run of minutes that a file can be written, without changing its content."""
     if path and path != "-":
         try:
             with open(path, "a", encoding="utf-8"):
                 pass
         except OSError as problem:
-            raise UseError(f"{path}: can't be written: {problem.strerror}") from None
+            raise UsageError(f"{path}: can't be written: {problem.strerror}") from None
 
 
 def _write(path: str | None, content: str) -> None:
@@ -186,24 +191,24 @@
 
 def _compare(paths: list[str], options: argparse.Namespace, console: Console) -> int:
     if len(paths) != 2:
-        raise UseError("compare wants two reports: compare A.json B.json")
-    found = compare.compare(*(build.read(path) for path in paths))
+        raise UsageError("compare wants two reports: compare A.json B.json")
+    comparison = compare.compare(*(build.read(path) for path in paths))
     if options.json:
-        content = build.to_json(found)
+        content = build.to_json(comparison)
         if options.json == "-":
             sys.stdout.write(content)
         else:
             _write(options.json, content)
     if options.json != "-":
-        compare.show(found, console)
-    return KEPT
+        compare.show(comparison, console)
+    return EXIT_RULES_KEPT
 
 
-def _hunt(words: list[str], options: argparse.Namespace, console: Console) -> int:
+def _hunt(arguments: list[str], options: argparse.Namespace, console: Console) -> int:
     from driftstair.rehearsal import hunt
 
-    if words:
-        raise UseError(f"hunt draws its scenarios itself; {words[0]!r} says nothing to it")
+    if arguments:
+        raise UsageError(f"hunt draws its scenarios itself; {arguments[0]!r} says nothing to it")
     if options.budget < 1:
-        raise UseError(f"--budget {options.budget}: at least one run")
+        raise UsageError(f"--budget {options.budget}: at least one run")
     return hunt.command(options, console)
--- a/driftstair/rehearsal/fakes/box.py
+++ b/driftstair/rehearsal/fakes/box.py
@@ -158,7 +158,7 @@
         key = fields.get(b"x-key", b"")
         work = self.engine.estimate(task.work, key, now / 1e9)
         self.note(wire.Sent(now, number, request, self.name, node, work))
-        if self._budget is not None and not self._budget.arrive(now, work):
+        if self._budget is not None and not self._budget.add_arrival(now, work):
             self.fallen = True
             self.stop("pushed over")
             return
--- a/driftstair/rehearsal/faults.py
+++ b/driftstair/rehearsal/faults.py
@@ -1,5 +1,5 @@
-"""Phases and faults: each kind of fault turns something on a running rehearsal, and knows how to end
-it."""
+"""Applies the phases and faults of a scenario: each kind of fault changes the running rehearsal and returns a
+function that ends it."""
 
 from __future__ import annotations
 
@@ -18,126 +18,133 @@
 if TYPE_CHECKING:
     from driftstair.rehearsal.runner import Rehearsal
 
-End = Callable[[], None]
-FOREVER = 1 << 62  # ns
-SEED_LABEL = "trouble"  # as in version 0.1: what a scenario draws depends on it
+EndFault = Callable[[], None]
+FOREVER_NS = 1 << 62
+SEED_LABEL = "trouble"  # the label of version 0.1: the draws of scenarios depend on it
 
 
 class FaultInjector:
-    def __init__(self, stage: Rehearsal) -> None:
-        self._stage = stage
+    """Applies phases and faults to a rehearsal, or to the model's `World`, which has the same methods."""
+
+    def __init__(self, rehearsal: Rehearsal) -> None:
+        self._rehearsal = rehearsal
         self._phase_rate = 1.0
 
     def enter_phase(self, phase: model.Phase) -> None:
-        now = self._stage.now()
-        before = self._phase_rate
+        """Changes the rate and the shares of classes to those of a phase."""
+        now = self._rehearsal.now()
+        previous_rate = self._phase_rate
         self._phase_rate = phase.rate
-        ramp = int(phase.ramp_s * 1e9)
+        ramp_ns = int(phase.ramp_s * 1e9)
 
-        def times(at: int) -> float:
-            part = 1.0 if at >= now + ramp else (at - now) / ramp
-            return float(before + (phase.rate - before) * part)
+        def rate_factor(at: int) -> float:
+            progress = 1.0 if at >= now + ramp_ns else (at - now) / ramp_ns
+            return float(previous_rate + (phase.rate - previous_rate) * progress)
 
-        self._stage.load.phase = phase.name
-        self._stage.load.set_times("phase", times)
-        self._stage.load.set_classes("phase", phase.shares)
-        self._stage.say(f"phase {phase.name}")
+        self._rehearsal.load.phase = phase.name
+        self._rehearsal.load.set_times("phase", rate_factor)
+        self._rehearsal.load.set_classes("phase", phase.shares)
+        self._rehearsal.log_event(f"phase {phase.name}")
 
     def _choose_boxes(self, fault: model._AtBoxes, index: int) -> list[Box]:
-        chosen = self._boxes_of(fault, index)
-        if self._stage.tier is not None:
-            now = self._stage.now()
-            self._stage.tier.add_box_fault([box.name for box in chosen], now, now + int(fault.for_s * 1e9))
-        return chosen
-
-    def _boxes_of(self, fault: model._AtBoxes, index: int) -> list[Box]:
+        """Selects the boxes of a fault and records the fault at the tier's monitor."""
+        boxes = self._select_boxes(fault, index)
+        if self._rehearsal.tier is not None:
+            now = self._rehearsal.now()
+            self._rehearsal.tier.add_box_fault([box.name for box in boxes], now, now + int(fault.for_s * 1e9))
+        return boxes
+
+    def _select_boxes(self, fault: model._AtBoxes, index: int) -> list[Box]:
         running = [
-            box for box in self._stage.boxes.values()
+            box for box in self._rehearsal.boxes.values()
             if box.running and fault.of_kind in (None, box.kind.name)
         ]  # fmt: skip
         if isinstance(fault.boxes, tuple):
             return [box for box in running if box.name in fault.boxes]
-        wanted = fault.boxes or max(1, round((fault.part or 0.0) * len(running)))
-        random = random_for(self._stage.seed, SEED_LABEL, index)
-        return random.sample(running, min(len(running), wanted))
+        box_count = fault.boxes or max(1, round((fault.part or 0.0) * len(running)))
+        random = random_for(self._rehearsal.seed, SEED_LABEL, index)
+        return random.sample(running, min(len(running), box_count))
 
     def _choose_nodes(self, fault: model._AtNodes, index: int) -> list[str]:
         if isinstance(fault.nodes, tuple):
             return list(fault.nodes)
-        random = random_for(self._stage.seed, SEED_LABEL, index)
-        return random.sample(self._stage.node_names, fault.nodes or 1)
+        random = random_for(self._rehearsal.seed, SEED_LABEL, index)
+        return random.sample(self._rehearsal.node_names, fault.nodes or 1)
 
     def begin(self, fault: model.AnyFault, index: int) -> None:
-        if self._stage.over:
+        """Starts a fault and schedules its end. `index` is its place in the scenario."""
+        if self._rehearsal.finished:
             return
-        now = self._stage.now()
-        self._stage.spans.append((now, now + int(fault.for_s * 1e9), fault.kind))
-        end = self._HANDLERS[type(fault)](self, fault, index)
-        self._stage.after(fault.for_s, self._end, fault, end)
+        now = self._rehearsal.now()
+        self._rehearsal.fault_spans.append((now, now + int(fault.for_s * 1e9), fault.kind))
+        end_fault = self._HANDLERS[type(fault)](self, fault, index)
+        self._rehearsal.call_later(fault.for_s, self._end, fault, end_fault)
 
-    def _end(self, fault: model.AnyFault, end: End) -> None:
-        if not self._stage.over:
-            end()
+    def _end(self, fault: model.AnyFault, end_fault: EndFault) -> None:
+        if not self._rehearsal.finished:
+            end_fault()
 
-    def _slow_boxes(self, fault: model.SlowBoxes, index: int) -> End:
+    def _slow_boxes(self, fault: model.SlowBoxes, index: int) -> EndFault:
         boxes = self._choose_boxes(fault, index)
-        self._stage.say(f"{_names(boxes)} {fault.times:g} times slower")
-        return self._slowed(boxes, fault.times)
+        self._rehearsal.log_event(f"{_names(boxes)} {fault.times:g} times slower")
+        return self._slow_down(boxes, fault.times)
 
-    def _everything_slow(self, fault: model.EverythingSlow, index: int) -> End:
-        self._stage.say(f"all boxes {fault.times:g} times slower")
-        return self._slowed(list(self._stage.boxes.values()), fault.times)
+    def _everything_slow(self, fault: model.EverythingSlow, index: int) -> EndFault:
+        self._rehearsal.log_event(f"all boxes {fault.times:g} times slower")
+        return self._slow_down(list(self._rehearsal.boxes.values()), fault.times)
 
-    def _slowed(self, boxes: list[Box], times: float) -> End:
+    def _slow_down(self, boxes: list[Box], factor: float) -> EndFault:
         for box in boxes:
             if box.running:
-                box.set_slow(box.engine.slow * times)
+                box.set_slow(box.engine.slow * factor)
 
         def end() -> None:
-            self._stage.say(f"{_names(boxes)} as fast as before")
+            self._rehearsal.log_event(f"{_names(boxes)} as fast as before")
             for box in boxes:
                 if box.running:
-                    box.set_slow(max(1.0, box.engine.slow / times))
+                    box.set_slow(max(1.0, box.engine.slow / factor))
 
         return end
 
-    def _boxes_die(self, fault: model.BoxDies, index: int) -> End:
+    def _box_dies(self, fault: model.BoxDies, index: int) -> EndFault:
         boxes = self._choose_boxes(fault, index)
         for box in boxes:
-            self._stage.box_dies(box)
+            self._rehearsal.kill_box(box)
 
         def end() -> None:
             for box in boxes:
-                self._stage.box_starts(box)
+                self._rehearsal.restart_box(box)
 
         return end
 
-    def _boxes_vanish(self, fault: model.BoxVanishes, index: int) -> End:
+    def _box_vanishes(self, fault: model.BoxVanishes, index: int) -> EndFault:
         boxes = self._choose_boxes(fault, index)
         for box in boxes:
-            self._stage.say(f"box {box.name} is cut off in silence")
+            self._rehearsal.log_event(f"box {box.name} is cut off in silence")
             box.place.vanish()
-            self._stage.cuts[box.name] = (self._stage.now(), FOREVER)
-            self._stage.tell_list(box, HostState.GONE, silent=True)
+            self._rehearsal.network_cuts[box.name] = (self._rehearsal.now(), FOREVER_NS)
+            self._rehearsal.update_box_list(box, HostState.GONE, silent=True)
 
         def end() -> None:
             for box in boxes:
                 self._end_cut(box.name)
-                if self._stage.boxes.get(box.name) is not box:
-                    continue  # replaced meanwhile: its name is gone, and its machine is another box's
-                self._stage.say(f"box {box.name} is back")
+                if self._rehearsal.boxes.get(box.name) is not box:
+                    continue  # replaced meanwhile: the name is gone, another box has the machine
+                self._rehearsal.log_event(f"box {box.name} is back")
                 box.place.come_back()
                 if box.running:
-                    self._stage.tell_list(box, HostState.DRAINING if box.draining else HostState.READY)
+                    self._rehearsal.update_box_list(
+                        box, HostState.DRAINING if box.draining else HostState.READY
+                    )
 
         return end
 
     def _end_cut(self, name: str) -> None:
-        self._stage.cuts[name] = (self._stage.cuts[name][0], self._stage.now())
+        self._rehearsal.network_cuts[name] = (self._rehearsal.network_cuts[name][0], self._rehearsal.now())
 
-    def _boxes_err(self, fault: model.BoxErrors, index: int) -> End:
+    def _box_errors(self, fault: model.BoxErrors, index: int) -> EndFault:
         boxes = self._choose_boxes(fault, index)
-        self._stage.say(f"{_names(boxes)}: {fault.share:.0%} of answers are errors")
+        self._rehearsal.log_event(f"{_names(boxes)}: {fault.share:.0%} of answers are errors")
         for box in boxes:
             box.answer_faults[index] = (fault.share, 0.0, 0.0)
 
@@ -147,10 +154,10 @@
 
         return end
 
-    def _connections_break(self, fault: model.BrokenConnections, index: int) -> End:
+    def _broken_connections(self, fault: model.BrokenConnections, index: int) -> EndFault:
         boxes = self._choose_boxes(fault, index)
-        lost = f"{fault.reset:.0%} of answers are lost to resets, {fault.swallowed:.0%} never come"
-        self._stage.say(f"{_names(boxes)}: {lost}")
+        losses = f"{fault.reset:.0%} of answers are lost to resets, {fault.swallowed:.0%} never come"
+        self._rehearsal.log_event(f"{_names(boxes)}: {losses}")
         for box in boxes:
             box.answer_faults[index] = (0.0, fault.reset, fault.swallowed)
 
@@ -160,177 +167,185 @@
 
         return end
 
-    def _crowd_comes(self, fault: model.SilentCrowd, index: int) -> End:
-        self._stage.say(f"{fault.per_s:g} strangers a second connect and ask for nothing")
-        crowd = SilentCrowd(self._stage.place, self._stage.front, fault.per_s, fault.begin)
+    def _silent_crowd(self, fault: model.SilentCrowd, index: int) -> EndFault:
+        self._rehearsal.log_event(f"{fault.per_s:g} strangers a second connect and ask for nothing")
+        crowd = SilentCrowd(self._rehearsal.place, self._rehearsal.front, fault.per_s, fault.begin)
         crowd.come()
         return crowd.stop
 
-    def _replace_boxes(self, fault: model.Replace, index: int) -> End:
+    def _replace(self, fault: model.Replace, index: int) -> EndFault:
         boxes = self._choose_boxes(fault, index)
-        for place, box in enumerate(boxes):
-            self._stage.after(fault.for_s * place / len(boxes), self._stage.replace, box, fault.same_address)
+        for position, box in enumerate(boxes):
+            self._rehearsal.call_later(
+                fault.for_s * position / len(boxes), self._rehearsal.replace_box, box, fault.same_address
+            )
         return lambda: None
 
-    def _jump(self, fault: model.TrafficJump, index: int) -> End:
-        began = self._stage.now()
-        ends = began + int(fault.for_s * 1e9)
+    def _traffic_jump(self, fault: model.TrafficJump, index: int) -> EndFault:
+        begin_ns = self._rehearsal.now()
+        end_ns = begin_ns + int(fault.for_s * 1e9)
 
-        def times(at: int) -> float:
-            rise = 1.0 if not fault.rise_s else min(1.0, (at - began) / (fault.rise_s * 1e9))
-            fall = 1.0 if not fault.fall_s else min(1.0, max(0.0, (ends - at) / (fault.fall_s * 1e9)))
+        def rate_factor(at: int) -> float:
+            rise = 1.0 if not fault.rise_s else min(1.0, (at - begin_ns) / (fault.rise_s * 1e9))
+            fall = 1.0 if not fault.fall_s else min(1.0, max(0.0, (end_ns - at) / (fault.fall_s * 1e9)))
             return 1.0 + (fault.times - 1.0) * min(rise, fall)
 
-        self._stage.say(f"{fault.times:g} times the traffic")
-        self._stage.load.set_times(index, times)
-        return lambda: self._stage.load.set_times(index, None)
+        self._rehearsal.log_event(f"{fault.times:g} times the traffic")
+        self._rehearsal.load.set_times(index, rate_factor)
+        return lambda: self._rehearsal.load.set_times(index, None)
 
-    def _surge(self, fault: model.Surge, index: int) -> End:
-        self._stage.say(f"{fault.times:g} times the {fault.of_class}")
-        self._stage.load.set_classes(index, {fault.of_class: fault.times})
-        return lambda: self._stage.load.set_classes(index, None)
+    def _surge(self, fault: model.Surge, index: int) -> EndFault:
+        self._rehearsal.log_event(f"{fault.times:g} times the {fault.of_class}")
+        self._rehearsal.load.set_classes(index, {fault.of_class: fault.times})
+        return lambda: self._rehearsal.load.set_classes(index, None)
 
-    def _list_out(self, fault: model.ListOutage, index: int) -> End:
-        self._stage.say("the box list is out of reach")
-        self._stage.box_list.go_down(fault.silent)
+    def _list_outage(self, fault: model.ListOutage, index: int) -> EndFault:
+        self._rehearsal.log_event("the box list is out of reach")
+        self._rehearsal.box_list.go_down(fault.silent)
 
         def end() -> None:
-            self._stage.say("the box list is back")
-            self._stage.box_list.come_up()
+            self._rehearsal.log_event("the box list is back")
+            self._rehearsal.box_list.come_up()
 
         return end
 
-    def _list_lags(self, fault: model.ListLag, index: int) -> End:
-        self._stage.say(f"the box list runs {fault.extra_s:g} s further behind")
-        self._stage.box_list.extra_lag += fault.extra_s
+    def _list_lag(self, fault: model.ListLag, index: int) -> EndFault:
+        self._rehearsal.log_event(f"the box list runs {fault.extra_s:g} s further behind")
+        self._rehearsal.box_list.extra_lag += fault.extra_s
 
         def end() -> None:
-            self._stage.box_list.extra_lag -= fault.extra_s
+            self._rehearsal.box_list.extra_lag -= fault.extra_s
 
         return end
 
-    def _watches_fall_silent(self, fault: model.WatchesFallSilent, index: int) -> End:
+    def _watches_fall_silent(self, fault: model.WatchesFallSilent, index: int) -> EndFault:
         for name in self._choose_nodes(fault, index):
-            self._stage.say(f"the watch of {name} falls silent")
-            self._stage.box_list.fall_silent(name)
+            self._rehearsal.log_event(f"the watch of {name} falls silent")
+            self._rehearsal.box_list.fall_silent(name)
         return lambda: None
 
-    def _list_moves(self, fault: model.ListMoves, index: int) -> End:
-        self._stage.say("the box list moves to another address")
-        self._stage.box_list.move()
-        for name in self._stage.node_names:
-            self._stage.reload(name)
+    def _list_moves(self, fault: model.ListMoves, index: int) -> EndFault:
+        self._rehearsal.log_event("the box list moves to another address")
+        self._rehearsal.box_list.move()
+        for name in self._rehearsal.node_names:
+            self._rehearsal.reload_node(name)
         return lambda: None
 
-    def _nodes_die(self, fault: model.NodeDies, index: int) -> End:
+    def _node_dies(self, fault: model.NodeDies, index: int) -> EndFault:
         names = self._choose_nodes(fault, index)
         for name in names:
-            self._stage.kill(name)
+            self._rehearsal.kill_node(name)
 
         def end() -> None:
             for name in names:
-                if not self._stage.nodes[name].running:
-                    self._stage.start_node(name)
+                if not self._rehearsal.nodes[name].running:
+                    self._rehearsal.start_node(name)
 
         return end
 
-    def _nodes_vanish(self, fault: model.NodeVanishes, index: int) -> End:
+    def _node_vanishes(self, fault: model.NodeVanishes, index: int) -> EndFault:
         names = self._choose_nodes(fault, index)
-        return self._silent(
+        return self._disconnect_nodes(
             names, "is cut off in silence", lambda node: node.vanish(), lambda node: node.come_back()
         )
 
-    def _nodes_stall(self, fault: model.NodeStalls, index: int) -> End:
+    def _node_stalls(self, fault: model.NodeStalls, index: int) -> EndFault:
         names = self._choose_nodes(fault, index)
-        return self._silent(names, "stands still", lambda node: node.stand_still(), lambda node: node.go_on())
+        return self._disconnect_nodes(
+            names, "stands still", lambda node: node.stand_still(), lambda node: node.go_on()
+        )
 
-    def _silent(
-        self, names: list[str], what: str, fall: Callable[[NodeProcess], None],
-        come_back: Callable[[NodeProcess], None],
-    ) -> End:  # fmt: skip
+    def _disconnect_nodes(
+        self, names: list[str], description: str, disconnect: Callable[[NodeProcess], None],
+        reconnect: Callable[[NodeProcess], None],
+    ) -> EndFault:  # fmt: skip
+        """Disconnects or stops nodes by `disconnect`, without any signal to their peers, until
+        `reconnect`."""
         for name in names:
-            self._stage.say(f"{name} {what}")
-            self._stage.vanished.add(name)
-            fall(self._stage.nodes[name])
-            self._stage.cuts[name] = (self._stage.now(), FOREVER)
-            self._stage.note(wire.NodeDown(self._stage.now(), name))
-            self._stage.front.node_dies(name)
+            self._rehearsal.log_event(f"{name} {description}")
+            self._rehearsal.unreachable_nodes.add(name)
+            disconnect(self._rehearsal.nodes[name])
+            self._rehearsal.network_cuts[name] = (self._rehearsal.now(), FOREVER_NS)
+            self._rehearsal.note(wire.NodeDown(self._rehearsal.now(), name))
+            self._rehearsal.front.node_dies(name)
 
         def end() -> None:
             for name in names:
-                self._stage.say(f"{name} is back")
-                self._stage.vanished.discard(name)
-                come_back(self._stage.nodes[name])
+                self._rehearsal.log_event(f"{name} is back")
+                self._rehearsal.unreachable_nodes.discard(name)
+                reconnect(self._rehearsal.nodes[name])
                 self._end_cut(name)
-                self._stage.note(wire.NodeUp(self._stage.now(), name, anew=False))
-                self._stage.front.node_starts(name, self._stage.nodes[name].address(), lambda: None)
+                self._rehearsal.note(wire.NodeUp(self._rehearsal.now(), name, anew=False))
+                self._rehearsal.front.node_starts(name, self._rehearsal.nodes[name].address(), lambda: None)
 
         return end
 
-    def _nodes_starve(self, fault: model.NodeStarves, index: int) -> End:
+    def _node_starves(self, fault: model.NodeStarves, index: int) -> EndFault:
         names = self._choose_nodes(fault, index)
-        over = False
-        self._stage.say(f"{', '.join(names)}: {fault.stands_ms:g} of each "
+        ended = False
+        self._rehearsal.log_event(f"{', '.join(names)}: {fault.stands_ms:g} of each "
                         f"{fault.stands_ms + fault.runs_ms:g} ms it stands still")  # fmt: skip
 
-        def stand() -> None:
-            if not over and not self._stage.over:
+        def stop_nodes() -> None:
+            if not ended and not self._rehearsal.finished:
                 for name in names:
-                    self._stage.nodes[name].stand_still()
-                self._stage.after(fault.stands_ms / 1e3, run)
+                    self._rehearsal.nodes[name].stand_still()
+                self._rehearsal.call_later(fault.stands_ms / 1e3, resume_nodes)
 
-        def run() -> None:
+        def resume_nodes() -> None:
             for name in names:
-                if name not in self._stage.vanished:
-                    self._stage.nodes[name].go_on()
-            self._stage.after(fault.runs_ms / 1e3, stand)
+                if name not in self._rehearsal.unreachable_nodes:
+                    self._rehearsal.nodes[name].go_on()
+            self._rehearsal.call_later(fault.runs_ms / 1e3, stop_nodes)
 
         def end() -> None:
-            nonlocal over
-            over = True
+            nonlocal ended
+            ended = True
 
-        stand()
+        stop_nodes()
         return end
 
-    def _links(self, fault: model.Links, index: int) -> End:
-        tier, random = self._stage.tier, random_for(self._stage.seed, SEED_LABEL, index)
+    def _links(self, fault: model.Links, index: int) -> EndFault:
+        tier, random = self._rehearsal.tier, random_for(self._rehearsal.seed, SEED_LABEL, index)
         assert tier is not None
         senders, receivers = (
             tier.select_nodes(fault.senders, random),
             tier.select_nodes(fault.receivers, random),
         )
-        low, high = fault.delay_ms
+        min_delay_ms, max_delay_ms = fault.delay_ms
         link_fault = LinkFault(
-            fault.cut, fault.loss, (low / 1e3, high / 1e3), fault.duplicate, fault.reorder,
+            fault.cut, fault.loss, (min_delay_ms / 1e3, max_delay_ms / 1e3), fault.duplicate, fault.reorder,
             fault.garble, fault.truncate,
         )  # fmt: skip
-        cut = tier.begin(self._stage.now(), senders, receivers, link_fault, fault.both_ways)
+        active_fault = tier.begin(self._rehearsal.now(), senders, receivers, link_fault, fault.both_ways)
         end_cut = tier.end
-        what = "carry nothing" if fault.cut else "are bad"
-        self._stage.say(f"{len(cut.pairs)} links between nodes {what}")
+        description = "carry nothing" if fault.cut else "are bad"
+        self._rehearsal.log_event(f"{len(active_fault.pairs)} links between nodes {description}")
 
         def end() -> None:
-            self._stage.say(f"{len(cut.pairs)} links between nodes are sound")
-            end_cut(self._stage.now(), cut)
+            self._rehearsal.log_event(f"{len(active_fault.pairs)} links between nodes are sound")
+            end_cut(self._rehearsal.now(), active_fault)
 
         return end
 
-    def _nodes_restart(self, fault: model.NodeRestarts, index: int) -> End:
+    def _node_restarts(self, fault: model.NodeRestarts, index: int) -> EndFault:
         names = self._choose_nodes(fault, index)
-        for place, name in enumerate(names):
-            self._stage.after(fault.for_s * place / len(names), self._stage.restart, name)
+        for position, name in enumerate(names):
+            self._rehearsal.call_later(
+                fault.for_s * position / len(names), self._rehearsal.restart_node, name
+            )
         return lambda: None
 
-    _HANDLERS: ClassVar[dict[type, Callable[[Any, Any, int], End]]] = {
-        model.SlowBoxes: _slow_boxes, model.EverythingSlow: _everything_slow, model.BoxDies: _boxes_die,
-        model.BoxVanishes: _boxes_vanish, model.BoxErrors: _boxes_err,
-        model.BrokenConnections: _connections_break, model.SilentCrowd: _crowd_comes,
-        model.Replace: _replace_boxes,
-        model.TrafficJump: _jump, model.Surge: _surge, model.ListOutage: _list_out,
-        model.ListLag: _list_lags, model.WatchesFallSilent: _watches_fall_silent,
-        model.ListMoves: _list_moves, model.NodeDies: _nodes_die,
-        model.NodeVanishes: _nodes_vanish, model.NodeRestarts: _nodes_restart,
-        model.NodeStalls: _nodes_stall, model.NodeStarves: _nodes_starve, model.Links: _links,
+    _HANDLERS: ClassVar[dict[type, Callable[[Any, Any, int], EndFault]]] = {
+        model.SlowBoxes: _slow_boxes, model.EverythingSlow: _everything_slow, model.BoxDies: _box_dies,
+        model.BoxVanishes: _box_vanishes, model.BoxErrors: _box_errors,
+        model.BrokenConnections: _broken_connections, model.SilentCrowd: _silent_crowd,
+        model.Replace: _replace,
+        model.TrafficJump: _traffic_jump, model.Surge: _surge, model.ListOutage: _list_outage,
+        model.ListLag: _list_lag, model.WatchesFallSilent: _watches_fall_silent,
+        model.ListMoves: _list_moves, model.NodeDies: _node_dies,
+        model.NodeVanishes: _node_vanishes, model.NodeRestarts: _node_restarts,
+        model.NodeStalls: _node_stalls, model.NodeStarves: _node_starves, model.Links: _links,
     }  # fmt: skip
 
 
--- a/driftstair/rehearsal/fleet_figures.py
+++ b/driftstair/rehearsal/fleet_figures.py
@@ -1,6 +1,7 @@
-"""What a run draws for its fleet of servers: which kind each is, and its figures. No I/O.
+"""Draws the servers of a run's fleet: the kind of each and its figures. No I/O.
 
-The rehearsal kit and the model of the whole fleet draw alike, so one scenario and seed give both one fleet.
+The rehearsal kit and the model of the whole fleet draw in the same way, so that one scenario and seed give
+both the same fleet.
 """
 
 from __future__ import annotations
@@ -17,19 +18,21 @@
 US_PER_S = 1e6
 
 
-def kinds_in_order(scenario: Scenario, random: Random) -> list[int]:
-    """The index of each server's kind among the scenario's, by the kinds' shares, shuffled."""
+def draw_kind_order(scenario: Scenario, random: Random) -> list[int]:
+    """Returns the index of each server's kind among the scenario's kinds, in proportion to the kinds' shares,
+    shuffled."""
     kinds = load.kinds(scenario)
     total = sum(kind.share for kind in kinds)
-    number = scenario.boxes.count
-    order = [index for index, kind in enumerate(kinds) for _ in range(int(number * kind.share / total))]
-    order += [index % len(kinds) for index in range(number - len(order))]
+    box_count = scenario.boxes.count
+    order = [index for index, kind in enumerate(kinds) for _ in range(int(box_count * kind.share / total))]
+    order += [index % len(kinds) for index in range(box_count - len(order))]
     random.shuffle(order)
     return order
 
 
 def draw_figures(scenario: Scenario, kind: model.Kind, random: Random) -> Figures:
-    """The figures of one server of a kind. `random` is the server's own; the order of draws is fixed."""
+    """Returns the figures of one server of a kind. `random` belongs to that server alone; the order of the
+    draws is fixed."""
     reports, cores = scenario.boxes.reports, kind.cores
     return Figures(
         cores=cores,
@@ -48,18 +51,18 @@
         report_every=random.uniform(*reports.every_ms) / MS_PER_S,
         report_late=random.uniform(*reports.late_ms) / MS_PER_S,
         report_noise=reports.noise,
-        jam=jam_of(scenario.boxes.jam),
+        jam=jam_figures(scenario.boxes.jam),
     )
 
 
-def jam_of(jam: model.Jam | None) -> Jam | None:
-    """How servers jam, if they do."""
+def jam_figures(jam: model.Jam | None) -> Jam | None:
+    """Returns the figures of jams, or None if servers do not jam."""
     if jam is None:
         return None
     return Jam(jam.at, jam.over_s, jam.slower, jam.rest_s, jam.below, jam.most_s)
 
 
 def box_kind(kind: model.Kind) -> BoxKind:
-    """What a server of a kind does with its connections and errors."""
+    """Returns how a server of a kind handles connections, errors and cancelled requests."""
     handshake_s = kind.handshake_us / US_PER_S
     return BoxKind(kind.name, handshake_s, kind.idle_s, kind.error_share, kind.cancel == "queued")
--- a/driftstair/rehearsal/hunt.py
+++ b/driftstair/rehearsal/hunt.py
@@ -1,8 +1,9 @@
-"""Searches for a scenario that does badly: draws faults and loads by seed, keeps the worst, and shrinks it.
+"""Searches for a scenario with a bad outcome: draws faults and loads by seed, keeps the worst, and shrinks
+it.
 
-A broken rule, a crash or a standstill is worse than any loss of service. What is found is cut down to the
-smallest scenario that still fails in the same way (delta debugging: Zeller and Hildebrandt, TSE 2002), or
-that still loses nearly as much, and written as a file that replays.
+A broken rule, a crash or a standstill is worse than any loss of service. The worst scenario is reduced to the
+smallest one that still fails in the same way (delta debugging: Zeller and Hildebrandt, TSE 2002), or that
+still loses nearly as much, and written as a file that can be replayed.
 """
 
 from __future__ import annotations
@@ -28,42 +29,46 @@
 from driftstair.rehearsal.seeds import random_for
 
 FORMAT = "driftstair.rehearsal.hunt/1"
-SHRINK_PART = 0.5  # of the budget, at most, goes to making the worst smaller
-KEEPS = 0.9  # of the lost service that a smaller scenario must still lose
-SECONDS = 16.0
-LEAST_SECONDS = 4.0
+SHRINK_BUDGET_SHARE = 0.5  # maximum share of the budget for shrinking the worst scenario
+MIN_KEPT_LOSS = 0.9  # share of the lost service that a smaller scenario must still lose
+SCENARIO_S = 16.0
+MIN_SCENARIO_S = 4.0
 
 Tree = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """How badly one scenario went. `way` names the failure: a smaller scenario must fail in the same way."""
+    """The outcome of one scenario. `failure` names the kind of failure: a smaller scenario must fail in the
+    same way."""
 
-    way: str  # "rule 3", "crash KeyError", "stuck", "service", or "kit KeyError" where the kit itself failed
-    lost: float  # share of the worth
+    # "rule 3", "crash KeyError", "stuck", "service", or "kit KeyError" if the kit itself failed.
+    failure: str
+    lost: float  # share of the worth that was lost
     breaks: int
     evidence: str
 
-    def badness(self) -> tuple[int, float]:
-        grave = {"crash": 3, "stuck": 2, "rule": 1}.get(self.way.split(" ")[0], 0)
-        return grave, self.lost
+    def severity(self) -> tuple[int, float]:
+        """Returns a key that orders findings by how bad they are."""
+        rank = {"crash": 3, "stuck": 2, "rule": 1}.get(self.failure.split(" ")[0], 0)
+        return rank, self.lost
 
-    def is_the_kits(self) -> bool:
-        """It tells of the kit and not of the daemon."""
-        return self.way.startswith("kit ")
+    def is_kit_failure(self) -> bool:
+        """Whether the kit itself failed and not the daemon."""
+        return self.failure.startswith("kit ")
 
-    def is_grave(self) -> bool:
-        return self.badness()[0] > 0
+    def is_serious(self) -> bool:
+        """Whether a rule was broken, a node crashed or the run stood still."""
+        return self.severity()[0] > 0
 
 
-def judge(tree: Tree) -> Finding:
-    """Play a scenario in virtual time."""
+def evaluate(tree: Tree) -> Finding:
+    """Plays a scenario in virtual time and returns its outcome."""
     try:
         rehearsal, _, _ = virtual.play(parse(deepcopy(tree), "drawn"))
     except Exception as problem:
-        # Guards against the end of a hunt, and the loss of all it has found, by a scenario that the kit can't
-        # play: seen with two replacements of one box.
+        # A scenario that the kit can't play must not end the hunt and lose its findings. Two replacements of
+        # one box were such a scenario.
         cause = problem.__cause__ or problem
         return Finding(f"kit {type(cause).__name__}", 0.0, 0, f"{problem}: {cause!r}")
     lost = 1.0 - rehearsal.account.total.service()
@@ -71,8 +76,8 @@
     if rehearsal.crashes:
         crash = rehearsal.crashes[0]
         return Finding(f"crash {crash.what.split(':')[0]}", lost, len(breaks), f"{crash.node}: {crash.what}")
-    if rehearsal.stuck:
-        return Finding("stuck", lost, len(breaks), rehearsal.stuck)
+    if rehearsal.stuck_reason:
+        return Finding("stuck", lost, len(breaks), rehearsal.stuck_reason)
     if breaks:
         first = breaks[0]
         return Finding(f"rule {first.rule}", lost, len(breaks), f"{first.name}: {first.evidence}")
@@ -82,49 +87,50 @@
 # Drawing.
 
 
-def draw(seed: int, index: int) -> Tree:
-    """The `index`-th scenario of a hunt."""
+def draw_scenario(seed: int, index: int) -> Tree:
+    """Draws the `index`-th scenario of a hunt."""
     random = random_for(seed, "hunt", index)
     boxes = random.randint(4, 8)
-    # Around 35 requests a second are what one box does of the default classes.
+    # One box serves about 35 requests per second of the default classes.
     rate = round(boxes * 35 * random.uniform(0.5, 1.1), 1)
     return {
         "version": 1,
         "name": f"hunt-{seed}-{index}",
         "seed": random.randrange(1 << 31),
-        "seconds": SECONDS,
+        "seconds": SCENARIO_S,
         "load": {"rate": rate, "keys": random.choice((50, 400, 1500))},
         "nodes": {"count": random.randint(1, 3)},
         "boxes": {"count": boxes, "grace_s": 3.0},
-        "fault": [_fault(random, boxes) for _ in range(random.randint(1, 4))],
+        "fault": [_draw_fault(random, boxes) for _ in range(random.randint(1, 4))],
     }
 
 
-def _fault(random: Random, boxes: int) -> Tree:
-    kind = random.choice(tuple(_DRAWS))
-    drawn: Tree = {
+def _draw_fault(random: Random, boxes: int) -> Tree:
+    kind = random.choice(tuple(_FAULT_DRAWS))
+    fault: Tree = {
         "kind": kind,
-        "at_s": round(random.uniform(0.5, SECONDS * 0.6), 1),
-        "for_s": round(random.uniform(2.0, SECONDS * 0.6), 1),
+        "at_s": round(random.uniform(0.5, SCENARIO_S * 0.6), 1),
+        "for_s": round(random.uniform(2.0, SCENARIO_S * 0.6), 1),
     }
-    return drawn | _DRAWS[kind](random, boxes)
+    return fault | _FAULT_DRAWS[kind](random, boxes)
 
 
 def _log_uniform(random: Random, low: float, high: float) -> float:
     return round(exp(random.uniform(log(low), log(high))), 2)
 
 
-def _some(random: Random, boxes: int) -> Tree:
+def _boxes_to_hit(random: Random, boxes: int) -> Tree:
     return {"boxes": random.randint(1, max(1, boxes // 2))}
 
 
-_DRAWS: dict[str, Callable[[Random, int], Tree]] = {
-    "slow-boxes": lambda random, boxes: _some(random, boxes) | {"times": _log_uniform(random, 2, 12)},
+_FAULT_DRAWS: dict[str, Callable[[Random, int], Tree]] = {
+    "slow-boxes": lambda random, boxes: _boxes_to_hit(random, boxes) | {"times": _log_uniform(random, 2, 12)},
     "everything-slow": lambda random, _: {"times": _log_uniform(random, 1.3, 4)},
-    "box-dies": _some,
-    "box-vanishes": _some,
-    "box-errors": lambda random, boxes: _some(random, boxes) | {"share": round(random.uniform(0.1, 1.0), 2)},
-    "replace": lambda random, boxes: _some(random, boxes) | {"same_address": random.random() < 0.5},
+    "box-dies": _boxes_to_hit,
+    "box-vanishes": _boxes_to_hit,
+    "box-errors": lambda random, boxes: _boxes_to_hit(random, boxes)
+    | {"share": round(random.uniform(0.1, 1.0), 2)},
+    "replace": lambda random, boxes: _boxes_to_hit(random, boxes) | {"same_address": random.random() < 0.5},
     "traffic-jump": lambda random, _: {"times": _log_uniform(random, 1.3, 4)},
     "surge": lambda random, _: {"of_class": "paid-live", "times": _log_uniform(random, 2, 8)},
     "list-outage": lambda random, _: {"silent": random.random() < 0.5},
@@ -140,53 +146,56 @@
 # Shrinking.
 
 
-def smaller(tree: Tree) -> Iterator[Tree]:
-    """Scenarios that are a little less than this one, the largest cuts first."""
+def shrink_candidates(tree: Tree) -> Iterator[Tree]:
+    """Yields scenarios that are slightly smaller than this one, the largest reductions first."""
     faults = tree["fault"]
     for index in range(len(faults)):
         if len(faults) > 1:
             yield tree | {"fault": faults[:index] + faults[index + 1 :]}
-    last = max((one["at_s"] for one in faults), default=0.0)
+    last_begin_s = max((fault["at_s"] for fault in faults), default=0.0)
     for seconds in (tree["seconds"] / 2, tree["seconds"] * 0.75):
-        if seconds >= max(LEAST_SECONDS, last + 1.0):
+        if seconds >= max(MIN_SCENARIO_S, last_begin_s + 1.0):
             yield tree | {"seconds": round(seconds, 1)}
-    for table, key, least in (("load", "rate", 5.0), ("boxes", "count", 2), ("nodes", "count", 1)):
+    for table, key, minimum in (("load", "rate", 5.0), ("boxes", "count", 2), ("nodes", "count", 1)):
         value = tree[table][key]
         half = round(value / 2, 1) if isinstance(value, float) else value // 2
-        if half >= least and _fits(tree, key, table, half):
+        if half >= minimum and _fits(tree, key, table, half):
             yield tree | {table: tree[table] | {key: half}}
-    for index, one in enumerate(faults):
-        for key, least in (("for_s", 1.0), ("at_s", 0.5), ("boxes", 1), ("times", 1.2), ("extra_s", 1.0)):
-            value = one.get(key)
-            if value is None or value <= least:
+    for index, fault in enumerate(faults):
+        for key, minimum in (("for_s", 1.0), ("at_s", 0.5), ("boxes", 1), ("times", 1.2), ("extra_s", 1.0)):
+            value = fault.get(key)
+            if value is None or value <= minimum:
                 continue
-            half = max(1, value // 2) if isinstance(value, int) else max(least, round(value / 2, 1))
-            yield tree | {"fault": [*faults[:index], one | {key: half}, *faults[index + 1 :]]}
+            half = max(1, value // 2) if isinstance(value, int) else max(minimum, round(value / 2, 1))
+            yield tree | {"fault": [*faults[:index], fault | {key: half}, *faults[index + 1 :]]}
 
 
-def _fits(tree: Tree, key: str, table: str, value: float) -> bool:
+def _fits(tree: Tree, key: str, table: str, count: float) -> bool:
     if table != "boxes":
         return True
-    return all(one.get("boxes", 1) <= value for one in tree["fault"])
+    return all(fault.get("boxes", 1) <= count for fault in tree["fault"])
 
 
 def shrink(
-    tree: Tree, found: Finding, budget: int, judge: Callable[[Tree], Finding]
+    tree: Tree, finding: Finding, budget: int, evaluate: Callable[[Tree], Finding]
 ) -> tuple[Tree, Finding, int]:
-    """The smallest scenario met that still fails in the same way: with what it did, and the runs spent."""
+    """Returns the smallest scenario found that still fails in the same way, its outcome, and the number of
+    runs spent."""
     spent = 0
-    again = True
-    while again:
-        again = False
-        for candidate in smaller(tree):
+    improved = True
+    while improved:
+        improved = False
+        for candidate in shrink_candidates(tree):
             if spent >= budget:
-                return tree, found, spent
+                return tree, finding, spent
             spent += 1
-            tried = judge(candidate)
-            if tried.way == found.way and (found.is_grave() or tried.lost >= KEEPS * found.lost):
-                tree, found, again = candidate, tried, True
+            smaller_finding = evaluate(candidate)
+            if smaller_finding.failure == finding.failure and (
+                finding.is_serious() or smaller_finding.lost >= MIN_KEPT_LOSS * finding.lost
+            ):
+                tree, finding, improved = candidate, smaller_finding, True
                 break
-    return tree, found, spent
+    return tree, finding, spent
 
 
 # The hunt.
@@ -194,125 +203,135 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
+    """The result of a hunt."""
+
     seed: int
     runs: int
-    tree: Tree
-    found: Finding
-    drawn: Finding  # before it was made smaller
+    scenario: Tree
+    finding: Finding
+    drawn_finding: Finding  # before shrinking
     cut_off: bool
-    kits: tuple[tuple[Tree, Finding], ...] = ()  # what the kit itself failed on
+    kit_failures: tuple[tuple[Tree, Finding], ...] = ()  # scenarios on which the kit itself failed
 
     def as_data(self) -> Tree:
+        """Returns the result as plain data for JSON."""
         return {
             "format": FORMAT,
             "seed": self.seed,
             "runs": self.runs,
             "cut_off": self.cut_off,
-            "way": self.found.way,
-            "lost": round(self.found.lost, 6),
-            "breaks": self.found.breaks,
-            "evidence": self.found.evidence,
-            "lost_as_drawn": round(self.drawn.lost, 6),
-            "scenario": self.tree,
+            "way": self.finding.failure,
+            "lost": round(self.finding.lost, 6),
+            "breaks": self.finding.breaks,
+            "evidence": self.finding.evidence,
+            "lost_as_drawn": round(self.drawn_finding.lost, 6),
+            "scenario": self.scenario,
             "kit_failures": [
-                {"way": found.way, "evidence": found.evidence, "scenario": tree} for tree, found in self.kits
+                {"way": finding.failure, "evidence": finding.evidence, "scenario": scenario}
+                for scenario, finding in self.kit_failures
             ],
         }
 
 
 def hunt(
-    seed: int, budget: int, jobs: int = 1, tick: Callable[[int, str], None] = lambda runs, what: None,
+    seed: int, budget: int, jobs: int = 1, tick: Callable[[int, str], None] = lambda runs, description: None,
     interrupted: Callable[[], bool] = lambda: False,
 ) -> Result:  # fmt: skip
-    """At most `budget` runs. A grave finding ends the drawing; the same seed finds the same, with any number
-    of jobs."""
-    to_draw = max(1, budget - int(budget * SHRINK_PART)) if budget > 1 else 1
+    """Searches with at most `budget` runs. A serious finding ends the drawing of scenarios. The same seed
+    gives the same result with any number of jobs."""
+    draw_count = max(1, budget - int(budget * SHRINK_BUDGET_SHARE)) if budget > 1 else 1
     worst: tuple[Tree, Finding] | None = None
-    kits: list[tuple[Tree, Finding]] = []
+    kit_failures: list[tuple[Tree, Finding]] = []
     runs = 0
-    for tree, found in _drawn(seed, to_draw, jobs):
+    for tree, finding in _evaluate_drawn(seed, draw_count, jobs):
         runs += 1
-        if found.is_the_kits():
-            kits.append((tree, found))
-        elif worst is None or found.badness() > worst[1].badness():
-            worst = tree, found
+        if finding.is_kit_failure():
+            kit_failures.append((tree, finding))
+        elif worst is None or finding.severity() > worst[1].severity():
+            worst = tree, finding
         if worst is not None:
-            tick(runs, f"worst so far: {worst[1].way}, {worst[1].lost:.3f} lost")
-        if found.is_grave() or interrupted():
+            tick(runs, f"worst so far: {worst[1].failure}, {worst[1].lost:.3f} lost")
+        if finding.is_serious() or interrupted():
             break
-    if worst is None:  # the kit failed on every one
-        (tree, drawn), *_ = kits
-        return Result(seed, runs, tree, drawn, drawn, interrupted(), tuple(kits))
-    tree, drawn = worst
+    if worst is None:  # the kit failed on every scenario
+        (tree, drawn_finding), *_ = kit_failures
+        return Result(seed, runs, tree, drawn_finding, drawn_finding, interrupted(), tuple(kit_failures))
+    tree, drawn_finding = worst
     cut_off = interrupted()
-    found = drawn
+    finding = drawn_finding
     if not cut_off:
 
-        def tried(candidate: Tree) -> Finding:
+        def evaluate_candidate(candidate: Tree) -> Finding:
             nonlocal runs
             runs += 1
-            tick(runs, f"making it smaller: {drawn.way}")
-            return judge(candidate)
+            tick(runs, f"making it smaller: {drawn_finding.failure}")
+            return evaluate(candidate)
 
-        tree, found, _ = shrink(tree, drawn, budget - runs, tried)
-    return Result(seed, runs, tree, found, drawn, cut_off, tuple(kits))
+        tree, finding, _ = shrink(tree, drawn_finding, budget - runs, evaluate_candidate)
+    return Result(seed, runs, tree, finding, drawn_finding, cut_off, tuple(kit_failures))
 
 
-def _drawn(seed: int, number: int, jobs: int) -> Iterator[tuple[Tree, Finding]]:
-    trees = [draw(seed, index) for index in range(number)]
+def _evaluate_drawn(seed: int, number: int, jobs: int) -> Iterator[tuple[Tree, Finding]]:
+    """Yields drawn scenarios with their outcomes, in the order of their index."""
+    trees = [draw_scenario(seed, index) for index in range(number)]
     if jobs <= 1:
         for tree in trees:
-            yield tree, judge(tree)
+            yield tree, evaluate(tree)
         return
     with ProcessPoolExecutor(jobs, mp_context=get_context("fork")) as pool:
         try:
-            yield from zip(trees, pool.map(judge, trees), strict=True)
+            yield from zip(trees, pool.map(evaluate, trees), strict=True)
         finally:
             pool.shutdown(wait=False, cancel_futures=True)
 
 
-def file_text(result: Result, tree: Tree | None = None, found: Finding | None = None) -> str:
-    """A scenario file that replays what was found: the worst, or another one."""
-    found = found or result.found
-    evidence = " ".join(found.evidence.split())
-    head = (
+def file_text(result: Result, tree: Tree | None = None, finding: Finding | None = None) -> str:
+    """Returns the text of a scenario file that replays a finding: by default the worst one."""
+    finding = finding or result.finding
+    evidence = " ".join(finding.evidence.split())
+    header = (
         f"# Found by: driftstair rehearse hunt --seed {result.seed}, in {result.runs} runs.\n"
-        f"# {found.way}: {evidence}\n\n"
+        f"# {finding.failure}: {evidence}\n\n"
     )
-    return head + tomli_w.dumps(tree or result.tree)
+    return header + tomli_w.dumps(tree or result.scenario)
 
 
 def command(options: argparse.Namespace, console: Console) -> int:
-    from driftstair.rehearsal.command import BROKEN, KEPT, interruptible
+    """Implements `driftstair rehearse hunt`."""
+    from driftstair.rehearsal.command import EXIT_RULES_BROKEN, EXIT_RULES_KEPT, interruptible
 
     seed = options.seed or 1
     jobs = options.jobs or min(options.budget, os.cpu_count() or 1)
     err = Console(stderr=True)
 
-    def tick(runs: int, what: str) -> None:
+    def tick(runs: int, description: str) -> None:
         if err.is_terminal:
-            err.print(f"run {runs} of {options.budget}; {what}", end="\r", highlight=False)
+            err.print(f"run {runs} of {options.budget}; {description}", end="\r", highlight=False)
 
     with interruptible() as interrupted:
         result = hunt(seed, options.budget, jobs, tick, interrupted)
-    path = options.out or f"{result.tree['name']}.toml"
+    path = options.out or f"{result.scenario['name']}.toml"
     with open(path, "w", encoding="utf-8") as file:
         file.write(file_text(result))
-    for tree, found in result.kits:
-        kept = f"{tree['name']}-kit.toml"
-        with open(kept, "w", encoding="utf-8") as file:
-            file.write(file_text(result, tree, found))
-        err.print(f"{found.way}: the kit itself failed; kept in {kept}", markup=False, highlight=False)
+    for tree, finding in result.kit_failures:
+        path_of_failure = f"{tree['name']}-kit.toml"
+        with open(path_of_failure, "w", encoding="utf-8") as file:
+            file.write(file_text(result, tree, finding))
+        err.print(
+            f"{finding.failure}: the kit itself failed; kept in {path_of_failure}",
+            markup=False,
+            highlight=False,
+        )
     if options.json == "-":
         sys.stdout.write(to_json(result.as_data()))
     else:
         if options.json:
             with open(options.json, "w", encoding="utf-8") as file:
                 file.write(to_json(result.as_data()))
-        style = "red" if result.found.is_grave() else "yellow"
-        console.print(f"[bold {style}]{result.found.way}[/] after {result.runs} runs", highlight=False)
-        console.print(result.found.evidence, markup=False, highlight=False)
+        style = "red" if result.finding.is_serious() else "yellow"
+        console.print(f"[bold {style}]{result.finding.failure}[/] after {result.runs} runs", highlight=False)
+        console.print(result.finding.evidence, markup=False, highlight=False)
         console.print(f"[dim]written to {path}; replay it with: driftstair rehearse {path}[/dim]")
         if result.cut_off:
             console.print("[yellow]cut off[/yellow]")
-    return BROKEN if result.found.is_grave() or result.kits else KEPT
+    return EXIT_RULES_BROKEN if result.finding.is_serious() or result.kit_failures else EXIT_RULES_KEPT
--- a/driftstair/rehearsal/load.py
+++ b/driftstair/rehearsal/load.py
@@ -86,15 +86,15 @@
 
 
 def classes(of: Scenario) -> tuple[model.Class, ...]:
-    return of.classes or model.CLASSES
+    return of.classes or model.DEFAULT_CLASSES
 
 
 def tenants(of: Scenario) -> tuple[model.Tenant, ...]:
-    return of.tenants or model.TENANTS
+    return of.tenants or model.DEFAULT_TENANTS
 
 
 def kinds(of: Scenario) -> tuple[model.Kind, ...]:
-    return of.boxes.kind or model.KINDS
+    return of.boxes.kind or model.DEFAULT_KINDS
 
 
 def _read(source: str) -> tuple[str, dict[str, Any]]:
@@ -267,7 +267,7 @@
                     refuse(f"{key}.boxes", f"no such box: {name!r}; there are {names[0]} to {names[-1]}")
 
 
-def _check_nodes(found: Scenario, chosen: model.Chosen, key: str, refuse: Any) -> None:
+def _check_nodes(found: Scenario, chosen: model.Selection, key: str, refuse: Any) -> None:
     nodes = node_names(found.nodes.count)
     if isinstance(chosen, int) and not 1 <= chosen <= len(nodes):
         refuse(key, f"{chosen} of {len(nodes)} nodes can't be chosen")
--- a/driftstair/rehearsal/options.py
+++ b/driftstair/rehearsal/options.py
@@ -1,4 +1,4 @@
-"""`driftstair rehearse`: its options. What they start is loaded only then."""
+"""The command line options of `driftstair rehearse`. What they start is imported only when it runs."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 
 
 def add(commands: Any) -> None:
+    """Adds the `rehearse` command to the parser's commands."""
     rehearse: argparse.ArgumentParser = commands.add_parser(
         "rehearse",
         help="play past faults against the daemon on this machine",
@@ -40,7 +41,7 @@
     rehearse.set_defaults(run=_run)
 
 
-def _run(found: argparse.Namespace) -> int:
+def _run(options: argparse.Namespace) -> int:
     from driftstair.rehearsal.command import run
 
-    return run(found)
+    return run(options)
--- a/driftstair/rehearsal/platform.py
+++ b/driftstair/rehearsal/platform.py
@@ -7,7 +7,7 @@
 
 from driftstair.rehearsal import load
 from driftstair.rehearsal.cold import ColdRule
-from driftstair.rehearsal.rules import MS, Repeats, RuleBook
+from driftstair.rehearsal.rules import NS_PER_MS, ClassSemantics, RuleBook
 from driftstair.rehearsal.scenario import Scenario
 
 SEMANTICS = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
@@ -39,7 +39,8 @@
         "Feedback": {"Fields": ["load_share", "depth"], "How": "answers"},
         "Grades": [
             {
-                "Name": one.name, "Aim": int(one.wanted_ms * MS), "Deadline": int(one.given_up_ms * MS),
+                "Name": one.name, "Aim": int(one.wanted_ms * NS_PER_MS),
+                "Deadline": int(one.given_up_ms * NS_PER_MS),
                 "Worth": one.worth, "LateShare": 0.0, "Semantics": SEMANTICS[one.effect], "Group": "all",
                 "MemorySpan": _ns(one.repeats_dropped_s), "Stream": False,
             }
@@ -50,7 +51,7 @@
         "Tenants": [{"Name": tenant.name, "Share": tenant.share / total} for tenant in tenants],
         "MembershipMode": "pushed" if of.list.mode == "pushed" else "on_request",
         "Limits": {
-            "DialTimeout": int(of.nodes.dial_timeout_ms * MS),
+            "DialTimeout": int(of.nodes.dial_timeout_ms * NS_PER_MS),
             "IdleClose": _ns(min(kind.idle_s for kind in load.kinds(of))),
             "MaxRetryAfter": _ns(of.nodes.retry_after_most_s),
             "OpenCap": of.nodes.open_most,
@@ -83,9 +84,11 @@
 
 def rule_book(of: Scenario) -> RuleBook:
     return RuleBook(
-        classes={one.name: Repeats(one.effect, _ns(one.repeats_dropped_s)) for one in load.classes(of)},
-        answer_grace=int(of.rules.answer_grace_ms * MS),
-        drain_grace=_ns(of.rules.drain_grace_s),
-        ask_within=_ns(of.list.ask_within_s),
-        cold=ColdRule(of.rules.cold_multiple, _ns(of.rules.cold_window_s)),
+        classes={
+            one.name: ClassSemantics(one.effect, _ns(one.repeats_dropped_s)) for one in load.classes(of)
+        },
+        answer_grace_ns=int(of.rules.answer_grace_ms * NS_PER_MS),
+        drain_grace_ns=_ns(of.rules.drain_grace_s),
+        ask_within_ns=_ns(of.list.ask_within_s),
+        cold_rule=ColdRule(of.rules.cold_multiple, _ns(of.rules.cold_window_s)),
     )
--- a/driftstair/rehearsal/report/build.py
+++ b/driftstair/rehearsal/report/build.py
@@ -33,7 +33,7 @@
     """Builds the report of a finished rehearsal."""
 
     def relative_s(ns: int) -> float:
-        return round((ns - rehearsal.began) / 1e9, 6)
+        return round((ns - rehearsal.began_ns) / 1e9, 6)
 
     account, scenario = rehearsal.account, rehearsal.scenario
     by_rule = dict.fromkeys(RULE_NAMES, 0)
@@ -51,7 +51,7 @@
             "breaks_by_rule": {str(rule): number for rule, number in by_rule.items()},
             "crashes": len(rehearsal.crashes),
             **({} if rehearsal.tier is None else {"tier_findings": len(rehearsal.tier.findings)}),
-            "requests_judged": rehearsal.checker.judged,
+            "requests_judged": rehearsal.checker.requests_judged,
             "first_attempts": rehearsal.checker.first_attempts,
             "further_attempts": rehearsal.checker.further_attempts,
         },
@@ -74,11 +74,11 @@
         ],
         **({} if rehearsal.tier is None else {"tier": tier.tier_section(rehearsal.tier, relative_s)}),
         "pushed_over_unknowingly": [
-            {"at": relative_s(when), "box": box} for when, box in rehearsal.checker.fallen
+            {"at": relative_s(when), "box": box} for when, box in rehearsal.checker.excused_overloads
         ],
         "troubles": [
             {"from": relative_s(begin), "to": relative_s(end), "kind": kind}
-            for begin, end, kind in rehearsal.spans
+            for begin, end, kind in rehearsal.fault_spans
         ],
         "events": [{"at": relative_s(item.at), "what": item.what} for item in rehearsal.events],
         "seconds": _seconds(rehearsal),
@@ -99,7 +99,7 @@
                 "kind": box.kind.name, "speed": round(box.figures.speed, 4), "handled": box.handled,
                 "turned_away": box.turned_away, "jams": box.engine.jams,
             }
-            for box in (*rehearsal.gone.values(), *rehearsal.boxes.values())
+            for box in (*rehearsal.removed_boxes.values(), *rehearsal.boxes.values())
         },
         "log": [
             {"at": relative_s(when), "node": node, "level": level, "text": text}
@@ -124,9 +124,9 @@
 
 def _ended(rehearsal: Rehearsal) -> str:
     """Returns how the run ended."""
-    if rehearsal.stuck:
-        return f"stuck: {rehearsal.stuck}"
-    return "cut off" if rehearsal.cut_off else "whole"
+    if rehearsal.stuck_reason:
+        return f"stuck: {rehearsal.stuck_reason}"
+    return "cut off" if rehearsal.was_interrupted else "whole"
 
 
 def _group(tally: Tally) -> dict[str, Any]:
--- a/driftstair/rehearsal/report/html.py
+++ b/driftstair/rehearsal/report/html.py
@@ -45,10 +45,12 @@
         self.begin, self.end = begin, max(end, begin + 1.0)
 
     def x(self, at: float) -> float:
+        """Returns the horizontal position of a time; times outside the axis are clamped."""
         at = min(max(at, self.begin), self.end)
         return LEFT + (WIDTH - LEFT - RIGHT) * (at - self.begin) / (self.end - self.begin)
 
     def ticks(self) -> list[float]:
+        """Returns the times of the axis labels."""
         span = self.end - self.begin
         step = next(option for option in (1, 2, 5, 10, 20, 30, 60, 120, 300, 600, 1800, 3600, 7200, 14400)
                     if span / option <= 16)  # fmt: skip
--- a/driftstair/rehearsal/rules.py
+++ b/driftstair/rehearsal/rules.py
@@ -1,15 +1,19 @@
-"""The four rules, judged by what crossed the wire and by nothing else.
+"""The four rules, judged only by what crossed the wire.
+
+1. No request is lost: a request that a running node has accepted gets exactly one final answer while its
+client waits. If it is a box's answer, the box made it for this very request. After it nothing more is sent
+for the request.
 
-1. No request is lost: what a running node has taken gets exactly one final answer while its client waits, one
-   that a box made for this very request if it is an answer at all; after it nothing more is sent for it.
 2. No effect happens twice: an unsafe request gets another attempt, or a refusal, only when every earlier
-   attempt is known not to have run; a keyed one only within the time in which its repeats are dropped.
-3. Drains are kept: nothing new goes to a box later than a grace after the node was told that it drains or is
-   gone, or counts as told.
-4. No cold box is pushed over by nodes that were told of its start.
+attempt is known not to have run; a keyed one only within the time in which its repeats are dropped.
+
+3. Drains are kept: no new request goes to a box later than a grace period after the node was told that it
+drains or is gone, or counts as told.
 
-`Checker.note` takes observations in the order of their times; `finish` ends the run. The checker knows
-nothing of sockets, processes or the daemon, and is the same for every front.
+4. No cold box is overloaded by nodes that were told of its start.
+
+`Checker.note` takes observations in the order of their times; `finish` ends the run. The checker does not
+depend on sockets, processes or the daemon, and is the same for every environment.
 """
 
 from __future__ import annotations
@@ -21,7 +25,7 @@
 from driftstair.rehearsal.cold import ColdBudget, ColdRule
 from driftstair.rehearsal.wire import HostState
 
-MS = 1_000_000  # ns
+NS_PER_MS = 1_000_000
 
 RULE_NAMES = {
     1: "no request is lost",
@@ -29,34 +33,35 @@
     3: "drains are kept",
     4: "no cold box is pushed over",
 }
-REFUSALS = (429, 503)
-TOLD_PART = 2 / 3  # of the work that pushed a cold box over, from nodes that knew of its start
+REFUSAL_STATUSES = (429, 503)
+INFORMED_SHARE = 2 / 3  # share of an overload's work from nodes that knew of the start, to break rule 4
 
 
 @dataclass(frozen=True, slots=True)
-class Repeats:
-    """What a class allows. `window`: ns in which a keyed request's repeats are dropped."""
+class ClassSemantics:
+    """What may be repeated for a class: `effect` is "safe", "keyed" or "unsafe"; `repeat_window_ns` is the
+    time in which a keyed request's repeats are dropped."""
 
     effect: str = "safe"  # or "keyed", "unsafe"
-    window: int = 0
+    repeat_window_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RuleBook:
-    """The figures of the rules; durations in ns."""
+    """The figures of the rules."""
 
-    classes: dict[str, Repeats] = field(default_factory=dict)
-    answer_grace: int = 50 * MS
-    sending_grace: int = 50 * MS  # an attempt may still be on its way when the answer is
-    drain_grace: int = 1_000 * MS
-    socket_grace: int = 50 * MS  # each limit is so much longer on sockets
-    ask_within: int = 10_000 * MS
-    cold: ColdRule = field(default_factory=ColdRule)
+    classes: dict[str, ClassSemantics] = field(default_factory=dict)
+    answer_grace_ns: int = 50 * NS_PER_MS
+    sending_grace_ns: int = 50 * NS_PER_MS  # an attempt may be in transit when the answer is sent
+    drain_grace_ns: int = 1_000 * NS_PER_MS
+    socket_grace_ns: int = 50 * NS_PER_MS  # added to limits, for delays of real sockets
+    ask_within_ns: int = 10_000 * NS_PER_MS
+    cold_rule: ColdRule = field(default_factory=ColdRule)
 
 
 @dataclass(frozen=True, slots=True)
-class Break:
-    """One rule broken once."""
+class RuleBreak:
+    """One violation of a rule."""
 
     rule: int
     at: int  # ns
@@ -67,333 +72,425 @@
 
     @property
     def name(self) -> str:
+        """Returns the text of the broken rule."""
         return RULE_NAMES[self.rule]
 
 
 @dataclass(slots=True)
 class _Attempt:
+    """One attempt at a box."""
+
     number: int
     box: str
-    began: int
-    whole: int = -1  # when its last byte came; below 0: not yet
-    not_run: int = -1  # when the box said that it did not run
+    began_at: int
+    complete_at: int = -1  # when its last byte arrived; below 0: not yet
+    rejected_at: int = -1  # when the box answered that it did not run; below 0: never
 
 
 @dataclass(slots=True)
-class _Ask:
-    """One request, by its id, over all that became of it."""
+class _RequestRecord:
+    """The state of one request, by its id, over all its attempts."""
 
     node: str
     kind: str
-    asked: int
-    until: int  # when the client stops waiting, with the grace
-    connected: int
+    asked_at: int
+    deadline: int  # when the client stops waiting, plus the grace
+    connected_at: int
     open: bool = True
     status: int = 0
-    ended: int = 0
-    voided: bool = False  # held by a node that died
-    asked_again: bool = False
+    ended_at: int = 0
+    excused: bool = False  # held by a node that was killed: no answer is owed
+    sent_again: bool = False
     attempts: list[_Attempt] = field(default_factory=list)
     tokens: set[bytes] = field(default_factory=set)
 
 
 @dataclass(slots=True)
-class _Cold:
+class _ColdBox:
+    """A box that is not yet warm."""
+
     budget: ColdBudget
-    fell: bool = False
+    overloaded: bool = False
 
 
 class Checker:
-    def __init__(self, book: RuleBook) -> None:
-        self.breaks: list[Break] = []
-        self.fallen: list[tuple[int, str]] = []  # boxes pushed over by nodes that could not know
-        self.judged = 0  # requests
+    """Judges the rules over a run."""
+
+    def __init__(self, figures: RuleBook) -> None:
+        self.breaks: list[RuleBreak] = []
+        # Boxes overloaded by nodes that could not know of their start.
+        self.excused_overloads: list[tuple[int, str]] = []
+        self.requests_judged = 0
         self.first_attempts: dict[str, int] = {}  # at boxes, by class
         self.further_attempts: dict[str, int] = {}
-        self._book = book
-        self._asks: dict[bytes, _Ask] = {}
-        self._due: list[tuple[int, bytes]] = []
-        self._forget: list[tuple[int, bytes]] = []
-        self._attempts: dict[int, tuple[bytes, _Attempt]] = {}
-        self._down: dict[str, bool] = {}
-        self._died: dict[str, int] = {}  # when a node's process last ended
-        self._told: dict[tuple[str, str], tuple[int, HostState, int]] = {}
-        self._listed: dict[str, tuple[int, HostState, int]] = {}
-        self._contact: dict[str, tuple[int, bool]] = {}
-        self._cold: dict[str, _Cold] = {}
+        self._figures = figures
+        self._requests: dict[bytes, _RequestRecord] = {}
+        self._deadlines: list[tuple[int, bytes]] = []
+        self._expiries: list[tuple[int, bytes]] = []
+        self._attempts_by_number: dict[int, tuple[bytes, _Attempt]] = {}
+        self._is_down: dict[str, bool] = {}
+        self._last_exit: dict[str, int] = {}  # when a node's process last ended
+        self._told_states: dict[tuple[str, str], tuple[int, HostState, int]] = {}
+        self._listed_states: dict[str, tuple[int, HostState, int]] = {}
+        self._last_contact: dict[str, tuple[int, bool]] = {}
+        self._cold_boxes: dict[str, _ColdBox] = {}
         self._handlers = {
-            wire.Asked: self._asked, wire.Answered: self._answered, wire.Cut: self._cut,
-            wire.LeftOff: self._left_off, wire.Unasked: self._unasked, wire.Sending: self._sending,
-            wire.Sent: self._sent, wire.NotRun: self._not_run, wire.Ran: self._ran,
-            wire.Listed: self._list_changed, wire.Told: self._node_told, wire.Contact: self._node_asked,
-            wire.NodeUp: self._node_up, wire.NodeDown: self._node_down, wire.BoxUp: self._box_up,
-            wire.BoxDown: self._box_down,
+            wire.Asked: self._on_asked, wire.Answered: self._on_answered, wire.Cut: self._on_cut,
+            wire.LeftOff: self._on_left_off, wire.Unasked: self._on_unasked, wire.Sending: self._on_sending,
+            wire.Sent: self._on_sent, wire.NotRun: self._on_not_run, wire.Ran: self._on_ran,
+            wire.Listed: self._on_listed, wire.Told: self._on_told, wire.Contact: self._on_contact,
+            wire.NodeUp: self._on_node_up, wire.NodeDown: self._on_node_down, wire.BoxUp: self._on_box_up,
+            wire.BoxDown: self._on_box_down,
         }  # fmt: skip
 
-    def note(self, seen: wire.Observation) -> None:
-        if self._due and self._due[0][0] < seen.at:
-            self._look_at_clock(seen.at)
-        self._handlers[type(seen)](seen)  # type: ignore[operator]
+    def note(self, observation: wire.Observation) -> None:
+        """Takes the next observation."""
+        if self._deadlines and self._deadlines[0][0] < observation.at:
+            self._check_deadlines(observation.at)
+        self._handlers[type(observation)](observation)  # type: ignore[operator]
 
-    def finish(self, now: int) -> list[Break]:
-        """The run is over, and all that was still due has had its time by `now`."""
-        self._look_at_clock(now)
+    def finish(self, now: int) -> list[RuleBreak]:
+        """Ends the run and returns all violations. `now` must be late enough for every pending request to
+        have had its time."""
+        self._check_deadlines(now)
         return self.breaks
 
-    def _broken(
+    def _report_break(
         self, rule: int, at: int, evidence: str, request: bytes = b"", box: str = "", node: str = ""
     ) -> None:
-        self.breaks.append(Break(rule, at, request.decode("latin-1"), box, node, evidence))
+        self.breaks.append(RuleBreak(rule, at, request.decode("latin-1"), box, node, evidence))
 
     # Rule 1: exactly one final answer, in time.
 
-    def _look_at_clock(self, now: int) -> None:
-        while self._due and self._due[0][0] < now:
-            _, request = heappop(self._due)
-            ask = self._asks.get(request)
-            if ask is None or ask.until >= now:
+    def _check_deadlines(self, now: int) -> None:
+        while self._deadlines and self._deadlines[0][0] < now:
+            _, request = heappop(self._deadlines)
+            record = self._requests.get(request)
+            if record is None or record.deadline >= now:
                 continue
-            if ask.open and not ask.voided:
-                waited = (ask.until - ask.asked) / 1e9
-                self._broken(
-                    1, ask.until, f"no final answer within {waited:.3f} s; {_history(ask)}", request,
-                    node=ask.node,
-                )  # fmt: skip
-                self._end(ask, ask.until)
-            # What comes for it later would still be a break; long after that it can be forgotten.
-            heappush(self._forget, (ask.until + 60_000 * MS, request))
-        while self._forget and self._forget[0][0] < now:
-            _, request = heappop(self._forget)
-            if (ask := self._asks.pop(request, None)) is not None:
-                for attempt in ask.attempts:
-                    self._attempts.pop(attempt.number, None)
-
-    def _end(self, ask: _Ask, at: int) -> None:
-        ask.open = False
-        ask.ended = at
-
-    def _asked(self, seen: wire.Asked) -> None:
-        ask = self._asks.get(seen.request)
-        if ask is not None:
-            # Sent once more on another connection; it keeps its history of attempts.
-            ask.asked_again = True
-            ask.node, ask.connected, ask.open = seen.node, seen.connected, True
-            ask.asked, ask.until = seen.at, seen.at + seen.patience + self._book.answer_grace
+            if record.open and not record.excused:
+                waited = (record.deadline - record.asked_at) / 1e9
+                self._report_break(
+                    1,
+                    record.deadline,
+                    f"no final answer within {waited:.3f} s; {_history(record)}",
+                    request,
+                    node=record.node,
+                )
+                self._end_request(record, record.deadline)
+            # A later message for the request is still a violation, so its state is kept for another minute.
+            heappush(self._expiries, (record.deadline + 60_000 * NS_PER_MS, request))
+        while self._expiries and self._expiries[0][0] < now:
+            _, request = heappop(self._expiries)
+            if (record := self._requests.pop(request, None)) is not None:
+                for attempt in record.attempts:
+                    self._attempts_by_number.pop(attempt.number, None)
+
+    def _end_request(self, record: _RequestRecord, at: int) -> None:
+        record.open = False
+        record.ended_at = at
+
+    def _on_asked(self, event: wire.Asked) -> None:
+        record = self._requests.get(event.request)
+        if record is not None:
+            # Sent again on another connection; the history of attempts is kept.
+            record.sent_again = True
+            record.node, record.connected_at, record.open = event.node, event.connected, True
+            record.asked_at, record.deadline = (
+                event.at,
+                event.at + event.patience + self._figures.answer_grace_ns,
+            )
         else:
-            self.judged += 1
-            ask = self._asks[seen.request] = _Ask(
-                seen.node, seen.kind, seen.at, seen.at + seen.patience + self._book.answer_grace,
-                seen.connected,
+            self.requests_judged += 1
+            record = self._requests[event.request] = _RequestRecord(
+                event.node, event.kind, event.at, event.at + event.patience + self._figures.answer_grace_ns,
+                event.connected,
             )  # fmt: skip
-        # A dead machine takes nothing, and a connection to a process that has died is none.
-        ask.voided = self._down.get(seen.node, False) or seen.connected < self._died.get(seen.node, -1)
-        heappush(self._due, (ask.until, seen.request))
-
-    def _answered(self, seen: wire.Answered) -> None:
-        ask = self._asks.get(seen.request)
-        if ask is None:
-            self._broken(1, seen.at, "an answer to a request that nobody made", seen.request)
+        # A dead machine accepts nothing, and a connection to an ended process leads nowhere.
+        record.excused = self._is_down.get(event.node, False) or event.connected < self._last_exit.get(
+            event.node, -1
+        )
+        heappush(self._deadlines, (record.deadline, event.request))
+
+    def _on_answered(self, event: wire.Answered) -> None:
+        record = self._requests.get(event.request)
+        if record is None:
+            self._report_break(1, event.at, "an answer to a request that nobody made", event.request)
             return
-        if not ask.open:
-            how = f"answered {ask.status} before" if ask.status else "its client had stopped waiting"
-            if ask.status:
-                self._broken(1, seen.at, f"a second final answer, {seen.status}; {how}", seen.request,
-                             node=ask.node)  # fmt: skip
+        if not record.open:
+            reason = f"answered {record.status} before" if record.status else "its client had stopped waiting"
+            if record.status:
+                self._report_break(
+                    1,
+                    event.at,
+                    f"a second final answer, {event.status}; {reason}",
+                    event.request,
+                    node=record.node,
+                )
             return
-        ask.status = seen.status
-        self._end(ask, seen.at)
-        if seen.status == 200:
-            if seen.token not in ask.tokens:
-                what = f"served with what no box made for it: {seen.token!r}; {_history(ask)}"
-                self._broken(1, seen.at, what, seen.request, node=ask.node)
-        elif seen.status in REFUSALS and self._effect(ask) == "unsafe":
-            maybe = [one for one in ask.attempts if one.whole >= 0 and one.not_run < 0]
-            if maybe:
-                self._broken(2, seen.at, f"refused, though it may have run: {_history(ask)}", seen.request,
-                             maybe[0].box, ask.node)  # fmt: skip
-
-    def _cut(self, seen: wire.Cut) -> None:
-        ask = self._asks.get(seen.request)
-        if ask is None or not ask.open or ask.voided:
+        record.status = event.status
+        self._end_request(record, event.at)
+        if event.status == 200:
+            if event.token not in record.tokens:
+                description = f"served with what no box made for it: {event.token!r}; {_history(record)}"
+                self._report_break(1, event.at, description, event.request, node=record.node)
+        elif event.status in REFUSAL_STATUSES and self._effect_of(record) == "unsafe":
+            unconfirmed = [
+                attempt for attempt in record.attempts if attempt.complete_at >= 0 and attempt.rejected_at < 0
+            ]
+            if unconfirmed:
+                self._report_break(
+                    2,
+                    event.at,
+                    f"refused, though it may have run: {_history(record)}",
+                    event.request,
+                    unconfirmed[0].box,
+                    record.node,
+                )
+
+    def _on_cut(self, event: wire.Cut) -> None:
+        record = self._requests.get(event.request)
+        if record is None or not record.open or record.excused:
             return
-        if not ask.attempts and not ask.asked_again:
-            # Closed between requests, and this one crossed that: its client sends it once more.
-            self._end(ask, seen.at)
+        if not record.attempts and not record.sent_again:
+            # The node closed the connection between requests while this one was in transit; its client sends
+            # it again.
+            self._end_request(record, event.at)
             return
-        self._broken(1, seen.at, f"its connection ended ({seen.how}) with no answer; {_history(ask)}",
-                     seen.request, node=ask.node)  # fmt: skip
-        self._end(ask, seen.at)
-
-    def _left_off(self, seen: wire.LeftOff) -> None:
-        ask = self._asks.get(seen.request)
-        if ask is not None and ask.open:
-            self._end(ask, seen.at)
-
-    def _unasked(self, seen: wire.Unasked) -> None:
-        self._broken(1, seen.at, seen.what, node=seen.node)
+        self._report_break(
+            1,
+            event.at,
+            f"its connection ended ({event.how}) with no answer; {_history(record)}",
+            event.request,
+            node=record.node,
+        )
+        self._end_request(record, event.at)
+
+    def _on_left_off(self, event: wire.LeftOff) -> None:
+        record = self._requests.get(event.request)
+        if record is not None and record.open:
+            self._end_request(record, event.at)
+
+    def _on_unasked(self, event: wire.Unasked) -> None:
+        self._report_break(1, event.at, event.what, node=event.node)
 
     # Rule 2: no effect twice. Rule 3: drains.
 
-    def _effect(self, ask: _Ask) -> str:
-        found = self._book.classes.get(ask.kind)
-        return found.effect if found is not None else "safe"
-
-    def _sending(self, seen: wire.Sending) -> None:
-        self._check_drain(seen)
-        ask = self._asks.get(seen.request)
-        if ask is None:
-            self._broken(1, seen.at, "sent to a box, though no client asked for it", seen.request, seen.box,
-                         seen.node)  # fmt: skip
+    def _effect_of(self, record: _RequestRecord) -> str:
+        semantics = self._figures.classes.get(record.kind)
+        return semantics.effect if semantics is not None else "safe"
+
+    def _on_sending(self, event: wire.Sending) -> None:
+        self._check_drain(event)
+        record = self._requests.get(event.request)
+        if record is None:
+            self._report_break(
+                1,
+                event.at,
+                "sent to a box, though no client asked for it",
+                event.request,
+                event.box,
+                event.node,
+            )
             return
-        if not ask.open and ask.status and seen.left > ask.ended + self._book.sending_grace:
-            late = (seen.left - ask.ended) / 1e6
-            self._broken(1, seen.at, f"sent to a box {late:.0f} ms after its final answer, {ask.status}",
-                         seen.request, seen.box, seen.node)  # fmt: skip
-        self._check_repeat(seen, ask)
-        counted = self.further_attempts if ask.attempts else self.first_attempts
-        counted[ask.kind] = counted.get(ask.kind, 0) + 1
-        attempt = _Attempt(seen.attempt, seen.box, seen.at)
-        ask.attempts.append(attempt)
-        self._attempts[seen.attempt] = (seen.request, attempt)
-
-    def _check_repeat(self, seen: wire.Sending, ask: _Ask) -> None:
-        effect = self._effect(ask)
-        maybe = [one for one in ask.attempts if one.whole >= 0 and one.not_run < 0]
-        if effect == "unsafe" and maybe:
-            self._broken(2, seen.at, f"another attempt, though an earlier one may have run: {_history(ask)}",
-                         seen.request, seen.box, seen.node)  # fmt: skip
-        elif effect == "keyed" and maybe:
-            since = seen.at - min(one.whole for one in maybe)
-            window = self._book.classes[ask.kind].window
-            if since > window:
-                self._broken(
-                    2, seen.at,
-                    f"repeated {since / 1e9:.3f} s after it may have run; repeats are dropped for "
-                    f"{window / 1e9:.3f} s: {_history(ask)}", seen.request, seen.box, seen.node,
-                )  # fmt: skip
-
-    def _sent(self, seen: wire.Sent) -> None:
-        found = self._attempts.get(seen.attempt)
-        if found is not None:
-            found[1].whole = seen.at
-        cold = self._cold.get(seen.box)
-        if cold is not None:
-            self._check_cold(seen, cold)
-
-    def _not_run(self, seen: wire.NotRun) -> None:
-        found = self._attempts.get(seen.attempt)
-        if found is not None:
-            found[1].not_run = seen.at
-
-    def _ran(self, seen: wire.Ran) -> None:
-        ask = self._asks.get(seen.request)
-        if ask is not None:
-            ask.tokens.add(seen.token)
-
-    def _check_drain(self, seen: wire.Sending) -> None:
-        since = self._told_since(seen.node, seen.box, seen.at)
-        limit = self._book.drain_grace + self._book.socket_grace
-        if since is not None and seen.left > since[0] + limit:
-            self._broken(
-                3, seen.at,
-                f"sent {(seen.left - since[0]) / 1e9:.3f} s after the node {since[1]}; "
-                f"{limit / 1e9:.2f} s are allowed", seen.request, seen.box, seen.node,
-            )  # fmt: skip
+        if (
+            not record.open
+            and record.status
+            and event.left > record.ended_at + self._figures.sending_grace_ns
+        ):
+            late_ms = (event.left - record.ended_at) / 1e6
+            self._report_break(
+                1,
+                event.at,
+                f"sent to a box {late_ms:.0f} ms after its final answer, {record.status}",
+                event.request,
+                event.box,
+                event.node,
+            )
+        self._check_repeat(event, record)
+        counters = self.further_attempts if record.attempts else self.first_attempts
+        counters[record.kind] = counters.get(record.kind, 0) + 1
+        attempt = _Attempt(event.attempt, event.box, event.at)
+        record.attempts.append(attempt)
+        self._attempts_by_number[event.attempt] = (event.request, attempt)
+
+    def _check_repeat(self, event: wire.Sending, record: _RequestRecord) -> None:
+        effect = self._effect_of(record)
+        unconfirmed = [
+            attempt for attempt in record.attempts if attempt.complete_at >= 0 and attempt.rejected_at < 0
+        ]
+        if effect == "unsafe" and unconfirmed:
+            self._report_break(
+                2,
+                event.at,
+                f"another attempt, though an earlier one may have run: {_history(record)}",
+                event.request,
+                event.box,
+                event.node,
+            )
+        elif effect == "keyed" and unconfirmed:
+            elapsed_ns = event.at - min(attempt.complete_at for attempt in unconfirmed)
+            window_ns = self._figures.classes[record.kind].repeat_window_ns
+            if elapsed_ns > window_ns:
+                self._report_break(
+                    2,
+                    event.at,
+                    f"repeated {elapsed_ns / 1e9:.3f} s after it may have run; repeats are dropped for "
+                    f"{window_ns / 1e9:.3f} s: {_history(record)}",
+                    event.request,
+                    event.box,
+                    event.node,
+                )
+
+    def _on_sent(self, event: wire.Sent) -> None:
+        entry = self._attempts_by_number.get(event.attempt)
+        if entry is not None:
+            entry[1].complete_at = event.at
+        cold_box = self._cold_boxes.get(event.box)
+        if cold_box is not None:
+            self._check_cold(event, cold_box)
+
+    def _on_not_run(self, event: wire.NotRun) -> None:
+        entry = self._attempts_by_number.get(event.attempt)
+        if entry is not None:
+            entry[1].rejected_at = event.at
+
+    def _on_ran(self, event: wire.Ran) -> None:
+        record = self._requests.get(event.request)
+        if record is not None:
+            record.tokens.add(event.token)
+
+    def _check_drain(self, event: wire.Sending) -> None:
+        informed = self._informed_since(event.node, event.box, event.at)
+        limit = self._figures.drain_grace_ns + self._figures.socket_grace_ns
+        if informed is not None and event.left > informed[0] + limit:
+            self._report_break(
+                3,
+                event.at,
+                f"sent {(event.left - informed[0]) / 1e9:.3f} s after the node {informed[1]}; "
+                f"{limit / 1e9:.2f} s are allowed",
+                event.request,
+                event.box,
+                event.node,
+            )
 
-    def _told_since(self, node: str, box: str, now: int) -> tuple[int, str] | None:
-        """Since when a node counts as told that a box takes nothing new, and how it was told."""
-        told = self._told.get((node, box))
+    def _informed_since(self, node: str, box: str, now: int) -> tuple[int, str] | None:
+        """Returns the time from which a node counts as told that a box takes no new requests, and how it was
+        told."""
+        told = self._told_states.get((node, box))
         if told is not None and told[1] is not HostState.READY:
             return told[0], f"was told that it is {told[1].value}"
-        listed = self._listed.get(box)
+        listed = self._listed_states.get(box)
         if listed is None or listed[1] is HostState.READY:
             return None
-        last, standing = self._contact.get(node, (0, False))
-        if standing:
+        last_contact, watching = self._last_contact.get(node, (0, False))
+        if watching:
             return None
-        since = max(listed[0], last + self._book.ask_within)
+        since = max(listed[0], last_contact + self._figures.ask_within_ns)
         return (since, f"counts as told that it is {listed[1].value}") if since < now else None
 
     # Rule 4: cold boxes.
 
-    def _check_cold(self, seen: wire.Sent, cold: _Cold) -> None:
-        if seen.at >= cold.budget.warm_at():
-            del self._cold[seen.box]
+    def _check_cold(self, event: wire.Sent, cold_box: _ColdBox) -> None:
+        if event.at >= cold_box.budget.warm_at():
+            del self._cold_boxes[event.box]
             return
-        if cold.budget.arrive(seen.at, seen.work, seen.node) or cold.fell:
+        if cold_box.budget.add_arrival(event.at, event.work, event.node) or cold_box.overloaded:
             return
-        cold.fell = True
-        total = cold.budget.in_window()
-        knew = sum(work for at, work, node in cold.budget.arrivals if self._knows_start(node, seen.box, at))
-        if knew < TOLD_PART * total:
-            self.fallen.append((seen.at, seen.box))
+        cold_box.overloaded = True
+        total_work = cold_box.budget.work_in_window()
+        informed_work = sum(
+            work for at, work, node in cold_box.budget.arrivals if self._knows_start(node, event.box, at)
+        )
+        if informed_work < INFORMED_SHARE * total_work:
+            self.excused_overloads.append((event.at, event.box))
             return
-        self._broken(
-            4, seen.at,
-            f"{total:.2f} core-seconds of work came within {self._book.cold.fall_time / 1e9:.1f} s, "
-            f"{cold.budget.allowed(seen.at):.2f} are what it stands; {knew / total:.0%} from nodes told of "
-            f"its start", seen.request, seen.box, seen.node,
-        )  # fmt: skip
+        self._report_break(
+            4,
+            event.at,
+            f"{total_work:.2f} core-seconds of work came "
+            f"within {self._figures.cold_rule.window_ns / 1e9:.1f} s, "
+            f"{cold_box.budget.allowed_work(event.at):.2f} are what it stands; "
+            f"{informed_work / total_work:.0%} from nodes told of its start",
+            event.request,
+            event.box,
+            event.node,
+        )
 
     def _knows_start(self, node: str, box: str, now: int) -> bool:
-        told = self._told.get((node, box))
-        listed = self._listed.get(box)
+        """Whether a node knew, or counts as told, that this process of a box had started."""
+        told = self._told_states.get((node, box))
+        listed = self._listed_states.get(box)
         if told is not None and listed is not None and told[2] == listed[2]:
             return True
-        last, standing = self._contact.get(node, (0, False))
-        return listed is not None and not standing and now > max(listed[0], last + self._book.ask_within)
-
-    # What the list, the nodes and the boxes do.
-
-    def _list_changed(self, seen: wire.Listed) -> None:
-        self._listed[seen.box] = (seen.at, seen.state, seen.started)
-
-    def _node_told(self, seen: wire.Told) -> None:
-        before = self._told.get((seen.node, seen.box))
-        leaves = seen.state is not HostState.READY
-        if before is not None and leaves and before[1] is not HostState.READY:
-            return  # the first word counts
-        self._told[(seen.node, seen.box)] = (seen.at, seen.state, seen.started)
-
-    def _node_asked(self, seen: wire.Contact) -> None:
-        self._contact[seen.node] = (seen.at, seen.standing)
-
-    def _node_up(self, seen: wire.NodeUp) -> None:
-        self._down[seen.node] = False
-        if seen.anew:
-            self._contact[seen.node] = (seen.at, False)
-
-    def _node_down(self, seen: wire.NodeDown) -> None:
-        self._down[seen.node] = True
-        self._died[seen.node] = seen.at
-        for request, ask in self._asks.items():
-            if not ask.open or ask.voided or ask.node != seen.node:
+        last_contact, watching = self._last_contact.get(node, (0, False))
+        return (
+            listed is not None
+            and not watching
+            and now > max(listed[0], last_contact + self._figures.ask_within_ns)
+        )
+
+    # Events of the box list, the nodes and the boxes.
+
+    def _on_listed(self, event: wire.Listed) -> None:
+        self._listed_states[event.box] = (event.at, event.state, event.started)
+
+    def _on_told(self, event: wire.Told) -> None:
+        before = self._told_states.get((event.node, event.box))
+        is_leaving = event.state is not HostState.READY
+        if before is not None and is_leaving and before[1] is not HostState.READY:
+            return  # the first notice that the box leaves counts
+        self._told_states[(event.node, event.box)] = (event.at, event.state, event.started)
+
+    def _on_contact(self, event: wire.Contact) -> None:
+        self._last_contact[event.node] = (event.at, event.standing)
+
+    def _on_node_up(self, event: wire.NodeUp) -> None:
+        self._is_down[event.node] = False
+        if event.anew:
+            self._last_contact[event.node] = (event.at, False)
+
+    def _on_node_down(self, event: wire.NodeDown) -> None:
+        self._is_down[event.node] = True
+        self._last_exit[event.node] = event.at
+        for request, record in self._requests.items():
+            if not record.open or record.excused or record.node != event.node:
                 continue
-            if seen.planned:
-                self._broken(1, seen.at, f"the node ended of itself and left it unanswered; {_history(ask)}",
-                             request, node=seen.node)  # fmt: skip
-                self._end(ask, seen.at)
+            if event.planned:
+                self._report_break(
+                    1,
+                    event.at,
+                    f"the node ended of itself and left it unanswered; {_history(record)}",
+                    request,
+                    node=event.node,
+                )
+                self._end_request(record, event.at)
             else:
-                ask.voided = True
-        # A process that starts again has only what it is told from now on.
-        for node, box in [key for key in self._told if key[0] == seen.node]:
-            del self._told[(node, box)]
-
-    def _box_up(self, seen: wire.BoxUp) -> None:
-        if seen.cold_share < 1.0 and seen.cold_time > 0:
-            self._cold[seen.box] = _Cold(
-                ColdBudget(self._book.cold, seen.at, seen.capacity, seen.cold_share, seen.cold_time)
+                record.excused = True
+        # A restarted process knows only what it is told from now on.
+        for node, box in [key for key in self._told_states if key[0] == event.node]:
+            del self._told_states[(node, box)]
+
+    def _on_box_up(self, event: wire.BoxUp) -> None:
+        if event.cold_share < 1.0 and event.cold_time > 0:
+            self._cold_boxes[event.box] = _ColdBox(
+                ColdBudget(
+                    self._figures.cold_rule, event.at, event.capacity, event.cold_share, event.cold_time
+                )
             )
 
-    def _box_down(self, seen: wire.BoxDown) -> None:
-        self._cold.pop(seen.box, None)
+    def _on_box_down(self, event: wire.BoxDown) -> None:
+        self._cold_boxes.pop(event.box, None)
 
 
-def _history(ask: _Ask) -> str:
-    if not ask.attempts:
+def _history(record: _RequestRecord) -> str:
+    """Describes the attempts of a request."""
+    if not record.attempts:
         return "no box saw it"
     parts = []
-    for attempt in ask.attempts:
-        state = "turned away" if attempt.not_run >= 0 else "whole" if attempt.whole >= 0 else "in part"
-        parts.append(f"{attempt.box} at {attempt.began / 1e9:.3f} s ({state})")
+    for attempt in record.attempts:
+        state = (
+            "turned away" if attempt.rejected_at >= 0 else "whole" if attempt.complete_at >= 0 else "in part"
+        )
+        parts.append(f"{attempt.box} at {attempt.began_at / 1e9:.3f} s ({state})")
     return "tried at " + ", ".join(parts)
--- a/driftstair/rehearsal/runner.py
+++ b/driftstair/rehearsal/runner.py
@@ -1,5 +1,4 @@
-"""Plays a scenario: builds the fakes on a environment, starts the nodes, turns the faults on and off, and
-ends.
+"""Plays a scenario: builds the fakes on an environment, starts the nodes, applies the faults, and ends.
 
 The same code plays on both environments. Every observation of the fakes goes through `note` to the rule
 checker.
@@ -23,24 +22,25 @@
 from driftstair.rehearsal.fakes.place import Place
 from driftstair.rehearsal.fakes.workload import Choice, Workload
 from driftstair.rehearsal.faults import FaultInjector
-from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, kinds_in_order
+from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, draw_kind_order
 from driftstair.rehearsal.rules import Checker
 from driftstair.rehearsal.scenario import Scenario
 from driftstair.rehearsal.seeds import random_for, seed_for
 from driftstair.rehearsal.tier.stage import TierMonitor
 from driftstair.rehearsal.wire import HostState
 
-READY_WITHIN = 30.0  # s; clients come then, all nodes up or not
-STILL = 2.0  # s that a run goes on after its last request, to see what still comes
-DOWN_FOR = 0.5  # s between the end of a planned restart's old process and the new one
-COMES_LATER = 1_000_000_000  # ns after a cut, in which what it held back may come
-TAKEN_IN = 200_000_000  # ns after a cut: on real sockets what connected meanwhile is accepted then
-SETTLED = 1_000_000_000  # ns that a node serves before it is signalled
+READY_TIMEOUT_S = 30.0  # clients start then, whether or not all nodes are ready
+QUIET_PERIOD_S = 2.0  # the run continues after its last request, to observe late messages
+RESTART_PAUSE_S = 0.5  # between the end of the old process and the start of the new one
+DELIVERY_AFTER_CUT_NS = 1_000_000_000  # time after a cut in which delayed bytes may arrive
+# Real sockets accept connections made during a cut only within this time after it.
+ACCEPT_AFTER_CUT_NS = 200_000_000
+SETTLING_TIME_NS = 1_000_000_000  # a node serves for so long before it is signalled
 
 
 @dataclass(slots=True)
 class Event:
-    """Something that happened, for people to read beside the plots."""
+    """An event of the run, shown to readers beside the plots."""
 
     at: int  # ns
     what: str
@@ -52,12 +52,15 @@
 
     at: int  # ns
     in_flight: dict[str, int]  # requests that clients have at each node
-    boxes: dict[str, tuple[float, int, int, int]]  # cores busy (0 to 1), held, waiting, connections
+    # Share of cores busy, requests held, requests waiting, connections.
+    boxes: dict[str, tuple[float, int, int, int]]
     descriptors: dict[str, int]
 
 
 @dataclass(slots=True)
 class Crash:
+    """A failure of a node's process."""
+
     at: int  # ns
     node: str
     what: str
@@ -65,7 +68,8 @@
 
 
 class Rehearsal:
-    """`tick` is called once a second of the run, with the seconds that have passed."""
+    """One run of a scenario. `tick` is called once per second of the run, with the seconds that have
+    passed."""
 
     def __init__(
         self, scenario: Scenario, environment: Environment, tick: Callable[[float], None] = lambda _: None
@@ -77,158 +81,172 @@
         self.events: list[Event] = []
         self.samples: list[Sample] = []
         self.crashes: list[Crash] = []
-        self.spans: list[tuple[int, int, str]] = []  # faults, from and to in ns, for plots
-        self.stuck = ""
-        self.cut_off = False
-        self.began = 0  # ns at which clients came
+        self.fault_spans: list[tuple[int, int, str]] = []  # begin, end (ns) and kind of faults, for plots
+        self.stuck_reason = ""
+        self.was_interrupted = False
+        self.began_ns = 0  # when the clients started
         self._tick = tick
-        self.over = False
+        self.finished = False
         self.seed = scenario.seed
         self.node_names = load.node_names(scenario.nodes.count)
-        self._numbers = count(1)
+        self._attempt_numbers = count(1)
         self._box_count = scenario.boxes.count
-        self._ending: dict[str, bool] = {}
-        self._ready: dict[str, int] = {}  # since when each node serves, ns
+        self._is_ending: dict[str, bool] = {}
+        self._ready_since: dict[str, int] = {}  # when each node became ready, ns
         self._generations = dict.fromkeys(self.node_names, 0)
-        self.vanished: set[str] = set()
-        self.cuts: dict[str, tuple[int, int]] = {}  # machines that were cut off in silence, from and to
+        self.unreachable_nodes: set[str] = set()
+        # Begin and end (ns) of silent disconnections, by machine.
+        self.network_cuts: dict[str, tuple[int, int]] = {}
         self._build()
 
     # Building.
 
     def _build(self) -> None:
-        of, environment = self.scenario, self.environment
+        scenario, environment = self.scenario, self.environment
         random = random_for(self.seed, "fleet")
-        self.workload = Workload(load.classes(of), random_for(self.seed, "work"))
+        self.workload = Workload(load.classes(scenario), random_for(self.seed, "work"))
         self.place = environment.place("clients")
         self.front = FrontLayer(
-            self.place, self.node_names, random.uniform(*of.front.notice_s), random_for(self.seed, "front"),
+            self.place, self.node_names, random.uniform(*scenario.front.notice_s),
+            random_for(self.seed, "front"),
             dict.fromkeys(
-                self.node_names[: round(of.front.busy_part * len(self.node_names))],
-                round(of.front.busy_times),
+                self.node_names[: round(scenario.front.busy_part * len(self.node_names))],
+                round(scenario.front.busy_times),
             ),
         )  # fmt: skip
         kinds = list(self.workload.kinds.values())
-        self.load = Load(of.load.rate, kinds, [one.share for one in load.classes(of)])
-        tenants = load.tenants(of)
-        clients = of.clients
+        self.load = Load(scenario.load.rate, kinds, [item.share for item in load.classes(scenario)])
+        tenants = load.tenants(scenario)
+        clients = scenario.clients
         self.clients = Clients(
             self.place, self.front, self.workload,
             ClientFigures(
                 retries=clients.retries, try_share=random.uniform(*clients.try_share),
                 backoff=random.uniform(*clients.backoff_ms) / 1e3, honour=clients.honour,
                 mark_retries=clients.mark_retries,
-                connections_most=max(1, int(clients.connections_share * of.nodes.descriptors)),
-                idle=clients.idle_s, answer_grace=of.rules.answer_grace_ms / 1e3,
+                connections_most=max(1, int(clients.connections_share * scenario.nodes.descriptors)),
+                idle=clients.idle_s, answer_grace=scenario.rules.answer_grace_ms / 1e3,
                 hold_share=clients.hold_share,
             ),
-            Choice([one.share for one in tenants]), [one.name for one in tenants], of.load.keys,
-            of.load.key_skew, self.load, self.account, self.note, self._serves,
+            Choice([item.share for item in tenants]), [item.name for item in tenants], scenario.load.keys,
+            scenario.load.key_skew, self.load, self.account, self.note, self._is_serving,
             seed_for(self.seed, "clients"),
         )  # fmt: skip
-        self.list_notice = random.uniform(*of.list.notice_s)
-        self.silent_notice = random.uniform(*of.list.silent_notice_s)
+        self.list_delay_s = random.uniform(*scenario.list.notice_s)
+        self.silent_list_delay_s = random.uniform(*scenario.list.silent_notice_s)
         self.box_list = BoxList(
             environment.place("list"),
             ListFigures(
-                of.list.mode == "pushed", of.list.lines_per_s, of.list.call_lines, of.list.timeout_ms / 1e3
+                scenario.list.mode == "pushed", scenario.list.lines_per_s, scenario.list.call_lines,
+                scenario.list.timeout_ms / 1e3
             ),
             self.node_names, random_for(self.seed, "list"), self.note,
         )  # fmt: skip
         self.boxes: dict[str, Box] = {}
-        self.gone: dict[str, Box] = {}
-        server_kinds = load.kinds(of)
-        names = load.box_names(of.boxes.count)
-        for name, kind_index in zip(names, kinds_in_order(of, random), strict=True):
-            self.boxes[name] = self._box(name, server_kinds[kind_index], environment.place(name))
+        self.removed_boxes: dict[str, Box] = {}
+        server_kinds = load.kinds(scenario)
+        names = load.box_names(scenario.boxes.count)
+        for name, kind_index in zip(names, draw_kind_order(scenario, random), strict=True):
+            self.boxes[name] = self._create_box(name, server_kinds[kind_index], environment.place(name))
         self.nodes = {name: environment.node(name, self._node_ended) for name in self.node_names}
         self.tier: TierMonitor | None = None
-        if of.nodes.tier is not None:
+        if scenario.nodes.tier is not None:
             self.tier = TierMonitor(
-                of.nodes.tier, self.node_names, seed_for(self.seed, "links"), load.box_names(of.boxes.count)
+                scenario.nodes.tier, self.node_names, seed_for(self.seed, "links"),
+                load.box_names(scenario.boxes.count)
             )  # fmt: skip
             environment.join(self.tier.links)
 
-    def _box(self, name: str, kind: model.Kind, place: Place) -> Box:
+    def _create_box(self, name: str, kind: model.Kind, place: Place) -> Box:
         figures = draw_figures(self.scenario, kind, random_for(self.seed, "box", name))
         return Box(
             name, box_kind(kind), figures, place, self.node_names, self.workload,
-            platform.rule_book(self.scenario).cold, self.note, self._left,
-            seed_for(self.seed, "box", name, "chance"), self._numbers,
+            platform.rule_book(self.scenario).cold_rule, self.note, self._earliest_send_time,
+            seed_for(self.seed, "box", name, "chance"), self._attempt_numbers,
         )  # fmt: skip
 
     # The run.
 
-    def note(self, seen: wire.Observation) -> None:
-        self.checker.note(seen)
+    def note(self, observation: wire.Observation) -> None:
+        """Passes an observation to the checkers."""
+        self.checker.note(observation)
         if self.tier is not None:
-            self.tier.note(seen)
+            self.tier.note(observation)
 
-    def _left(self, at: int, box: str, node: str, since: int) -> int:
-        """While a machine is cut off, what is written to its connections waits and comes later: the rules are
-        about when a node sends."""
+    def _earliest_send_time(self, at: int, box: str, node: str, connected_at: int) -> int:
+        """Returns the earliest time at which a node can have sent what arrived at a box at `at`. Bytes
+        written to a disconnected machine's connections wait and arrive later, while the rules are about when
+        a node sends."""
         for name in (box, node):
-            cut = self.cuts.get(name)
-            if cut is not None and since < cut[1] + TAKEN_IN and cut[0] < at <= cut[1] + COMES_LATER:
+            cut = self.network_cuts.get(name)
+            if (
+                cut is not None
+                and connected_at < cut[1] + ACCEPT_AFTER_CUT_NS
+                and cut[0] < at <= cut[1] + DELIVERY_AFTER_CUT_NS
+            ):
                 at = cut[0]
         return at
 
     def now(self) -> int:
+        """Returns the time in ns since the start of the run."""
         return self.place.now()
 
-    def after(self, seconds: float, what: Callable[..., None], *args: object) -> None:
-        self.place.loop.call_later(seconds, what, *args)
+    def call_later(self, seconds: float, callback: Callable[..., None], *args: object) -> None:
+        """Calls a function after a number of seconds."""
+        self.place.loop.call_later(seconds, callback, *args)
 
-    def say(self, what: str) -> None:
-        self.events.append(Event(self.now(), what))
+    def log_event(self, description: str) -> None:
+        """Records an event of the run."""
+        self.events.append(Event(self.now(), description))
 
     def start(self) -> None:
+        """Starts the boxes, the box list and the nodes."""
         for box in self.boxes.values():
             box.start(cold=False)
-        self.box_list.start([self._entry(box, HostState.READY) for box in self.boxes.values()])
+        self.box_list.start([self._list_entry(box, HostState.READY) for box in self.boxes.values()])
         for name in self.node_names:
             self.start_node(name, first=True)
         self._wait_for_nodes(0.0)
 
-    def _wait_for_nodes(self, waited: float) -> None:
-        """Clients come when all nodes are ready."""
-        self.stuck = self.environment.stuck()
-        if self.stuck:
+    def _wait_for_nodes(self, waited_s: float) -> None:
+        """Starts the clients once all nodes are ready."""
+        self.stuck_reason = self.environment.stuck()
+        if self.stuck_reason:
             self._end()
-        elif all(self.front.has(name) for name in self.node_names) or waited >= READY_WITHIN:
-            self.began = self.account.origin_ns = self.now()
-            if waited >= READY_WITHIN:
-                self.say("clients come, though not all nodes are up")
-            self._begin()
+        elif all(self.front.has(name) for name in self.node_names) or waited_s >= READY_TIMEOUT_S:
+            self.began_ns = self.account.origin_ns = self.now()
+            if waited_s >= READY_TIMEOUT_S:
+                self.log_event("clients come, though not all nodes are up")
+            self._start_clients()
         else:
-            self.after(0.05, self._wait_for_nodes, waited + 0.05)
+            self.call_later(0.05, self._wait_for_nodes, waited_s + 0.05)
 
-    def _begin(self) -> None:
+    def _start_clients(self) -> None:
         self.load.phase = self.scenario.phases[0].name if self.scenario.phases else "whole run"
         if self.scenario.phases and self.scenario.phases[0].at_s > 0:
             self.load.phase = "before"
         faults = FaultInjector(self)
         for phase in self.scenario.phases:
-            self.after(phase.at_s, faults.enter_phase, phase)
+            self.call_later(phase.at_s, faults.enter_phase, phase)
         for index, fault in enumerate(self.scenario.faults):
-            self.after(fault.at_s, faults.begin, fault, index)
-        self.after(self.scenario.seconds, self._last_arrivals)
+            self.call_later(fault.at_s, faults.begin, fault, index)
+        self.call_later(self.scenario.seconds, self._stop_arrivals)
         self.clients.start()
         self._sample()
 
-    def _last_arrivals(self) -> None:
+    def _stop_arrivals(self) -> None:
         self.clients.stop()
-        longest = max(one.given_up_ms for one in load.classes(self.scenario)) / 1e3
-        self._wait_for_answers(longest + 1.0)
+        longest_wait_s = max(request_class.given_up_ms for request_class in load.classes(self.scenario)) / 1e3
+        self._wait_for_answers(longest_wait_s + 1.0)
 
-    def _wait_for_answers(self, left: float) -> None:
-        if self.clients.asks_open and left > 0:
-            self.after(0.1, self._wait_for_answers, left - 0.1)
+    def _wait_for_answers(self, remaining_s: float) -> None:
+        if self.clients.asks_open and remaining_s > 0:
+            self.call_later(0.1, self._wait_for_answers, remaining_s - 0.1)
         else:
-            self.after(STILL, self._end)
+            self.call_later(QUIET_PERIOD_S, self._end)
 
     def _sample(self) -> None:
-        if self.over:
+        if self.finished:
             return
         now = self.now()
         boxes = {}
@@ -243,51 +261,53 @@
                 {name: node.descriptors() for name, node in self.nodes.items()},
             )
         )  # fmt: skip
-        self.stuck = self.environment.stuck()
-        if self.stuck:
+        self.stuck_reason = self.environment.stuck()
+        if self.stuck_reason:
             self._end()
             return
-        self._tick((now - self.began) / 1e9)
-        self.after(1.0, self._sample)
+        self._tick((now - self.began_ns) / 1e9)
+        self.call_later(1.0, self._sample)
 
     def _end(self) -> None:
-        if self.over:
+        if self.finished:
             return
-        self.over = True
+        self.finished = True
         self.clients.cut_off()
-        self._judge()
+        self._check_rules()
         self.environment.finish()
 
-    def _judge(self) -> None:
+    def _check_rules(self) -> None:
         self.checker.finish(self.now())
-        self._judge_tier()
+        self._check_tier()
 
-    def _judge_tier(self) -> None:
+    def _check_tier(self) -> None:
         if self.tier is not None:
             self.tier.finish(self.now(), self.environment.histories())
 
     def interrupt(self) -> None:
-        """A person wants no more of it: the report is on what has been."""
-        if not self.over:
-            self.cut_off = True
-            self.over = True
+        """Ends the run on a user's request; the report covers the time until then."""
+        if not self.finished:
+            self.was_interrupted = True
+            self.finished = True
             self.clients.stop()
             self.clients.cut_off()
-            self._judge_tier()
+            self._check_tier()
             self.environment.finish()
 
-    def deadlocked(self, why: str) -> None:
-        self.stuck = why
-        self.over = True
+    def stop_deadlocked(self, reason: str) -> None:
+        """Ends a run in which nothing can happen any more."""
+        self.stuck_reason = reason
+        self.finished = True
         self.clients.cut_off()
-        self._judge()
+        self._check_rules()
 
     # Nodes.
 
-    def _serves(self, name: str) -> bool:
-        return self.nodes[name].running and name not in self.vanished
+    def _is_serving(self, name: str) -> bool:
+        return self.nodes[name].running and name not in self.unreachable_nodes
 
     def document(self, name: str) -> dict[str, object]:
+        """Returns the configuration document of a node."""
         return platform.document(
             self.scenario, name, self.nodes[name].address(), self.box_list.addresses[name],
             seed_for(self.seed, "node", name, self._generations[name]), self.box_list.known(name),
@@ -295,127 +315,142 @@
         )  # fmt: skip
 
     def start_node(self, name: str, first: bool = False) -> None:
-        if self.over:
+        """Starts a node's process."""
+        if self.finished:
             return
         node = self.nodes[name]
         self._generations[name] += 1
         document = self.document(name)
-        self._ending[name] = False
+        self._is_ending[name] = False
         if not first:
-            self.say(f"{name} starts again")
+            self.log_event(f"{name} starts again")
         node.start(document)
         self.note(wire.NodeUp(self.now(), name))
-        self._ready.pop(name, None)
-        self.front.node_starts(name, node.address(), lambda: self._is_ready(name))
+        self._ready_since.pop(name, None)
+        self.front.node_starts(name, node.address(), lambda: self._set_ready(name))
 
-    def _is_ready(self, name: str) -> None:
-        self._ready[name] = self.now()
+    def _set_ready(self, name: str) -> None:
+        self._ready_since[name] = self.now()
 
-    def when_settled(self, name: str, what: Callable[[str], None]) -> None:
-        """A node is signalled only once it has served for a second, as the platform promises: before its
-        handlers stand, a signal would end it. Seen on sockets, where a process takes a while to start."""
-        if self.over or not self.nodes[name].running:
+    def call_when_settled(self, name: str, action: Callable[[str], None]) -> None:
+        """Calls `action` once a node has served for a second. The platform promises not to signal a node
+        earlier: a signal before its handlers are installed would end it, as happens on sockets, where a
+        process takes a while to start."""
+        if self.finished or not self.nodes[name].running:
             return
-        ready = self._ready.get(name)
-        if ready is not None and self.now() - ready >= SETTLED:
-            what(name)
+        ready_since = self._ready_since.get(name)
+        if ready_since is not None and self.now() - ready_since >= SETTLING_TIME_NS:
+            action(name)
         else:
-            self.after(0.1, self.when_settled, name, what)
+            self.call_later(0.1, self.call_when_settled, name, action)
 
-    def reload(self, name: str) -> None:
-        """Its file is replaced, and it gets SIGHUP."""
-        self.when_settled(name, lambda one: self.nodes[one].reload(self.document(one)))
+    def reload_node(self, name: str) -> None:
+        """Replaces a node's file and sends it SIGHUP."""
+        self.call_when_settled(name, lambda node: self.nodes[node].reload(self.document(node)))
 
     def _node_ended(self, name: str, why: str) -> None:
-        """Its process has ended by itself."""
-        if self.over:
+        """Handles a process that ended by itself."""
+        if self.finished:
             return
-        planned = self._ending.get(name, False) and not why
-        self.note(wire.NodeDown(self.now(), name, planned))
-        if planned:
-            self.say(f"{name} has ended")
-            self.after(DOWN_FOR, self.start_node, name)
+        was_planned = self._is_ending.get(name, False) and not why
+        self.note(wire.NodeDown(self.now(), name, was_planned))
+        if was_planned:
+            self.log_event(f"{name} has ended")
+            self.call_later(RESTART_PAUSE_S, self.start_node, name)
         else:
-            self.crashed(name, why or "ended by itself, with status 0")
+            self.record_crash(name, why or "ended by itself, with status 0")
             self.front.node_dies(name)
 
-    def crashed(self, node: str, what: str, trace: list[str] | None = None) -> None:
-        self.crashes.append(Crash(self.now(), node, what, trace or []))
+    def record_crash(self, node: str, description: str, trace: list[str] | None = None) -> None:
+        """Records a failure of a node's process."""
+        self.crashes.append(Crash(self.now(), node, description, trace or []))
 
-    def kill(self, name: str) -> None:
+    def kill_node(self, name: str) -> None:
+        """Kills a node's process."""
         if self.nodes[name].running:
-            self.say(f"{name} dies")
+            self.log_event(f"{name} dies")
             self.nodes[name].kill()
             self.note(wire.NodeDown(self.now(), name))
             self.front.node_dies(name)
 
-    def restart(self, name: str) -> None:
-        self.when_settled(name, self._restart)
+    def restart_node(self, name: str) -> None:
+        """Restarts a node by SIGTERM."""
+        self.call_when_settled(name, self._terminate_node)
 
-    def _restart(self, name: str) -> None:
-        self.say(f"{name} is told to end")
-        self._ending[name] = True
+    def _terminate_node(self, name: str) -> None:
+        self.log_event(f"{name} is told to end")
+        self._is_ending[name] = True
         self.front.node_ends(name)
         self.nodes[name].terminate()
-        longest = min(DEADLINE_S_MAX, max(one.given_up_ms for one in load.classes(self.scenario)) / 1e3)
-        self.after(longest + SIGKILL_DELAY_S, self._kill_if_it_stays, name)
+        longest_wait_s = min(
+            DEADLINE_S_MAX,
+            max(request_class.given_up_ms for request_class in load.classes(self.scenario)) / 1e3,
+        )
+        self.call_later(longest_wait_s + SIGKILL_DELAY_S, self._kill_if_running, name)
 
-    def _kill_if_it_stays(self, name: str) -> None:
-        if self.nodes[name].running and self._ending[name]:
-            self.say(f"{name} is killed, as it did not end")
+    def _kill_if_running(self, name: str) -> None:
+        if self.nodes[name].running and self._is_ending[name]:
+            self.log_event(f"{name} is killed, as it did not end")
             self.nodes[name].kill()
             self.note(wire.NodeDown(self.now(), name, planned=True))
-            self.after(DOWN_FOR, self.start_node, name)
+            self.call_later(RESTART_PAUSE_S, self.start_node, name)
 
     # Boxes and the list.
 
-    def _entry(self, box: Box, state: HostState) -> Entry:
+    def _list_entry(self, box: Box, state: HostState) -> Entry:
         return Entry(box.name, state, box.kind.name, dict(box.addresses), box.started)
 
-    def tell_list(self, box: Box, state: HostState, silent: bool = False) -> None:
-        self.box_list.change(self._entry(box, state), self.silent_notice if silent else self.list_notice)
+    def update_box_list(self, box: Box, state: HostState, silent: bool = False) -> None:
+        """Tells the box list of a box's state, after its delay."""
+        self.box_list.change(
+            self._list_entry(box, state), self.silent_list_delay_s if silent else self.list_delay_s
+        )
 
-    def box_dies(self, box: Box) -> None:
+    def kill_box(self, box: Box) -> None:
+        """Kills a box's process."""
         if self.boxes.get(box.name) is not box:
             return
-        self.say(f"box {box.name} dies")
+        self.log_event(f"box {box.name} dies")
         box.stop("killed")
-        self.tell_list(box, HostState.GONE)
+        self.update_box_list(box, HostState.GONE)
 
-    def box_starts(self, box: Box) -> None:
-        # One that was replaced meanwhile has left its address and its name for good.
-        if self.over or box.running or self.boxes.get(box.name) is not box:
+    def restart_box(self, box: Box) -> None:
+        """Starts a killed box again, cold."""
+        # A box that was replaced in the meantime has given up its address and its name.
+        if self.finished or box.running or self.boxes.get(box.name) is not box:
             return
-        self.say(f"box {box.name} starts, cold")
+        self.log_event(f"box {box.name} starts, cold")
         box.place.restart()
         box.start(cold=True)
-        self.tell_list(box, HostState.READY)
+        self.update_box_list(box, HostState.READY)
 
-    def replace(self, box: Box, same_address: bool) -> None:
-        """Drains, then is gone, then another one is there."""
-        if self.over or not box.running or box.draining or self.boxes.get(box.name) is not box:
-            return  # two replacements that meet on one box are one
-        self.say(f"box {box.name} drains")
+    def replace_box(self, box: Box, same_address: bool) -> None:
+        """Drains a box, removes it after its grace period, and starts another one."""
+        if self.finished or not box.running or box.draining or self.boxes.get(box.name) is not box:
+            return  # a second replacement of the same box is ignored
+        self.log_event(f"box {box.name} drains")
         box.drain()
-        self.tell_list(box, HostState.DRAINING)
-        self.after(self.scenario.boxes.grace_s, self._replaced, box, same_address)
+        self.update_box_list(box, HostState.DRAINING)
+        self.call_later(self.scenario.boxes.grace_s, self._finish_replacement, box, same_address)
 
-    def _replaced(self, old: Box, same_address: bool) -> None:
-        if self.over:
+    def _finish_replacement(self, old: Box, same_address: bool) -> None:
+        if self.finished:
             return
         old.stop("replaced")
-        self.tell_list(old, HostState.GONE)
+        self.update_box_list(old, HostState.GONE)
         self._box_count += 1
         width = max(2, len(str(self.scenario.boxes.count)))
         name = f"s-{self._box_count:0{width}d}"
         kind = next(kind for kind in load.kinds(self.scenario) if kind.name == old.kind.name)
         del self.boxes[old.name]
-        self.gone[old.name] = old
+        self.removed_boxes[old.name] = old
         if same_address:
             old.place.restart()
-        box = self.boxes[name] = self._box(
+        box = self.boxes[name] = self._create_box(
             name, kind, old.place if same_address else self.environment.place(name)
         )
-        self.say(f"box {old.name} is gone; {name} starts {'at its address' if same_address else 'elsewhere'}")
+        self.log_event(
+            f"box {old.name} is gone; {name} starts {'at its address' if same_address else 'elsewhere'}"
+        )
         box.start(cold=True, addresses=old.addresses if same_address else None)
-        self.tell_list(box, HostState.READY)
+        self.update_box_list(box, HostState.READY)
--- a/driftstair/rehearsal/scenario.py
+++ b/driftstair/rehearsal/scenario.py
@@ -1,10 +1,10 @@
-"""What a rehearsal plays: the fleet, the load and the faults, as types, with the figures that they start
-from.
+"""The types of a scenario: the fleet, the load and the faults that a rehearsal plays, with their default
+figures.
 
-A scenario file is TOML; `load` reads it. Every table and key may be left out: the defaults are a fleet like
-the one that the operators describe. Durations are numbers whose key names the unit (`_s`, `_ms`, `_us`);
-shares and factors are plain numbers. A figure that is one number or a pair `[low, high]` is drawn from the
-pair by the seed.
+A scenario file is TOML; `load` reads it. Every table and key may be left out: the defaults describe a fleet
+like that of the operators. Durations are numbers whose key names the unit (`_s`, `_ms`, `_us`); shares and
+factors are plain numbers. A figure that is one number or a pair `[low, high]` is drawn from the pair by the
+seed.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 NotNegative = Annotated[Number, Field(ge=0)]
 AtLeastOne = Annotated[Number, Field(ge=1)]
 Share = Annotated[Number, Field(ge=0, le=1)]
-Whole = Annotated[int, Field(strict=True)]
-Count = Annotated[Whole, Field(ge=1)]
+Integer = Annotated[int, Field(strict=True)]
+Count = Annotated[Integer, Field(ge=1)]
 Flag = Annotated[bool, Field(strict=True)]
 Label = Annotated[str, Field(pattern=r"^[0-9A-Za-z]([0-9A-Za-z ._-]{0,62}[0-9A-Za-z])?$")]
 Name = Annotated[str, Field(pattern=r"^[0-9A-Za-z][0-9A-Za-z._-]{0,63}$")]
 
 
-def _ends(value: Any) -> Any:
-    """One number stands for both ends."""
+def _parse_range(value: Any) -> Any:
+    """Accepts a number, which stands for both ends of a range, or a pair [low, high]."""
     ends = value if isinstance(value, list | tuple) else (value, value)
     if len(ends) != 2 or not all(isinstance(end, int | float) and not isinstance(end, bool) for end in ends):
         raise ValueError("wants a number, or a pair [low, high]")
@@ -38,15 +38,16 @@
     return float(low), float(high)
 
 
-def _chosen(value: Any) -> Any:
-    names = isinstance(value, list | tuple) and value and all(isinstance(one, str) for one in value)
-    if value is not None and not names and (not isinstance(value, int) or isinstance(value, bool)):
+def _parse_selection(value: Any) -> Any:
+    """Accepts a number of items or a list of names."""
+    is_name_list = isinstance(value, list | tuple) and value and all(isinstance(name, str) for name in value)
+    if value is not None and not is_name_list and (not isinstance(value, int) or isinstance(value, bool)):
         raise ValueError("wants how many, or a list of names")
     return value
 
 
-Range = Annotated[tuple[float, float], BeforeValidator(_ends)]
-Chosen = Annotated[int | tuple[str, ...] | None, BeforeValidator(_chosen)]
+Range = Annotated[tuple[float, float], BeforeValidator(_parse_range)]
+Selection = Annotated[int | tuple[str, ...] | None, BeforeValidator(_parse_selection)]
 
 
 class _Table(BaseModel):
@@ -56,23 +57,23 @@
 
 
 class Load(_Table):
-    rate: Positive = 420.0  # first tries a second, of all clients together
-    keys: Count = 1200  # distinct ones
-    key_skew: NotNegative = 0.95  # exponent of Zipf's law: how much more popular the popular are
+    rate: Positive = 420.0  # first tries per second of all clients together
+    keys: Count = 1200  # number of distinct keys
+    key_skew: NotNegative = 0.95  # exponent of Zipf's law for the popularity of keys
 
 
 class Class(_Table):
     name: Name
     share: Positive
-    work_ms: Range  # mean, on a core of speed 1
-    waits_ms: Range = (0.0, 0.0)  # mean, on others: holds a slot of the box, no core
+    work_ms: Range  # mean work on a core of speed 1
+    waits_ms: Range = (0.0, 0.0)  # mean wait for other services: holds a slot of the box, but no core
     spread: NotNegative = 0.45  # coefficient of variation of the work
     wanted_ms: Positive = 500.0  # an answer later than this is worth nothing
-    given_up_ms: Positive = 2000.0  # the client waits no longer
+    given_up_ms: Positive = 2000.0  # the client stops waiting after this time
     worth: NotNegative = 1.0
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    repeats_dropped_s: NotNegative = 5.0  # keyed: boxes remember a repeat for so long
-    body_bytes: Annotated[Whole, Field(ge=0, le=60_000)] = 1500  # of the answer
+    repeats_dropped_s: NotNegative = 5.0  # keyed: boxes drop repeats for so long
+    body_bytes: Annotated[Integer, Field(ge=0, le=60_000)] = 1500  # size of the answer's body
 
 
 class Tenant(_Table):
@@ -84,68 +85,69 @@
     """Tokens of all nodes together."""
 
     per_s: Positive
-    burst_s: Annotated[Number, Field(ge=0.1, le=600)] = 5.0  # of them that may be saved up
+    burst_s: Annotated[Number, Field(ge=0.1, le=600)] = 5.0  # seconds of `per_s` that may be saved up
 
 
 class Tier(_Table):
     """The nodes are told of one another, and judge one another by datagrams; the last three bound what their
     histories may show."""
 
-    period_ms: Annotated[Number, Field(ge=50, le=60_000)] = 1000.0  # of probes
-    wrongly_s: NotNegative = 0.0  # that a node which runs and is reached may be held dead
-    settle_s: Positive = 10.0  # after a fault's end, in which what it caused may still show
-    death_s: Positive = 10.0  # after its end, until all hold a node dead
-    judge: Flag = False  # servers by what all nodes have seen of them
-    liars: tuple[str, ...] = ()  # nodes that tell the others that every server fails
-    wall_off_h: dict[str, Annotated[Number, Field(ge=-48, le=48)]] = Field(default={})  # by node
-    clock_rates: dict[str, Annotated[Number, Field(ge=0.5, le=2)]] = Field(default={})  # monotonic, by node
-    admitted: FleetBudget | None = None  # requests that the fleet lets in
-    retries: FleetBudget | None = None  # its further attempts
+    period_ms: Annotated[Number, Field(ge=50, le=60_000)] = 1000.0  # between probes
+    wrongly_s: NotNegative = 0.0  # how long a running, reachable node may be held dead
+    settle_s: Positive = 10.0  # time after a fault's end in which its effects may still show
+    death_s: Positive = 10.0  # time after a node's end until all hold it dead
+    judge: Flag = False  # judge servers by the observations of all nodes
+    liars: tuple[str, ...] = ()  # nodes that report every server as failing
+    # Offset of the wall clock by node.
+    wall_off_h: dict[str, Annotated[Number, Field(ge=-48, le=48)]] = Field(default={})
+    clock_rates: dict[str, Annotated[Number, Field(ge=0.5, le=2)]] = Field(default={})  # by node
+    admitted: FleetBudget | None = None  # requests that the fleet admits
+    retries: FleetBudget | None = None  # further attempts of the fleet
 
 
 class Nodes(_Table):
-    count: Annotated[Whole, Field(ge=1, le=4096)] = 3
-    descriptors: Annotated[Whole, Field(ge=96)] = 1024
+    count: Annotated[Integer, Field(ge=1, le=4096)] = 3
+    descriptors: Annotated[Integer, Field(ge=96)] = 1024
     memory_mb: Count = 192
-    attempts: Annotated[Whole, Field(ge=1, le=16)] = 5  # of one request at most
+    attempts: Annotated[Integer, Field(ge=1, le=16)] = 5  # maximum for one request
     retry_after_most_s: NotNegative = 2.0
     dial_timeout_ms: Positive = 200.0
-    open_most: Count = 20_000  # requests that a node may hold
-    service: str | None = None  # a service file that all nodes use, by its path
-    tier: Tier | None = None  # left out: no node knows of another
+    open_most: Count = 20_000  # maximum of requests in progress at a node
+    service: str | None = None  # path of a service file that all nodes use
+    tier: Tier | None = None  # without it no node knows of another
 
     def clock(self, name: str) -> tuple[float, int]:
-        """Of a node: the rate of its monotonic clock, and ns by which its wall clock is off."""
+        """Returns the rate of a node's monotonic clock and the offset of its wall clock in ns."""
         if self.tier is None:
             return 1.0, 0
         return self.tier.clock_rates.get(name, 1.0), int(self.tier.wall_off_h.get(name, 0.0) * 3.6e12)
 
     def budgets(self) -> dict[str, FleetBudget]:
-        """What the nodes share, by name."""
+        """Returns the budgets that the nodes share, by name."""
         if self.tier is None:
             return {}
-        given = {"admitted": self.tier.admitted, "retries": self.tier.retries}
-        return {name: one for name, one in given.items() if one is not None}
+        budgets = {"admitted": self.tier.admitted, "retries": self.tier.retries}
+        return {name: budget for name, budget in budgets.items() if budget is not None}
 
 
 class Kind(_Table):
     name: Name
     share: Positive
     cores: Count = 6
-    speed: Range = (0.85, 1.1)  # of a core; 1 is the yardstick
-    slots_per_core: Range = (8.0, 8.0)  # requests in work
-    waiting_per_core: Range = (2.5, 2.5)  # requests that wait for a slot; more are turned away
-    cold_share: Share = 0.2  # of its work that it does when it starts
-    cold_s: NotNegative = 20.0  # until it does all
-    thrash: NotNegative = 0.25  # how much less it does for each request a core beyond `thrash_at`
+    speed: Range = (0.85, 1.1)  # relative speed of a core
+    slots_per_core: Range = (8.0, 8.0)  # requests in progress
+    waiting_per_core: Range = (2.5, 2.5)  # requests that wait for a slot; more are refused
+    cold_share: Share = 0.2  # share of its full work that it does at its start
+    cold_s: NotNegative = 20.0  # time until it does its full work
+    thrash: NotNegative = 0.25  # loss of work for each request per core beyond `thrash_at`
     thrash_at: NotNegative = 10.0
     connections_per_core: Positive = 30.0
-    connection_tax: Share = 0.1  # of its work, when its table of connections is full
-    handshake_us: NotNegative = 1100.0  # work for each new connection
-    idle_s: Positive = 30.0  # it closes a connection that rests for so long
-    error_share: Share = 0.0005  # answers that are 500
-    cancel: Literal["none", "queued"] = "queued"  # what stops when its client is gone
-    key_gain: Share = 0.43  # of the work saved where the key was met lately
+    connection_tax: Share = 0.1  # share of work lost when its connection table is full
+    handshake_us: NotNegative = 1100.0  # work of each new connection
+    idle_s: Positive = 30.0  # it closes connections that are idle for so long
+    error_share: Share = 0.0005  # share of answers with status 500
+    cancel: Literal["none", "queued"] = "queued"  # which requests stop when their client is gone
+    key_gain: Share = 0.43  # share of work saved if the key was used recently
     key_memory_s: NotNegative = 7.0
     keys_per_core: NotNegative = 10.0
 
@@ -153,11 +155,11 @@
 class Jam(_Table):
     """A box that has had far too much for a while turns slower until it has been mostly idle."""
 
-    at: Positive = 5.5  # more requests than cores + this x root of cores
+    at: Positive = 5.5  # threshold: requests above cores + this x sqrt(cores)
     over_s: Positive = 2.0
     slower: AtLeastOne = 2.7
     rest_s: Positive = 3.4
-    below: Share = 0.33  # of its cores in use
+    below: Share = 0.33  # share of cores in use that counts as idle
     most_s: Positive = 25.0
 
 
@@ -168,42 +170,42 @@
 
 
 class Boxes(_Table):
-    count: Annotated[Whole, Field(ge=1, le=4096)] = 12
-    kind: tuple[Kind, ...] = ()  # left out: half `fast-six`, half `plain-six`
-    jam: Jam | None = None  # left out: boxes don't jam
+    count: Annotated[Integer, Field(ge=1, le=4096)] = 12
+    kind: tuple[Kind, ...] = ()  # default: half `fast-six`, half `plain-six`
+    jam: Jam | None = None  # without it boxes don't jam
     reports: Reports = Field(default_factory=Reports)
-    grace_s: NotNegative = 6.0  # from when it drains to when it is gone
+    grace_s: NotNegative = 6.0  # time from the drain to the end of a box
 
 
 class BoxList(_Table):
     mode: Literal["asked", "pushed"] = "asked"
-    notice_s: Range = (0.4, 1.6)  # from a change to when it is told
-    silent_notice_s: Range = (4.2, 13.0)  # the same for a machine that vanished
-    lines_per_s: Positive = 200.0  # of the list, that it can send in all
-    call_lines: NotNegative = 40.0  # that a call costs besides
+    notice_s: Range = (0.4, 1.6)  # delay of a change in the list
+    silent_notice_s: Range = (4.2, 13.0)  # the same for a machine that was silently disconnected
+    lines_per_s: Positive = 200.0  # total capacity of the list for sending lines
+    call_lines: NotNegative = 40.0  # additional cost of a call, in lines
     timeout_ms: Positive = 3000.0
-    ask_within_s: Positive = 10.0  # a node that asks less often counts as told
+    ask_within_s: Positive = 10.0  # after this time without a call a node counts as told
 
 
 class FrontLayer(_Table):
-    notice_s: Range = (1.9, 3.7)  # it sends on to a dead node for so long
-    busy_part: Share = 0.0  # of the nodes, the first ones, that see `busy_times` as much as the others
+    notice_s: Range = (1.9, 3.7)  # it continues to send to a dead node for so long
+    busy_part: Share = 0.0  # share of nodes, the first ones, that get `busy_times` the traffic
     busy_times: Positive = 3.0
 
 
 class Clients(_Table):
-    retries: Annotated[Whole, Field(ge=0, le=16)] = 2
-    try_share: Range = (0.5, 0.8)  # of the give-up time, that one try gets
-    backoff_ms: Range = (20.0, 160.0)  # first wait; it doubles
-    honour: Share = 0.85  # of clients that wait as `Retry-After` asks
+    retries: Annotated[Integer, Field(ge=0, le=16)] = 2
+    try_share: Range = (0.5, 0.8)  # share of the give-up time for one try
+    backoff_ms: Range = (20.0, 160.0)  # first wait, doubled for each further one
+    honour: Share = 0.85  # share of clients that honour `Retry-After`
     mark_retries: Flag = True
-    connections_share: Share = 0.33  # of a node's descriptors, that clients may hold
+    connections_share: Share = 0.33  # share of a node's descriptors that clients may use
     idle_s: Positive = 20.0
-    hold_share: Share = 0.0  # of requests, that come on a connection of their own, kept and never used again
+    hold_share: Share = 0.0  # share of requests on a connection of their own that is kept open, unused
 
 
 class Net(_Table):
-    client_ms: NotNegative = 0.6  # one way
+    client_ms: NotNegative = 0.6  # one-way delay
     inside_ms: NotNegative = 0.2
     jitter: NotNegative = 0.2
 
@@ -220,9 +222,9 @@
 
     name: Label
     at_s: NotNegative
-    rate: NotNegative = 1.0  # times that of [load]
-    ramp_s: NotNegative = 0.0  # evenly from the rate before
-    shares: dict[str, NotNegative] = {}  # by class: times its share
+    rate: NotNegative = 1.0  # factor on the rate of [load]
+    ramp_s: NotNegative = 0.0  # duration of a linear change from the previous rate
+    shares: dict[str, NotNegative] = {}  # factors on the shares of classes
 
 
 class _Fault(_Table):
@@ -234,13 +236,13 @@
 class _AtBoxes(_Fault):
     """Which boxes: by name, or so many, or a part of them, drawn by the seed, of a kind if one is named."""
 
-    boxes: Chosen = None
+    boxes: Selection = None
     part: Share | None = None
     of_kind: str | None = None
 
 
 class _AtNodes(_Fault):
-    nodes: Chosen = 1
+    nodes: Selection = 1
 
 
 class SlowBoxes(_AtBoxes):
@@ -308,12 +310,12 @@
 
     kind: Literal["silent-crowd"]
     per_s: Annotated[Number, Field(gt=0, le=2000)] = 200.0
-    begin: Flag = False  # each brings a part of a head
+    begin: Flag = False  # each sends a part of a request head
 
 
 class ListOutage(_Fault):
     kind: Literal["list-outage"]
-    silent: Flag = False  # nothing comes back, in place of a refusal
+    silent: Flag = False  # connections time out instead of being refused
 
 
 class ListLag(_Fault):
@@ -372,8 +374,8 @@
     all, to all). Shares of datagrams; a delay comes on top of the network's own."""
 
     kind: Literal["links"]
-    senders: Chosen = None
-    receivers: Chosen = None
+    senders: Selection = None
+    receivers: Selection = None
     both_ways: Flag = False
     cut: Flag = False
     loss: Share = 0.0
@@ -396,11 +398,11 @@
     version: Version
     name: Name = "scenario"
     title: str = ""
-    extends: str | None = None  # a shipped scenario whose tables this one's keys replace
-    seed: Annotated[Whole, Field(ge=0)] = 1
+    extends: str | None = None  # a shipped scenario whose keys this file overrides
+    seed: Annotated[Integer, Field(ge=0)] = 1
     seconds: Annotated[Number, Field(gt=0, le=86_400)] = 30.0
     load: Load = Field(default_factory=Load)
-    classes: tuple[Class, ...] = Field(default=(), alias="class")  # left out: the four captions classes
+    classes: tuple[Class, ...] = Field(default=(), alias="class")  # default: DEFAULT_CLASSES
     tenants: tuple[Tenant, ...] = Field(default=(), alias="tenant")
     nodes: Nodes = Field(default_factory=Nodes)
     boxes: Boxes = Field(default_factory=Boxes)
@@ -413,7 +415,7 @@
     faults: tuple[Fault, ...] = Field(default=(), alias="fault")
 
 
-CLASSES = (
+DEFAULT_CLASSES = (
     Class(name="paid-live", share=12, work_ms=(75.0, 140.0), waits_ms=(56.0, 100.0), wanted_ms=600,
           given_up_ms=3000, worth=12),
     Class(name="track-fetch", share=40, work_ms=(92.0, 170.0), waits_ms=(68.0, 130.0), wanted_ms=500,
@@ -424,13 +426,13 @@
           given_up_ms=5000),
 )  # fmt: skip
 
-TENANTS = (
+DEFAULT_TENANTS = (
     Tenant(name="broadcaster", share=3),
     Tenant(name="series", share=5),
     Tenant(name="partners", share=2),
 )
 
-KINDS = (
+DEFAULT_KINDS = (
     Kind(name="fast-six", share=0.5, speed=(1.3, 1.7), cold_share=0.2, cold_s=18),
     Kind(name="plain-six", share=0.5, speed=(0.85, 1.1), cold_share=0.2, cold_s=20),
 )
--- a/driftstair/rehearsal/sockets.py
+++ b/driftstair/rehearsal/sockets.py
@@ -409,7 +409,7 @@
 
     def crashed(self, node: str, what: str, trace: list[str]) -> None:
         assert self.rehearsal is not None
-        self.rehearsal.crashed(node, what, trace)
+        self.rehearsal.record_crash(node, what, trace)
 
     async def clean_up(self) -> None:
         for node in self.nodes:
--- a/driftstair/rehearsal/tier/checks.py
+++ b/driftstair/rehearsal/tier/checks.py
@@ -10,7 +10,7 @@
 
 from driftstair.rehearsal.tier.histories import FOREVER, Process, Rank
 
-NS_PER_S = 1_000_000_000  # ns
+NS_PER_S = 1_000_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,13 +81,13 @@
 def find_wrongly_dead(record: RunRecord, bounds: Bounds) -> list[Finding]:
     """Reports reachable, running nodes that were held dead for longer than the bound."""
     findings = []
-    members = {one.node for one in record.processes}
+    members = {item.node for item in record.processes}
     settle = int(bounds.settle * NS_PER_S)
     for process in record.processes:
         for member in members - {process.node}:
             excused = [(0, process.began + settle)]
-            excused += [one.excuses(process.node, settle) for one in record.faults_of(member)]
-            excused += [one.excuses(member, settle) for one in record.faults_of(process.node)]
+            excused += [fault.excuses(process.node, settle) for fault in record.faults_of(member)]
+            excused += [fault.excuses(member, settle) for fault in record.faults_of(process.node)]
             for begin, end, change in process.spans(member, "dead", record.until):
                 for remaining in _subtract_spans(begin, end, excused):
                     if remaining[1] - remaining[0] > bounds.wrongly * NS_PER_S:
@@ -126,15 +126,16 @@
     """Once all faults have been over for the settling time, reports running nodes whose views differ, and
     running nodes that are not held alive."""
     now = record.until
-    last_fault_end = max((one.end for one in record.faults if one.end < now), default=0)
+    last_fault_end = max((fault.end for fault in record.faults if fault.end < now), default=0)
     if now < last_fault_end + bounds.settle * NS_PER_S:
         return []
     running = [
-        one for one in _latest_processes(record.processes)
-        if one.ended >= now and not any(span.begin <= now < span.end for span in record.faults_of(one.node))
+        candidate for candidate in _latest_processes(record.processes)
+        if candidate.ended >= now
+        and not any(span.begin <= now < span.end for span in record.faults_of(candidate.node))
     ]  # fmt: skip
     findings = []
-    for member in sorted({one.node for one in record.processes}):
+    for member in sorted({item.node for item in record.processes}):
         views: dict[Rank | None, list[int]] = {}
         for process in running:
             latest = process.latest_changes().get(member)
@@ -144,7 +145,7 @@
             findings.append(Finding("views differ when all is over", now, -1, member, description))
     for process in running:
         for member, change in process.latest_changes().items():
-            if change.state != "alive" and any(one.node == member for one in running):
+            if change.state != "alive" and any(other.node == member for other in running):
                 findings.append(Finding(
                     "a node that runs is not held alive when all is over", now, process.node, member,
                     f"{change.state}: {change.why}",
--- a/driftstair/rehearsal/tier/histories.py
+++ b/driftstair/rehearsal/tier/histories.py
@@ -78,6 +78,7 @@
         self.processes: list[Process] = []
 
     def add_event(self, event: Event) -> None:
+        """Takes the node's next event."""
         processes = self.processes
         if event["event"] == "start":
             if processes and processes[-1].ended == FOREVER:
--- a/driftstair/rehearsal/tier/inside.py
+++ b/driftstair/rehearsal/tier/inside.py
@@ -23,6 +23,7 @@
         self._events = events
 
     def write(self, t_ns: int, node: int, generation: int, event: str, **fields: Any) -> None:
+        """Appends an event."""
         self._events.append({"t_ns": t_ns, "node": node, "life": generation, "event": event, **fields})
 
     def close(self) -> None:
@@ -47,6 +48,7 @@
         self._history_of = history_of
 
     def load(self) -> LoadedService:
+        """Loads the scenario's service file, or the built-in one if there is none."""
         return super().load() if self._base is None else self._base.load()
 
     def _create_tier(self, loaded: LoadedService, config: Config, system: System) -> Tier:
--- a/driftstair/rehearsal/tier/liar.py
+++ b/driftstair/rehearsal/tier/liar.py
@@ -27,6 +27,8 @@
 
 
 class _FailureReporter(ServerObservations):
+    """Records every result of a server as a failure."""
+
     def note(self, now: int, server: int, ok: bool, reached: bool, took: int) -> None:
         super().note(now, server, False, reached, 0)
 
--- a/driftstair/rehearsal/tier/stage.py
+++ b/driftstair/rehearsal/tier/stage.py
@@ -62,7 +62,7 @@
         for name in boxes:
             self.box_faults.setdefault(name, []).append((begin, end))
 
-    def select_nodes(self, which: model.Chosen, random: Random) -> list[int]:
+    def select_nodes(self, which: model.Selection, random: Random) -> list[int]:
         """Returns the numbers of the nodes that a scenario selects; an integer selects that many at
         random."""
         if which is None:
--- a/driftstair/rehearsal/virtual.py
+++ b/driftstair/rehearsal/virtual.py
@@ -245,7 +245,7 @@
     def crashed(self, node: str, message: str, problem: BaseException | None) -> None:
         assert self.rehearsal is not None
         what = f"{type(problem).__name__}: {problem}" if problem is not None else message
-        self.rehearsal.crashed(node, what, trace_of(problem))
+        self.rehearsal.record_crash(node, what, trace_of(problem))
 
 
 def trace_of(problem: BaseException | None) -> list[str]:
@@ -311,9 +311,9 @@
         try:
             environment.scheduler.run(FOREVER, enter)
         except Deadlock as problem:
-            rehearsal.deadlocked(f"{problem}; waiting: {_all_waiting(environment)}")
+            rehearsal.stop_deadlocked(f"{problem}; waiting: {_all_waiting(environment)}")
         except Runaway as problem:
-            rehearsal.deadlocked(str(problem))
+            rehearsal.stop_deadlocked(str(problem))
         if interrupted():
             rehearsal.interrupt()
     finally:
--- a/tests/rehearsal/stage.py
+++ b/tests/rehearsal/stage.py
@@ -31,9 +31,9 @@
         def watch(rehearsal: Rehearsal) -> None:
             judge = rehearsal.checker.note
 
-            def note(seen: wire.Observation) -> None:
-                self.wire.append(seen)
-                judge(seen)
+            def note(observation: wire.Observation) -> None:
+                self.wire.append(observation)
+                judge(observation)
 
             rehearsal.checker.note = note  # type: ignore[method-assign]
             prepare(rehearsal)
@@ -43,7 +43,7 @@
         self.service: float = self.report["service"]
         self.breaks = self.rehearsal.checker.breaks
         self.crashes = self.rehearsal.crashes
-        self.began = self.rehearsal.began
+        self.began = self.rehearsal.began_ns
 
     def seen(self, kind: type, begin: float = 0.0, end: float = 1e9, **fields: Any) -> list[Any]:
         """Observations of a kind between two times of the run, in s from when clients came."""
--- a/tests/rehearsal/test_large_fleet.py
+++ b/tests/rehearsal/test_large_fleet.py
@@ -12,7 +12,7 @@
 
 from driftstair.rehearsal import wire
 from driftstair.rehearsal.cold import ColdBudget, ColdRule
-from driftstair.rehearsal.rules import MS
+from driftstair.rehearsal.rules import NS_PER_MS
 
 NODES = {"count": 12, "descriptors": 200}
 BOXES = {"count": 12, "grace_s": 2.0}
@@ -87,7 +87,7 @@
 def test_a_fleet_of_two_by_the_same_constants() -> None:
     run = Run(fleet({"kind": "node-dies", "nodes": 1, "for_s": 1.0}, nodes=NODES | {"count": 2}))
     assert run.kept()
-    assert run.seen(wire.Answered)[0].at - run.began < 2_000 * MS
+    assert run.seen(wire.Answered)[0].at - run.began < 2_000 * NS_PER_MS
     assert service_between(run, 3.5, 8.0) > 0.95
 
 
@@ -115,7 +115,7 @@
         came = [one for one in sent if one.box == box.box and one.at >= box.at]
         assert came
         for one in came:
-            budget.arrive(one.at, one.work, one.node)
-            able = budget.warmth(one.at - rule.fall_time // 2) * box.capacity * rule.fall_time / 1e9
-            allowed = rule.multiple * able / mean
-            assert budget.in_window() / mean <= allowed + 2 * sqrt(allowed) + 2
+            budget.add_arrival(one.at, one.work, one.node)
+            able = budget.warmth(one.at - rule.window_ns // 2) * box.capacity * rule.window_ns / 1e9
+            allowed = rule.capacity_multiple * able / mean
+            assert budget.work_in_window() / mean <= allowed + 2 * sqrt(allowed) + 2
