--- a/tests/rehearsal/test_rehearsal.py
+++ b/tests/rehearsal/test_rehearsal.py
@@ -1,4 +1,5 @@
-"""The daemon in virtual time: the same report each time, faults that do what they say, failures told."""
+"""Tests of rehearsals in virtual time: repeatable reports, the effect of each fault, and the detection of
+failures."""
 
 from __future__ import annotations
 
@@ -34,7 +35,7 @@
 
 ROOT = Path(__file__).parents[2]
 
-MANY = """
+MANY_FAULTS = """
 version = 1
 name = "many"
 seconds = 8
@@ -79,22 +80,24 @@
 
 
 def rehearse(path: Path, hash_seed: str, *options: str) -> bytes:
-    done = subprocess.run(
+    """Plays a scenario in another process and returns the report."""
+    completed = subprocess.run(
         [sys.executable, "-m", "driftstair", "rehearse", str(path), "--json", "-", *options],
         cwd=ROOT, env={**os.environ, "PYTHONHASHSEED": hash_seed}, capture_output=True, timeout=120,
     )  # fmt: skip
-    assert done.returncode == 0, done.stderr.decode() + done.stdout.decode()[-2000:]
-    return done.stdout
+    assert completed.returncode == 0, completed.stderr.decode() + completed.stdout.decode()[-2000:]
+    return completed.stdout
 
 
-def test_the_same_seed_gives_the_same_report_to_the_byte_in_another_process(tmp_path: Path) -> None:
-    """Of the daemon too: three of its orders hung on a set, and with it on the hash seed or on addresses."""
+def test_a_seed_gives_the_same_report_in_every_process(tmp_path: Path) -> None:
+    """Reports are equal to the byte. This includes the daemon, in which three iteration orders used to depend
+    on a set, and thus on the hash seed or on addresses."""
     path = tmp_path / "many.toml"
-    path.write_text(MANY)
-    one, other = rehearse(path, "1"), rehearse(path, "4242")
-    assert len(one) > 10_000
-    assert one == other
-    assert rehearse(path, "1", "--seed", "2") != one
+    path.write_text(MANY_FAULTS)
+    first, second = rehearse(path, "1"), rehearse(path, "4242")
+    assert len(first) > 10_000
+    assert first == second
+    assert rehearse(path, "1", "--seed", "2") != first
 
 
 def test_a_calm_run_loses_nothing() -> None:
@@ -106,93 +109,108 @@
     )
 
 
-# Each fault does what it says.
+# The effect of each fault.
 
 
-def served(run: Run, begin: float, end: float, box: str) -> int:
-    return len([one for one in run.seen(wire.Ran, begin, end) if one.token.startswith(box.encode())])
+def answered_by(run: Run, begin: float, end: float, box: str) -> int:
+    """Returns the number of requests that a box answered between two times of the run."""
+    return len(
+        [
+            observation
+            for observation in run.seen(wire.Ran, begin, end)
+            if observation.token.startswith(box.encode())
+        ]
+    )
 
 
 def test_slow_boxes_take_longer() -> None:
     fault = {"kind": "slow-boxes", "boxes": ["s-01"], "times": 6.0, "for_s": 3.0}
     run, calm = Run(small(fault)), Run(small())
     assert run.kept()
-    assert served(run, 3, 5, "s-01") < 0.6 * served(calm, 3, 5, "s-01")
+    assert answered_by(run, 3, 5, "s-01") < 0.6 * answered_by(calm, 3, 5, "s-01")
     assert run.report["latency_ms"]["p99"] > 1.2 * calm.report["latency_ms"]["p99"]
 
 
-def test_everything_slow_is_slow_everywhere() -> None:
+def test_everything_slow_slows_all_boxes() -> None:
     run, calm = Run(small({"kind": "everything-slow", "times": 3.0})), Run(small())
     assert run.kept()
     assert run.report["latency_ms"]["p95"] > 1.2 * calm.report["latency_ms"]["p95"]
-    assert run.report["latency_ms"]["p99"] > 1.5 * calm.report["latency_ms"]["p99"]  # the rest is shed
+    # Requests beyond the capacity are shed, so the latency grows by less than the factor.
+    assert run.report["latency_ms"]["p99"] > 1.5 * calm.report["latency_ms"]["p99"]
 
 
-def test_a_traffic_jump_is_more_of_everything_for_its_time() -> None:
+def test_a_traffic_jump_raises_the_rate_while_it_lasts() -> None:
     run = Run(small({"kind": "traffic-jump", "times": 3.0, "rise_s": 0.0, "fall_s": 0.0}))
-    asked = [one["asked"] for one in run.report["seconds"]]
-    assert asked[2] + asked[3] > 2.2 * (asked[0] + asked[1])
-    assert asked[5] < 1.5 * asked[0]
+    requests = [item["asked"] for item in run.report["seconds"]]
+    assert requests[2] + requests[3] > 2.2 * (requests[0] + requests[1])
+    assert requests[5] < 1.5 * requests[0]
 
 
-def test_a_surge_is_more_of_one_class() -> None:
+def test_a_surge_raises_the_rate_of_one_class() -> None:
     run = Run(small({"kind": "surge", "of_class": "paid-live", "times": 8.0}))
     before, during = (
-        [one.kind for one in run.seen(wire.Asked, begin, end)] for begin, end in ((0, 2), (2, 4))
+        [observation.kind for observation in run.seen(wire.Asked, begin, end)]
+        for begin, end in ((0, 2), (2, 4))
     )
     assert during.count("paid-live") > 4 * before.count("paid-live")
     assert during.count("track-fetch") < 1.6 * before.count("track-fetch")
 
 
-def test_a_box_that_dies_answers_nothing_and_comes_back_cold() -> None:
+def test_a_killed_box_answers_nothing_and_restarts_cold() -> None:
     run = Run(small({"kind": "box-dies", "boxes": ["s-02"]}))
     assert run.kept()
-    assert served(run, 0, 2, "s-02") > 10
-    assert served(run, 2.001, 4, "s-02") == 0
-    (again,) = run.seen(wire.BoxUp, 1)
-    assert (again.box, again.cold_share) == ("s-02", 0.2)
+    assert answered_by(run, 0, 2, "s-02") > 10
+    assert answered_by(run, 2.001, 4, "s-02") == 0
+    (restart,) = run.seen(wire.BoxUp, 1)
+    assert (restart.box, restart.cold_share) == ("s-02", 0.2)
     assert run.seen(wire.Told, box="s-02", state=HostState.GONE)
 
 
-def test_a_box_that_vanishes_is_silent_and_keeps_what_it_held() -> None:
+def test_a_disconnected_box_is_silent_and_keeps_its_process() -> None:
     run = Run(small({"kind": "box-vanishes", "boxes": ["s-02"]}))
     assert run.kept()
     assert run.seen(wire.Sending, 2.01, 4, box="s-02") == []
-    assert not [one for one in run.seen(wire.BoxDown) if one.box == "s-02"]
+    assert not [observation for observation in run.seen(wire.BoxDown) if observation.box == "s-02"]
     assert run.seen(wire.Sending, 4, box="s-02")
 
 
-def test_box_errors_are_errors() -> None:
+def test_box_errors_make_boxes_answer_with_errors() -> None:
     run = Run(small({"kind": "box-errors", "part": 1.0, "share": 1.0}))
     assert run.kept()
     assert run.seen(wire.Ran, 2.3, 4) == []
     assert run.service < 0.8
 
 
-def test_replaced_boxes_drain_are_gone_and_have_successors_under_new_names() -> None:
+def test_replaced_boxes_drain_and_get_successors_with_new_names() -> None:
     run = Run(small({"kind": "replace", "boxes": ["s-01"]}, seconds=9.0))
     assert run.kept()
-    told = [(one.box, one.state) for one in run.seen(wire.Told, 2, node="n0") if one.box in ("s-01", "s-05")]
+    told = [
+        (observation.box, observation.state)
+        for observation in run.seen(wire.Told, 2, node="n0")
+        if observation.box in ("s-01", "s-05")
+    ]
     assert told == [
         ("s-01", HostState.DRAINING), ("s-01", HostState.GONE), ("s-05", HostState.READY),
     ]  # fmt: skip
-    assert served(run, 4.5, 9, "s-05") > 0
+    assert answered_by(run, 4.5, 9, "s-05") > 0
 
 
-@pytest.mark.parametrize("same", [True, False])
-def test_a_successor_stands_at_the_old_address_or_at_its_own(same: bool) -> None:
+@pytest.mark.parametrize("same_address", [True, False])
+def test_a_successor_has_the_old_address_or_one_of_its_own(same_address: bool) -> None:
     boxes: list[dict[str, Any]] = []
 
-    def look(rehearsal: Rehearsal) -> None:
+    def keep_boxes(rehearsal: Rehearsal) -> None:
         boxes.append(rehearsal.boxes)  # type: ignore[arg-type]
 
-    run = Run(small({"kind": "replace", "boxes": ["s-01"], "same_address": same}, seconds=9.0), look)
-    old, new = run.rehearsal.gone["s-01"], boxes[0]["s-05"]
-    assert (old.addresses == new.addresses) is same
+    run = Run(
+        small({"kind": "replace", "boxes": ["s-01"], "same_address": same_address}, seconds=9.0), keep_boxes
+    )
+    old, new = run.rehearsal.removed_boxes["s-01"], boxes[0]["s-05"]
+    assert (old.addresses == new.addresses) is same_address
     assert run.kept()
 
 
-def test_a_list_outage_ends_watches_and_tells_nothing() -> None:
+def test_a_list_outage_ends_watches_and_stops_updates() -> None:
     run = Run(small({"kind": "list-outage"}, {"kind": "box-dies", "boxes": 1, "at_s": 2.5, "for_s": 3.0}))
     assert run.kept()
     assert run.seen(wire.Told, 2.001, 4) == []
@@ -200,26 +218,27 @@
     assert run.seen(wire.Told, 4, 9)
 
 
-def test_a_silent_list_outage_keeps_connections_and_tells_nothing() -> None:
+def test_a_silent_list_outage_stops_updates() -> None:
     run = Run(small({"kind": "list-outage", "silent": True}, {"kind": "box-dies", "boxes": 1, "for_s": 3.0}))
     assert run.kept()
     assert run.seen(wire.Told, 2.001, 4) == []
     assert run.seen(wire.Told, 4, 9)
 
 
-def test_a_lagging_list_tells_later_by_its_lag() -> None:
+def test_a_lagging_list_delays_changes_by_its_lag() -> None:
     fault = {"kind": "box-dies", "boxes": ["s-01"], "at_s": 2.5, "for_s": 9.0}
     lag = {"kind": "list-lag", "extra_s": 2.0}
-    listed = [
-        next(one.at - run.began for one in run.seen(wire.Listed, 2, box="s-01"))
+    listed_at = [
+        next(observation.at - run.began for observation in run.seen(wire.Listed, 2, box="s-01"))
         for run in (Run(small(fault)), Run(small(lag, fault)))
     ]
-    assert listed[1] - listed[0] == 2_000_000_000
+    assert listed_at[1] - listed_at[0] == 2_000_000_000
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_counts_as_told() -> None:
-    # Guards against a silence found after 7 s and more: on the whole fleet six requests went to servers
-    # that had drained for 1.1 s. Each node's watch is silent at another time after its last sign of life.
+def test_a_silent_watch_is_replaced_before_missed_changes_count_as_told() -> None:
+    # Guards against a silent watch that is detected only after 7 s or more: on the whole fleet six requests
+    # then went to servers that had drained for 1.1 s. Each node's watch falls silent at another time after
+    # its last message.
     silent = [
         {"kind": "watches-fall-silent", "nodes": [f"n{number}"], "at_s": 4.0 + number / 3}
         for number in range(6)
@@ -231,61 +250,67 @@
         )
     )  # fmt: skip
     assert run.kept()
-    for fault in silent:  # each opens another one, after its own has fallen silent
+    for fault in silent:  # each node opens another watch after its own has fallen silent
         assert run.seen(wire.Contact, fault["at_s"], node=fault["nodes"][0], standing=True)
 
 
 @pytest.mark.parametrize("mode", ["pushed", "asked"])
 @pytest.mark.parametrize("silent", [True, False])
-def test_after_a_long_outage_every_node_learns_what_has_changed_within_6_s(mode: str, silent: bool) -> None:
-    """By then its calls had failed five times in a row, and its pauses had doubled to ten seconds."""
-    figures = {"mode": mode, "lines_per_s": 4000.0, "notice_s": 0.3, "silent_notice_s": 3.0}
+def test_after_a_long_outage_every_node_learns_of_changes_within_6_s(mode: str, silent: bool) -> None:
+    """Five failed calls in a row must not delay the next one: with pauses that double, it would come ten
+    seconds later."""
+    list_settings = {"mode": mode, "lines_per_s": 4000.0, "notice_s": 0.3, "silent_notice_s": 3.0}
     run = Run(
         small(
             {"kind": "list-outage", "silent": silent, "for_s": 14.0},
             {"kind": "replace", "boxes": 1, "at_s": 15.0, "for_s": 0.5},
-            nodes={"count": 6}, boxes={"count": 6, "grace_s": 9.0}, list=figures, seconds=24.0,
+            nodes={"count": 6}, boxes={"count": 6, "grace_s": 9.0}, list=list_settings, seconds=24.0,
         )
     )  # fmt: skip
     assert run.kept()
-    assert {one.node for one in run.seen(wire.Told, 16.0, 22.0)} == {f"n{number}" for number in range(6)}
+    assert {observation.node for observation in run.seen(wire.Told, 16.0, 22.0)} == {
+        f"n{number}" for number in range(6)
+    }
 
 
-def test_a_list_that_moves_is_followed_by_sighup() -> None:
+def test_nodes_follow_a_moved_list_on_sighup() -> None:
     run = Run(small({"kind": "list-moves"}, {"kind": "box-dies", "boxes": 1, "at_s": 4.0}))
     assert run.kept()
     assert len([line for line in run.log if "discovery is at" in line[3]]) == 2
-    assert len({one.node for one in run.seen(wire.Told, 4)}) == 2
+    assert len({observation.node for observation in run.seen(wire.Told, 4)}) == 2
 
 
-def test_a_node_dies_holding_requests_and_the_front_sends_on_to_it() -> None:
+def test_a_killed_node_loses_its_requests_and_the_front_still_sends_to_it() -> None:
     run = Run(small({"kind": "node-dies", "nodes": ["n1"]}, front={"notice_s": 1.0}))
-    assert run.kept()  # what it held is the clients' to ask again
+    assert run.kept()  # clients ask again for the requests that it held
     down = run.seen(wire.NodeDown, node="n1")
     assert len(down) == 1 and run.seen(wire.Cut)
-    assert run.seen(wire.Asked, 2.01, 4, node="n1") == []  # nothing reaches it, though it is tried
-    assert any(one.at > 4e9 for one in run.seen(wire.Asked, 4, node="n1"))
-    tried = [group["tries"] for group in (Run(small()).report, run.report)]
-    assert tried[1] > tried[0]
+    # Nothing reaches the node, although the front layer still sends to it.
+    assert run.seen(wire.Asked, 2.01, 4, node="n1") == []
+    assert any(observation.at > 4e9 for observation in run.seen(wire.Asked, 4, node="n1"))
+    tries = [group["tries"] for group in (Run(small()).report, run.report)]
+    assert tries[1] > tries[0]
 
 
-def test_a_node_that_dies_comes_back_with_its_last_list() -> None:
+def test_a_killed_node_restarts_with_its_last_list() -> None:
     documents: list[dict[str, Any]] = []
 
-    def look(rehearsal: Rehearsal) -> None:
+    def record_documents(rehearsal: Rehearsal) -> None:
         process = rehearsal.nodes["n0"]
         start = process.start
         process.start = lambda document: (documents.append(document), start(document))[1]  # type: ignore[method-assign]
 
-    gone = {"kind": "box-dies", "boxes": ["s-03"], "at_s": 0.5, "for_s": 20.0}
-    run = Run(small(gone, {"kind": "node-dies", "nodes": ["n0"]}), look)
+    box_fault = {"kind": "box-dies", "boxes": ["s-03"], "at_s": 0.5, "for_s": 20.0}
+    run = Run(small(box_fault, {"kind": "node-dies", "nodes": ["n0"]}), record_documents)
     assert run.kept()
-    first, second = (sorted(one["id"] for one in document["known"]["servers"]) for document in documents)
+    first, second = (
+        sorted(server["id"] for server in document["known"]["servers"]) for document in documents
+    )
     assert first == ["s-01", "s-02", "s-03", "s-04"] and second == ["s-01", "s-02", "s-04"]
     assert documents[0]["seed"] != documents[1]["seed"]
 
 
-def test_a_node_that_vanishes_is_silent_and_goes_on_when_it_is_back() -> None:
+def test_a_disconnected_node_is_silent_and_resumes_afterwards() -> None:
     run = Run(small({"kind": "node-vanishes", "nodes": ["n0"]}))
     assert run.kept()
     assert run.seen(wire.Sending, 2.01, 4, node="n0") == []
@@ -296,11 +321,11 @@
 def test_a_planned_restart_loses_nothing() -> None:
     run = Run(small({"kind": "node-restarts", "nodes": 2, "for_s": 9.0}, seconds=12.0))
     assert run.kept() and run.service > 0.98
-    assert [one.planned for one in run.seen(wire.NodeDown)] == [True, True]
+    assert [observation.planned for observation in run.seen(wire.NodeDown)] == [True, True]
     assert len(run.seen(wire.NodeUp, 1)) == 2
 
 
-def test_phases_turn_rate_and_shares_and_have_their_own_row() -> None:
+def test_phases_change_rate_and_shares_and_are_reported_separately() -> None:
     run = Run(
         small(phase=[
             {"name": "quiet", "at_s": 0, "rate": 0.5},
@@ -310,23 +335,23 @@
     phases = run.report["phases"]
     assert list(phases) == ["quiet", "goal"]
     assert phases["goal"]["asked"] > 4 * phases["quiet"]["asked"]
-    kinds = [one.kind for one in run.seen(wire.Asked, 3, 6)]
+    kinds = [observation.kind for observation in run.seen(wire.Asked, 3, 6)]
     assert kinds.count("seek-chunk") > kinds.count("track-fetch")
 
 
 # Hard cases.
 
 
-def test_half_the_fleet_is_of_the_slower_kind_and_fails() -> None:
+def test_all_boxes_of_the_slower_kind_can_fail() -> None:
     fault = {"kind": "box-dies", "part": 1.0, "of_kind": "plain-six", "for_s": 3.0}
     run = Run(small(fault, seconds=8.0))
     assert run.kept()
-    kinds = {name: one["kind"] for name, one in run.report["boxes"].items()}
+    kinds = {name: box["kind"] for name, box in run.report["boxes"].items()}
     assert sorted(kinds.values()) == ["fast-six", "fast-six", "plain-six", "plain-six"]
-    assert {kinds[one.box] for one in run.seen(wire.BoxDown)} == {"plain-six"}
+    assert {kinds[observation.box] for observation in run.seen(wire.BoxDown)} == {"plain-six"}
 
 
-def test_a_surge_while_the_list_is_out() -> None:
+def test_a_surge_during_a_list_outage() -> None:
     run = Run(small(
         {"kind": "list-outage"}, {"kind": "surge", "of_class": "paid-live", "times": 6.0},
         {"kind": "replace", "boxes": 1, "at_s": 1.8},
@@ -334,15 +359,21 @@
     assert run.kept()
 
 
-def test_a_box_that_drains_finishes_what_it_has() -> None:
+def test_a_draining_box_finishes_its_requests() -> None:
     run = Run(small({"kind": "replace", "boxes": ["s-01"]}, list={"notice_s": 0.02, "ask_within_s": 1.0}))
-    drained = next(one.at for one in run.seen(wire.Told, box="s-01", state=HostState.DRAINING))
-    late = [one for one in run.seen(wire.Ran) if one.token.startswith(b"s-01/") and one.at > drained]
-    assert late  # old attempts run on
+    drained_at = next(
+        observation.at for observation in run.seen(wire.Told, box="s-01", state=HostState.DRAINING)
+    )
+    late_answers = [
+        observation
+        for observation in run.seen(wire.Ran)
+        if observation.token.startswith(b"s-01/") and observation.at > drained_at
+    ]
+    assert late_answers  # attempts from before the drain continue
     assert run.kept()
 
 
-def test_the_kit_plays_unsafe_and_keyed_requests_too() -> None:
+def test_unsafe_and_keyed_requests_are_played() -> None:
     classes = [
         {"name": "order", "share": 1, "work_ms": 60, "effect": "unsafe", "given_up_ms": 3000},
         {"name": "cart", "share": 1, "work_ms": 60, "effect": "keyed", "given_up_ms": 3000},
@@ -351,10 +382,10 @@
     assert run.kept() and run.report["served"] > 100
 
 
-# Failures of the daemon, planted here, that a run must tell.
+# Planted failures of the daemon that a run must report.
 
 
-def test_a_bug_that_raises_in_a_callback_is_a_crash_and_not_a_hang(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_a_callback_is_reported_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     def on_idle(self: Frontend, connection: ClientConnection) -> None:
         if self._loop.time() > 3:
             raise KeyError("planted")
@@ -367,30 +398,30 @@
     assert any("driftstair/net/client_connection.py" in frame for frame in crash["trace"])
 
 
-def test_a_bug_that_the_daemon_catches_and_logs_is_told_as_well(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_that_the_daemon_logs_is_reported_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     handle = Balancer.handle
 
-    def fails(self: Balancer, now: int, event: Any) -> Any:
+    def failing_handle(self: Balancer, now: int, event: Any) -> Any:
         if now > 3_000_000_000 and type(event).__name__ == "Request":
             raise ZeroDivisionError("planted")
         return handle(self, now, event)
 
-    monkeypatch.setattr(Balancer, "handle", fails)
+    monkeypatch.setattr(Balancer, "handle", failing_handle)
     run = Run(small())
     assert "ZeroDivisionError" in run.report["crashes"][0]["what"]
 
 
 def test_a_node_that_ends_by_itself_is_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def ends(*_: Any, **__: Any) -> int:
+    async def serve_for_3_s(*_: Any, **__: Any) -> int:
         await asyncio.sleep(3)
         return 0
 
-    monkeypatch.setattr("driftstair.rehearsal.virtual.serve", ends)
+    monkeypatch.setattr("driftstair.rehearsal.virtual.serve", serve_for_3_s)
     run = Run(small())
     assert run.report["crashes"][0]["what"] == "ended by itself, with status 0"
 
 
-def test_a_standstill_is_said_at_once_with_what_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_standstill_is_reported_at_once_with_the_waiting_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
     async def waits_for_ever(*_: Any, **__: Any) -> int:
         return int(await asyncio.get_running_loop().create_future())
 
@@ -402,91 +433,100 @@
 
 
 def test_an_answer_that_never_comes_breaks_rule_1(monkeypatch: pytest.MonkeyPatch) -> None:
-    answer = ClientConnection.answer
-    number = [0]
+    real_answer = ClientConnection.answer
+    answer_count = [0]
 
-    def swallows(self: ClientConnection, status: int, headers: Any, body: bytes) -> None:
-        number[0] += 1
-        if number[0] % 50:
-            answer(self, status, headers, body)
+    def drop_some_answers(self: ClientConnection, status: int, headers: Any, body: bytes) -> None:
+        answer_count[0] += 1
+        if answer_count[0] % 50:
+            real_answer(self, status, headers, body)
 
-    monkeypatch.setattr(ClientConnection, "answer", swallows)
+    monkeypatch.setattr(ClientConnection, "answer", drop_some_answers)
     run = Run(small())
     assert run.rules() == {1}
     assert "no final answer" in run.breaks[0].evidence
 
 
 def test_an_answer_of_another_request_breaks_rule_1(monkeypatch: pytest.MonkeyPatch) -> None:
-    complete = Node._answer
-    last = [b""]
+    real_answer = Node._answer
+    previous_body = [b""]
 
-    def mixes(self: Node, number: int, status: int, headers: Any, reason: Any, body: bytes = b"") -> None:
-        body, last[0] = last[0], body
-        complete(self, number, status, headers, reason, body)
+    def answer_with_previous_body(
+        self: Node, number: int, status: int, headers: Any, reason: Any, body: bytes = b""
+    ) -> None:
+        body, previous_body[0] = previous_body[0], body
+        real_answer(self, number, status, headers, reason, body)
 
-    monkeypatch.setattr(Node, "_answer", mixes)
+    monkeypatch.setattr(Node, "_answer", answer_with_previous_body)
     run = Run(small())
     assert run.rules() == {1}
     assert "no box made" in run.breaks[0].evidence
 
 
-def test_a_request_sent_on_after_its_refusal_breaks_rule_1(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The answer goes out at once, and the attempt a while later all the same, unless the guard is asked."""
-    start = Attempt.start
+def test_an_attempt_after_a_refusal_breaks_rule_1(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The node answers at once and starts the attempt later all the same. The attempt's permit prevents this
+    unless it is disabled."""
+    real_start = Attempt.start
 
-    def late(self: Attempt) -> None:
-        asyncio.get_running_loop().call_later(0.4, start, self)
+    def start_late(self: Attempt) -> None:
+        asyncio.get_running_loop().call_later(0.4, real_start, self)
 
-    def refuses(self: Node, action: Any) -> None:
-        send(self, action)
+    def send_and_refuse(self: Node, action: Any) -> None:
+        real_send(self, action)
         self._answer(action.request, 503, [], AnswerReason.REFUSED)
 
-    send = Node._send
-    monkeypatch.setattr(Attempt, "start", late)
-    monkeypatch.setattr(Node, "_send", refuses)
+    real_send = Node._send
+    monkeypatch.setattr(Attempt, "start", start_late)
+    monkeypatch.setattr(Node, "_send", send_and_refuse)
     assert Run(small()).kept()
     monkeypatch.setattr(AttemptPermit, "forbids", lambda self, now: None)
     run = Run(small())
     assert 1 in run.rules()
-    assert any("after its final answer" in one.evidence for one in run.breaks)
+    assert any("after its final answer" in rule_break.evidence for rule_break in run.breaks)
 
 
-UNSAFE = {"class": [{"name": "order", "share": 1, "work_ms": 60, "effect": "unsafe", "given_up_ms": 4000}]}
+UNSAFE_CLASS = {
+    "class": [{"name": "order", "share": 1, "work_ms": 60, "effect": "unsafe", "given_up_ms": 4000}]
+}
 
 
-def test_a_retry_of_what_may_have_run_breaks_rule_2(monkeypatch: pytest.MonkeyPatch) -> None:
-    end = Attempt.end
+def test_a_retry_of_an_unsafe_request_that_may_have_run_breaks_rule_2(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    real_end = Attempt.end
 
-    def believes(self: Attempt, result: Result, answer: Any = None) -> None:
-        end(self, Result.CONNECT_FAILED if result is Result.RESET else result, answer)
+    def end_as_connect_failure(self: Attempt, result: Result, answer: Any = None) -> None:
+        real_end(self, Result.CONNECT_FAILED if result is Result.RESET else result, answer)
 
-    monkeypatch.setattr(Attempt, "end", believes)
-    run = Run(small({"kind": "box-dies", "boxes": 2}, **UNSAFE))
+    monkeypatch.setattr(Attempt, "end", end_as_connect_failure)
+    run = Run(small({"kind": "box-dies", "boxes": 2}, **UNSAFE_CLASS))
     assert run.rules() == {2}
-    assert Run(small({"kind": "box-dies", "boxes": 2})).kept()  # the safe classes may
+    assert Run(small({"kind": "box-dies", "boxes": 2})).kept()  # safe classes may be retried
 
 
-def test_a_refusal_of_what_may_have_run_breaks_rule_2(monkeypatch: pytest.MonkeyPatch) -> None:
-    answer = Node._answer
+def test_a_refusal_of_an_unsafe_request_that_may_have_run_breaks_rule_2(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    real_answer = Node._answer
 
-    def refuses(self: Node, number: int, status: int, *answered: Any) -> None:
-        answer(self, number, 503 if status == 502 else status, *answered)
+    def answer_with_refusal(self: Node, number: int, status: int, *arguments: Any) -> None:
+        real_answer(self, number, 503 if status == 502 else status, *arguments)
 
-    monkeypatch.setattr(Node, "_answer", refuses)
-    assert Run(small({"kind": "box-dies", "boxes": 2}, **UNSAFE)).rules() == {2}
+    monkeypatch.setattr(Node, "_answer", answer_with_refusal)
+    assert Run(small({"kind": "box-dies", "boxes": 2}, **UNSAFE_CLASS)).rules() == {2}
 
 
-def test_a_node_that_does_not_heed_drains_breaks_rule_3(monkeypatch: pytest.MonkeyPatch) -> None:
-    follow = ServerDirectory._update_servers
+def test_a_node_that_ignores_drains_breaks_rule_3(monkeypatch: pytest.MonkeyPatch) -> None:
+    real_update = ServerDirectory._update_servers
 
-    def heedless(self: ServerDirectory, kind: Any, hosts: Any) -> None:
-        kept = [
+    def update_as_ready(self: ServerDirectory, kind: Any, hosts: Any) -> None:
+        ready_hosts = [
             host._replace(state=ServerState.READY) for host in hosts if host.state is not ServerState.GONE
         ]
-        follow(self, kind, tuple(kept))
+        real_update(self, kind, tuple(ready_hosts))
 
-    monkeypatch.setattr(ServerDirectory, "_update_servers", heedless)
-    # Alone, that the box turns all away would keep the module from it.
+    monkeypatch.setattr(ServerDirectory, "_update_servers", update_as_ready)
+    # Otherwise the box's refusals would keep the module away from it.
     monkeypatch.setattr(balance, "FULL_THRESHOLD", 2.0)
     monkeypatch.setattr(balance, "FULL_LOAD_PENALTY", 0.0)
     run = Run(small({"kind": "replace", "boxes": 1}))
@@ -494,8 +534,9 @@
     assert "was told that it is Terminating" in run.breaks[0].evidence
 
 
-def test_a_module_that_takes_cold_boxes_for_warm_breaks_rule_4(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It prefers the newest as well: alone, its count of requests in flight would spare a slow box."""
+def test_a_module_that_treats_cold_boxes_as_warm_breaks_rule_4(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The planted module also prefers the newest box: otherwise its count of requests in flight would spare a
+    slow box."""
     monkeypatch.setattr(Balancer, "_warmth", lambda *_: 1.0)
     monkeypatch.setattr(Balancer, "_load", lambda self, now, index, backend: -float(backend.entry.started))
     kinds = [{"name": "cold", "share": 1, "cold_share": 0.05, "speed": 1.0, "cold_s": 20}]
@@ -506,28 +547,28 @@
     )  # fmt: skip
     run = Run(tree)
     assert 4 in run.rules()
-    assert [one.why for one in run.seen(wire.BoxDown)].count("pushed over") >= 1
+    assert [observation.why for observation in run.seen(wire.BoxDown)].count("pushed over") >= 1
     monkeypatch.undo()
     assert Run(tree).kept()
 
 
-def test_all_nodes_dead_is_no_service_and_no_break() -> None:
+def test_the_death_of_all_nodes_breaks_no_rule() -> None:
     run = Run(small({"kind": "node-dies", "nodes": 2, "for_s": 30.0}))
     assert run.kept() and run.service < 0.6
     assert run.report["lost"]["unreachable"]["requests"] > 50
 
 
-def test_the_seam_is_all_that_the_daemon_takes_from_its_machine() -> None:
-    """No module of the node's reads a clock or makes a socket of its own."""
+def test_node_modules_use_no_clocks_or_sockets_of_their_own() -> None:
+    """Modules of the node get clocks, sockets and random numbers only through the system interface."""
     for module in (
         frontend, node, connection_pools, server_attempt, server_connection, server_directory,
     ):  # fmt: skip
         text = Path(module.__file__ or "").read_text()
-        for own in ("import socket", "import select", "import time", "from time", "import random"):
-            assert own not in text, (module.__name__, own)
+        for forbidden in ("import socket", "import select", "import time", "from time", "import random"):
+            assert forbidden not in text, (module.__name__, forbidden)
 
 
-def test_nodes_under_a_service_file_keep_the_rules_and_their_promises(tmp_path: Path) -> None:
+def test_nodes_with_a_service_file_keep_the_rules_and_retry_limits(tmp_path: Path) -> None:
     service = tmp_path / "service.toml"
     service.write_text(
         'version = 1\n[[route]]\nname = "paid"\nmatch = { class = "paid-live" }\n'
@@ -535,36 +576,42 @@
         'retry = { attempts = 2, backoff = "20ms", budget = { share = 0.05, burst = 2.0 } }\n'
     )
     fault = {"kind": "box-errors", "part": 1.0, "share": 0.5}
-    plain = Run(small(fault, seconds=8.0))
+    run_without_file = Run(small(fault, seconds=8.0))
     run = Run(small(fault, seconds=8.0, nodes={"count": 2, "service": str(service)}))
-    assert plain.kept() and run.kept()
+    assert run_without_file.kept() and run.kept()
     first, further = (run.report["verdict"][key] for key in ("first_attempts", "further_attempts"))
-    assert further.get("paid-live", 0) == 0 < plain.report["verdict"]["further_attempts"]["paid-live"]
+    assert (
+        further.get("paid-live", 0) == 0 < run_without_file.report["verdict"]["further_attempts"]["paid-live"]
+    )
     rest = sum(number for kind, number in first.items() if kind != "paid-live")
     assert 0 < sum(further.values()) <= 2 * 2.0 + 0.05 * rest
 
 
-def test_a_service_file_that_is_refused_ends_the_run_in_one_line(tmp_path: Path) -> None:
+def test_an_invalid_service_file_ends_the_run_with_one_line(tmp_path: Path) -> None:
     service = tmp_path / "service.toml"
     service.write_text("version = 1\n[[route]]\nname = 3\n")
     path = tmp_path / "many.toml"
-    path.write_text(MANY)
-    done = subprocess.run(
+    path.write_text(MANY_FAULTS)
+    completed = subprocess.run(
         [sys.executable, "-m", "driftstair", "rehearse", str(path), "--service", str(service)],
         cwd=ROOT, capture_output=True, text=True, timeout=60,
     )  # fmt: skip
-    assert done.returncode == 2 and done.stdout == ""
-    assert done.stderr.startswith(f"driftstair: {service}:3: route[0].name:") and done.stderr.count("\n") == 1
+    assert completed.returncode == 2 and completed.stdout == ""
+    assert (
+        completed.stderr.startswith(f"driftstair: {service}:3: route[0].name:")
+        and completed.stderr.count("\n") == 1
+    )
 
 
-def test_a_node_that_has_only_started_is_signalled_once_it_has_served_for_a_second() -> None:
-    """Before its handlers stand a signal ends a process: the platform promises not to send one."""
-    dies = {"kind": "node-dies", "nodes": ["n0"], "at_s": 1.0, "for_s": 1.0}
-    moves = {"kind": "list-moves", "at_s": 2.05}
-    restarts = {"kind": "node-restarts", "nodes": ["n0"], "at_s": 2.1}
-    run = Run(small(dies, moves, restarts, seconds=8.0))
+def test_a_restarted_node_is_signalled_only_after_a_second_of_service() -> None:
+    """A signal ends a process whose handlers are not yet installed, so the platform promises not to send one
+    before."""
+    node_dies = {"kind": "node-dies", "nodes": ["n0"], "at_s": 1.0, "for_s": 1.0}
+    list_moves = {"kind": "list-moves", "at_s": 2.05}
+    node_restarts = {"kind": "node-restarts", "nodes": ["n0"], "at_s": 2.1}
+    run = Run(small(node_dies, list_moves, node_restarts, seconds=8.0))
     assert run.kept()
-    moved = [at for at, name, _, text in run.log if name == "n0" and "discovery is at" in text]
-    assert min(moved) - run.began >= 3_000_000_000
-    (told,) = [one.at for one in run.rehearsal.events if one.what == "n0 is told to end"]
-    assert told - run.began >= 3_000_000_000
+    moved_at = [at for at, name, _, text in run.log if name == "n0" and "discovery is at" in text]
+    assert min(moved_at) - run.began >= 3_000_000_000
+    (restarted_at,) = [event.at for event in run.rehearsal.events if event.what == "n0 is told to end"]
+    assert restarted_at - run.began >= 3_000_000_000
--- a/tests/rehearsal/test_rehearse_command.py
+++ b/tests/rehearsal/test_rehearse_command.py
@@ -1,4 +1,4 @@
-"""`driftstair rehearse` as a person meets it: what it prints, writes and exits with."""
+"""Tests of the `driftstair rehearse` command: output, files and exit status."""
 
 from __future__ import annotations
 
@@ -17,36 +17,39 @@
 from driftstair.rehearsal.report import build, compare, html
 
 ROOT = Path(__file__).parents[2]
-MINE = 'version = 1\nname = "mine"\nseconds = 3\n[load]\nrate = 60\n[boxes]\ncount = 4\n[nodes]\ncount = 2\n'
+SCENARIO_TEXT = (
+    'version = 1\nname = "mine"\nseconds = 3\n[load]\nrate = 60\n[boxes]\ncount = 4\n[nodes]\ncount = 2\n'
+)
 
 
-def command(*words: str, env: dict[str, str] | None = None) -> subprocess.CompletedProcess[str]:
+def run_driftstair(*arguments: str, env: dict[str, str] | None = None) -> subprocess.CompletedProcess[str]:
+    """Runs the program in a process of its own."""
     return subprocess.run(
-        [sys.executable, "-m", "driftstair", *words], cwd=ROOT, capture_output=True, text=True, timeout=120,
-        env={**os.environ, "COLUMNS": "100", **(env or {})},
+        [sys.executable, "-m", "driftstair", *arguments], cwd=ROOT, capture_output=True, text=True,
+        timeout=120, env={**os.environ, "COLUMNS": "100", **(env or {})},
     )  # fmt: skip
 
 
 @pytest.fixture
-def mine(tmp_path: Path) -> Path:
+def scenario_file(tmp_path: Path) -> Path:
     path = tmp_path / "mine.toml"
-    path.write_text(MINE)
+    path.write_text(SCENARIO_TEXT)
     return path
 
 
-def test_a_run_prints_its_report_and_exits_with_0(mine: Path) -> None:
-    done = command("rehearse", str(mine))
-    assert done.returncode == 0
-    assert done.stderr == ""  # no progress line where there is no terminal
-    for word in ("mine", "in virtual time", "service", "paid-live", "all four rules kept", "seed 1"):
-        assert word in done.stdout
+def test_a_run_prints_its_report_and_exits_with_status_0(scenario_file: Path) -> None:
+    completed = run_driftstair("rehearse", str(scenario_file))
+    assert completed.returncode == 0
+    assert completed.stderr == ""  # no progress line where there is no terminal
+    for text in ("mine", "in virtual time", "service", "paid-live", "all four rules kept", "seed 1"):
+        assert text in completed.stdout
 
 
-def test_options_change_the_scenario(mine: Path) -> None:
-    done = command("rehearse", str(mine), "--seed", "9", "--nodes", "1", "--boxes", "3", "--rate", "30",
-                   "--seconds", "2", "--json", "-")  # fmt: skip
-    found = json.loads(done.stdout)["scenario"]
-    assert (found["seed"], found["nodes"], found["boxes"], found["rate"], found["seconds"]) == (
+def test_options_change_the_scenario(scenario_file: Path) -> None:
+    completed = run_driftstair("rehearse", str(scenario_file), "--seed", "9", "--nodes", "1", "--boxes", "3",
+                   "--rate", "30", "--seconds", "2", "--json", "-")  # fmt: skip
+    data = json.loads(completed.stdout)["scenario"]
+    assert (data["seed"], data["nodes"], data["boxes"], data["rate"], data["seconds"]) == (
         9,
         1,
         3,
@@ -55,20 +58,20 @@
     )
 
 
-def test_the_list_names_what_is_shipped() -> None:
-    done = command("rehearse", "--list")
-    assert done.returncode == 0
-    assert "football-final" in done.stdout and "calm" in done.stdout
+def test_list_prints_the_shipped_scenarios() -> None:
+    completed = run_driftstair("rehearse", "--list")
+    assert completed.returncode == 0
+    assert "football-final" in completed.stdout and "calm" in completed.stdout
 
 
-def test_show_prints_a_file_that_replays(tmp_path: Path) -> None:
+def test_show_prints_a_file_that_can_be_played(tmp_path: Path) -> None:
     path = tmp_path / "copy.toml"
-    path.write_text(command("rehearse", "calm", "--show").stdout)
-    assert command("rehearse", str(path), "--seconds", "1", "--rate", "40").returncode == 0
+    path.write_text(run_driftstair("rehearse", "calm", "--show").stdout)
+    assert run_driftstair("rehearse", str(path), "--seconds", "1", "--rate", "40").returncode == 0
 
 
 @pytest.mark.parametrize(
-    ("words", "line"),
+    ("arguments", "expected"),
     [
         (["clam"], "clam: no such scenario (did you mean 'calm'?); --list names them"),
         ([], "which scenario? --list names them"),
@@ -82,46 +85,48 @@
         (["hunt", "calm"], "hunt draws its scenarios itself"),
     ],
 )
-def test_bad_use_is_one_line_and_exit_2(words: list[str], line: str) -> None:
-    done = command("rehearse", *words)
-    assert done.returncode == 2
-    assert done.stdout == ""
-    assert done.stderr.startswith(f"driftstair: {line}") and done.stderr.count("\n") == 1
+def test_bad_use_prints_one_line_and_exits_with_status_2(arguments: list[str], expected: str) -> None:
+    completed = run_driftstair("rehearse", *arguments)
+    assert completed.returncode == 2
+    assert completed.stdout == ""
+    assert completed.stderr.startswith(f"driftstair: {expected}") and completed.stderr.count("\n") == 1
 
 
-def test_a_bad_file_writes_nothing(tmp_path: Path) -> None:
+def test_a_bad_scenario_file_writes_no_report(tmp_path: Path) -> None:
     bad = tmp_path / "bad.toml"
     bad.write_text("version = 1\n[load]\nrate = -1\n")
-    done = command(
+    completed = run_driftstair(
         "rehearse", str(bad), "--json", str(tmp_path / "a.json"), "--html", str(tmp_path / "a.html")
     )
-    assert done.returncode == 2
+    assert completed.returncode == 2
     assert sorted(path.name for path in tmp_path.iterdir()) == ["bad.toml"]
 
 
-def test_an_unknown_subcommand_names_those_there_are() -> None:
-    done = command("rehearze")
-    assert done.returncode == 2 and "rehearse" in done.stderr
+def test_an_unknown_subcommand_prints_the_known_ones() -> None:
+    completed = run_driftstair("rehearze")
+    assert completed.returncode == 2 and "rehearse" in completed.stderr
 
 
-def test_without_a_subcommand_it_stays_the_daemon() -> None:
-    done = command(env={"BALANCER_CONFIG": ""})
-    assert (done.returncode, done.stderr) == (2, "driftstair: BALANCER_CONFIG is not set\n")
+def test_without_a_subcommand_the_daemon_starts() -> None:
+    completed = run_driftstair(env={"BALANCER_CONFIG": ""})
+    assert (completed.returncode, completed.stderr) == (2, "driftstair: BALANCER_CONFIG is not set\n")
 
 
-def test_the_daemon_loads_nothing_of_the_kit() -> None:
+def test_the_daemon_imports_nothing_of_the_kit() -> None:
     code = (
         "import sys, driftstair.__main__, driftstair.daemon;"
         "kit = ('driftstair.rehearsal', 'driftstair.commands', 'rich', 'pydantic', 'tomli_w', 'argparse');"
         "bad = [name for name in sys.modules if name.startswith(kit)];"
         "print(bad)"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert done.stdout.strip() == "[]"
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    assert completed.stdout.strip() == "[]"
 
 
-def test_ctrl_c_ends_with_the_report_so_far_marked_cut_off(mine: Path, tmp_path: Path) -> None:
-    """The signal comes from within, at a moment of the run: no timing of the machine's."""
+def test_ctrl_c_ends_the_run_with_a_report_marked_cut_off(scenario_file: Path, tmp_path: Path) -> None:
+    """The process signals itself at a given moment of the run, so that the test does not depend on timing."""
     script = (
         "import os, signal, sys\n"
         "from driftstair.rehearsal import runner\n"
@@ -134,85 +139,86 @@
         "sys.exit(run(sys.argv[1:]))\n"
     )
     report = tmp_path / "r.json"
-    done = subprocess.run(
-        [sys.executable, "-c", script, "rehearse", str(mine), "--seconds", "3000", "--json", str(report)],
+    completed = subprocess.run(
+        [sys.executable, "-c", script, "rehearse", str(scenario_file), "--seconds", "3000", "--json",
+         str(report)],
         cwd=ROOT, capture_output=True, text=True, timeout=120,
     )  # fmt: skip
-    assert done.returncode == 0, done.stderr
-    found = json.loads(report.read_text())
-    assert found["ended"] == "cut off" and "cut off" in done.stdout
-    assert 29 <= len(found["seconds"]) <= 40
-    assert found["lost"]["cut off"]["requests"] < 60
+    assert completed.returncode == 0, completed.stderr
+    data = json.loads(report.read_text())
+    assert data["ended"] == "cut off" and "cut off" in completed.stdout
+    assert 29 <= len(data["seconds"]) <= 40
+    assert data["lost"]["cut off"]["requests"] < 60
 
 
-def broken(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    """A report in which rules are broken."""
-    answer = ClientConnection.answer
-    number = [0]
+def report_with_broken_rules(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
+    """Returns a report with broken rules: every 40th answer is dropped."""
+    real_answer = ClientConnection.answer
+    answer_count = [0]
 
-    def swallows(self: ClientConnection, status: int, headers: Any, body: bytes) -> None:
-        number[0] += 1
-        if number[0] % 40:
-            answer(self, status, headers, body)
+    def drop_some_answers(self: ClientConnection, status: int, headers: Any, body: bytes) -> None:
+        answer_count[0] += 1
+        if answer_count[0] % 40:
+            real_answer(self, status, headers, body)
 
     with monkeypatch.context() as patch:
-        patch.setattr(ClientConnection, "answer", swallows)
+        patch.setattr(ClientConnection, "answer", drop_some_answers)
         return Run(small()).report
 
 
-def test_a_broken_rule_is_exit_1(monkeypatch: pytest.MonkeyPatch) -> None:
-    from driftstair.rehearsal.command import status_of
+def test_a_broken_rule_exits_with_status_1(monkeypatch: pytest.MonkeyPatch) -> None:
+    from driftstair.rehearsal.command import exit_status
 
-    assert status_of(broken(monkeypatch)) == 1
-    assert status_of(Run(small()).report) == 0
+    assert exit_status(report_with_broken_rules(monkeypatch)) == 1
+    assert exit_status(Run(small()).report) == 0
 
 
 def test_compare_shows_what_changed_between_two_builds(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     paths = []
-    for name, report in (("a", Run(small()).report), ("b", broken(monkeypatch))):
+    for name, report in (("a", Run(small()).report), ("b", report_with_broken_rules(monkeypatch))):
         paths.append(tmp_path / f"{name}.json")
         paths[-1].write_text(build.to_json(report))
-    done = command("rehearse", "compare", *map(str, paths))
-    assert done.returncode == 0
-    assert "class paid-live" in done.stdout and "breaks: 0 →" in done.stdout
-    found = json.loads(command("rehearse", "compare", *map(str, paths), "--json", "-").stdout)
-    assert found["same_scenario"] and found["breaks"][0] == 0 < found["breaks"][1]
-    assert found["rows"][0]["service"][1] < found["rows"][0]["service"][0]
+    completed = run_driftstair("rehearse", "compare", *map(str, paths))
+    assert completed.returncode == 0
+    assert "class paid-live" in completed.stdout and "breaks: 0 →" in completed.stdout
+    data = json.loads(run_driftstair("rehearse", "compare", *map(str, paths), "--json", "-").stdout)
+    assert data["same_scenario"] and data["breaks"][0] == 0 < data["breaks"][1]
+    assert data["rows"][0]["service"][1] < data["rows"][0]["service"][0]
 
 
-def test_compare_says_when_the_scenarios_differ() -> None:
-    found = compare.compare(Run(small()).report, Run(small(seed=2)).report)
-    assert not found["same_scenario"]
+def test_compare_reports_different_scenarios() -> None:
+    data = compare.compare(Run(small()).report, Run(small(seed=2)).report)
+    assert not data["same_scenario"]
 
 
 def test_a_report_of_another_version_is_refused(tmp_path: Path) -> None:
     path = tmp_path / "old.json"
     path.write_text('{"format": "driftstair.rehearsal/0"}')
-    done = command("rehearse", "compare", str(path), str(path))
-    assert done.returncode == 2 and "format is 'driftstair.rehearsal/0'" in done.stderr
+    completed = run_driftstair("rehearse", "compare", str(path), str(path))
+    assert completed.returncode == 2 and "format is 'driftstair.rehearsal/0'" in completed.stderr
 
 
-def test_the_page_needs_nothing_else_and_tells_all(monkeypatch: pytest.MonkeyPatch) -> None:
-    report = broken(monkeypatch)
+def test_the_html_page_is_self_contained_and_complete(monkeypatch: pytest.MonkeyPatch) -> None:
+    report = report_with_broken_rules(monkeypatch)
     report["scenario"]["title"] = "<script>alert(1)</script>"
     page = html.page(report)
     assert "<script>" not in page
     assert "http" not in page.replace("http-equiv", "")
-    for word in (
+    for text in (
         "service by worth", "in flight, by node", "requests held by each box", "descriptors, by node",
         "rule 1", "paid-live",
     ):  # fmt: skip
-        assert word in page
+        assert text in page
 
 
-def test_a_page_of_a_run_that_was_cut_off_at_once() -> None:
+def test_the_html_page_of_a_run_without_requests() -> None:
     report = Run(small(seconds=0.01)).report
     assert "<svg" in html.page(report)
 
 
-def test_the_signal_handler_is_put_back(mine: Path) -> None:
+def test_the_signal_handler_is_restored(scenario_file: Path) -> None:
     from driftstair.rehearsal.command import interruptible
 
     before = signal.getsignal(signal.SIGINT)
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenario files: what they may say, and how a bad one is refused."""
+"""Tests of scenario files: defaults, extension, and the messages for invalid files."""
 
 from __future__ import annotations
 
@@ -8,47 +8,52 @@
 
 from driftstair.rehearsal.load import ScenarioError, classes, kinds, load, parse, shipped
 
-WANTED = {
+REQUIRED_SCENARIOS = {
     "calm", "slow-boxes", "dying-node", "lagging-list", "list-outage", "traffic-jump", "everything-slow",
     "rolling-replacement", "football-final", "paid-live-surge-in-outage", "mixed-fleet",
 }  # fmt: skip
 
 
-def test_the_promised_scenarios_are_shipped_and_have_a_title() -> None:
-    assert set(shipped()) >= WANTED
+def test_the_required_scenarios_are_shipped_and_have_a_title() -> None:
+    assert set(shipped()) >= REQUIRED_SCENARIOS
     for name in shipped():
-        found = load(name)
-        assert found.name == name and found.title
+        scenario = load(name)
+        assert scenario.name == name and scenario.title
 
 
-def test_a_user_writes_one_in_ten_lines(tmp_path: Path) -> None:
+def test_a_short_file_gets_defaults_for_everything_else(tmp_path: Path) -> None:
     path = tmp_path / "mine.toml"
     path.write_text(
         'version = 1\nname = "mine"\nseconds = 12\n[load]\nrate = 100\n'
         '[[fault]]\nkind = "slow-boxes"\nat_s = 3\nboxes = 2\n'
     )
-    found = load(str(path))
-    assert (found.name, found.load.rate, found.faults[0].for_s) == ("mine", 100, 10)
-    assert [one.name for one in classes(found)] == ["paid-live", "track-fetch", "seek-chunk", "full-render"]
-    assert [one.name for one in kinds(found)] == ["fast-six", "plain-six"]
-
-
-def test_a_file_extends_a_shipped_one_table_by_table(tmp_path: Path) -> None:
+    scenario = load(str(path))
+    assert (scenario.name, scenario.load.rate, scenario.faults[0].for_s) == ("mine", 100, 10)
+    assert [item.name for item in classes(scenario)] == [
+        "paid-live",
+        "track-fetch",
+        "seek-chunk",
+        "full-render",
+    ]
+    assert [item.name for item in kinds(scenario)] == ["fast-six", "plain-six"]
+
+
+def test_a_file_extends_a_shipped_scenario_table_by_table(tmp_path: Path) -> None:
     path = tmp_path / "mine.toml"
     path.write_text('version = 1\nextends = "slow-boxes"\n[load]\nkeys = 9\n')
-    found = load(str(path), {"nodes": {"count": 7}})
+    scenario = load(str(path), {"nodes": {"count": 7}})
     base = load("slow-boxes")
-    assert found.load == base.load.model_copy(update={"keys": 9})
-    assert found.faults == base.faults
-    assert found.nodes.count == 7
+    assert scenario.load == base.load.model_copy(update={"keys": 9})
+    assert scenario.faults == base.faults
+    assert scenario.nodes.count == 7
 
 
-def fault(**keys: object) -> dict[str, object]:
+def with_fault(**keys: object) -> dict[str, object]:
     return {"version": 1, "fault": [{"at_s": 1, **keys}]}
 
 
 @pytest.mark.parametrize(
-    ("tree", "line"),
+    ("tree", "expected"),
     [
         ({}, "f: version: is missing"),
         ({"version": 2}, "f: version: input should be 1, not 2"),
@@ -77,34 +82,36 @@
          "f: phase[0].at_s: 99 is not before the end, 30"),
         ({"version": 1, "phase": [{"name": "a", "at_s": 1, "shares": {"paidlive": 2}}]},
          "f: phase[0].shares.paidlive: no such class (did you mean 'paid-live'?)"),
-        (fault(), "f: fault[0].kind: is missing; there are slow-boxes,"),
-        (fault(kind="slow-box"),
+        (with_fault(), "f: fault[0].kind: is missing; there are slow-boxes,"),
+        (with_fault(kind="slow-box"),
          "f: fault[0].kind: no such fault: 'slow-box' (did you mean 'slow-boxes'?)"),
-        (fault(kind="slow-boxes", boxes=1, tmes=2),
+        (with_fault(kind="slow-boxes", boxes=1, tmes=2),
          "f: fault[0].tmes: no such key (did you mean 'times'?)"),
-        (fault(kind="slow-boxes", boxes=13), "f: fault[0].boxes: 13 of 12 boxes can't be chosen"),
-        (fault(kind="slow-boxes", boxes=["s-99"]),
+        (with_fault(kind="slow-boxes", boxes=13), "f: fault[0].boxes: 13 of 12 boxes can't be chosen"),
+        (with_fault(kind="slow-boxes", boxes=["s-99"]),
          "f: fault[0].boxes: no such box: 's-99'; there are s-01 to s-12"),
-        (fault(kind="slow-boxes", boxes=1.5), "f: fault[0].boxes: wants how many, or a list of names"),
-        (fault(kind="slow-boxes"), "f: fault[0].boxes: give either boxes (how many, or names) or part"),
-        (fault(kind="slow-boxes", part=0.1, of_kind="fast"),
+        (with_fault(kind="slow-boxes", boxes=1.5), "f: fault[0].boxes: wants how many, or a list of names"),
+        (with_fault(kind="slow-boxes"), "f: fault[0].boxes: give either boxes (how many, or names) or part"),
+        (with_fault(kind="slow-boxes", part=0.1, of_kind="fast"),
          "f: fault[0].of_kind: no such kind of box: 'fast' (did you mean 'fast-six'?)"),
-        (fault(kind="node-dies", nodes=4), "f: fault[0].nodes: 4 of 3 nodes can't be chosen"),
-        (fault(kind="node-dies", nodes=["n9"]),
+        (with_fault(kind="node-dies", nodes=4), "f: fault[0].nodes: 4 of 3 nodes can't be chosen"),
+        (with_fault(kind="node-dies", nodes=["n9"]),
          "f: fault[0].nodes: no such node: 'n9'; there are n0 to n2"),
-        (fault(kind="surge", of_class="x"), "f: fault[0].of_class: no such class: 'x'"),
-        (fault(kind="list-outage", at_s=31), "f: fault[0].at_s: 31 is not before the end"),
-        (fault(kind="list-moves") | {"list": {"mode": "pushed"}}, "f: fault[0].kind: a pushed list"),
+        (with_fault(kind="surge", of_class="x"), "f: fault[0].of_class: no such class: 'x'"),
+        (with_fault(kind="list-outage", at_s=31), "f: fault[0].at_s: 31 is not before the end"),
+        (with_fault(kind="list-moves") | {"list": {"mode": "pushed"}}, "f: fault[0].kind: a pushed list"),
     ],
 )  # fmt: skip
-def test_a_bad_file_is_one_line_with_file_key_and_why(tree: dict[str, object], line: str) -> None:
+def test_an_invalid_scenario_gives_one_line_with_file_key_and_reason(
+    tree: dict[str, object], expected: str
+) -> None:
     with pytest.raises(ScenarioError) as caught:
         parse(tree, "f")
-    assert str(caught.value).startswith(line)
+    assert str(caught.value).startswith(expected)
     assert "\n" not in str(caught.value)
 
 
-def test_what_is_no_file_or_no_toml(tmp_path: Path) -> None:
+def test_unknown_names_missing_files_and_invalid_toml_are_refused(tmp_path: Path) -> None:
     with pytest.raises(ScenarioError, match="clam: no such scenario \\(did you mean 'calm'\\?\\)"):
         load("clam")
     with pytest.raises(ScenarioError, match="can't be read: No such file"):
@@ -118,19 +125,19 @@
         load(str(bad))
 
 
-def test_the_old_name_of_a_table_is_read_with_a_warning(
+def test_a_renamed_table_is_read_by_its_old_name_with_a_warning(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     path = tmp_path / "mine.toml"
     path.write_text('extends = "slow-boxes"\n[[trouble]]\nkind = "list-outage"\nat_s = 1\n')
-    found = load(str(path))
-    assert [fault.kind for fault in found.faults] == ["list-outage"]
+    scenario = load(str(path))
+    assert [with_fault.kind for with_fault in scenario.faults] == ["list-outage"]
     assert "trouble: is named fault now" in caplog.text
 
 
 def test_both_names_of_a_table_in_one_file_are_refused(tmp_path: Path) -> None:
     path = tmp_path / "mine.toml"
-    fault = 'kind = "list-outage"\nat_s = 1\n'
-    path.write_text(f"version = 1\n[[trouble]]\n{fault}[[fault]]\n{fault}")
+    with_fault = 'kind = "list-outage"\nat_s = 1\n'
+    path.write_text(f"version = 1\n[[trouble]]\n{with_fault}[[fault]]\n{with_fault}")
     with pytest.raises(ScenarioError, match="trouble: is named fault now, and the file has both"):
         load(str(path))
--- a/tests/rehearsal/test_sockets.py
+++ b/tests/rehearsal/test_sockets.py
@@ -8,7 +8,7 @@
 
 import tomli_w
 from stage import Run, small
-from test_rehearse_command import command
+from test_rehearse_command import run_driftstair
 
 BOUND = 0.05  # of service, between virtual time and sockets on a calm scenario
 
@@ -19,7 +19,7 @@
 def on_sockets(tree: dict[str, Any], folder: Path) -> dict[str, Any]:
     path = folder / "scenario.toml"
     path.write_text(tomli_w.dumps(tree))
-    done = command("rehearse", str(path), "--sockets", "--json", "-")
+    done = run_driftstair("rehearse", str(path), "--sockets", "--json", "-")
     assert done.returncode in (0, 1), done.stderr
     found: dict[str, Any] = json.loads(done.stdout)
     return found
