--- a/benchmarks/breaker.py
+++ b/benchmarks/breaker.py
@@ -113,7 +113,7 @@
         return []
     finally:
         balance.Balancer._on_timer = on_timer  # type: ignore[method-assign]
-    cores = {name: box.figures.cores for name, box in (rehearsal.boxes | rehearsal.gone).items()}
+    cores = {name: box.figures.cores for name, box in (rehearsal.boxes | rehearsal.removed_boxes).items()}
     crowded_by_second = {}
     for sample in rehearsal.samples:
         busy_cores = sum(figures[0] * cores[box] for box, figures in sample.boxes.items())
--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -228,10 +228,10 @@
 
     def check_histories(self) -> list[str]:
         """Checks the nodes' histories and logs, and returns a line for each finding and crash."""
-        events, story = self.fleet.events(), self.fleet.story()
-        findings = owners.check(events, story) + owners.linear(events)
+        events, run_record = self.fleet.events(), self.fleet.run_record()
+        findings = owners.check(events, run_record) + owners.check_linearizable(events)
         findings += permits.check(events, self.max_permits, {})
-        findings += checks.old_generations(story)
+        findings += checks.find_old_claims(run_record)
         self.lease_count = sum(event["event"] == "own" for event in events)
         self.refusal_count = sum(event["event"] == "refused" for event in events)
         self.crashes = [
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -55,11 +55,11 @@
     overrides = {"nodes.count": nodes, "nodes.descriptors": max(384, 384 * 40 // nodes)}
     scenario = load("large-fleet", by_path({**overrides, "seed": seed, "seconds": seconds}))
     rehearsal, _, _ = play(scenario, prepare=count_observations)
-    requests, attempts = rehearsal.account.whole.asked, sum(attempts_by_box.values())
+    requests, attempts = rehearsal.account.total.requests, sum(attempts_by_box.values())
     attempt_counts = sorted(attempts_by_box.values(), reverse=True)
     busiest_boxes = max(1, len(attempt_counts) // 10)
     return {
-        "nodes": nodes, "service": rehearsal.account.whole.service(), "attempts": attempts / requests,
+        "nodes": nodes, "service": rehearsal.account.total.service(), "attempts": attempts / requests,
         "unanswered": 1.0 - answered_attempts / max(1, attempts),
         "uneven": (
             sum(attempt_counts[:busiest_boxes]) / max(1, attempts) * len(attempt_counts) / busiest_boxes
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -231,7 +231,8 @@
             await fleet.kill(count - 1)
             await fleet.wait_for_state((count - 1,), "dead")
             known_after_s = [
-                (held.at - killed_at_ns) / 1e9 for process in fleet.story().processes for held in process.held
+                (held.at - killed_at_ns) / 1e9 for process in fleet.run_record().processes
+                for held in process.view_changes
                 if held.member == count - 1 and held.state == "dead"
             ]  # fmt: skip
             print(json.dumps({
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -50,10 +50,10 @@
         pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
     cpu_s = time.process_time() - start_s
     simulated_s = rehearsal.now() / 1e9
-    requests = rehearsal.account.whole.asked
+    requests = rehearsal.account.total.requests
     return {
         "nodes": nodes, "boxes": boxes, "rate": rate, "seconds": seconds, "asked": requests, "events": events,
-        "service": round(rehearsal.account.whole.service(), 4), "breaks": len(rehearsal.checker.breaks),
+        "service": round(rehearsal.account.total.service(), 4), "breaks": len(rehearsal.checker.breaks),
         "simulated_per_cpu_second": round(simulated_s / cpu_s, 2),
         "cpu_us_per_request": round(cpu_s / requests * 1e6),
         "rss_before_mb": round(rss_before_kb / 1024, 1),
--- a/driftstair/model/clients.py
+++ b/driftstair/model/clients.py
@@ -233,7 +233,7 @@
         client_request.open = False
         del self.open_requests[client_request.number]
         tenant = self._tenant_names[client_request.tenant]
-        self._results.close(
+        self._results.record_outcome(
             client_request.kind.name,
             tenant,
             client_request.phase,
--- a/driftstair/model/peers.py
+++ b/driftstair/model/peers.py
@@ -12,7 +12,7 @@
 from driftstair.model.clock import Clock
 from driftstair.rehearsal import scenario as kit
 from driftstair.rehearsal.seeds import random_for
-from driftstair.rehearsal.tier.stage import KEY, TierStage
+from driftstair.rehearsal.tier.stage import TIER_KEY, TierMonitor
 from driftstair.tier import wire
 from driftstair.tier.membership import events as api
 from driftstair.tier.membership.core import NEVER, Membership
@@ -37,13 +37,13 @@
     """All nodes of a tier. `node_names` are in the order of the nodes' numbers."""
 
     def __init__(
-        self, tier_settings: kit.Tier, node_names: list[str], world: Environment, stage: TierStage
+        self, tier_settings: kit.Tier, node_names: list[str], world: Environment, stage: TierMonitor
     ) -> None:
         self.tier_settings = tier_settings
         self.world = world
         self.node_names = node_names
         self.stage = stage
-        self.codec = Codec(KEY)
+        self.codec = Codec(TIER_KEY)
         self.bytes_sent = self.datagrams_sent = 0  # by all nodes
         self.running_peers: dict[int, Peer] = {}
         self._generations = dict.fromkeys(range(len(node_names)), 0)
@@ -70,7 +70,7 @@
         """Sends a datagram over a link, whose faults may drop, delay, change or repeat it."""
         self.datagrams_sent += 1
         self.bytes_sent += len(data)
-        for delay_s, datagram in self.stage.links.pass_on(source, target, data):
+        for delay_s, datagram in self.stage.links.deliver(source, target, data):
             delay_ns = self.world.internal_delay_ns() + int(delay_s * 1e9)
             self.world.clock.call_later(delay_ns, self._deliver, source, target, datagram)
 
--- a/driftstair/model/server.py
+++ b/driftstair/model/server.py
@@ -122,7 +122,7 @@
         self.attempts_while_faulty += bool(self.answer_faults)
         client_request = attempt.request.client_request
         work = self.engine.estimate(client_request.work, client_request.key_name, now / 1e9)
-        if self._cold_budget is not None and not self._cold_budget.arrive(now, work, attempt.node.name):
+        if self._cold_budget is not None and not self._cold_budget.add_arrival(now, work, attempt.node.name):
             self.crashed_cold = True
             self.stop()
             attempt.on_connection_lost(Result.RESET)
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -23,10 +23,10 @@
 from driftstair.rehearsal.fakes.clients import ClientFigures, Load
 from driftstair.rehearsal.fakes.workload import Choice, Workload
 from driftstair.rehearsal.faults import FaultInjector
-from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, kinds_in_order
+from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, draw_kind_order
 from driftstair.rehearsal.scenario import Scenario
 from driftstair.rehearsal.seeds import random_for, seed_for
-from driftstair.rehearsal.tier.stage import TierStage
+from driftstair.rehearsal.tier.stage import TierMonitor
 from driftstair.rehearsal.wire import HostState
 from lichenspring import Balancer
 from lichenspring import interface as api
@@ -87,10 +87,10 @@
 
     def row(self) -> dict[str, Any]:
         """Returns the figures as the report has them."""
-        whole = self.account.whole
-        first_tries = max(1, whole.asked)
+        whole = self.account.total
+        first_tries = max(1, whole.requests)
         return {
-            "asked": whole.asked, "service": round(whole.service(), 4),
+            "asked": whole.requests, "service": round(whole.service(), 4),
             "by_class": {
                 name: round(figures.service(), 3) for name, figures in sorted(self.account.by_class.items())
             },
@@ -135,10 +135,10 @@
             scenario.clients.connections_share * scenario.nodes.descriptors
         )
         self.handshakes = 0
-        self.over = False
-        self.spans: list[tuple[int, int, str]] = []
+        self.finished = False
+        self.fault_spans: list[tuple[int, int, str]] = []
         self.events: list[tuple[int, str]] = []
-        self.cuts: dict[str, tuple[int, int]] = {}
+        self.network_cuts: dict[str, tuple[int, int]] = {}
         self.account = Account()
         self.outcome = Outcome(self.account)
         self._network_random = random_for(self.seed, "network")
@@ -182,20 +182,20 @@
             int(scenario.list.timeout_ms * 1e6),
             self.internal_delay_ns,
         )
-        self.tier: TierStage | None = None
+        self.tier: TierMonitor | None = None
         self.peers: Peers | None = None
         if scenario.nodes.tier is not None:
             from driftstair.model.peers import Peers
 
             seed = seed_for(self.seed, "links")
             names = load.box_names(scenario.boxes.count)
-            self.tier = TierStage(scenario.nodes.tier, self.node_names, seed, names)
+            self.tier = TierMonitor(scenario.nodes.tier, self.node_names, seed, names)
             self.peers = Peers(scenario.nodes.tier, self.node_names, self, self.tier)
         self.boxes: dict[str, Server] = {}
         self._servers_by_id: dict[api.ServerId, Server] = {}
         self._servers_created = 0
         self._name_width = max(2, len(str(scenario.boxes.count)))  # digits in a server's name, as in the kit
-        for kind_index in kinds_in_order(self.scenario, random):
+        for kind_index in draw_kind_order(self.scenario, random):
             self._create_server(kind_index)
 
     def _node_weights(self, random: Random) -> list[float]:
@@ -261,20 +261,20 @@
         self.clients.stop()
         longest = max(request_class.given_up_ms for request_class in load.classes(scenario)) / 1e3
         self.clock.run(self.clock.now + int((longest + 1.0) * NS_PER_S) + SETTLE_TIME_NS)
-        self.over = True
+        self.finished = True
         self.clients.close_all()
         return self._complete_outcome()
 
     def _start_load(self) -> None:
-        self.account.origin = self.clock.now
+        self.account.origin_ns = self.clock.now
         self.load.phase = self.scenario.phases[0].name if self.scenario.phases else "whole run"
         if self.scenario.phases and self.scenario.phases[0].at_s > 0:
             self.load.phase = "before"
         faults = FaultInjector(self)  # type: ignore[arg-type]
         for phase in self.scenario.phases:
-            self.after(phase.at_s, faults.enter_phase, phase)
+            self.call_later(phase.at_s, faults.enter_phase, phase)
         for index, fault in enumerate(self.scenario.faults):
-            self.after(fault.at_s, faults.begin, fault, index)
+            self.call_later(fault.at_s, faults.begin, fault, index)
         self.clients.start()
 
     def _sample(self) -> None:
@@ -315,10 +315,10 @@
     def now(self) -> int:
         return self.clock.now
 
-    def after(self, seconds: float, callback: Callable[..., None], *args: Any) -> None:
+    def call_later(self, seconds: float, callback: Callable[..., None], *args: Any) -> None:
         self.clock.call_later(int(seconds * NS_PER_S), callback, *args)
 
-    def say(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         """Records an event of the run."""
         self.events.append((self.clock.now, text))
 
@@ -326,7 +326,7 @@
         started = box.started if box.started >= 0 else 0
         return api.Server(box.id, 0, box.cell, SERVER_STATES[state], 1.0, started, box.kind_index)
 
-    def tell_list(self, box: Server, state: HostState, silent: bool = False) -> None:
+    def update_box_list(self, box: Server, state: HostState, silent: bool = False) -> None:
         """Tells the server list of a change, which it publishes after its delay."""
         self.box_list.publish(
             self._list_entry(box, state), self.silent_list_delay_s if silent else self.list_delay_s
@@ -338,11 +338,11 @@
         module = self.policy(settings, seed_for(self.seed, "node", name, generation))
         return module if self.peers is None else self.peers.start(name, module)
 
-    def kill(self, name: str) -> None:
+    def kill_node(self, name: str) -> None:
         """Kills a node's process."""
         node = self.nodes[name]
         if node.running:
-            self.say(f"{name} dies")
+            self.log_event(f"{name} dies")
             node.stop()
             if self.peers is not None:
                 self.peers.stop(name)
@@ -350,8 +350,8 @@
 
     def start_node(self, name: str) -> None:
         node = self.nodes[name]
-        if not self.over and not node.running:
-            self.say(f"{name} starts again")
+        if not self.finished and not node.running:
+            self.log_event(f"{name} starts again")
             node.start(self._start_module(name))
             self.front.node_starts(node)
 
@@ -360,34 +360,34 @@
         for node in self.nodes.values():
             node.server_died(box)
 
-    def box_dies(self, box: Server) -> None:
+    def kill_box(self, box: Server) -> None:
         if self.boxes.get(box.name) is box:
-            self.say(f"box {box.name} dies")
+            self.log_event(f"box {box.name} dies")
             self._stop_server(box)
-            self.tell_list(box, HostState.GONE)
+            self.update_box_list(box, HostState.GONE)
 
-    def box_starts(self, box: Server) -> None:
-        if not self.over and not box.running and self.boxes.get(box.name) is box:
-            self.say(f"box {box.name} starts, cold")
+    def restart_box(self, box: Server) -> None:
+        if not self.finished and not box.running and self.boxes.get(box.name) is box:
+            self.log_event(f"box {box.name} starts, cold")
             box.start(cold=True)
-            self.tell_list(box, HostState.READY)
+            self.update_box_list(box, HostState.READY)
 
-    def replace(self, box: Server, same_address: bool) -> None:
+    def replace_box(self, box: Server, same_address: bool) -> None:
         """Drains a server, removes it after the grace period, and starts another in its place."""
-        if self.over or not box.running or box.draining or self.boxes.get(box.name) is not box:
+        if self.finished or not box.running or box.draining or self.boxes.get(box.name) is not box:
             return
-        self.say(f"box {box.name} drains")
+        self.log_event(f"box {box.name} drains")
         box.drain()
-        self.tell_list(box, HostState.DRAINING)
-        self.after(self.scenario.boxes.grace_s, self._finish_replacement, box)
+        self.update_box_list(box, HostState.DRAINING)
+        self.call_later(self.scenario.boxes.grace_s, self._finish_replacement, box)
 
     def _finish_replacement(self, old: Server) -> None:
-        if self.over:
+        if self.finished:
             return
         self._stop_server(old)
-        self.tell_list(old, HostState.GONE)
+        self.update_box_list(old, HostState.GONE)
         del self.boxes[old.name]
         new = self._create_server(old.kind_index)
-        self.say(f"box {old.name} is gone; {new.name} starts")
+        self.log_event(f"box {old.name} is gone; {new.name} starts")
         new.start(cold=True)
-        self.tell_list(new, HostState.READY)
+        self.update_box_list(new, HostState.READY)
--- a/tests/model/test_model_world.py
+++ b/tests/model/test_model_world.py
@@ -50,9 +50,9 @@
     rate = boxes * cores * utilization / 0.1
     world = World(plain_scenario(rate, boxes, cores, seconds=400), RandomChoice)
     outcome = world.run()
-    latencies_ns = world.account.whole.latencies
+    latencies_ns = world.account.total.latencies
     expected_s = 0.1 * (1 + erlang_c(cores, cores * utilization) / (cores * (1 - utilization)))
-    assert len(latencies_ns) == outcome.account.whole.asked
+    assert len(latencies_ns) == outcome.account.total.requests
     assert sum(latencies_ns) / len(latencies_ns) / 1e9 == pytest.approx(expected_s, rel=0.05)
 
 
@@ -70,10 +70,10 @@
     scenario = by_path({"nodes.count": 24, "boxes.count": 16, "load.rate": 260, "seconds": 16, "seed": 5})
     world = World(load("whole-fleet", scenario), POLICIES[policy])
     outcome = world.run()
-    whole = world.account.whole
-    assert whole.asked == world.clients.first_tries == whole.served + sum(whole.lost.values())
+    whole = world.account.total
+    assert whole.requests == world.clients.first_tries == whole.served + sum(whole.lost.values())
     assert not world.clients.open_requests
-    assert outcome.tries >= whole.asked
+    assert outcome.tries >= whole.requests
     for box in world.boxes.values():
         assert box.open_connections >= 0
     for node in world.nodes.values():
@@ -101,7 +101,7 @@
     world.run()
     assert all(node.generation == 3 - 2 * (node.generation == 1) for node in world.nodes.values())
     assert sum(node.generation == 3 for node in world.nodes.values()) == 14
-    assert world.account.whole.asked == world.clients.first_tries
+    assert world.account.total.requests == world.clients.first_tries
 
 
 def test_replaced_and_crashed_boxes_leak_no_connections() -> None:
@@ -134,7 +134,7 @@
     scenario = by_path({"nodes.count": 2, "boxes.count": 4, "load.rate": 20, "seconds": 11})
     world = World(load("whole-fleet", scenario), UnknownServerPolicy)
     assert world.run().row()["service"] == 0
-    assert world.account.whole.lost["refused"] == world.account.whole.asked
+    assert world.account.total.lost["refused"] == world.account.total.requests
 
 
 def test_the_clock_orders_calls_by_time_and_then_by_scheduling() -> None:
--- a/tests/tier/test_collecting_processes.py
+++ b/tests/tier/test_collecting_processes.py
@@ -81,7 +81,7 @@
                     await scenario(fleet, traffic, billing, ledgers)
                 finally:
                     await traffic.stop_clients()
-                assert owners.check(events(fleet), fleet.story()) == []
+                assert owners.check(events(fleet), fleet.run_record()) == []
 
     run_for(test(), 180.0)
 
--- a/tests/tier/test_judgements_processes.py
+++ b/tests/tier/test_judgements_processes.py
@@ -17,7 +17,7 @@
 from traffic import Traffic
 
 from driftstair.rehearsal.tier import owners
-from driftstair.rehearsal.tier.judgements import Judged, held_back
+from driftstair.rehearsal.tier.judgements import HeldBackServer, held_back_servers
 from driftstair.tier import history
 
 SERVER_NAMES = [f"s{number}" for number in range(6)]
@@ -31,9 +31,9 @@
     return [event for path in sorted(fleet.histories.glob("*.jsonl")) for event in history.read(path)]
 
 
-def hold_back_spans(fleet: Fleet) -> list[Judged]:
+def hold_back_spans(fleet: Fleet) -> list[HeldBackServer]:
     """Returns the spans in which nodes held back servers."""
-    return held_back(events(fleet), SERVER_NAMES)
+    return held_back_servers(events(fleet), SERVER_NAMES)
 
 
 def all_hold_back(fleet: Fleet, *nodes: int) -> Callable[[], bool]:
@@ -71,7 +71,7 @@
             finally:
                 await traffic.stop_clients()
             assert {span.server for span in hold_back_spans(fleet)} <= {FAILING_SERVER}
-            assert owners.check(events(fleet), fleet.story()) == []
+            assert owners.check(events(fleet), fleet.run_record()) == []
 
     run_for(test(), 180.0)
 
--- a/tests/tier/test_linear.py
+++ b/tests/tier/test_linear.py
@@ -9,14 +9,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftstair.rehearsal.tier.linear import FOREVER, Op, stuck
-from driftstair.rehearsal.tier.owners import linear
+from driftstair.rehearsal.tier.linear import FOREVER, Operation, find_violation
+from driftstair.rehearsal.tier.owners import check_linearizable
 
 # An operation on a register: ("w", value) writes, ("r", value) reads.
-Operation = tuple[str, int]
+RegisterOperation = tuple[str, int]
 
 
-def register(state: int, operation: Operation) -> int | None:
+def register(state: int, operation: RegisterOperation) -> int | None:
     """The register's next state, None if it does not allow the operation."""
     kind, value = operation
     if kind == "w":
@@ -24,7 +24,7 @@
     return state if state == value else None
 
 
-def has_order(ops: list[Op[Operation]]) -> bool:
+def has_order(ops: list[Operation[RegisterOperation]]) -> bool:
     """Whether a valid order exists, by trying all: any subset that includes all operations that ended, in any
     order that respects begins and ends."""
     ended = [op for op in ops if op.end < FOREVER]
@@ -51,10 +51,10 @@
 @given(st.lists(st.tuples(spans, operations), max_size=5))
 def test_the_search_finds_an_order_if_and_only_if_an_exhaustive_search_does(drawn: list[Any]) -> None:
     ops = [
-        Op(begin, FOREVER if length is None else begin + length, operation)
+        Operation(begin, FOREVER if length is None else begin + length, operation)
         for (begin, length), operation in drawn
     ]
-    assert (stuck(ops, 0, register) is None) == has_order(ops)
+    assert (find_violation(ops, 0, register) is None) == has_order(ops)
 
 
 def test_a_long_history_with_many_concurrent_operations_is_checked_quickly() -> None:
@@ -63,10 +63,10 @@
     for at in range(0, 6000, 10):
         operation = ("w", random.randrange(3)) if random.random() < 0.5 else ("r", state)
         state = operation[1] if operation[0] == "w" else state
-        ops.append(Op(at - random.randrange(25), at + random.randrange(25), operation))
-    assert stuck(ops, 0, register) is None
-    impossible = Op(3000, 3001, ("r", 9))
-    assert stuck([*ops, impossible], 0, register) is not None
+        ops.append(Operation(at - random.randrange(25), at + random.randrange(25), operation))
+    assert find_violation(ops, 0, register) is None
+    impossible = Operation(3000, 3001, ("r", 9))
+    assert find_violation([*ops, impossible], 0, register) is not None
 
 
 def event(
@@ -77,7 +77,7 @@
 
 
 def broken_rules(*events: dict[str, Any]) -> list[str]:
-    return [finding.rule for finding in linear(list(events))]
+    return [finding.rule for finding in check_linearizable(list(events))]
 
 
 def test_successive_leases_and_a_late_record_of_an_end_are_valid() -> None:
--- a/tests/tier/test_other_detectors.py
+++ b/tests/tier/test_other_detectors.py
@@ -10,7 +10,7 @@
 from driftstair.model.tier.heartbeats import Heartbeats
 from driftstair.model.tier.measure import DetectorFactoryBuilder, Tier, measure_detection
 from driftstair.model.tier.world import Link
-from driftstair.rehearsal.tier.checks import Bounds, Span, Story, check
+from driftstair.rehearsal.tier.checks import Bounds, RunRecord, Span, check
 from driftstair.rehearsal.tier.histories import Process, processes
 
 NS_PER_S = 1_000_000_000
@@ -91,7 +91,8 @@
     change(histories)
     all_processes: list[Process] = [process for events in histories for process in processes(events)]
     return {
-        finding.rule for finding in check(Story(all_processes, list(faults), int(until_s * NS_PER_S)), BOUNDS)
+        finding.rule
+        for finding in check(RunRecord(all_processes, list(faults), int(until_s * NS_PER_S)), BOUNDS)
     }
 
 
--- a/tests/tier/test_owner_checks.py
+++ b/tests/tier/test_owner_checks.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from driftstair.rehearsal.tier.checks import Span, Story
+from driftstair.rehearsal.tier.checks import RunRecord, Span
 from driftstair.rehearsal.tier.owners import check
 from driftstair.tier.ownership import wire
 from driftstair.tier.ownership.messages import Accepted, Message, Prepare, Promise, Propose, Refused, Release
@@ -45,7 +45,7 @@
 def test_decreasing_tokens_and_overlapping_owners_are_found(
     later_events: list[dict[str, Any]], faults: list[Span], rules: list[str]
 ) -> None:
-    findings = check([*FIRST_LEASE, *later_events], Story([], faults))
+    findings = check([*FIRST_LEASE, *later_events], RunRecord([], faults))
     assert [finding.rule for finding in findings] == rules
 
 
--- a/tests/tier/test_permit_checks.py
+++ b/tests/tier/test_permit_checks.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from driftstair.rehearsal.tier.permits import check, outs
+from driftstair.rehearsal.tier.permits import absences, check
 
 SECOND = 1_000_000_000
 
@@ -49,7 +49,7 @@
 
 
 def test_a_permit_ends_with_its_term() -> None:
-    assert [out.end for out in outs([permit(0, 1, "took", until_s=6.0)])] == [6 * SECOND]
+    assert [out.end for out in absences([permit(0, 1, "took", until_s=6.0)])] == [6 * SECOND]
     assert broken_rules([permit(0, 1, "took", until_s=6.0), permit(1, 7, "took")]) == []
 
 
--- a/tests/tier/test_relay_process.py
+++ b/tests/tier/test_relay_process.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from driftstair.rehearsal.tier.histories import Following, processes, read_events
+from driftstair.rehearsal.tier.histories import HistoryFollower, processes, read_events
 from driftstair.rehearsal.tier.links import Fault, Links
 from driftstair.rehearsal.tier.relay import RelayProcess
 
@@ -22,7 +22,7 @@
     relay = RelayProcess(links, [node.getsockname()[1] for node in nodes])
     try:
         addresses = [
-            [(host, int(port)) for host, port in (peer.rsplit(":", 1) for peer in relay.peers(own))]
+            [(host, int(port)) for host, port in (peer.rsplit(":", 1) for peer in relay.peer_addresses(own))]
             for own in range(3)
         ]
 
@@ -63,7 +63,7 @@
     alive = {"member": 1, "state": "alive", "incarnation": 0, "member_life": 3, "told": True, "why": ""}
     dead = alive | {"state": "dead"}
     text = line(1, "start", nodes=2) + line(2, "member", **alive) + line(3, "member", **dead)
-    path, reader = tmp_path / "n0.jsonl", Following(tmp_path)
+    path, reader = tmp_path / "n0.jsonl", HistoryFollower(tmp_path)
     assert reader.processes() == []
     for end in range(0, len(text) + 1, 7):
         path.write_text(text[:end])
@@ -72,4 +72,4 @@
     assert reader.processes() == [
         process for events in read_events(tmp_path) for process in processes(events)
     ]
-    assert [held.state for held in reader.processes()[0].held] == ["alive", "dead"]
+    assert [held.state for held in reader.processes()[0].view_changes] == ["alive", "dead"]
--- a/tests/tier/test_tier_in_service.py
+++ b/tests/tier/test_tier_in_service.py
@@ -142,15 +142,15 @@
             ports = [int(documents[number]["peer_listen"].rsplit(":", 1)[1]) for number in (0, 2)]
             fleet.relay = Relay(fleet.links, ports)
             for new_number, number in enumerate((0, 2)):
-                document = documents[number] | {"peers": fleet.relay.peers(new_number)}
+                document = documents[number] | {"peers": fleet.relay.peer_addresses(new_number)}
                 document["settings"] |= {"SelfIndex": new_number, "PeersTotal": 2}
                 (tmp_path / f"n{number}.json").write_text(json.dumps(document))
                 fleet.process(number).send_signal(signal.SIGHUP)
 
             def both_alive() -> bool:
                 latest = {}
-                for process in fleet.story().processes:
-                    for held in process.held:
+                for process in fleet.run_record().processes:
+                    for held in process.view_changes:
                         latest[process.node, held.member] = held.state
                 return latest.get((0, 1)) == "alive" and latest.get((1, 0)) == "alive"
 
--- a/tests/tier/test_tier_processes.py
+++ b/tests/tier/test_tier_processes.py
@@ -62,8 +62,8 @@
         fleet.resume(3)
         await fleet.wait_joined()
         assert {verdict.member for _, verdict in fleet.dead_verdicts()} <= {3}
-        stalled = [process for process in fleet.story().processes if process.node == 3]
-        assert all(held.state != "dead" for process in stalled for held in process.held)
+        stalled = [process for process in fleet.run_record().processes if process.node == 3]
+        assert all(held.state != "dead" for process in stalled for held in process.view_changes)
         assert stalled[0].stood_still
 
     run_fleet(tmp_path, 5, scenario)
@@ -124,15 +124,15 @@
             }
             await fleet.start()
             await fleet.wait_joined()
-            before = fleet.story().processes
+            before = fleet.run_record().processes
             await fleet.kill(3)
             await fleet.wait_for_state((3,), "dead")
             fleet.programs[3] = SHIFTED_CLOCK_PROGRAM.format(hours=-24)
             await fleet.start(3)
             await fleet.wait_joined()
-            generations = [process.last()[3].rank[0] for process in before if process.node == 3]
-            assert fleet.story().processes[-2].node == 3
-            assert fleet.story().processes[-2].last()[3].rank[0] > max(generations)
+            generations = [process.latest_changes()[3].rank[0] for process in before if process.node == 3]
+            assert fleet.run_record().processes[-2].node == 3
+            assert fleet.run_record().processes[-2].latest_changes()[3].rank[0] > max(generations)
             assert {verdict.member for _, verdict in fleet.dead_verdicts()} == {3}
             assert fleet.findings(LOOSE_BOUNDS) == []
 
@@ -170,9 +170,9 @@
         await fleet.wait_for_state((0, 4), "dead")
         fleet.resume(0, 4)
         await fleet.wait_joined()
-        stalled = [process for process in fleet.story().processes if process.node in (0, 4)]
+        stalled = [process for process in fleet.run_record().processes if process.node in (0, 4)]
         # A stalled node may detect the other, which was stalled as well.
-        assert not [held for process in stalled for held in process.held if held.state == "dead"
+        assert not [held for process in stalled for held in process.view_changes if held.state == "dead"
                     and held.member not in (0, 4)]  # fmt: skip
 
     run_fleet(tmp_path, 7, scenario)
@@ -184,7 +184,8 @@
 
     async def scenario(fleet: Fleet) -> None:
         generations = {
-            process.node: process.last()[process.node].rank[0] for process in fleet.story().processes
+            process.node: process.latest_changes()[process.node].rank[0]
+            for process in fleet.run_record().processes
         }
         for number in range(fleet.count):
             fleet.process(number).send_signal(signal.SIGTERM)
@@ -192,7 +193,7 @@
         assert sorted(path.name for path in saved.iterdir()) == ["n0.members", "n1.members", "n2.members"]
         await fleet.start()
         await fleet.wait_joined()
-        for process in fleet.story().processes[1::2]:
-            assert process.last()[process.node].rank[0] > generations[process.node]
+        for process in fleet.run_record().processes[1::2]:
+            assert process.latest_changes()[process.node].rank[0] > generations[process.node]
 
     run_fleet(tmp_path, 3, scenario, f'folder = "{saved}"')
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -148,7 +148,7 @@
 
 
 def test_identical_runs_give_identical_reports() -> None:
-    assert build.text_of(report("tier-pauses")) == build.text_of(report("tier-pauses"))
+    assert build.to_json(report("tier-pauses")) == build.to_json(report("tier-pauses"))
 
 
 def test_member_states_over_time_show_which_nodes_were_held_dead() -> None:
