--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -79,7 +79,7 @@
         "whole_peak_mb": max(read_cost.peak_mb, read_cost.kept_mb + take_cost.peak_mb),
         "whole_kept_mb": read_cost.kept_mb + take_cost.kept_mb, "change_bytes": len(change_lines[-1]),
         "change_hold_ms": change_cpu_s * 1e3,
-        "servers_in_table": len({backend.entry.id for backend in table}),
+        "servers_in_table": len({backend.server.id for backend in table}),
         "servers_of_own_part": len(node._core._subset), "servers_listed": len(node._core._backends),
     }  # fmt: skip
 
@@ -103,7 +103,7 @@
     for number in range(NODES_PER_ROUND):
         balancer = Balancer(replace(settings, number=number), 1)
         balancer.handle(1, api.ServerList(api.ListKind.FULL, entries))
-        reached |= {backend.entry.id for backend in balancer._table}
+        reached |= {backend.server.id for backend in balancer._table}
     return {"servers_reached": len(reached), "part_reached": len(reached) / size}
 
 
--- a/lichenspring/balance.py
+++ b/lichenspring/balance.py
@@ -112,7 +112,7 @@
 class Backend:
     """What this node knows about one server."""
 
-    entry: api.Server
+    server: api.Server
     tokens: float
     refilled_at: int
     in_flight: int = 0
@@ -182,7 +182,7 @@
         if self.request_class.repeat is not Repeat.KEYED:
             return 0
         window = self.request_class.window - MAX_WRITE_DELAY_NS
-        return min((one.sent_at + window - now for one in self.attempts_maybe_run()), default=0)
+        return min((attempt.sent_at + window - now for attempt in self.attempts_maybe_run()), default=0)
 
     def _drops_repeat(self, server: api.Server, earlier: Attempt, now: int) -> bool:
         # Without a key no server can recognize the repeat.
@@ -191,8 +191,8 @@
         if now - earlier.sent_at >= self.request_class.window - MAX_WRITE_DELAY_NS:
             return False
         if self.request_class.group is Group.ZONE:
-            return server.zone == earlier.backend.entry.zone
-        return self.request_class.group is Group.ALL or server.cell == earlier.backend.entry.cell
+            return server.zone == earlier.backend.server.zone
+        return self.request_class.group is Group.ALL or server.cell == earlier.backend.server.cell
 
 
 @dataclass(slots=True)
@@ -218,7 +218,7 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._settings = settings
         self._random = Random(seed)
-        self._breakers = [Breaker(one.aim) for one in settings.classes]
+        self._breakers = [Breaker(request_class.aim) for request_class in settings.classes]
         self._backends: dict[api.ServerId, Backend] = {}
         self._subset: list[Backend] = []  # this node's part of the servers, in the order of the list
         self._other_backends: list[Backend] = []  # used if no server of the subset is usable
@@ -285,8 +285,8 @@
             self._on_hedge(now, event.request)
         return self._actions
 
-    def _jittered(self, span: int, least: float) -> int:
-        return int(span * self._random.uniform(least, 1.0))
+    def _jittered(self, span: int, min_fraction: float) -> int:
+        return int(span * self._random.uniform(min_fraction, 1.0))
 
     def _defer(self, at: int, callback: Callable[[int], None]) -> None:
         """Runs `callback` at the first event from `at` on. If none may come, the caller also sets a timer."""
@@ -319,17 +319,21 @@
         """Whether the servers' reports show that long response times are not due to load. Reports are late,
         so the aim itself still applies."""
         reported = [
-            one.utilization
-            for one in self._subset
-            if one.utilization and "utilization" in self._settings.report_fields
+            backend.utilization
+            for backend in self._subset
+            if backend.utilization and "utilization" in self._settings.report_fields
         ]
         return bool(reported) and sum(reported) < IDLE_UTILIZATION * len(reported)
 
     def _capacity(self, now: int) -> float:
-        """How many warm servers this node's share of the traffic has. Cold servers count by their warmth and
-        ejected ones not at all: after a release or the loss of a zone the list holds more servers than can
-        serve, and a cap learned before would overload the rest."""
-        capacity = sum(self._warmth(now, one.entry) for one in self._subset if not one.ejected_until)
+        """How many warm servers this node's share of the traffic has. Cold servers count by their
+        capacity fraction and ejected ones not at all: after a release or the loss of a zone the list holds
+        more servers than can serve, and a cap learned before would overload the rest."""
+        capacity = sum(
+            self._capacity_fraction(now, backend.server)
+            for backend in self._subset
+            if not backend.ejected_until
+        )
         return max(1.0, capacity) * self._subset_count / self._settings.nodes
 
     def _set_caps(self, now: int) -> None:
@@ -337,18 +341,19 @@
         if fewer than half of all attempts are answered, so that overloaded servers can recover."""
         scale = min(1.0, 2.0 * (1.0 - self._unanswered))
         capacity = self._capacity(now)
-        full = max(capacity * START_CAP_PER_SERVER, self._full_load())
+        full_load_cap = max(capacity * START_CAP_PER_SERVER, self._full_load())
         thresholds = [
-            min(full, capacity * breaker.threshold(START_CAP_PER_SERVER)) for breaker in self._breakers
+            min(full_load_cap, capacity * breaker.threshold(START_CAP_PER_SERVER))
+            for breaker in self._breakers
         ]
         values = [self._worth_per_work(index) for index in range(len(thresholds))]
-        for index, own in enumerate(thresholds):
+        for index, own_threshold in enumerate(thresholds):
             above = [
                 (LESSER_CAP_FRACTION if value > RESERVED_WORTH_RATIO * values[index] else 1.0) * other
                 for other, value in zip(thresholds, values, strict=True)
                 if value > HIGHER_WORTH_RATIO * values[index]
             ]
-            self._caps[index] = scale * min([own, *above])
+            self._caps[index] = scale * min([own_threshold, *above])
 
     def _full_load(self) -> float:
         """Requests in flight at which the lesser classes would use all cores, extrapolated from the carried
@@ -370,10 +375,10 @@
         )
 
     def _has_room(self, now: int, request: api.Request, fraction: float = 1.0) -> bool:
-        least = MIN_CAP_PER_SERVER * len(self._subset) * self._subset_count / self._settings.nodes
-        own = self._breakers[request.class_index].in_flight
+        min_cap = MIN_CAP_PER_SERVER * len(self._subset) * self._subset_count / self._settings.nodes
+        class_in_flight = self._breakers[request.class_index].in_flight
         cap = fraction * self._caps[request.class_index]
-        return self._in_flight.is_below(now, cap) or own.is_below(now, least)
+        return self._in_flight.is_below(now, cap) or class_in_flight.is_below(now, min_cap)
 
     def _is_over_share(self, tenant: int) -> bool:
         """Compares with the other tenants' requests at this node, so that neither the node's share of all
@@ -382,15 +387,15 @@
             return False
         self._arrivals += 1
         share = min(0.99, self._settings.tenants[tenant].share)
-        credit, seen = self._tenant_credits.get(tenant, (SHARE_BURST_REQUESTS, 0))
-        others = self._arrivals - 1 - seen
-        credit = min(SHARE_BURST_REQUESTS, credit + SHARE_TOLERANCE * share / (1.0 - share) * others)
-        over = credit < 1.0
-        self._tenant_credits[tenant] = (credit if over else credit - 1.0, self._arrivals)
-        return over
+        credit, previous_arrivals = self._tenant_credits.get(tenant, (SHARE_BURST_REQUESTS, 0))
+        other_arrivals = self._arrivals - 1 - previous_arrivals
+        credit = min(SHARE_BURST_REQUESTS, credit + SHARE_TOLERANCE * share / (1.0 - share) * other_arrivals)
+        is_over = credit < 1.0
+        self._tenant_credits[tenant] = (credit if is_over else credit - 1.0, self._arrivals)
+        return is_over
 
     def _worth_per_work(self, index: int) -> float:
-        """Worth for a unit of work."""
+        """The worth of a class for one unit of its work."""
         worth = self._settings.classes[index].worth
         return worth if self._settings.worth_by_work else worth / max(1.0, self._breakers[index].typical_time)
 
@@ -402,85 +407,89 @@
             self._key_counts[request.key] = self._key_counts.get(request.key, 0) + 1
             self._keyed_arrivals += 1
         expires = now + request.time_left
-        entry = OpenRequest(
+        open_request = OpenRequest(
             request,
             request_class,
             expires,
             expires if request_class.late_worth else min(expires, now + request_class.aim),
         )
         send = self._enqueue_in_order if request_class.in_order and request.key else self._send_first
-        if not self._admits(now, request) or not send(now, entry):
-            self._refuse(entry)
+        if not self._admits(now, request) or not send(now, open_request):
+            self._refuse(open_request)
 
-    def _send_first(self, now: int, entry: OpenRequest) -> bool:
-        backend = self._choose(now, entry) or self._choose_probe(now)
+    def _send_first(self, now: int, open_request: OpenRequest) -> bool:
+        backend = self._choose(now, open_request) or self._choose_probe(now)
         if backend is None:
             return False
         self._retry_budget = min(RETRY_BUDGET_MAX, self._retry_budget + RETRY_BUDGET_RATIO)
-        self._open[entry.request.id] = entry
-        self._send(now, entry, backend)
+        self._open[open_request.request.id] = open_request
+        self._send(now, open_request, backend)
         return True
 
-    def _send(self, now: int, entry: OpenRequest, backend: Backend) -> None:
-        within = entry.repeat_window_left(now)
+    def _send(self, now: int, open_request: OpenRequest, backend: Backend) -> None:
+        begin_within = open_request.repeat_window_left(now)
         self._last_sent = now
-        entry.attempts.append(Attempt(backend, now, self._take_connection(now, backend)))
+        open_request.attempts.append(Attempt(backend, now, self._take_connection(now, backend)))
         backend.in_flight += 1
         backend.trial = backend.ejected_until > 0
-        if self._warmth(now, backend.entry) < 1.0:
+        if self._capacity_fraction(now, backend.server) < 1.0:
             backend.tokens -= 1.0
         else:
             self._warm_sent += 1
         self._in_flight.add(now, 1)
-        self._breakers[entry.request.class_index].in_flight.add(now, 1)
-        time_out, first_byte = max(1, entry.useful_until - now), 0
-        limits = entry.request.limits
+        self._breakers[open_request.request.class_index].in_flight.add(now, 1)
+        time_out, first_byte = max(1, open_request.useful_until - now), 0
+        limits = open_request.request.limits
         if limits is not None:
             time_out, first_byte = min(time_out, limits.time_out or time_out), limits.first_byte
-        self._actions.append(api.Send(entry.request.id, backend.entry.id, time_out, first_byte, within))
+        self._actions.append(
+            api.Send(open_request.request.id, backend.server.id, time_out, first_byte, begin_within)
+        )
 
     def _on_outcome(self, now: int, outcome: api.Outcome) -> None:
-        entry = self._open.get(outcome.request)
-        if entry is None or outcome.attempt >= len(entry.attempts):
+        open_request = self._open.get(outcome.request)
+        if open_request is None or outcome.attempt >= len(open_request.attempts):
             return
-        attempt = entry.attempts[outcome.attempt]
+        attempt = open_request.attempts[outcome.attempt]
         if attempt.result is not None:
             return
         attempt.result = outcome.result
-        self._hold_key(now, entry, outcome.result)
+        self._hold_key(now, open_request, outcome.result)
         # An attempt that was lost on a dropped connection says no more about its server than a cancelled one
         # does, nor does a time-out before an answer could be expected: a further attempt may have little time
         # left.
-        enough = min(self._typical(entry), TARGET_FRACTION * entry.request_class.aim)
-        hasty = outcome.result is Result.TIMEOUT and outcome.elapsed < enough
-        result = Result.CANCELLED if self._record_connection(now, attempt) or hasty else outcome.result
+        min_wait = min(self._typical(open_request), TARGET_FRACTION * open_request.request_class.aim)
+        premature = outcome.result is Result.TIMEOUT and outcome.elapsed < min_wait
+        result = Result.CANCELLED if self._record_connection(now, attempt) or premature else outcome.result
         # If servers report, only a report marks one as idle: an answer may come without one.
         if outcome.result is Result.OK and "utilization" not in self._settings.report_fields:
             attempt.backend.utilization = 0.0
         self._record_report(now, attempt.backend, outcome.report)
         if outcome.result is Result.TIMEOUT and not attempt.backend.ejected_until:
-            until = now + min(outcome.elapsed, entry.request_class.aim)
-            # A server may still work on a request that timed out: if its place were freed at once, it would
-            # be filled again.
-            self._defer(until, partial(self._release, attempt.backend, entry))
+            release_at = now + min(outcome.elapsed, open_request.request_class.aim)
+            # A server may still work on a request that timed out: if it stopped counting as load at once,
+            # another request would be sent in its place.
+            self._defer(release_at, partial(self._release, attempt.backend, open_request))
         else:
-            self._release(attempt.backend, entry, now)
-        self._record_health(now, attempt.backend, result, entry.request.class_index)
-        entry.closed |= outcome.closed
-        again = not entry.closed and self._retry_or_wait(now, entry, outcome)
+            self._release(attempt.backend, open_request, now)
+        self._record_health(now, attempt.backend, result, open_request.request.class_index)
+        open_request.closed |= outcome.closed
+        is_pending = not open_request.closed and self._retry_or_wait(now, open_request, outcome)
         if result is outcome.result:
-            self._add_sample(now, entry, attempt, outcome.elapsed, again)
-        if not entry.closed and not again:
-            self._finish(entry)
-        self._remove_if_over(now, entry)
-
-    def _typical(self, entry: OpenRequest) -> float:
-        return self._breakers[entry.request.class_index].typical_time
-
-    def _add_sample(self, now: int, entry: OpenRequest, attempt: Attempt, elapsed: int, again: bool) -> None:
-        if attempt.backend.ejected_until or self._warmth(now, attempt.backend.entry) < 1.0:
+            self._add_sample(now, open_request, attempt, outcome.elapsed, is_pending)
+        if not open_request.closed and not is_pending:
+            self._finish(open_request)
+        self._remove_if_over(now, open_request)
+
+    def _typical(self, open_request: OpenRequest) -> float:
+        return self._breakers[open_request.request.class_index].typical_time
+
+    def _add_sample(
+        self, now: int, open_request: OpenRequest, attempt: Attempt, elapsed: int, is_pending: bool
+    ) -> None:
+        if attempt.backend.ejected_until or self._capacity_fraction(now, attempt.backend.server) < 1.0:
             return  # silent or cold servers would close the breaker for all the others
-        breaker = self._breakers[entry.request.class_index]
+        breaker = self._breakers[open_request.request.class_index]
         if attempt.result is Result.OK:
             breaker.window.answered.append(elapsed)
             attempt.backend.latency_ratio += LATENCY_RATIO_WEIGHT * (
@@ -488,124 +497,143 @@
             )
         elif attempt.result is Result.TIMEOUT:
             breaker.window.timed_out.append(elapsed)
-        elif attempt.result is Result.FULL and not again:  # a fast failure, but no sign of a fast server
-            breaker.window.answered.append(CENSORED_FACTOR * entry.request_class.aim)
+        elif attempt.result is Result.FULL and not is_pending:  # a fast failure, but no sign of a fast server
+            breaker.window.answered.append(CENSORED_FACTOR * open_request.request_class.aim)
 
-    def _release(self, backend: Backend, entry: OpenRequest, now: int) -> None:
+    def _release(self, backend: Backend, open_request: OpenRequest, now: int) -> None:
         backend.in_flight -= 1
         self._in_flight.add(now, -1)
-        self._breakers[entry.request.class_index].in_flight.add(now, -1)
+        self._breakers[open_request.request.class_index].in_flight.add(now, -1)
 
-    def _retry_or_wait(self, now: int, entry: OpenRequest, outcome: api.Outcome) -> bool:
-        """True if no final answer is due: the request is sent again, waits, or is still in flight."""
-        if entry.in_backoff or any(attempt.result is None for attempt in entry.attempts):
+    def _retry_or_wait(self, now: int, open_request: OpenRequest, outcome: api.Outcome) -> bool:
+        """True if no final answer is needed yet: the request is sent again, waits, or is still in flight."""
+        if open_request.in_backoff or any(attempt.result is None for attempt in open_request.attempts):
             return True
-        limits = entry.request.limits
+        limits = open_request.request.limits
         if limits is None:
-            return self._may_attempt(now, entry) and self._retry(now, entry, outcome.result)
-        wait = min(limits.backoff << min(32, len(entry.attempts) - 1), limits.max_backoff)
+            return self._may_attempt(now, open_request) and self._retry(now, open_request, outcome.result)
+        wait = min(limits.backoff << min(32, len(open_request.attempts) - 1), limits.max_backoff)
         wait -= int(limits.jitter * wait * self._random.random()) if wait else 0
-        may = outcome.may_retry and outcome.result in limits.retry_on and self._may_attempt(now + wait, entry)
-        if not may or not wait:
-            return may and self._retry(now, entry, outcome.result)
-        entry.in_backoff = True
-        self._defer(now + wait, partial(self._retry_after_backoff, entry, outcome.result))
+        may_retry = (
+            outcome.may_retry
+            and outcome.result in limits.retry_on
+            and self._may_attempt(now + wait, open_request)
+        )
+        if not may_retry or not wait:
+            return may_retry and self._retry(now, open_request, outcome.result)
+        open_request.in_backoff = True
+        self._defer(now + wait, partial(self._retry_after_backoff, open_request, outcome.result))
         self._actions.append(api.SetTimer(now + wait, DEFERRED_TOKEN))
         return True
 
-    def _retry_after_backoff(self, entry: OpenRequest, result: Result, now: int) -> None:
-        entry.in_backoff = False
-        if not entry.closed and not (self._may_attempt(now, entry) and self._retry(now, entry, result)):
-            self._finish(entry)
-            self._remove_if_over(now, entry)
+    def _retry_after_backoff(self, open_request: OpenRequest, result: Result, now: int) -> None:
+        open_request.in_backoff = False
+        if not open_request.closed and not (
+            self._may_attempt(now, open_request) and self._retry(now, open_request, result)
+        ):
+            self._finish(open_request)
+            self._remove_if_over(now, open_request)
 
-    def _may_attempt(self, now: int, entry: OpenRequest) -> bool:
+    def _may_attempt(self, now: int, open_request: OpenRequest) -> bool:
         """Whether the remaining time and the number of attempts allow another one."""
-        limits = entry.request.limits
-        most = self._settings.max_attempts
-        most = most if limits is None else min(most, limits.max_attempts)
+        limits = open_request.request.limits
+        max_attempts = self._settings.max_attempts
+        max_attempts = max_attempts if limits is None else min(max_attempts, limits.max_attempts)
         return (
-            entry.useful_until - now > RETRY_MIN_FRACTION * self._typical(entry)
-            and len(entry.attempts) < most
+            open_request.useful_until - now > RETRY_MIN_FRACTION * self._typical(open_request)
+            and len(open_request.attempts) < max_attempts
         )
 
     def _on_hedge(self, now: int, request: int) -> None:
         """Never sends the copy to a cold box, as another server already does the same work."""
-        entry = self._open.get(request)
-        if entry is None or entry.closed or entry.in_backoff or entry.request_class.repeat is not Repeat.SAFE:
+        open_request = self._open.get(request)
+        if (
+            open_request is None
+            or open_request.closed
+            or open_request.in_backoff
+            or open_request.request_class.repeat is not Repeat.SAFE
+        ):
             return
-        out = sum(attempt.result is None for attempt in entry.attempts)
-        backend = self._choose(now, entry, warm=True) if out == 1 and self._may_attempt(now, entry) else None
+        attempts_in_flight = sum(attempt.result is None for attempt in open_request.attempts)
+        backend = (
+            self._choose(now, open_request, warm=True)
+            if attempts_in_flight == 1 and self._may_attempt(now, open_request)
+            else None
+        )
         if backend is not None:
-            self._send(now, entry, backend)
+            self._send(now, open_request, backend)
 
-    def _retry(self, now: int, entry: OpenRequest, result: Result) -> bool:
+    def _retry(self, now: int, open_request: OpenRequest, result: Result) -> bool:
         cost = 0.0 if result is Result.CONNECT_FAILED else 1.0  # a failed connection adds no load
         if self._retry_budget < cost:
             return False
-        backend = self._choose(now, entry)
+        backend = self._choose(now, open_request)
         if backend is None:
             return False
         self._retry_budget -= cost
-        self._send(now, entry, backend)
+        self._send(now, open_request, backend)
         return True
 
-    def _finish(self, entry: OpenRequest) -> None:
-        entry.closed = True
-        if entry.may_refuse():
-            self._refuse(entry)
+    def _finish(self, open_request: OpenRequest) -> None:
+        open_request.closed = True
+        if open_request.may_refuse():
+            self._refuse(open_request)
         else:
-            self._actions.append(api.Fail(entry.request.id))
+            self._actions.append(api.Fail(open_request.request.id))
 
-    def _refuse(self, entry: OpenRequest) -> None:
+    def _refuse(self, open_request: OpenRequest) -> None:
         wait = (
-            min(entry.request_class.aim, self._settings.max_retry_after) if self._settings.retry_after else 0
+            min(open_request.request_class.aim, self._settings.max_retry_after)
+            if self._settings.retry_after
+            else 0
         )
-        self._actions.append(api.Refuse(entry.request.id, wait))
+        self._actions.append(api.Refuse(open_request.request.id, wait))
 
     def _on_client_gone(self, now: int, request: int) -> None:
-        entry = self._open.get(request)
-        if entry is not None:
-            entry.closed = True
-            self._remove_if_over(now, entry)
+        open_request = self._open.get(request)
+        if open_request is not None:
+            open_request.closed = True
+            self._remove_if_over(now, open_request)
 
-    def _remove_if_over(self, now: int, entry: OpenRequest) -> None:
-        if entry.is_over():
-            del self._open[entry.request.id]
-            if entry.request.key in self._key_queues:
-                self._advance_key_queue(entry.request.key, now)
+    def _remove_if_over(self, now: int, open_request: OpenRequest) -> None:
+        if open_request.is_over():
+            del self._open[open_request.request.id]
+            if open_request.request.key in self._key_queues:
+                self._advance_key_queue(open_request.request.key, now)
 
     # Requests in order of their key.
 
-    def _enqueue_in_order(self, now: int, entry: OpenRequest) -> bool:
+    def _enqueue_in_order(self, now: int, open_request: OpenRequest) -> bool:
         """Starts the key's request, or queues it if its turn comes in time. A refused client may go to
         another node, which has its own queue for this key."""
-        key = entry.request.key
+        key = open_request.request.key
         queue = self._key_queues.get(key)
         if queue is None:
-            if not self._send_first(now, entry):
+            if not self._send_first(now, open_request):
                 return False
             self._key_queues[key] = queue = KeyQueue()
         else:
-            typical = int(self._typical(entry))
+            typical = int(self._typical(open_request))
             ahead = sum(1 for other in queue.entries if not other.closed) * typical
-            latest = entry.useful_until - typical
+            latest = open_request.useful_until - typical
             if max(now, queue.held_until) + ahead > latest:
                 return False
-            self._open[entry.request.id] = entry
-            self._defer(latest, partial(self._expire_queued, entry))
+            self._open[open_request.request.id] = open_request
+            self._defer(latest, partial(self._expire_queued, open_request))
             self._actions.append(api.SetTimer(latest, DEFERRED_TOKEN))
-        queue.entries.append(entry)
+        queue.entries.append(open_request)
         return True
 
-    def _expire_queued(self, entry: OpenRequest, now: int) -> None:
-        if not entry.attempts and not entry.closed:
-            self._finish(entry)
-            self._remove_if_over(now, entry)
+    def _expire_queued(self, open_request: OpenRequest, now: int) -> None:
+        if not open_request.attempts and not open_request.closed:
+            self._finish(open_request)
+            self._remove_if_over(now, open_request)
 
-    def _hold_key(self, now: int, entry: OpenRequest, result: Result) -> None:
+    def _hold_key(self, now: int, open_request: OpenRequest, result: Result) -> None:
         """An attempt without an answer may still be running, so the key's next request is delayed."""
-        queue = self._key_queues.get(entry.request.key) if entry.request_class.in_order else None
+        queue = (
+            self._key_queues.get(open_request.request.key) if open_request.request_class.in_order else None
+        )
         if queue is not None and result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED):
             queue.held_until = now + self._settings.key_rest
 
@@ -632,21 +660,23 @@
 
     # Choice of a server.
 
-    def _choose(self, now: int, entry: OpenRequest, warm: bool = False) -> Backend | None:
-        tried = [attempt.backend for attempt in entry.attempts]
+    def _choose(self, now: int, open_request: OpenRequest, warm: bool = False) -> Backend | None:
+        tried = [attempt.backend for attempt in open_request.attempts]
         # After a failed connection any server with an idle connection is better than the less loaded of two.
-        unconnected = bool(tried) and entry.attempts[-1].result is Result.CONNECT_FAILED
+        unconnected = bool(tried) and open_request.attempts[-1].result is Result.CONNECT_FAILED
         pair: list[Backend] = []
         full: list[Backend] = []
-        for backend in self._candidates(entry):
-            if backend in (*pair, *full, *tried) or not entry.may_send_to(backend.entry, now):
+        for backend in self._candidates(open_request):
+            if backend in (*pair, *full, *tried) or not open_request.may_send_to(backend.server, now):
                 continue
-            if self._is_usable(now, backend) and not (warm and self._warmth(now, backend.entry) < 1.0):
-                is_full = backend.fullness[entry.request.class_index] > FULL_THRESHOLD
+            if self._is_usable(now, backend) and not (
+                warm and self._capacity_fraction(now, backend.server) < 1.0
+            ):
+                is_full = backend.fullness[open_request.request.class_index] > FULL_THRESHOLD
                 (full if is_full else pair).append(backend)
             if len(pair) == (MAX_DRAWS if unconnected else 2):
                 break
-        return min(pair or full, key=partial(self._load, now, entry.request.class_index), default=None)
+        return min(pair or full, key=partial(self._load, now, open_request.request.class_index), default=None)
 
     def _choose_probe(self, now: int) -> Backend | None:
         """For a node without a rate of warm servers, from which the budgets of cold ones follow: at
@@ -654,44 +684,54 @@
         all of its servers sends them nothing until they are warm."""
         if self._warm_rate or now - self._last_sent < PROBE_INTERVAL_NS:
             return None
-        available = [one for one in (*self._subset, *self._other_backends) if not one.ejected_until]
-        return max(available, key=lambda one: one.tokens) if available else None
+        available = [
+            backend for backend in (*self._subset, *self._other_backends) if not backend.ejected_until
+        ]
+        return max(available, key=lambda backend: backend.tokens) if available else None
 
-    def _candidates(self, entry: OpenRequest) -> Iterator[Backend]:
+    def _candidates(self, open_request: OpenRequest) -> Iterator[Backend]:
         """Servers in the order of this request's preference; may repeat."""
         if table := self._table:
-            key = entry.request.key or self._random.getrandbits(64)
-            first = self._random.randrange(self._key_spread(key) if entry.request.key else 1)
+            key = open_request.request.key or self._random.getrandbits(64)
+            first = self._random.randrange(self._key_spread(key) if open_request.request.key else 1)
             for draw in range(first, first + MAX_DRAWS):
-                place = splitmix64(key + draw)
-                backend = table[place % len(table)]
-                if place >> 44 < self._kinds[backend.entry.kind].share * (1 << 20):
+                key_hash = splitmix64(key + draw)
+                backend = table[key_hash % len(table)]
+                if key_hash >> 44 < self._kinds[backend.server.kind].share * (1 << 20):
                     yield backend
             for servers in (self._subset, self._other_backends):
                 # Otherwise the first servers of the list would get all requests that find no other.
-                turn = splitmix64(key) % max(1, len(servers))
-                yield from servers[turn:]
-                yield from servers[:turn]
+                offset = splitmix64(key) % max(1, len(servers))
+                yield from servers[offset:]
+                yield from servers[:offset]
 
     def _find_hot_keys(self) -> None:
         total = sum(self._key_counts.values())
-        fair = HOT_KEY_FRACTION * total / max(1, len(self._subset))
-        self._hot_spread = {key: self._spread_for(n, fair) for key, n in self._key_counts.items() if n > fair}
-        keep = min(1.0, KEY_HISTORY_PER_SERVER * len(self._subset) / max(1.0, total))
-        self._key_counts = {key: n * keep for key, n in self._key_counts.items() if n * keep >= 0.5}
-
-    def _spread_for(self, count: float, fair: float) -> int:
+        hot_threshold = HOT_KEY_FRACTION * total / max(1, len(self._subset))
+        self._hot_spread = {
+            key: self._spread_for(count, hot_threshold)
+            for key, count in self._key_counts.items()
+            if count > hot_threshold
+        }
+        retained_fraction = min(1.0, KEY_HISTORY_PER_SERVER * len(self._subset) / max(1.0, total))
+        self._key_counts = {
+            key: count * retained_fraction
+            for key, count in self._key_counts.items()
+            if count * retained_fraction >= 0.5
+        }
+
+    def _spread_for(self, count: float, hot_threshold: float) -> int:
         """A key with more work than one server can do is spread over as many as it needs: all nodes send it
         to the same two, and each node's own load there is too small to show it."""
-        return max(1, min(len(self._subset), 1 + ceil(count / fair)))
+        return max(1, min(len(self._subset), 1 + ceil(count / hot_threshold)))
 
     def _key_spread(self, key: int) -> int:
-        fair = HOT_KEY_FRACTION * self._keyed_arrivals / max(1, len(self._subset))
-        if fair >= 1.0:
+        hot_threshold = HOT_KEY_FRACTION * self._keyed_arrivals / max(1, len(self._subset))
+        if hot_threshold >= 1.0:
             return self._hot_spread.get(key, 1)
         # For a node that has seen few requests any key may be hot. Otherwise all nodes of a fleet that starts
         # send a hot key, which each has seen once, to the same servers, which become overloaded and stay so.
-        return self._spread_for(self._key_counts.get(key, 1.0), fair)
+        return self._spread_for(self._key_counts.get(key, 1.0), hot_threshold)
 
     def _update_kind_shares(self) -> None:
         """Moves keys from busier to less busy kinds of machine if the list gives all servers the same weight.
@@ -699,16 +739,18 @@
         up keep their other servers. Relies on the servers' reports being right."""
         kinds = list(self._kinds.values())
         reported = min((kind.report_count for kind in kinds), default=0) >= KIND_MIN_REPORTS
-        if not reported or len({backend.entry.weight for backend in self._subset}) > 1:
+        if not reported or len({backend.server.weight for backend in self._subset}) > 1:
             return
         for kind in kinds:
             kind.share /= max(KIND_MIN_SHARE, kind.utilization) ** KIND_GAIN
-        most = max(kind.share for kind in kinds)
+        max_share = max(kind.share for kind in kinds)
         for kind in kinds:
-            kind.share = max(KIND_MIN_SHARE, kind.share / most)
+            kind.share = max(KIND_MIN_SHARE, kind.share / max_share)
 
     def _update_warm_rate(self, now: int) -> None:
-        warm = (backend.entry for backend in self._subset if self._warmth(now, backend.entry) >= 1.0)
+        warm = (
+            backend.server for backend in self._subset if self._capacity_fraction(now, backend.server) >= 1.0
+        )
         weight = sum(server.weight for server in warm)
         if weight:
             # Decreases slowly: while all warm servers are overloaded they are sent little, and cold ones,
@@ -718,37 +760,41 @@
         self._warm_sent = 0
 
     def _load(self, now: int, class_index: int, backend: Backend) -> float:
-        """In requests in flight; what the server reported adds to this node's own requests. If new
-        connections fail or are slow, a server with an idle connection is preferred."""
-        busy = max(0.0, backend.utilization - BUSY_UTILIZATION) / (1.0 - BUSY_UTILIZATION)
+        """The load of a server, in requests in flight: this node's own requests, plus a part for what the
+        server reported. If new connections fail or are slow, a server with an idle connection is
+        preferred."""
+        utilization_load = max(0.0, backend.utilization - BUSY_UTILIZATION) / (1.0 - BUSY_UTILIZATION)
         fullness = round(backend.fullness[class_index], 1)  # remainders must not break ties
-        load = backend.in_flight + busy + FULL_LOAD_PENALTY * fullness
+        load = backend.in_flight + utilization_load + FULL_LOAD_PENALTY * fullness
         if self._connect_failures > CONNECT_FAILURES_MIN and not self._reusable_idle_time(now, backend):
             load += CONNECT_LOAD_PENALTY * self._connect_failures
-        return load * backend.latency_ratio / (backend.entry.weight * self._kinds[backend.entry.kind].share)
+        return load * backend.latency_ratio / (backend.server.weight * self._kinds[backend.server.kind].share)
 
     def _is_usable(self, now: int, backend: Backend) -> bool:
         if backend.ejected_until and (backend.trial or now < backend.ejected_until):
             return False
-        warmth = self._warmth(now, backend.entry)
-        if warmth >= 1.0:
+        capacity_fraction = self._capacity_fraction(now, backend.server)
+        if capacity_fraction >= 1.0:
             return True
-        share = self._cold_load_fraction(backend) * warmth * self._warm_rate * backend.entry.weight
-        backend.tokens = min(COLD_BURST_REQUESTS, backend.tokens + share * (now - backend.refilled_at))
+        token_rate = (
+            self._cold_load_fraction(backend) * capacity_fraction * self._warm_rate * backend.server.weight
+        )
+        backend.tokens = min(COLD_BURST_REQUESTS, backend.tokens + token_rate * (now - backend.refilled_at))
         backend.refilled_at = now
         return backend.tokens >= 1.0
 
     def _cold_load_fraction(self, backend: Backend) -> float:
-        """Of a warm server's rate, on top of the warmth, which is a lower bound: after a release, cold
-        servers would otherwise use a third of their cores while the few warm ones are overloaded."""
+        """The part of a warm server's rate that a cold server is sent, before it is multiplied by the
+        server's capacity fraction. That fraction is a lower bound: after a release, cold servers would
+        otherwise use a third of their cores while the few warm ones are overloaded."""
         multiple = self._settings.fall_multiple
-        most = min(COLD_LOAD_MAX, FALL_MULTIPLE_FRACTION * multiple) if multiple else COLD_LOAD_MAX
+        max_fraction = min(COLD_LOAD_MAX, FALL_MULTIPLE_FRACTION * multiple) if multiple else COLD_LOAD_MAX
         if not backend.utilization:
-            return min(most, COLD_LOAD)  # no report since its start
-        return min(most, max(COLD_LOAD, COLD_LOAD * BUSY_UTILIZATION / backend.utilization))
+            return min(max_fraction, COLD_LOAD)  # no report since its start
+        return min(max_fraction, max(COLD_LOAD, COLD_LOAD * BUSY_UTILIZATION / backend.utilization))
 
-    def _warmth(self, now: int, server: api.Server) -> float:
-        """The least part of its full work that a server can do, by the time since its start."""
+    def _capacity_fraction(self, now: int, server: api.Server) -> float:
+        """The part of its full work that a server can do at least, by the time since its start."""
         if not server.started:
             return 1.0
         age = max(0, now - server.started) / max(1, self._settings.cold_time)
@@ -774,7 +820,7 @@
             backend.idle_since.pop()
         elif backend.idle_since:
             backend.idle_since.clear()
-            self._actions.append(api.CloseIdleConnections(backend.entry.id))
+            self._actions.append(api.CloseIdleConnections(backend.server.id))
         return idle
 
     def _record_connection(self, now: int, attempt: Attempt) -> bool:
@@ -785,7 +831,7 @@
             # It may be full of connections, as no server tells its limit. If all nodes kept theirs, it would
             # go on turning requests away.
             attempt.backend.idle_since.clear()
-            self._actions.append(api.CloseIdleConnections(attempt.backend.entry.id))
+            self._actions.append(api.CloseIdleConnections(attempt.backend.server.id))
         elif attempt.result in (Result.OK, Result.ERROR, Result.REJECTED):
             attempt.backend.idle_since.append(now)
         if not attempt.idle_time:
@@ -810,21 +856,23 @@
     def _record_report(self, now: int, backend: Backend, report: tuple[float, ...]) -> None:
         values = dict(zip(self._settings.report_fields, report, strict=False))
         if "utilization" in values:
-            busy = min(1.0, max(0.0, values["utilization"]))
-            self._record_utilization(now, backend, busy)
-            if self._warmth(now, backend.entry) >= 1.0:
+            utilization = min(1.0, max(0.0, values["utilization"]))
+            self._record_utilization(now, backend, utilization)
+            if self._capacity_fraction(now, backend.server) >= 1.0:
                 self._report_count += 1
-                self._utilization += max(REPORT_WEIGHT, 1 / self._report_count) * (busy - self._utilization)
-
-    def _record_utilization(self, now: int, backend: Backend, busy: float) -> None:
-        kind = self._kinds[backend.entry.kind]
-        backend.utilization = busy
-        if self._warmth(now, backend.entry) < 1.0:
+                self._utilization += max(REPORT_WEIGHT, 1 / self._report_count) * (
+                    utilization - self._utilization
+                )
+
+    def _record_utilization(self, now: int, backend: Backend, utilization: float) -> None:
+        kind = self._kinds[backend.server.kind]
+        backend.utilization = utilization
+        if self._capacity_fraction(now, backend.server) < 1.0:
             # A cold server is sent little on purpose. If it counted, its kind would look idle, and the keys
             # of other kinds would overload its warm servers.
             return
         kind.report_count += "utilization" in self._settings.report_fields
-        kind.utilization += max(KIND_WEIGHT, 1 / max(1, kind.report_count)) * (busy - kind.utilization)
+        kind.utilization += max(KIND_WEIGHT, 1 / max(1, kind.report_count)) * (utilization - kind.utilization)
 
     def _record_health(self, now: int, backend: Backend, result: Result, class_index: int) -> None:
         if result is Result.TIMEOUT and not backend.ejected_until:
@@ -860,8 +908,12 @@
         tenth of all attempts fail, a single failure must not eject, or a quarter of the list would be out."""
         if result is Result.CONNECT_FAILED:
             return EJECT_LOG_ODDS / 2  # no sign of load, however often it happens
-        usual = min(max(FLEET_FAILURES_MIN, self._fleet_failures), FLEET_FAILURES_MAX)
-        evidence = log((1.0 - BAD_FAILURES) / (1.0 - usual) if result is Result.OK else BAD_FAILURES / usual)
+        fleet_failures = min(max(FLEET_FAILURES_MIN, self._fleet_failures), FLEET_FAILURES_MAX)
+        evidence = log(
+            (1.0 - BAD_FAILURES) / (1.0 - fleet_failures)
+            if result is Result.OK
+            else BAD_FAILURES / fleet_failures
+        )
         if now - backend.answered_at >= ANSWERED_LATELY_NS:
             return evidence
         # A node that sees a server often can wait for more evidence. One that answers other requests is slow,
@@ -871,12 +923,17 @@
 
     def _is_outlier(self, backend: Backend, result: Result) -> bool:
         fraction = MAX_UNREACHABLE_FRACTION if result is Result.CONNECT_FAILED else MAX_EJECTED_FRACTION
-        out = sum(1 for other in self._subset if other.ejected_until)
-        return backend.failure_log_odds >= EJECT_LOG_ODDS and out + 1 <= fraction * len(self._subset)
+        ejected_count = sum(1 for other in self._subset if other.ejected_until)
+        return backend.failure_log_odds >= EJECT_LOG_ODDS and ejected_count + 1 <= fraction * len(
+            self._subset
+        )
 
     def _eject(self, now: int, backend: Backend) -> None:
-        unseen_for = min(now - backend.answered_at, 4 * EJECT_TIME_NS)  # as long as it was unseen
-        backend.ejected_until = now + self._jittered(max(unseen_for, EJECT_TIME_NS << backend.doublings), 0.5)
+        # Ejects the server for as long as it has not answered, within bounds.
+        time_since_answer = min(now - backend.answered_at, 4 * EJECT_TIME_NS)
+        backend.ejected_until = now + self._jittered(
+            max(time_since_answer, EJECT_TIME_NS << backend.doublings), 0.5
+        )
 
     # The list of servers.
 
@@ -893,8 +950,8 @@
         listed = {server.id: server for server in update.servers}
         if update.kind is not ListKind.DELTA:
             for backend in self._backends.values():
-                if backend.entry.id not in listed:
-                    backend.entry = backend.entry._replace(state=ServerState.GONE)
+                if backend.server.id not in listed:
+                    backend.server = backend.server._replace(state=ServerState.GONE)
         for server in listed.values():
             self._update_server(now, server)
         self._rebuild_subset(now)
@@ -928,23 +985,29 @@
             # A random initial token fraction spreads the nodes' first requests to a cold server.
             self._backends[server.id] = Backend(server, self._random.random(), now)
             return
-        if server.started != backend.entry.started:
+        if server.started != backend.server.started:
             backend.reset_health()
             backend.tokens, backend.refilled_at, backend.utilization = self._random.random(), now, 0.0
-        backend.entry = server
+        backend.server = server
 
     def _rebuild_subset(self, now: int) -> None:
         # Attempts refer to their backend themselves, so servers that are gone are removed here, as they would
         # accumulate over months.
-        kept = {key: one for key, one in self._backends.items() if one.entry.state is not ServerState.GONE}
-        self._backends = kept
-        ids = sorted(key for key, one in self._backends.items() if one.entry.state is ServerState.READY)
+        remaining = {
+            key: backend
+            for key, backend in self._backends.items()
+            if backend.server.state is not ServerState.GONE
+        }
+        self._backends = remaining
+        ids = sorted(
+            key for key, backend in self._backends.items() if backend.server.state is ServerState.READY
+        )
         classes = self._settings.classes
-        answers_within = sum(one.aim for one in classes) / len(classes)
+        answers_within = sum(request_class.aim for request_class in classes) / len(classes)
         self._subset_count = subset_count(self._settings.nodes, answers_within, len(ids))
-        mine = subset_of(ids, self._settings.number, self._subset_count)
-        self._subset = [self._backends[key] for key in ids if key in mine]
-        self._other_backends = [self._backends[key] for key in ids if key not in mine]
+        subset_ids = subset_of(ids, self._settings.number, self._subset_count)
+        self._subset = [self._backends[key] for key in ids if key in subset_ids]
+        self._other_backends = [self._backends[key] for key in ids if key not in subset_ids]
         self._table = self._subset_table()
         self._set_caps(now)
 
@@ -955,16 +1018,16 @@
         table = self._full_table()
         if not self._other_backends or not self._subset:
             return table
-        mine = set(map(id, self._subset))
-        first = next((slot for slot, backend in enumerate(table) if id(backend) in mine), None)
+        subset_identities = set(map(id, self._subset))
+        first = next((slot for slot, backend in enumerate(table) if id(backend) in subset_identities), None)
         if first is None:
             return self._subset  # weights too low for a slot
         # Goes backwards from a slot of the subset, so that the replacement of each slot is known; in a table
         # of prime size the stride visits every slot.
         backend = table[first]
-        for turn in range(1, TABLE_SIZE):
-            slot = (first - turn * TABLE_STRIDE) % TABLE_SIZE
-            if id(table[slot]) in mine:
+        for step in range(1, TABLE_SIZE):
+            slot = (first - step * TABLE_STRIDE) % TABLE_SIZE
+            if id(table[slot]) in subset_identities:
                 backend = table[slot]
             else:
                 table[slot] = backend
@@ -975,21 +1038,21 @@
         and a change of the list moves few keys."""
         if not self._subset:
             return []
-        servers = sorted((*self._subset, *self._other_backends), key=lambda one: one.entry.id)
-        heaviest = max(backend.entry.weight for backend in servers)
+        backends = sorted((*self._subset, *self._other_backends), key=lambda backend: backend.server.id)
+        heaviest = max(backend.server.weight for backend in backends)
         table: list[Backend | None] = [None] * TABLE_SIZE
-        places = [splitmix64(int.from_bytes(backend.entry.id, "little")) for backend in servers]
-        steps = [1 + splitmix64(place) % (TABLE_SIZE - 1) for place in places]
-        credits = [0.0] * len(places)
-        left = TABLE_SIZE
-        while left:
-            for index, backend in enumerate(servers):
-                credits[index] += backend.entry.weight / heaviest
-                if credits[index] < 1.0 or not left:
+        positions = [splitmix64(int.from_bytes(backend.server.id, "little")) for backend in backends]
+        steps = [1 + splitmix64(position) % (TABLE_SIZE - 1) for position in positions]
+        credits = [0.0] * len(positions)
+        free_slots = TABLE_SIZE
+        while free_slots:
+            for index, backend in enumerate(backends):
+                credits[index] += backend.server.weight / heaviest
+                if credits[index] < 1.0 or not free_slots:
                     continue
                 credits[index] -= 1.0
-                while table[places[index] % TABLE_SIZE] is not None:
-                    places[index] += steps[index]
-                table[places[index] % TABLE_SIZE] = backend
-                left -= 1
+                while table[positions[index] % TABLE_SIZE] is not None:
+                    positions[index] += steps[index]
+                table[positions[index] % TABLE_SIZE] = backend
+                free_slots -= 1
         return [backend for backend in table if backend is not None]
--- a/lichenspring/breaker.py
+++ b/lichenspring/breaker.py
@@ -53,8 +53,8 @@
     changed_at: int = 0
 
     def add(self, now: int, change: int) -> None:
-        keep = exp((self.changed_at - now) / UPDATE_PERIOD_NS)
-        self.mean = keep * self.mean + (1.0 - keep) * self.count
+        retained_weight = exp((self.changed_at - now) / UPDATE_PERIOD_NS)
+        self.mean = retained_weight * self.mean + (1.0 - retained_weight) * self.count
         self.count += change
         self.changed_at = now
 
@@ -80,7 +80,7 @@
 
 
 def percentile(values: list[float], fraction: float) -> float:
-    """Of sorted values."""
+    """The value at `fraction` of a sorted list."""
     return values[int(fraction * (len(values) - 1))]
 
 
@@ -155,14 +155,16 @@
         if len(self.window.timed_out) > len(self.window.answered):
             self.proven_load *= PROVEN_TIMEOUTS_DECAY
         if tail and in_flight:
-            own = min(1.0, count / SUFFICIENT_SAMPLES)
+            own_weight = min(1.0, count / SUFFICIENT_SAMPLES)
             if pooled:
                 # Weighted by the size of the class's own sample: shrinkage, as in Efron and Morris (1975).
-                tail += (1.0 - own) * (self.typical_time * pooled - tail)
+                tail += (1.0 - own_weight) * (self.typical_time * pooled - tail)
             self.samples = max(count, min(SUFFICIENT_SAMPLES, self.samples + count))
             self.typical_time += (1 - RETAINED_WEIGHT) * count / self.samples * (median - self.typical_time)
-            follow = BASE_DECREASE_WEIGHT if tail < self.base_tail else BASE_INCREASE_WEIGHT
-            self.base_tail = self.base_tail + follow * (tail - self.base_tail) if self.base_tail else tail
+            base_weight = BASE_DECREASE_WEIGHT if tail < self.base_tail else BASE_INCREASE_WEIGHT
+            self.base_tail = (
+                self.base_tail + base_weight * (tail - self.base_tail) if self.base_tail else tail
+            )
             self.target = min(
                 self.aim, max((1.0 if idle else TARGET_FRACTION) * self.aim, MIN_TAIL_RATIO * self.base_tail)
             )
@@ -176,7 +178,7 @@
             # A window within its target can't lower the cap: one with little load would, and the next burst
             # would be refused.
             if tail > self.target or self.target / alpha > self.threshold(start):
-                old = self.alpha or self.target / max(1.0, start)
-                keep = RETAINED_WEIGHT if alpha > old else RETAINED_WEIGHT_FALLING
-                self.alpha = keep * old + (1 - keep) * alpha
+                old_alpha = self.alpha or self.target / max(1.0, start)
+                retained_weight = RETAINED_WEIGHT if alpha > old_alpha else RETAINED_WEIGHT_FALLING
+                self.alpha = retained_weight * old_alpha + (1 - retained_weight) * alpha
         self.window.clear()
--- a/lichenspring/memory.py
+++ b/lichenspring/memory.py
@@ -41,12 +41,12 @@
 
 
 def _write_fields(holder: Any, names: tuple[str, ...], state: State) -> None:
-    found = {}
+    values = {}
     for name in names:
         attribute = ATTRIBUTES.get(name, name)
         field_type = type(getattr(holder, attribute))
-        found[attribute] = field_type(state[name])  # raises on text in place of a number
-    for name, value in found.items():
+        values[attribute] = field_type(state[name])  # raises on text in place of a number
+    for name, value in values.items():
         setattr(holder, name, value)
 
 
@@ -56,15 +56,18 @@
         "breakers": [_read_fields(breaker, BREAKER_FIELDS) for breaker in balancer._breakers],
         "kinds": {str(kind): _read_fields(known, KIND_FIELDS) for kind, known in balancer._kinds.items()},
         "servers": {
-            backend.entry.id.hex(): _read_fields(backend, SERVER_FIELDS)
-            | {"started": backend.entry.started, "fullness": {str(n): v for n, v in backend.fullness.items()}}
+            backend.server.id.hex(): _read_fields(backend, SERVER_FIELDS)
+            | {
+                "started": backend.server.started,
+                "fullness": {str(n): v for n, v in backend.fullness.items()},
+            }
             for backend in balancer._subset
         },
         "keys": {str(key): count for key, count in balancer._key_counts.items()},
         "out": [
-            [attempt.backend.entry.id.hex(), entry.request.class_index, attempt.sent_at]
-            for entry in balancer._open.values()
-            for attempt in entry.attempts
+            [attempt.backend.server.id.hex(), open_request.request.class_index, attempt.sent_at]
+            for open_request in balancer._open.values()
+            for attempt in open_request.attempts
             if attempt.result is None
         ],
     }
@@ -79,9 +82,9 @@
     for kind, known in state["kinds"].items():
         _write_fields(balancer._kinds.setdefault(int(kind), KindState()), KIND_FIELDS, known)
     for backend in balancer._subset:
-        known = state["servers"].get(backend.entry.id.hex())
+        known = state["servers"].get(backend.server.id.hex())
         # Each process converts the start time to the clock on its own, so small differences are allowed.
-        if known is not None and abs(known["started"] - backend.entry.started) < SECOND:
+        if known is not None and abs(known["started"] - backend.server.started) < SECOND:
             _restore_server(backend, known)
     balancer._key_counts = {int(key): float(count) for key, count in state["keys"].items()}
     balancer._find_hot_keys()
--- a/tests/acceptance/test_wrong_clock.py
+++ b/tests/acceptance/test_wrong_clock.py
@@ -41,7 +41,7 @@
                 discovery.push(9, fresh)
                 await until(lambda: rig.node.servers.discovery.version == 9)
                 backends = rig.node._core._backends.values()
-                (started,) = [one.entry.started for one in backends if one.entry.started]
+                (started,) = [one.server.started for one in backends if one.server.started]
                 assert 0 <= rig.node._now() - started < 20 * SECOND
 
     run(test())
--- a/tests/rehearsal/test_rehearsal.py
+++ b/tests/rehearsal/test_rehearsal.py
@@ -496,8 +496,8 @@
 
 def test_a_module_that_takes_cold_boxes_for_warm_breaks_rule_4(monkeypatch: pytest.MonkeyPatch) -> None:
     """It prefers the newest as well: alone, its count of requests in flight would spare a slow box."""
-    monkeypatch.setattr(Balancer, "_warmth", lambda *_: 1.0)
-    monkeypatch.setattr(Balancer, "_load", lambda self, now, index, backend: -float(backend.entry.started))
+    monkeypatch.setattr(Balancer, "_capacity_fraction", lambda *_: 1.0)
+    monkeypatch.setattr(Balancer, "_load", lambda self, now, index, backend: -float(backend.server.started))
     kinds = [{"name": "cold", "share": 1, "cold_share": 0.05, "speed": 1.0, "cold_s": 20}]
     tree = small(
         {"kind": "replace", "boxes": 2, "at_s": 1.0, "for_s": 0.5}, load={"rate": 150.0, "keys": 100},
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -243,7 +243,7 @@
     node = Node(servers=6)
     closed = {server(number).id for number in range(3)}
     for backend in node.balancer._backends.values():
-        backend.in_flight += 8 * (backend.entry.id not in closed)
+        backend.in_flight += 8 * (backend.server.id not in closed)
     full = Counter[int]()
     for turn in range(40):
         for key in range(1, 7):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -86,7 +86,7 @@
 
 
 def test_checker_detects_overloaded_cold_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_warmth", lambda self, now, server: 1.0)
+    monkeypatch.setattr(Balancer, "_capacity_fraction", lambda self, now, server: 1.0)
     assert violated_rule(RULES) == "cold"
 
 
