--- a/driftstair/admission/connection_table.py
+++ b/driftstair/admission/connection_table.py
@@ -403,10 +403,10 @@
     def _first_since(self, state: State, latest: float) -> Connection | None:
         """The connection longest in a state, entered at `latest` or before, that may be closed."""
         table = self._by_state[state]
-        found = takewhile(lambda connection: table[connection] <= latest, table)
+        candidates = takewhile(lambda connection: table[connection] <= latest, table)
         if state in AFTER_LAST_RESPONSE:
-            return next(found, None)
-        return self._first_without_unread(found)
+            return next(candidates, None)
+        return self._first_without_unread(candidates)
 
     def _first_without_unread(self, connections: Iterable[Connection]) -> Connection | None:
         """The first of a few connections that has no unread data."""
--- a/driftstair/control/http_client.py
+++ b/driftstair/control/http_client.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 from driftstair.control.http import Response
-from driftstair.net.kept_connection import CallError, KeptConnection
+from driftstair.net.kept_connection import CallError, PersistentConnection
 
 DIAL_TIMEOUT_S = 2.0  # a round trip between regions takes 0.3 s at most
 ANSWER_BYTES_MAX = 64 << 10  # of one answer, including its head
@@ -17,7 +17,7 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self._connection: KeptConnection | None = None
+        self._connection: PersistentConnection | None = None
 
     async def post(self, target: str, body: bytes, timeout_s: float) -> Response:
         """Posts a body and returns the answer. Only one call may run at a time. Raises CallError."""
@@ -38,9 +38,9 @@
             self.close()
             raise
 
-    async def _dial(self) -> KeptConnection:
+    async def _dial(self) -> PersistentConnection:
         loop = asyncio.get_running_loop()
-        factory = partial(KeptConnection, self.address, ANSWER_BYTES_MAX)
+        factory = partial(PersistentConnection, self.address, ANSWER_BYTES_MAX)
         try:
             async with asyncio.timeout(DIAL_TIMEOUT_S):
                 _, connection = await loop.create_connection(factory, *self.address)
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -51,11 +51,11 @@
     config: Config,
     system: System = SOCKET_SYSTEM,
     limits: RequestTable | None = None,
-    roster: ServerOverrides | None = None,
+    server_overrides: ServerOverrides | None = None,
 ) -> tuple[Node, Frontend]:
     clients, servers = split_descriptors(config)
     pools = Pools(servers, config.dial_timeout, config.idle_close, system)
-    node = Node(config, pools, system, limits, roster)
+    node = Node(config, pools, system, limits, server_overrides)
     platform_limit = (
         int(config.sockets * PLATFORM_CLIENT_FRACTION) if config.sockets < UNLIMITED_DESCRIPTORS_MIN else 0
     )
@@ -160,14 +160,16 @@
     configuration = (
         None if service is None else service.configuration(config, split_descriptors(config)[0], system)
     )
-    roster = None if operations is None else operations.roster
+    server_overrides = None if operations is None else operations.server_overrides
     limits: RequestTable | None = table
     if configuration is not None and table is not None:
-        roster = configuration.attach(tier, roster)
+        server_overrides = configuration.attach(tier, server_overrides)
         limits = configuration.combined_table(table)
-    node, front = build_node(config, system, limits, roster)
+    node, frontend = build_node(config, system, limits, server_overrides)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signal_number, request_end, end_requested, front.monitor.earliest_event_time)
+        loop.add_signal_handler(
+            signal_number, request_end, end_requested, frontend.monitor.earliest_event_time
+        )
     event_log = None if service is None else service.event_log(config, system)
     if event_log is not None:
         node.observe(event_log[0])
@@ -180,9 +182,9 @@
         await configuration.start(node)
     try:
         if operations is None:
-            address = front.listen()
+            address = frontend.listen()
         else:
-            address = front.listen(operations.listener(), operations.inherits())
+            address = frontend.listen(operations.listener(), operations.inherits())
     except OSError as problem:
         print(f"driftstair: BALANCER_LISTEN can't be used: {problem.strerror}", file=sys.stderr)
         return 2
@@ -197,7 +199,7 @@
         reload_files(node, config, reload_config, service, tier, configuration)
     if operations is not None:
         try:
-            await operations.start(node, front)
+            await operations.start(node, frontend)
         except OSError as problem:
             print(f"driftstair: BALANCER_OPS can't be used: {problem.strerror}", file=sys.stderr)
             return 2
@@ -211,7 +213,7 @@
     enter_state(node, "stopping")
     if tier is not None:
         tier.leave()
-    await front.stop(*plan_shutdown(config), signalled_at)
+    await frontend.stop(*plan_shutdown(config), signalled_at)
     enter_state(node, "ended")
     if event_log is not None:
         event_log[0].metrics_reported(node.counters())
--- a/driftstair/hosts.py
+++ b/driftstair/hosts.py
@@ -67,8 +67,8 @@
     try:
         state = STATE_BY_NAME[entry["state"]]
         # A server that is gone may have no address.
-        gone = state is ServerState.GONE
-        address = ("", 0) if gone else parse_address(entry["addr"])
+        is_gone = state is ServerState.GONE
+        address = ("", 0) if is_gone else parse_address(entry["addr"])
         if not isinstance(entry["id"], str):
             raise ValueError("id is no text")
         weight = float(entry.get("weight", 1.0))
--- a/driftstair/limits/attempt_rules.py
+++ b/driftstair/limits/attempt_rules.py
@@ -79,12 +79,12 @@
 
 def time_limits(route: Route, context: ValidationContext) -> list[tuple[str, int]]:
     """The time limits that all attempts together have to meet, shortest first."""
-    found = [("total", route.timeout.total)] if route.timeout.total else []
+    limits = [("total", route.timeout.total)] if route.timeout.total else []
     for name, kind, client_wait in classes_of(route, context):
         if not kind.late_worth:
-            found.append((f"wanted time of {name}", kind.aim))
-        found.append((f"wait of {name}'s clients", client_wait - TRANSIT_NS))
-    return sorted(found, key=lambda entry: entry[1])
+            limits.append((f"wanted time of {name}", kind.aim))
+        limits.append((f"wait of {name}'s clients", client_wait - TRANSIT_NS))
+    return sorted(limits, key=lambda limit: limit[1])
 
 
 def effect_findings(route: Route, context: ValidationContext) -> Iterator[Finding]:
@@ -142,7 +142,7 @@
     limits = [*time_limits(route, context)]
     if route.timeout.attempt:
         limits.append(("first attempt's time", route.timeout.attempt))
-    for name, limit in sorted(limits, key=lambda entry: entry[1])[:1]:
+    for name, limit in sorted(limits, key=lambda item: item[1])[:1]:
         if copy.after and copy.after >= limit:
             yield Finding(
                 ("copy", "after"),
--- a/driftstair/limits/validation.py
+++ b/driftstair/limits/validation.py
@@ -22,8 +22,8 @@
 
 def find_problems(loaded: LoadedService, platform: Platform | None) -> list[Problem]:
     """All problems, in file order."""
-    found = list(_Validator(loaded, platform).problems())
-    return sorted(found, key=lambda problem: (problem.line, problem.key, problem.why))
+    problems = list(_Validator(loaded, platform).problems())
+    return sorted(problems, key=lambda problem: (problem.line, problem.key, problem.why))
 
 
 class _Validator:
@@ -130,7 +130,9 @@
                 else:
                     others = list(seen.values())
                     needs_comparison.append(index)
-                other = next((one for one in others if can_overlap(patterns[one], pattern)), None)
+                other = next(
+                    (candidate for candidate in others if can_overlap(patterns[candidate], pattern)), None
+                )
                 if other is not None and (other, index) not in reported:
                     reported.add((other, index))
                     yield self.loaded.problem(
--- a/driftstair/net/arrival.py
+++ b/driftstair/net/arrival.py
@@ -98,11 +98,11 @@
     def date_peer_close(self, now: int, age: int, seen_open_at: int = 0) -> int:
         """When the peer closed or half-closed, at most `age` ns ago by the kernel. The FIN follows the last
         bytes, so it waited with them. `seen_open_at`: when the kernel last had no FIN."""
-        came = now - age
-        is_behind_them = came <= self.drained_at + KERNEL_TICK_NS
-        if self._backdated_to and is_behind_them:
-            return min(came, self._backdated_to)
-        return max(came, seen_open_at)
+        closed_at = now - age
+        follows_last_read = closed_at <= self.drained_at + KERNEL_TICK_NS
+        if self._backdated_to and follows_last_read:
+            return min(closed_at, self._backdated_to)
+        return max(closed_at, seen_open_at)
 
     def end_backlog(self) -> None:
         """A request is complete: the data after it were not written together with it."""
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -33,11 +33,11 @@
 class ClientConnection(asyncio.Protocol):
     """One client's connection; its requests are served one at a time."""
 
-    def __init__(self, front: Frontend) -> None:
-        self._front = front
+    def __init__(self, frontend: Frontend) -> None:
+        self._frontend = frontend
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._reader = RequestReader(front.config, front.now, front.node.serves, front.budget)
+        self._reader = RequestReader(frontend.config, frontend.now, frontend.node.serves, frontend.budget)
         self._reserved_bytes = 0  # of the body budget, by the current request
         self._upload: Stream | None = None  # a body that is being streamed to a server
         self._answer_stream: Stream | None = None  # an answer that is being streamed to the client
@@ -55,7 +55,7 @@
         self._peer_close_age: Callable[[], int | None] = lambda: None
         self._data_age: Callable[[], int] = int  # ns since the newest data; 0 before the connection is up
         self._has_kernel_data: Callable[[], bool] = bool  # False before the connection is up
-        self._arrival_estimator = ArrivalEstimator(self._front.now())
+        self._arrival_estimator = ArrivalEstimator(self._frontend.now())
         self._disconnected_at: int | None = None  # when the client closed or half-closed, monotonic ns
         self._last_seen_open_at = -PEER_STATE_TTL_NS  # when the kernel last had no FIN, monotonic ns
         self._discarded_bytes = 0  # bytes received after the last answer
@@ -67,16 +67,16 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass
         transport.set_write_buffer_limits(high=0)  # so that resume_writing is called after the last byte
-        self._peer_close_age = self._front.peer_close_probe(transport)
-        self._data_age = self._front.data_age_probe(transport)
-        self._has_kernel_data = self._front.unread_probe(transport)
+        self._peer_close_age = self._frontend.peer_close_probe(transport)
+        self._data_age = self._frontend.data_age_probe(transport)
+        self._has_kernel_data = self._frontend.unread_probe(transport)
         self._date_acceptance(transport)
-        self._front.on_connect(self)
+        self._frontend.on_connect(self)
 
     def _date_acceptance(self, transport: asyncio.Transport) -> None:
         """Data sent while the connection waited to be accepted are still in the kernel."""
-        age = self._front.accepted_age(transport)
-        up_since = self._front.now() - age if age else self._front.monitor.earliest_event_time()
+        age = self._frontend.accepted_age(transport)
+        up_since = self._frontend.now() - age if age else self._frontend.monitor.earliest_event_time()
         self._arrival_estimator.on_accept(up_since, self._has_kernel_data())
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -87,11 +87,11 @@
         self._release_reservation()
         number, self._request_number = self._request_number, 0
         if number:
-            self._front.node.on_client_closed(number)
+            self._frontend.node.on_client_closed(number)
         if self._answer_stream is not None:
             self._answer_stream.abandon()
             self._answer_stream = None
-        self._front.on_disconnect(self)
+        self._frontend.on_disconnect(self)
 
     def data_received(self, data: bytes) -> None:
         if self._is_closing:
@@ -102,15 +102,15 @@
         reader = self._reader
         reader.feed(data, *self._date_arrival(len(data)))
         if reader.in_body():
-            self._front.on_body_bytes(self, len(data))
+            self._frontend.on_body_bytes(self, len(data))
         else:
             self._arrival_estimator.end_backlog()
-        if not reader.in_body() and self in self._front.uploads:
-            self._front.on_body_end(self)
+        if not reader.in_body() and self in self._frontend.uploads:
+            self._frontend.on_body_end(self)
         self._advance()
 
     def _date_arrival(self, size: int) -> ArrivalRange:
-        now, earliest = self._front.now(), self._front.monitor.earliest_event_time()
+        now, earliest = self._frontend.now(), self._frontend.monitor.earliest_event_time()
         return self._arrival_estimator.on_read(now, size, self._data_age(), earliest, self._paused)
 
     def eof_received(self) -> bool:
@@ -121,7 +121,7 @@
         if self._disconnected_at is None:
             # The FIN may be read late, if the process was stalled.
             self._disconnected_at = self._date_peer_close(self._peer_close_age() or 0)
-            disconnected_for = (self._front.now() - self._disconnected_at) / 1e9
+            disconnected_for = (self._frontend.now() - self._disconnected_at) / 1e9
         if self._request_number:
             self._loop.call_later(
                 max(0.0, DISCONNECT_GRACE_S - disconnected_for), self._withdraw, self._request_number
@@ -140,7 +140,7 @@
 
     def disconnected_for(self) -> int:
         """How long ago (ns) the client closed or half-closed; 0: it has not."""
-        now = self._front.now()
+        now = self._frontend.now()
         if self._disconnected_at is None:
             if now - self._last_seen_open_at < PEER_STATE_TTL_NS:
                 return 0
@@ -152,11 +152,11 @@
         return max(1, now - self._disconnected_at)
 
     def _date_peer_close(self, age: int) -> int:
-        return self._arrival_estimator.date_peer_close(self._front.now(), age, self._last_seen_open_at)
+        return self._arrival_estimator.date_peer_close(self._frontend.now(), age, self._last_seen_open_at)
 
     def _withdraw(self, number: int) -> None:
         if number == self._request_number:
-            self._front.node.withdraw(number)
+            self._frontend.node.withdraw(number)
 
     def time_out(self) -> None:
         """Closes a slow connection. A client that has sent part of a request is answered with 408 first."""
@@ -198,7 +198,7 @@
             reader.parse_available()
             if reader.ready:
                 self._busy = self._has_sent_request = True
-                self._front.on_request(self)
+                self._frontend.on_request(self)
                 self._serve(reader.ready.popleft())
             elif reader.error_status:
                 # Nothing can be parsed after an invalid request; the requests before it are answered.
@@ -213,10 +213,10 @@
         # While requests wait, no more are read: what a client pipelines stays in the kernel.
         if self._paused != bool(reader.ready or reader.has_unread()):
             self._paused = not self._paused
-            progress = self._front.uploads.get(self)
+            progress = self._frontend.uploads.get(self)
             if self._paused:
                 transport.pause_reading()
-                self._arrival_estimator.pause(self._front.now())
+                self._arrival_estimator.pause(self._frontend.now())
                 if progress is not None:
                     progress.pause(self._loop.time())
             else:
@@ -229,11 +229,11 @@
             self.close(CloseReason.CLIENT_ENDED)
         elif reader.is_partial():
             if not reader.in_body():
-                self._front.on_head_bytes(self)
+                self._frontend.on_head_bytes(self)
             if reader.wants_continue():
                 transport.write(CONTINUE_RESPONSE)
         else:
-            self._front.on_idle(self)
+            self._frontend.on_idle(self)
 
     def _follow_upload(self, upload: Stream) -> None:
         """Parses more of a streamed body, and handles its end or failure."""
@@ -242,17 +242,17 @@
             self._upload = None
             upload.on_writable = no_op
             if self._request_number:
-                self._front.node.on_body_complete(self._request_number, self._reader.newest_arrival)
+                self._frontend.node.on_body_complete(self._request_number, self._reader.newest_arrival)
         elif upload.failed:
             self._upload = None
             number, self._request_number = self._request_number, 0
             if number:  # neither complete nor answered
-                self._front.node.on_client_closed(number)
+                self._frontend.node.on_client_closed(number)
                 self._keep_alive = False
                 self._answer_locally(self._reader.error_status or 400, AnswerReason.UNREADABLE)
 
     def _release_reservation(self) -> None:
-        self._front.budget.release(self._reserved_bytes)
+        self._frontend.budget.release(self._reserved_bytes)
         self._reserved_bytes = 0
 
     def _serve(self, incoming: IncomingRequest) -> None:
@@ -264,14 +264,14 @@
             self._upload = incoming.stream
             incoming.stream.on_writable = self._advance
         if incoming.path == HEALTH_PATH:
-            self.answer(200 if self._front.is_up() else 503, [], b"")
+            self.answer(200 if self._frontend.is_up() else 503, [], b"")
             return
-        if self._front.refuses():
+        if self._frontend.refuses():
             self._answer_locally(503, AnswerReason.PROCESS_ENDING)
             return
         parsed = self._parsed_request(incoming)
         self._deadline = 0 if incoming.stream is not None else parsed.deadline
-        number = self._front.node.submit(parsed)
+        number = self._frontend.node.submit(parsed)
         if number and self._busy and not self._is_closing and self._answer_stream is None:
             self._request_number = number
             if incoming.stream is not None and self._reader.wants_continue():
@@ -280,8 +280,8 @@
 
     def _parsed_request(self, incoming: IncomingRequest) -> ParsedRequest:
         """The request in the form that the node takes."""
-        fields, tenants = incoming.fields, self._front.config.tenants
-        limits = self._front.node.limits
+        fields, tenants = incoming.fields, self._frontend.config.tenants
+        limits = self._frontend.node.limits
         key = fields.get(b"x-key")
         return ParsedRequest(
             client=self,
@@ -301,7 +301,7 @@
 
     def _answer_locally(self, status: int, reason: AnswerReason) -> None:
         """Answers a request that never reached the node."""
-        self._front.node.metrics.answers[reason] += 1
+        self._frontend.node.metrics.answers[reason] += 1
         self.answer(status, [], b"")
 
     def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes | Stream) -> None:
@@ -317,7 +317,7 @@
         rejected = 400 <= status < 500
         # Requests already read behind this one are answered first; a close would lose them.
         more = bool(self._reader.ready or self._reader.error_status) or self._reader.has_unread()
-        keep = self._keep_alive and (more or (not rejected and self._front.keeps_alive(self)))
+        keep = self._keep_alive and (more or (not rejected and self._frontend.keeps_alive(self)))
         if self._upload is not None:
             keep = keep and self._upload.ended  # the rest would be parsed as the next request
             self._upload.on_writable = no_op
@@ -343,11 +343,11 @@
         lines.append(b"\r\n")
         self._is_closing, self._rejected = not keep, rejected
         if not keep:
-            self._front.on_body_end(self)  # or the rest of the body is ignored
+            self._frontend.on_body_end(self)  # or the rest of the body is ignored
         if isinstance(body, Stream):
             transport.write(b"".join(lines))
             self._answer_stream = body
-            self._front.on_answer_progress(self)
+            self._frontend.on_answer_progress(self)
             body.on_readable = self._forward_answer
             self._forward_answer()
             return
@@ -355,7 +355,7 @@
         transport.write(b"".join(lines))
         if transport.get_write_buffer_size():
             # A slow reader gets nothing after its deadline, as it has given up by then.
-            left = self._deadline - self._front.now() if self._deadline else ANSWER_WRITE_S_MAX * 1e9
+            left = self._deadline - self._frontend.now() if self._deadline else ANSWER_WRITE_S_MAX * 1e9
             self._slow_reader_timer = self._loop.call_later(
                 max(0.0, left / 1e9), self.abort, CloseReason.SLOW_READER
             )
@@ -377,7 +377,7 @@
             data = encode_chunk(data) + (LAST_CHUNK if stream.is_done() else b"")
         if data:
             transport.write(data)
-            self._front.on_answer_progress(self)
+            self._frontend.on_answer_progress(self)
             stream.set_blocked(bool(transport.get_write_buffer_size()))
         if stream.is_done():
             self._is_stream_written = True
@@ -389,12 +389,12 @@
 
     def _on_stream_written(self) -> None:
         self._answer_stream = None
-        self._front.streamed_answers.pop(self, None)
+        self._frontend.streamed_answers.pop(self, None)
         self._on_answer_written()
 
     def resume_writing(self) -> None:
         if self._answer_stream is not None:
-            self._front.on_answer_progress(self)
+            self._frontend.on_answer_progress(self)
             if self._is_stream_written:
                 self._on_stream_written()
             else:
@@ -420,7 +420,7 @@
                 transport.resume_reading()
             self._note_close(CloseReason.AFTER_ANSWER)
             transport.write_eof()
-            self._front.on_last_answer(self, self._rejected)
+            self._frontend.on_last_answer(self, self._rejected)
 
     def close(self, reason: CloseReason) -> None:
         """Closes after writing what is buffered."""
@@ -435,7 +435,7 @@
             self._transport.abort()
 
     def _note_close(self, reason: CloseReason) -> None:
-        node = self._front.node
+        node = self._frontend.node
         node.metrics.closes[reason] += 1
         if reason not in UNANSWERABLE_CLOSES:
             # Bytes after a request with `Connection: close` are no request (RFC 9112, section 9.6).
@@ -451,7 +451,7 @@
         if reason not in INACTIVITY_CLOSES or self._is_closing or not self.has_unread():
             return False
         assert self._transport is not None
-        return self._front.unread_bytes(self._transport) > 0
+        return self._frontend.unread_bytes(self._transport) > 0
 
     def close_if_unused(self) -> None:
         """Closes unless a request is open or there are unread data."""
--- a/driftstair/net/discovery.py
+++ b/driftstair/net/discovery.py
@@ -17,14 +17,15 @@
 
 log = logging.getLogger(__name__)
 
-# A node is taken to know a change 6 s after discovery had it and was reachable, whatever happened to earlier
-# calls. Each path to a list that has been read must be shorter: a silent watch and the call after it, an
-# unanswered call and the pause (the decision module's, where it asks), a connection that is not established.
+# The platform assumes that a node knows a change 6 s after discovery had it and was reachable, whatever
+# happened to earlier calls. So each sequence of events that ends with the list being read must be shorter: a
+# silent watch and the call after it, an unanswered call and the pause (which the decision module sets if it
+# makes the calls), a connection that is not established.
 SILENCE_TIMEOUT_S = 3.0  # without a byte on an answered watch; discovery sends one every 2 s
 ANSWER_TIMEOUT_S = 3.5  # to the first line: discovery handles calls in turn, which takes up to 3 s
 AGENT_ANSWER_TIMEOUT_S = 0.5  # the same for an agent on this machine, which answers at once or not at all
 DIAL_TIMEOUT_S = 2.0
-AGENT_ANSWER_WAIT_S = 0.1  # attempts wait so long for an agent's answer, as the node is taken to know it
+AGENT_ANSWER_WAIT_S = 0.1  # for an agent's answer; attempts wait for it, as the node is assumed to know it
 STABLE_WATCH_MIN_S = 0.25  # a watch that lasted this long is reopened at once: no more calls than with pauses
 
 
@@ -42,7 +43,8 @@
         system: System,
         is_agent: bool = False,
     ) -> None:
-        """`is_agent`: an agent on this machine, whose list the node is taken to know even without a watch."""
+        """`is_agent`: an agent on this machine, whose list the node is assumed to know even without a
+        watch."""
         super().__init__(address, system, log)
         self.version = version
         self.reopens_at_once = False  # whether to reopen the watch that ended last without a pause
@@ -57,8 +59,8 @@
     def move(self, address: tuple[str, int]) -> None:
         """Watches at another address from now on. Versions are specific to an address, so the first line must
         be a full list. Until it arrives the old watch is still read, even one that waits for its answer: the
-        node is taken to know what the old address sends, and the answer may be in flight. The end of the old
-        watch is not a failure."""
+        node is assumed to know what the old address sends, and the answer may be in flight. The end of the
+        old watch is not a failure."""
         if address == self._address:
             return
         self._address = address
--- a/driftstair/net/frontend.py
+++ b/driftstair/net/frontend.py
@@ -60,21 +60,21 @@
         self.table: ConnectionTable[ClientConnection] = ConnectionTable(limits, ClientConnection.has_unread)
         self.budget = BodyBudget(config.memory_bytes_max)  # for bodies buffered until complete
         self.uploads: dict[ClientConnection, BodyProgress] = {}  # being received from clients
-        self.streamed_answers: dict[ClientConnection, float] = {}  # and when each last made progress
+        self.streamed_answers: dict[ClientConnection, float] = {}  # and loop time of the last progress
         self._loop = asyncio.get_running_loop()
         self._listener: Listener | None = None
         self._accepting = False
-        self._sweep_postponed = False  # the previous one was
+        self._sweep_postponed = False  # whether the previous sweep was postponed
         self._accept_failures = 0  # successive, for lack of descriptors or memory
         self._retry_scheduled = False
         self._open_connections = 0
         self._connections: set[ClientConnection] = set()
         self._tasks: dict[asyncio.Task[None], None] = {}
 
-    def listen(self, listener: Listener | None = None, later: bool = False) -> tuple[str, int]:
-        """Raises OSError. `listener`: an existing one to use; `later`: another process accepts the clients
-        until `hand_over` says otherwise."""
-        self._handed_over = later
+    def listen(self, listener: Listener | None = None, is_deferred: bool = False) -> tuple[str, int]:
+        """Raises OSError. `listener`: an existing one to use; `is_deferred`: another process accepts the
+        clients until `hand_over(False)` is called."""
+        self._handed_over = is_deferred
         self._listener = listener or self._system.listen(self.config.listen, LISTEN_BACKLOG)
         self._resume()
         self.monitor.start()
@@ -130,21 +130,21 @@
         try:
             await listener.adopt(lambda: ClientConnection(self), accepted)
         except Exception as problem:
-            log.warning("a client was lost as it came: %r", problem)
+            log.warning("setting up an accepted connection failed: %r", problem)
             accepted.close()
             self._on_closed()
 
     def _evict_one(self, forced: bool = False) -> bool:
         """Closes the least valuable connection. A client whose request crosses the close retries it."""
-        found = self.table.make_room(self._loop.time(), forced)
-        if found is not None:
-            self._close_in_mode(*found)
-        return found is not None
+        evicted = self.table.make_room(self._loop.time(), forced)
+        if evicted is not None:
+            self._close_in_mode(*evicted)
+        return evicted is not None
 
-    def _close_in_mode(self, connection: ClientConnection, how: CloseMode) -> None:
-        if how is CloseMode.ABORT:
+    def _close_in_mode(self, connection: ClientConnection, mode: CloseMode) -> None:
+        if mode is CloseMode.ABORT:
             connection.abort(CloseReason.TOO_SLOW)
-        elif how is CloseMode.TIME_OUT:
+        elif mode is CloseMode.TIME_OUT:
             connection.time_out()
         else:
             connection.close(CloseReason.IDLE)
@@ -163,13 +163,15 @@
             self._loop.call_later(RETRY_INTERVAL_S, self._sweep)
             return
         self._sweep_postponed = False
-        for connection, how in self.table.take_expired(self._loop.time()):
-            self._close_in_mode(connection, how)
+        for connection, mode in self.table.take_expired(self._loop.time()):
+            self._close_in_mode(connection, mode)
         now = self._loop.time()
-        for connection in [one for one, progress in self.uploads.items() if progress.is_too_slow(now)]:
+        for connection in [
+            uploading for uploading, progress in self.uploads.items() if progress.is_too_slow(now)
+        ]:
             connection.time_out()
         for connection in [
-            one for one, since in self.streamed_answers.items() if now - since > STREAM_STALL_S_MAX
+            reader for reader, since in self.streamed_answers.items() if now - since > STREAM_STALL_S_MAX
         ]:
             connection.abort(CloseReason.SLOW_READER)
         self._close_surplus_idle()
@@ -178,7 +180,7 @@
         if self._handed_over and self._listener is not None:
             # A client's connection limit covers both processes of the node. Idle connections here would leave
             # clients none for the other process.
-            for connection in [one for one in self._connections if one.activity() == "IDLE"]:
+            for connection in [accepted for accepted in self._connections if accepted.activity() == "IDLE"]:
                 connection.close_if_unused()
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
@@ -245,9 +247,9 @@
 
     def keeps_alive(self, connection: ClientConnection) -> bool:
         """Whether the connection stays open after the answer that is ready."""
-        full = self.table.is_full()
-        kept = self.table.should_keep(connection, self._loop.time())
-        return kept and not self.closing and not full and self.drain is None
+        is_full = self.table.is_full()
+        is_worth_keeping = self.table.should_keep(connection, self._loop.time())
+        return is_worth_keeping and not self.closing and not is_full and self.drain is None
 
     def is_up(self) -> bool:
         """Whether clients should use this node: this process, or the one that takes over."""
@@ -282,12 +284,13 @@
 
     # Handover and shutdown.
 
-    def hand_over(self, away: bool) -> None:
-        """`away`: another process of this node accepts new clients, or no longer does. Clients connected here
-        are told to close with their next answers."""
-        self._handed_over = away
-        self.closing = away or self.stopping
-        if away:
+    def hand_over(self, to_other_process: bool) -> None:
+        """Starts or ends the service by another process of this node. `to_other_process`: the other process
+        accepts new clients, and clients connected here are told to close with their next answers; otherwise
+        this process accepts them."""
+        self._handed_over = to_other_process
+        self.closing = to_other_process or self.stopping
+        if to_other_process:
             self._pause()
         else:
             # Clients still hold connections to the other process, and how many they need is not known yet.
@@ -304,9 +307,9 @@
         after `within` s at most. Both count from `since` (monotonic ns; 0: now), when it was told to stop."""
         self.stopping = self.table.is_stopping = True
         self.node.guard.state = ProcessState.STOPPING
-        passed = (self.now() - since) / 1e9 if since else 0.0
-        end = self._loop.time() + within - passed
-        await asyncio.sleep(max(0.0, serve_on - passed))
+        elapsed_s = (self.now() - since) / 1e9 if since else 0.0
+        end = self._loop.time() + within - elapsed_s
+        await asyncio.sleep(max(0.0, serve_on - elapsed_s))
         self.closing = True
         for _ in range(LISTEN_BACKLOG // ACCEPTS_PER_TURN):
             self._accept()  # closing the socket resets the connections in the kernel's queue
--- a/driftstair/net/kept_connection.py
+++ b/driftstair/net/kept_connection.py
@@ -24,7 +24,7 @@
     """No answer; whether the server received the document is unknown. The text has the reason."""
 
 
-class KeptConnection(asyncio.Protocol):
+class PersistentConnection(asyncio.Protocol):
     """A connection to `address`. It can't be used after any failure: the caller has to dial a new one."""
 
     def __init__(self, address: tuple[str, int], answer_bytes_max: int) -> None:
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -88,11 +88,11 @@
 
     def reload(self, config: Config) -> None:
         """Moves the watch to the discovery address of a new configuration. Server list and requests stay."""
-        kept = replace(
+        comparable_config = replace(
             config, discovery=self._config.discovery, initial_list=self._config.initial_list,
             seed=self._config.seed, peer_settings=self._config.peer_settings,
         )  # fmt: skip
-        if kept != self._config:
+        if comparable_config != self._config:
             log.warning("of the new configuration only discovery is used before a restart")
         log.info("discovery is at %s:%d", *config.discovery)
         self._config = replace(self._config, discovery=config.discovery)
@@ -211,14 +211,16 @@
                 parsed.client, parsed.query.tenant, aim, parsed.resubmitted
             )
         now = self._now()
-        left = parsed.deadline - ANSWER_TRANSIT_NS - now
+        time_left = parsed.deadline - ANSWER_TRANSIT_NS - now
         if self.observer is not None:
             waited = parsed.patience - (parsed.deadline - now)
-            self.observer.request_taken(request.number, parsed.request_id.decode(), left / MS, waited / MS)
+            self.observer.request_taken(
+                request.number, parsed.request_id.decode(), time_left / MS, waited / MS
+            )
         rules = (
             self.limits.find(parsed.query) if self.limits is not None and parsed.query is not None else None
         )
-        if left <= 0:
+        if time_left <= 0:
             self._reply(request, 504, [], b"", AnswerReason.NO_TIME_LEFT)
         elif parsed.request_id in self._open_request_ids:
             # A server would treat another client's request with the same id as a repeat of the first.
@@ -240,7 +242,7 @@
             self._dispatch(
                 api.Request(
                     request.number,
-                    left,
+                    time_left,
                     parsed.class_index,
                     parsed.tenant,
                     parsed.key,
--- a/driftstair/net/request.py
+++ b/driftstair/net/request.py
@@ -48,10 +48,10 @@
 
 def origin_form(url: bytes) -> bytes:
     """The request target without scheme and host, if it is in absolute form (RFC 9112, section 3.2.2)."""
-    found = ABSOLUTE_FORM_PREFIX.match(url)
-    if found is None:
+    match = ABSOLUTE_FORM_PREFIX.match(url)
+    if match is None:
         return url
-    rest = url[found.end() :]
+    rest = url[match.end() :]
     return rest if rest.startswith(b"/") else b"/" + rest
 
 
--- a/driftstair/net/request_guard.py
+++ b/driftstair/net/request_guard.py
@@ -202,11 +202,11 @@
         request.attempts[index] = GuardedAttempt(server, now)
 
     def _check_deadline(self, request: GuardedRequest, number: int, now: int, announced_ns: int) -> None:
-        left = request.deadline - now
-        detail = f"{left / MS:.0f} ms left, {announced_ns / MS:.0f} ms told"
-        if left <= -DEADLINE_SLACK_NS:
+        time_left = request.deadline - now
+        detail = f"{time_left / MS:.0f} ms left, {announced_ns / MS:.0f} ms told"
+        if time_left <= -DEADLINE_SLACK_NS:
             self._report_violation(Invariant.NO_ATTEMPT_AFTER_DEADLINE, number, detail)
-        elif announced_ns > left + DEADLINE_SLACK_NS:
+        elif announced_ns > time_left + DEADLINE_SLACK_NS:
             self._report_violation(Invariant.NO_DEADLINE_BEYOND_CLIENTS, number, detail)
 
     def _check_repeat(self, request: GuardedRequest, number: int, now: int) -> None:
--- a/driftstair/net/server_directory.py
+++ b/driftstair/net/server_directory.py
@@ -24,7 +24,7 @@
     from driftstair.operations.server_overrides import ServerOverrides
 
 # Between two watches where lists are pushed. The agent runs on this machine, where calls are cheap, and after
-# an outage the node is taken to know what the agent knows at once, whether or not it has read it.
+# an outage the node is assumed to know what the agent knows at once, whether or not it has read it.
 WATCH_PAUSE_FIRST_S, WATCH_PAUSE_MAX_S = 0.125, 0.25
 
 
--- a/driftstair/node_configuration/reporter.py
+++ b/driftstair/node_configuration/reporter.py
@@ -12,7 +12,7 @@
 from driftstair.configuration.messages import NodeReport, encode
 from driftstair.net.backoff import Backoff
 from driftstair.net.discovery import DIAL_TIMEOUT_S
-from driftstair.net.kept_connection import CallError, KeptConnection
+from driftstair.net.kept_connection import CallError, PersistentConnection
 from driftstair.net.system import System
 from driftstair.node_configuration.servers import Address
 
@@ -45,7 +45,7 @@
         self._random = Random(seed ^ 0x4E90)
         self._backoff = Backoff(REPORT_INTERVAL_MIN_S, RETRY_PAUSE_MAX_S, seed ^ 0x4E91)
         self._report_requested = asyncio.Event()
-        self._connection: KeptConnection | None = None
+        self._connection: PersistentConnection | None = None
         self._task: asyncio.Task[None] | None = None
         self.accepted_reports = 0
 
@@ -102,12 +102,12 @@
         self.accepted_reports += 1
         return True
 
-    async def _connect(self, server: Address) -> KeptConnection:
+    async def _connect(self, server: Address) -> PersistentConnection:
         """The open connection to this server, or a new one. Raises OSError."""
         if self._connection is None or self._connection.is_over or self._connection.address != server:
             self._drop_connection()
-            create_connection = partial(KeptConnection, server, ANSWER_BYTES_MAX)
-            self._connection = cast(KeptConnection, await self._system.dial(create_connection, server))
+            create_connection = partial(PersistentConnection, server, ANSWER_BYTES_MAX)
+            self._connection = cast(PersistentConnection, await self._system.dial(create_connection, server))
         return self._connection
 
     def _drop_connection(self) -> None:
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -43,7 +43,7 @@
         self._predecessor: Predecessor | None = None
         self._list_is_current = True  # the list is at least as recent as the old process's
         self._node: Node
-        self._front: Frontend
+        self._frontend: Frontend
         self._listening_socket: socket.socket
         self._operator_server: OperatorServer | None = None
         self._handover_server: HandoverServer | None = None
@@ -54,7 +54,7 @@
         if self._store is not None:
             self._predecessor = find_predecessor(self._store)
             state = self._store.read()
-        self.roster = ServerOverrides(state.orders)
+        self.server_overrides = ServerOverrides(state.orders)
         self.config = config
         if self._predecessor is not None:
             log.info("taking over from the previous process")
@@ -80,13 +80,13 @@
         """Whether another process serves the clients until this one is ready."""
         return self._predecessor is not None
 
-    async def start(self, node: Node, front: Frontend) -> None:
+    async def start(self, node: Node, frontend: Frontend) -> None:
         """Starts once clients can be accepted. Raises OSError if the operators' address can't be used."""
-        self._node, self._front = node, front
+        self._node, self._frontend = node, frontend
         self._operator_server = OperatorServer(self.obey, self._system)
         assert self.config.operators is not None
         self._operator_server.listen(self.config.operators)
-        self._apply(self.roster.orders)
+        self._apply(self.server_overrides.orders)
         if self._store is not None:
             self._handover_server = HandoverServer(
                 self._store,
@@ -115,7 +115,7 @@
         self._apply(state.orders)
         if state.learned is not None:
             self._node.restore_memory(state.learned)
-        self._front.hand_over(False)
+        self._frontend.hand_over(False)
         await predecessor.announce_serving()
         self._list_is_current = True
 
@@ -136,13 +136,14 @@
             ready = self._list_is_current and self._node.can_serve()
             return (200, {"ready": True}) if ready else (503, {"ready": False})
         if call.order is Order.COUNTERS:
-            return 200, self._node.counters() | self._front.counters() | {
-                "servers_out": sorted(self.roster.orders.out), "drained": self.roster.orders.drained > 0,
+            return 200, self._node.counters() | self._frontend.counters() | {
+                "servers_out": sorted(self.server_overrides.orders.out),
+                "drained": self.server_overrides.orders.drained > 0,
             }  # fmt: skip
         if call.order is Order.TIER:
             if self.tier is None:
                 return 404, {"error": "this node is in no tier"}
-            return 200, self.tier.report(self.roster.hosts)
+            return 200, self.tier.report(self.server_overrides.hosts)
         if call.order is Order.CONFIGURATION:
             if self.configuration is None:
                 return 404, {"error": "this node watches no configuration"}
@@ -158,13 +159,13 @@
             )
         elif call.order is Order.NODE_IN:
             await self._change_orders(lambda orders: setattr(orders, "drained", 0))
-        elif not self.roster.is_known(call.server):
+        elif not self.server_overrides.is_known(call.server):
             return 404, {"error": f"no server {call.server}"}
         elif call.order is Order.SERVER_OUT:
-            started = self.roster.last_start_ms(call.server)
+            started = self.server_overrides.last_start_ms(call.server)
             await self._change_orders(lambda orders: orders.take_out(call.server, now_ms, started))
         else:
-            started = self.roster.last_start_ms(call.server)
+            started = self.server_overrides.last_start_ms(call.server)
             await self._change_orders(lambda orders: orders.put_back(call.server, now_ms, started))
         log.info("operator order carried out: %s %s", call.order.value.decode(), call.server)
         return 200, {"done": call.order.value.decode()}
@@ -172,7 +173,7 @@
     async def _change_orders(self, change: Callable[[Orders], None]) -> None:
         """Changes the orders here, then in the state file, then in the other processes. If the file can't be
         written, they still apply here."""
-        orders = self.roster.orders.copy()
+        orders = self.server_overrides.orders.copy()
         change(orders)
         self._apply(orders)
         if self._store is None:
@@ -195,14 +196,14 @@
         return max(1, self._system.monotonic_ns() // 1_000_000)
 
     def _apply(self, orders: Orders) -> None:
-        hosts = self.roster.set_orders(orders)
+        hosts = self.server_overrides.set_orders(orders)
         if hosts:
             self._node.servers.apply_overrides(hosts)
         if not orders.drained:
-            self._front.drain = None
-        elif self._front.drain is None:
+            self._frontend.drain = None
+        elif self._frontend.drain is None:
             since = max(0, self._monotonic_ms() - orders.drained) / 1000
-            self._front.drain = Drain(asyncio.get_running_loop().time() - since)
+            self._frontend.drain = Drain(asyncio.get_running_loop().time() - since)
 
     # Hand-over between processes.
 
@@ -221,7 +222,7 @@
 
     def _on_handover(self, to_successor: bool) -> None:
         log.info("clients are served by %s", "the next process" if to_successor else "this process again")
-        self._front.hand_over(to_successor)
+        self._frontend.hand_over(to_successor)
 
 
 def _format_address(address: tuple[str, int]) -> str:
--- a/driftstair/service/load.py
+++ b/driftstair/service/load.py
@@ -143,4 +143,4 @@
 def _model_in(annotation: Any) -> type[BaseModel] | None:
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
-    return next((found for part in get_args(annotation) if (found := _model_in(part))), None)
+    return next((model for part in get_args(annotation) if (model := _model_in(part))), None)
--- a/driftstair/tally/tally.py
+++ b/driftstair/tally/tally.py
@@ -89,46 +89,50 @@
     def _record_outcome(self, now: int, outcome: api.Outcome) -> None:
         if outcome.result is not Result.OK:
             self._interval.failures[outcome.server][outcome.result.value] += 1
-        entry = self._open_requests.get(outcome.request)
-        if entry is None:
+        open_request = self._open_requests.get(outcome.request)
+        if open_request is None:
             return
-        entry.last_result = outcome.result
+        open_request.last_result = outcome.result
         if not outcome.closed:
             return
         if outcome.result is not Result.OK:
-            self._record_loss(outcome.request, self._loss_cause(entry))
-        elif now - entry.arrived_ns > self._settings.classes[entry.class_index].aim:
+            self._record_loss(outcome.request, self._loss_cause(open_request))
+        elif now - open_request.arrived_ns > self._settings.classes[open_request.class_index].aim:
             self._record_loss(outcome.request, "late")
         else:
-            self._interval.in_time[entry.class_index] += 1
+            self._interval.in_time[open_request.class_index] += 1
             del self._open_requests[outcome.request]
 
     def _record_action(self, now: int, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._interval.sent[action.server] += 1
-            entry = self._open_requests.get(action.request)
-            if entry is not None:
-                entry.attempts.append(action.server)
-                entry.cold = self._is_cold(now, action.server)
+            open_request = self._open_requests.get(action.request)
+            if open_request is not None:
+                open_request.attempts.append(action.server)
+                open_request.cold = self._is_cold(now, action.server)
         elif isinstance(action, api.Refuse | api.Fail):
-            entry = self._open_requests.get(action.request)
-            if entry is not None:
-                self._record_loss(action.request, self._loss_cause(entry))
+            open_request = self._open_requests.get(action.request)
+            if open_request is not None:
+                self._record_loss(action.request, self._loss_cause(open_request))
         elif isinstance(action, api.Watch):
             self._interval.list_calls += 1
 
-    def _loss_cause(self, entry: _OpenRequest) -> str:
-        if not entry.attempts:
+    def _loss_cause(self, open_request: _OpenRequest) -> str:
+        if not open_request.attempts:
             ready = any(server.state is ServerState.READY for server in self._servers.values())
             return "refused" if ready else "no-server"
         return (
-            "cold" if entry.cold else entry.last_result.value if entry.last_result is not None else "refused"
+            "cold"
+            if open_request.cold
+            else open_request.last_result.value
+            if open_request.last_result is not None
+            else "refused"
         )
 
     def _record_loss(self, request: int, cause: str) -> None:
-        entry = self._open_requests.pop(request, None)
-        if entry is not None:
-            self._interval.lost[cause][entry.class_index] += 1
+        open_request = self._open_requests.pop(request, None)
+        if open_request is not None:
+            self._interval.lost[cause][open_request.class_index] += 1
 
     def _is_cold(self, now: int, server: api.ServerId) -> bool:
         info = self._servers.get(server)
--- a/tests/operations/test_drain_crossings.py
+++ b/tests/operations/test_drain_crossings.py
@@ -16,7 +16,7 @@
 async def connect(rig: Rig) -> tuple[socket.socket, Client]:
     """An accepted connection: its socket, and a client that reads from it."""
     client_socket = socket.create_connection(rig.address)
-    await until(lambda: rig.front._connections)
+    await until(lambda: rig.frontend._connections)
     client_socket.setblocking(False)
     return client_socket, Client(*await asyncio.open_connection(sock=client_socket))
 
@@ -24,11 +24,11 @@
 def check_connections(rig: Rig, trigger: str) -> None:
     """Has a draining ("drain") or replaced ("hand-over") node choose the connections to close."""
     if trigger == "drain":
-        rig.front.drain = Drain(asyncio.get_running_loop().time() - FRONT_LAYER_DELAY_S - 0.1)
-        rig.front._apply_drain(rig.front.drain)
+        rig.frontend.drain = Drain(asyncio.get_running_loop().time() - FRONT_LAYER_DELAY_S - 0.1)
+        rig.frontend._apply_drain(rig.frontend.drain)
     else:
-        rig.front._handed_over = True
-        rig.front._sweep()
+        rig.frontend._handed_over = True
+        rig.frontend._sweep()
 
 
 @pytest.mark.parametrize(
@@ -42,8 +42,8 @@
             client_socket, client = await connect(rig)
             if connection == "kept":
                 assert status(await client.ask(request())) == 200
-                await until(lambda: next(iter(rig.front._connections)).activity() == "IDLE")
-            (node_connection,) = rig.front._connections
+                await until(lambda: next(iter(rig.frontend._connections)).activity() == "IDLE")
+            (node_connection,) = rig.frontend._connections
             node_connection.since -= SILENT_S_MAX
             client_socket.send(request())  # in the kernel's buffer, not read before the check
             check_connections(rig, trigger)
@@ -60,7 +60,7 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client_socket, client = await connect(rig)
-            (node_connection,) = rig.front._connections
+            (node_connection,) = rig.frontend._connections
             node_connection.since -= SILENT_S_MAX
             if trigger == "hand-over":
                 assert status(await client.ask(request())) == 200
@@ -86,9 +86,9 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client_socket = socket.create_connection(rig.address)
-            await until(lambda: rig.front._connections)
+            await until(lambda: rig.frontend._connections)
             client_socket.send(request())
-            (node_connection,) = rig.front._connections
+            (node_connection,) = rig.frontend._connections
             with pytest.raises(InvariantError, match=Invariant.NO_CLOSE_OVER_UNREAD.value):
                 node_connection.close(reason)
             assert rig.node.metrics.violations.pop(Invariant.NO_CLOSE_OVER_UNREAD.value) == 1
--- a/tests/operations/test_orders.py
+++ b/tests/operations/test_orders.py
@@ -186,9 +186,9 @@
         for _ in range(2):
             operations = Operations(SimpleNamespace(listen=("127.0.0.1", 1)), clock, str(tmp_path))  # type: ignore[arg-type]
             node: Any = SimpleNamespace()
-            operations._node, operations._front = node, node
+            operations._node, operations._frontend = node, node
             node.drain = None
-            operations._apply(operations.roster.orders)
+            operations._apply(operations.server_overrides.orders)
             if not drains:
                 await operations.obey(Call(Order.NODE_OUT))
             drains.append(asyncio.get_running_loop().time() - node.drain.started_at)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -244,7 +244,7 @@
         self._stack = AsyncExitStack()
         self.config: Config
         self.node: Node
-        self.front: Frontend
+        self.frontend: Frontend
         self.spy: EventRecorder
         self.address: tuple[str, int]
 
@@ -258,16 +258,16 @@
             from driftstair.service.service_file import ServiceFile
 
             limits = ServiceFile("service.toml", self._service).table(self.config, 541)
-        self.node, self.front = build_node(self.config, SYSTEM, limits)
+        self.node, self.frontend = build_node(self.config, SYSTEM, limits)
         self.node.guard.strict = True
         self.spy = EventRecorder(self.node)
         self.node._balancer.start = self.spy._balancer.start  # type: ignore[method-assign]
-        self.address = self.front.listen()
+        self.address = self.frontend.listen()
         self.node.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.front.stop(0.0, 0.0)
+        await self.frontend.stop(0.0, 0.0)
         assert not self.node.metrics.violations
         self.node.servers.discovery.close()
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -178,7 +178,7 @@
             half.writer.write(request("order")[:-9])
             half.writer.write_eof()
             assert await half.ended() == b""
-            await until(lambda: not rig.front._connections)
+            await until(lambda: not rig.frontend._connections)
             assert len(server.seen) == 2
 
     run(test())
@@ -192,7 +192,7 @@
             client = await rig.client()
             client.writer.write(b"".join(request("order") for _ in range(3000)))
             await until(lambda: server.seen)
-            (connection,) = rig.front._connections
+            (connection,) = rig.frontend._connections
             await until(lambda: connection._paused)
             assert len(connection._reader.ready) < 50
             assert len(rig.node._open_requests) == 1
@@ -212,7 +212,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.table.limits = ConnectionLimits(100, first_head_s_max=0.3, next_head_s_max=0.3)
+            rig.frontend.table.limits = ConnectionLimits(100, first_head_s_max=0.3, next_head_s_max=0.3)
             used, idle = await rig.client(), await rig.client()
             for client in (used, idle):
                 assert status(await client.ask(request())) == 200
@@ -236,7 +236,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.table.limits = ConnectionLimits(100, idle_s_max=0.1)
+            rig.frontend.table.limits = ConnectionLimits(100, idle_s_max=0.1)
             client = await rig.client()
             assert status(await client.ask(request())) == 200
             assert await client.ended() == b""
@@ -253,7 +253,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.table.limits = ConnectionLimits(3)
+            rig.frontend.table.limits = ConnectionLimits(3)
             used = await rig.client()
             assert status(await used.ask(request())) == 200
             rejected = await rig.client()
@@ -265,7 +265,7 @@
             new = await rig.client()
             assert status(await new.ask(request())) == 200
             assert status(await used.ask(request())) == 200
-            assert len(server.seen) == 3 and rig.front._open_connections <= 3
+            assert len(server.seen) == 3 and rig.frontend._open_connections <= 3
 
     run(test())
 
@@ -275,11 +275,11 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.table.limits = ConnectionLimits(400, platform_connections_max=30)
+            rig.frontend.table.limits = ConnectionLimits(400, platform_connections_max=30)
             clients = [await rig.client() for _ in range(60)]
             for client in clients:
                 assert status(await client.ask(request())) == 200
-            assert rig.front.table.idle_count() <= 30 and rig.front.table.closed_early >= 30
+            assert rig.frontend.table.idle_count() <= 30 and rig.frontend.table.closed_early >= 30
             assert status(await (await rig.client()).ask(request())) == 200
 
     run(test())
@@ -291,7 +291,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.table.limits = ConnectionLimits(20)
+            rig.frontend.table.limits = ConnectionLimits(20)
             used = [await rig.client() for _ in range(10)]
             for client in used:
                 assert status(await client.ask(request())) == 200
@@ -301,7 +301,7 @@
             assert status(await late.ask(request())) == 200
             # At least half of the table at a time, with 0.1 s each to send something; a tenth took 30 s.
             assert asyncio.get_running_loop().time() - begun < 12
-            assert rig.front._open_connections <= 20 + frontend.ACCEPTS_PER_TURN
+            assert rig.frontend._open_connections <= 20 + frontend.ACCEPTS_PER_TURN
             for client in crowd:
                 client.writer.close()
 
@@ -318,7 +318,7 @@
                 for _ in range(1000):
                     client.writer.write(b"x" * 60_000)
                     await client.writer.drain()
-            await until(lambda: not rig.front._connections)
+            await until(lambda: not rig.frontend._connections)
 
     run(test())
 
@@ -398,14 +398,14 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
                 client.setblocking(False)
                 await loop.sock_connect(client, rig.address)
-                await until(lambda: rig.front._connections)
-                (connection,) = rig.front._connections
+                await until(lambda: rig.frontend._connections)
+                (connection,) = rig.frontend._connections
                 assert connection._transport is not None
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request(X_Deadline="300m"))
                 await until(lambda: connection._slow_reader_timer is not None)
-                await until(lambda: not rig.front._connections)
+                await until(lambda: not rig.frontend._connections)
 
     run(test())
 
@@ -416,7 +416,7 @@
             up = request(target="/up", method="GET")
             assert status(await (await empty.client()).ask(up)) == 503
             assert status(await (await rig.client()).ask(up)) == 200
-            rig.front.stopping = True
+            rig.frontend.stopping = True
             assert status(await (await rig.client()).ask(up)) == 503
 
     run(test())
@@ -483,7 +483,7 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             idle, silent_one = await rig.client(), await rig.client()
             assert status(await idle.ask(request())) == 200
-            await until(lambda: len(rig.front._connections) == 2)
+            await until(lambda: len(rig.frontend._connections) == 2)
             accept, left = SocketListener.accept, [2]
 
             def fails(self: SocketListener) -> socket.socket:
@@ -508,8 +508,8 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            await until(lambda: rig.front._connections)
-            (connection,) = rig.front._connections
+            await until(lambda: rig.frontend._connections)
+            (connection,) = rig.frontend._connections
             assert connection._transport is not None
             connection._transport.pause_reading()  # as if the process were stalled
             client.writer.write(request())
@@ -540,8 +540,8 @@
     async def test() -> None:
         async with Rig(configuration()) as rig:
             client = await rig.client()
-            await until(lambda: rig.front._connections)
-            (connection,) = rig.front._connections
+            await until(lambda: rig.frontend._connections)
+            (connection,) = rig.frontend._connections
             connection._transport = BlockedTransport(connection._transport)  # type: ignore[assignment,arg-type]
             assert status(await client.ask(request())) == 503
             assert connection._request_number == 0
@@ -556,8 +556,8 @@
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
-            monkeypatch.setattr(rig.front.monitor, "has_just_stalled", lambda: True)
-            monkeypatch.setattr(rig.front.table, "limits", ConnectionLimits(100, first_head_s_max=0.1))
+            monkeypatch.setattr(rig.frontend.monitor, "has_just_stalled", lambda: True)
+            monkeypatch.setattr(rig.frontend.table, "limits", ConnectionLimits(100, first_head_s_max=0.1))
             client = await rig.client()
             assert await client.ended() == b""
             assert rig.node.metrics.closes
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -233,7 +233,7 @@
                     client = await rig.client()
                     assert status(await client.ask(request())) == 200
                     client.writer.close()
-                await until(lambda: not rig.front._connections and not rig.node._pools.sockets)
+                await until(lambda: not rig.frontend._connections and not rig.node._pools.sockets)
                 await asyncio.sleep(0)
                 left = [type(one).__name__ for one in gc.get_objects()]
                 assert left.count("HttpRequestParser") == left.count("HttpResponseParser") == 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -159,7 +159,7 @@
                 late.settimeout(TIMEOUT_S)
                 data = request("order", body=b"late")
                 late.sendall(data[:-1])
-                await until(lambda: rig.front.uploads)
+                await until(lambda: rig.frontend.uploads)
                 fail_all = rig.node.fail_all
 
                 def fail_all_then_send() -> None:
@@ -167,7 +167,7 @@
                     late.sendall(data[-1:])  # between the last answers and the end of the process
 
                 rig.node.fail_all = fail_all_then_send  # type: ignore[method-assign]
-                await rig.front.stop(0.0, 0.0)
+                await rig.frontend.stop(0.0, 0.0)
                 got = await asyncio.get_running_loop().run_in_executor(None, late.recv, 1 << 12)
                 assert got.startswith(b"HTTP/1.1 503 ")
                 rig.node.fail_all = fail_all  # type: ignore[method-assign]
@@ -179,11 +179,11 @@
 def test_connections_in_accept_queue_at_shutdown_are_served() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front._pause()
+            rig.frontend._pause()
             waiting = [socket.create_connection(rig.address) for _ in range(5)]
             for one in waiting:
                 one.sendall(request("order", body=b"queued"))
-            stopping = asyncio.create_task(rig.front.stop(0.0, TIMEOUT_S))
+            stopping = asyncio.create_task(rig.frontend.stop(0.0, TIMEOUT_S))
             for one in waiting:
                 with one:
                     one.settimeout(TIMEOUT_S)
@@ -232,16 +232,16 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.closing = True
+            rig.frontend.closing = True
             client: Client = await rig.client()
             got = await client.ask(request("order", body=b"first"))
             assert got.headers["connection"] == "close"
             client.writer.write(request("order", body=b"second"))
             assert await client.ended() == b""
-            (connection,) = rig.front._connections
+            (connection,) = rig.frontend._connections
             await until(lambda: connection._discarded_bytes)
             client.writer.close()
-            await until(lambda: not rig.front._connections)
+            await until(lambda: not rig.frontend._connections)
             assert [one.body for one in server.seen] == [b"first"]
 
     run(test())
@@ -328,11 +328,11 @@
                 client.writer.write(taken + request(X_Key="second"))
             else:
                 client.writer.write(request(X_Key="first") + request(X_Key="second"))
-            rig.front.closing = why == "the process ends"
+            rig.frontend.closing = why == "the process ends"
             first, second = await client.read(), await client.read()
             expected = {"rejected by a server": 404, "the process ends": 200, "its id is taken": 409}
             assert status(first) == expected[why] and status(second) == 200
-            assert second.headers.get("connection") == ("close" if rig.front.closing else None)
+            assert second.headers.get("connection") == ("close" if rig.frontend.closing else None)
 
     run(test())
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -54,13 +54,13 @@
 
 async def close_client(rig: Rig, client: Client, also: Callable[[], object] = lambda: True) -> None:
     """Closes the client and waits until the node has noticed."""
-    (connection,) = [one for one in rig.front._connections if one._request_number]
+    (connection,) = [one for one in rig.frontend._connections if one._request_number]
     client.writer.close()
     await until(lambda: connection._half_closed and also())
 
 
 async def all_closed(rig: Rig) -> None:
-    await until(lambda: not rig.node._open_requests and not rig.front._connections)
+    await until(lambda: not rig.node._open_requests and not rig.frontend._connections)
 
 
 def test_a_request_of_a_client_that_left_before_the_accept_is_not_sent() -> None:
@@ -68,7 +68,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front._pause()
+            rig.frontend._pause()
             for end in (socket.SHUT_WR, None):
                 client_socket = socket.create_connection(rig.address)
                 client_socket.sendall(request())
@@ -76,7 +76,7 @@
                     client_socket.close()
                 else:
                     client_socket.shutdown(end)  # it still reads an answer
-                rig.front._resume()
+                rig.frontend._resume()
                 if end is not None:
                     with client_socket:
                         client_socket.settimeout(TIMEOUT_S)
@@ -85,7 +85,7 @@
                         )
                         assert reply.startswith(b"HTTP/1.1 503 ")
                 await all_closed(rig)
-                rig.front._pause()
+                rig.frontend._pause()
             assert not server.seen
 
     run(test())
@@ -98,7 +98,7 @@
             client = await rig.client()
             client.writer.write(request("order", body=b"first") + request("order", body=b"second"))
             await until(lambda: server.seen)
-            (connection,) = rig.front._connections
+            (connection,) = rig.frontend._connections
             assert connection._paused  # its FIN stays unread in the kernel
             client.writer.close()
             await until(lambda: connection.has_disconnected())
@@ -117,7 +117,7 @@
             client.writer.write(request("order", body=b"first") + request("order", body=b"second"))
             await until(lambda: server.seen)
             client.writer.write_eof()
-            (connection,) = rig.front._connections
+            (connection,) = rig.frontend._connections
             await until(lambda: connection.has_disconnected())
             reply.release.set()
             assert [status(await client.read()) for _ in range(2)] == [200, 503]
@@ -142,7 +142,7 @@
                 if fin_first:
                     await close_client(rig, client)
                 else:
-                    (connection,) = rig.front._connections
+                    (connection,) = rig.frontend._connections
                     connection._transport.pause_reading()  # type: ignore[union-attr]
                     client.writer.close()
                     await until(lambda: connection.has_disconnected())  # noqa: B023
@@ -207,10 +207,10 @@
                 second.writer.write(request(X_Key="k"))
                 await until(lambda: len(rig.node._open_requests) == 2)
                 waiting = max(rig.node._open_requests)
-                (connection,) = [one for one in rig.front._connections if one._request_number == waiting]
+                (connection,) = [one for one in rig.frontend._connections if one._request_number == waiting]
                 second.writer.close()
                 await until(lambda: waiting not in rig.node._open_requests)
-                await until(lambda: connection not in rig.front._connections)
+                await until(lambda: connection not in rig.frontend._connections)
                 assert any(isinstance(one, api.ClientGone) for one in rig.spy.events)
                 reply.release.set()
                 assert status(await first.read()) == 200
@@ -235,7 +235,7 @@
             client.writer.write(request("order", body=b"once"))
             await until(lambda: one.seen or two.seen)
             client.writer.write_eof()
-            (connection,) = rig.front._connections
+            (connection,) = rig.frontend._connections
             await until(lambda: connection._half_closed)
             reply.release.set()
             assert status(await client.read()) == 502
@@ -336,7 +336,7 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: server.seen)
-            (connection,) = rig.front._connections
+            (connection,) = rig.frontend._connections
             await asyncio.sleep(HALF_CLOSE_DELAY_S)
             assert connection.disconnected_for() == 0
             client.writer.write_eof()
--- a/tests/test_kept_connection.py
+++ b/tests/test_kept_connection.py
@@ -8,13 +8,13 @@
 import pytest
 from rig import Message, answer, read_message, run
 
-from driftstair.net.kept_connection import Answer, CallError, KeptConnection
+from driftstair.net.kept_connection import Answer, CallError, PersistentConnection
 
 ANSWER_BYTES_MAX = 1_000
 
 
 async def with_replies(
-    replies: list[bytes], act: Callable[[KeptConnection, list[Message]], Awaitable[None]]
+    replies: list[bytes], act: Callable[[PersistentConnection, list[Message]], Awaitable[None]]
 ) -> None:
     """Runs `act` on a connection to a server that answers with `replies` in turn."""
     seen: list[Message] = []
@@ -31,14 +31,14 @@
         host, port = server.sockets[0].getsockname()
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(
-            lambda: KeptConnection((host, port), ANSWER_BYTES_MAX), host, port
+            lambda: PersistentConnection((host, port), ANSWER_BYTES_MAX), host, port
         )
         await act(connection, seen)
         connection.close()
 
 
 def test_documents_are_posted_in_turn_on_one_connection() -> None:
-    async def act(connection: KeptConnection, seen: list[Message]) -> None:
+    async def act(connection: PersistentConnection, seen: list[Message]) -> None:
         assert await connection.post("/one", b"{}") == Answer(200, b"first")
         assert await connection.post("/two", b"[]") == Answer(503, b"")
         assert [(one.first, one.body) for one in seen] == [
@@ -59,7 +59,7 @@
     ids=["not HTTP", "long body", "endless head"],
 )
 def test_invalid_answer_ends_the_connection_with_a_reason(reply: bytes, why: str) -> None:
-    async def act(connection: KeptConnection, _: list[Message]) -> None:
+    async def act(connection: PersistentConnection, _: list[Message]) -> None:
         with pytest.raises(CallError, match=why):
             await connection.post("/", b"{}")
         assert connection.is_over
@@ -70,7 +70,7 @@
 
 
 def test_second_answer_is_not_taken_for_that_of_the_next_document() -> None:
-    async def act(connection: KeptConnection, _: list[Message]) -> None:
+    async def act(connection: PersistentConnection, _: list[Message]) -> None:
         assert (await connection.post("/", b"{}")).body == b"mine"
         with pytest.raises(CallError):
             await connection.post("/", b"{}")
@@ -79,7 +79,7 @@
 
 
 def test_answer_with_connection_close_is_the_last_one() -> None:
-    async def act(connection: KeptConnection, _: list[Message]) -> None:
+    async def act(connection: PersistentConnection, _: list[Message]) -> None:
         found = await connection.post("/", b"{}")
         assert found == Answer(200, b"last") and connection.is_over
 
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -212,7 +212,7 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: one.seen or two.seen)
-            (connection,) = rig.front._connections
+            (connection,) = rig.frontend._connections
             client.writer.close()
             await until(lambda: connection.disconnected_for() > 150 * MS)
             held.set()
@@ -263,7 +263,7 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: server.seen)
-            (connection,) = rig.front._connections
+            (connection,) = rig.frontend._connections
             connection.close(client_connection.CloseReason.IDLE)
             assert set(rig.node.metrics.violations) == {Invariant.NO_CLOSE_UNANSWERED.value}
             rig.node.metrics.violations.clear()
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -67,7 +67,7 @@
                 assert len(body) in (5, 65537, 100_000, len(LONG)) and (b"short" + LONG).find(body) in (0, 5)
             assert server.connections == (2 if closes else 1)
             assert [one.result for one in rig.spy.outcomes()] == [Result.OK] * 2
-            assert not rig.node._pools.flows and not rig.front.streamed_answers
+            assert not rig.node._pools.flows and not rig.frontend.streamed_answers
 
     run(test())
 
@@ -158,7 +158,7 @@
             await client.reader.readuntil(b"\r\n\r\n")
             client.writer.transport.abort()
             await until(lambda: not server.open)
-            await until(lambda: not rig.front._connections)
+            await until(lambda: not rig.frontend._connections)
             assert not rig.node._pools.flows and not rig.node._open_requests
 
     run(test())
@@ -233,8 +233,8 @@
                 # The connection can be reused, and the budget is released.
                 client.writer.write(request(target="/up", method="GET"))
                 assert status(await client.read()) == 200
-                assert rig.front.budget.bytes_left == BodyBudget(rig.config.memory_bytes_max).bytes_left
-                assert not rig.front.uploads
+                assert rig.frontend.budget.bytes_left == BodyBudget(rig.config.memory_bytes_max).bytes_left
+                assert not rig.frontend.uploads
 
     run(test())
 
@@ -271,7 +271,7 @@
             client = await rig.client()
             client.writer.write(head + body[:1_500_000])
             await until(lambda: len(recorder.got) > 1_000_000)
-            (pace,) = rig.front.uploads.values()
+            (pace,) = rig.frontend.uploads.values()
             pace.started_at -= 60.0  # as if 1.5 MB had taken a minute
             assert status(await client.read()) == 408
             await asyncio.wait_for(recorder.ended.wait(), 10)
