--- a/driftstair/admission/connection_table.py
+++ b/driftstair/admission/connection_table.py
@@ -19,7 +19,7 @@
 Rule 4 protects clients that send requests and read the responses. The reserved share (`_reserved_for_new`)
 grows only with new connections that send requests, so a flood of silent connections does not widen it: they
 only displace one another. A client that does not read its response has an open request, which closing would
-lose, so it is kept until its deadline; the front end enforces that.
+lose, so it is kept until its deadline; the frontend enforces that.
 
 Rules 2 to 4 use what the node has read. A connection with unread data is skipped: the node may have been
 stalled, and a request in the kernel's buffer would be lost with its connection.
--- a/driftstair/limits/latency.py
+++ b/driftstair/limits/latency.py
@@ -7,7 +7,7 @@
 
 LOG_BUCKET_GROWTH = log(1.08)
 FIRST_BUCKET_NS = 100_000  # upper bound of the first bucket
-BUCKET_COUNT = 200  # cover latencies up to 8 minutes
+BUCKET_COUNT = 200  # covers latencies up to 8 minutes
 HALVING_SAMPLES = 2048  # samples after which all counts are halved
 MIN_SAMPLES = 50  # for a percentile
 
--- a/driftstair/net/client_connection.py
+++ b/driftstair/net/client_connection.py
@@ -355,9 +355,9 @@
         transport.write(b"".join(lines))
         if transport.get_write_buffer_size():
             # A slow reader gets nothing after its deadline, as it has given up by then.
-            left = self._deadline - self._frontend.now() if self._deadline else ANSWER_WRITE_S_MAX * 1e9
+            time_left = self._deadline - self._frontend.now() if self._deadline else ANSWER_WRITE_S_MAX * 1e9
             self._slow_reader_timer = self._loop.call_later(
-                max(0.0, left / 1e9), self.abort, CloseReason.SLOW_READER
+                max(0.0, time_left / 1e9), self.abort, CloseReason.SLOW_READER
             )
         else:
             self._on_answer_written()
--- a/driftstair/net/connection_pools.py
+++ b/driftstair/net/connection_pools.py
@@ -34,7 +34,9 @@
         now = self.pools.now()
         idle_before = now - self.pools.reuse_delay.current_ns(now)
         # Ordered by idle_since, so the connections whose reuse delay has passed come first.
-        reusable_count = bisect_right(self.idle, idle_before, key=lambda one: one.idle_since)
+        reusable_count = bisect_right(
+            self.idle, idle_before, key=lambda idle_connection: idle_connection.idle_since
+        )
         for index in range(reusable_count - 1, -1, -1):
             connection = self.idle.pop(index)
             if (
@@ -60,7 +62,11 @@
 
     def drop_idle(self, before: int | None = None) -> None:
         """Closes the idle connections; with `before`, only those that became idle before that time."""
-        to_close = [one for one in self.idle if before is None or one.idle_since < before]
+        to_close = [
+            idle_connection
+            for idle_connection in self.idle
+            if before is None or idle_connection.idle_since < before
+        ]
         self.idle = self.idle[len(to_close) :]
         for connection in to_close:
             connection.close()
@@ -84,7 +90,7 @@
         self.sockets = 0  # open or being dialed
         self.reuse_delay = ReuseDelay()
         self.has_unread_updates: Callable[[], bool] = bool  # whether updates of the server list wait unread
-        self.flows: dict[Connection, None] = {}  # connections with a streamed answer
+        self.streaming_connections: dict[Connection, None] = {}  # connections with a streamed answer
         self.dial_timeout = dial_timeout
         self.idle_limit = int(idle_close * IDLE_LIMIT_SHARE)
         self._sockets_max = sockets_max
@@ -99,7 +105,9 @@
         for pool in self._pools.values():
             pool.drop_idle(before)
         stalled_since = self.now() - int(STREAM_STALL_S_MAX * 1e9)
-        for connection in [one for one in self.flows if one.is_stalled(stalled_since)]:
+        for connection in [
+            streaming for streaming in self.streaming_connections if streaming.is_stalled(stalled_since)
+        ]:
             connection.give_up()
         self.start()
 
@@ -123,13 +131,14 @@
         return list(self._pools)
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; at the limit, closes the longest idle one for it."""
+        """Whether one more connection may be opened. At the limit, closes the connection that has been idle
+        longest."""
         if self.sockets < self._sockets_max:
             return True
         idle = [pool for pool in self._pools.values() if pool.idle]
         if not idle:
             return False
-        # Its descriptor is released only with the transport, so the limit has a spare one for each dial.
+        # The descriptor is released only with the transport, so the limit leaves a spare one for each dial.
         oldest = min(idle, key=lambda pool: pool.idle[0].idle_since)
         oldest.idle.pop(0).close()
         return True
--- a/driftstair/net/in_flight.py
+++ b/driftstair/net/in_flight.py
@@ -54,6 +54,6 @@
     attempts_sent: int = 0
     may_have_run: bool = False  # by the attempts that have ended
     last_result: Result = Result.NOT_SENT  # of the attempt that ended most recently
-    attempts_out: dict[int, Attempt] = field(default_factory=dict)
+    attempts_in_flight: dict[int, Attempt] = field(default_factory=dict)
     ledger_record: CountedRequest | None = None  # if a ledger is kept
     tenant: TenantUsage | None = None  # counts the tenant's requests in flight, if tenants have limits
--- a/driftstair/net/node.py
+++ b/driftstair/net/node.py
@@ -267,8 +267,8 @@
             self.observer.invariant_violated(invariant.value, number, detail)
 
     def _start_watchdog(self, request: InFlightRequest) -> None:
-        left = request.parsed.deadline - self._now()
-        request.watchdog = self._loop.call_later(left / 1e9, self._on_overdue, request)
+        time_left = request.parsed.deadline - self._now()
+        request.watchdog = self._loop.call_later(time_left / 1e9, self._on_overdue, request)
 
     def on_body_complete(self, number: int, arrived: int) -> None:
         """The last byte of a streamed body arrived at `arrived` (monotonic ns), where the patience starts."""
@@ -295,7 +295,7 @@
         if (
             request is None
             or request.answered
-            or any(one.has_been_sent() for one in request.attempts_out.values())
+            or any(attempt.has_been_sent() for attempt in request.attempts_in_flight.values())
         ):
             return
         # A client that only half-closed gets its answer at once; the status tells if it may retry.
@@ -315,7 +315,7 @@
         """Ends a request without an action of the module, which is notified; cancels its attempts."""
         self._finish(request)
         self._dispatch(api.ClientGone(request.number))
-        for attempt in list(request.attempts_out.values()):
+        for attempt in list(request.attempts_in_flight.values()):
             attempt.cancel()
 
     def _answer(
@@ -357,7 +357,7 @@
     def _forget_if_done(self, request: InFlightRequest) -> None:
         if (
             request.answered
-            and not request.attempts_out
+            and not request.attempts_in_flight
             and self._open_requests.pop(request.number, None) is not None
         ):
             self._open_request_ids.discard(request.parsed.request_id)
@@ -380,30 +380,30 @@
         pool = self._pools.get(action.server)
         body = request.parsed.body
         body_consumed = isinstance(body, Stream) and body.consumed
-        over = has_left or request.answered or body_consumed
-        if pool is None or over or index >= self._config.settings.max_attempts:
+        is_over = has_left or request.answered or body_consumed
+        if pool is None or is_over or index >= self._config.settings.max_attempts:
             why = self.guard.forbids(request.number, index, action.server, self._now())
             self._note_not_begun(request.number, index, NotBegun.CLIENT_LEFT if has_left else why)
             self._dispatch(
                 api.Outcome(request.number, request.answered, Result.NOT_SENT, 0, action.server, index, ())
             )
             return
-        if request.attempts_out and request.ledger_record is not None:
+        if request.attempts_in_flight and request.ledger_record is not None:
             request.ledger_record.record_copy()
         now = self._now()
         # For a stream, as if its last byte had arrived now; the attempt is timed from the write of that byte.
         deadline = now + request.parsed.patience if isinstance(body, Stream) else request.parsed.deadline
-        latest = deadline - ANSWER_TRANSIT_NS
-        expires = min(latest, now + action.time_out) if action.time_out else latest
-        ended = partial(self._on_attempt_end, request, index, action.server, now)
+        latest_expiry = deadline - ANSWER_TRANSIT_NS
+        expires = min(latest_expiry, now + action.time_out) if action.time_out else latest_expiry
+        on_end = partial(self._on_attempt_end, request, index, action.server, now)
         parsed = request.parsed
         permit = AttemptPermit(
             self.guard, request.number, index, action.server,
             now + action.begin_within if action.begin_within else 0,
             parsed.has_disconnected, self._note_not_begun, self._note_written,
         )  # fmt: skip
-        attempt = Attempt(pool, parsed.head, parsed.body, expires, ended, permit, action.first_byte)
-        request.attempts_out[index] = attempt
+        attempt = Attempt(pool, parsed.head, parsed.body, expires, on_end, permit, action.first_byte)
+        request.attempts_in_flight[index] = attempt
         attempt.start()
 
     def _note_not_begun(self, number: int, index: int, why: NotBegun | None) -> None:
@@ -426,11 +426,11 @@
         request: InFlightRequest,
         index: int,
         server: api.ServerId,
-        since: int,
+        started_at: int,
         result: Result,
         answer: Answer | None,
     ) -> None:
-        elapsed = self._now() - (request.attempts_out.pop(index).written_at or since)
+        elapsed = self._now() - (request.attempts_in_flight.pop(index).written_at or started_at)
         request.may_have_run |= result not in NEVER_RAN
         request.last_result = result
         self.guard.record_attempt_end(request.number, index, result)
--- a/driftstair/net/server_attempt.py
+++ b/driftstair/net/server_attempt.py
@@ -28,7 +28,7 @@
     __slots__ = (
         "_body", "_connection", "_dial", "_head", "_on_end", "_patience", "_permit", "_timer",
         "_transmitted_deadline",
-        "done", "expires", "first_byte", "last_progress", "pool", "written_at",
+        "expires", "first_byte", "has_ended", "last_progress", "pool", "written_at",
     )  # fmt: skip
 
     def __init__(
@@ -39,7 +39,7 @@
         self.pool = pool
         self.expires = expires  # monotonic ns
         self.first_byte = first_byte  # ns until the answer must have begun; 0: no such limit, or it has begun
-        self.done = False
+        self.has_ended = False
         self.written_at = 0  # when the last byte of a streamed body was written, monotonic ns
         self.last_progress = 0  # when a streamed body last progressed, monotonic ns
         self._transmitted_deadline = 0  # time to the deadline as sent to the server, ns
@@ -107,7 +107,7 @@
         connection = cast(Connection, protocol)
         self._dial = None
         self.pool.dialing.pop(self, None)
-        if self.done:  # the attempt ended just as the connection was established
+        if self.has_ended:  # the attempt ended just as the connection was established
             connection.close()
         elif connection.closed:
             self.end(Result.CONNECT_FAILED)
@@ -130,20 +130,20 @@
         if isinstance(self._body, Stream):
             self._connection, self.last_progress = connection, now
             self._set_timer(now + UPLOAD_CHECK_INTERVAL_NS)
-            patience = self._patience // 1000
+            patience_us = self._patience // 1000
             self._transmitted_deadline = self._patience
-            connection.send(self, b"%sX-Deadline: %du\r\n\r\n" % (self._head, patience), self._body)
+            connection.send(self, b"%sX-Deadline: %du\r\n\r\n" % (self._head, patience_us), self._body)
             return
-        left = self.expires - now
-        if left <= 0:
+        time_left = self.expires - now
+        if time_left <= 0:
             self.pool.put(connection)
             self.end(Result.CONNECT_FAILED)
             return
         self._connection = connection
         first_byte_by = self.pool.pools.now() + self.first_byte if self.first_byte else self.expires
         self._set_timer(min(first_byte_by, self.expires))
-        self._transmitted_deadline = left
-        connection.send(self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, left // 1000, self._body))
+        self._transmitted_deadline = time_left
+        connection.send(self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, time_left // 1000, self._body))
 
     def _set_timer(self, at: int) -> None:
         # Rounded up, as the loop rounds to whole milliseconds. After a time-out that is slightly early, the
@@ -152,12 +152,12 @@
         delay = max(0, at - self.pool.pools.now()) // 1_000_000 + 1
         self._timer = asyncio.get_running_loop().call_later(delay / 1000, self._on_timer, at)
 
-    def _on_timer(self, at: int, grace_given: bool = False) -> None:
+    def _on_timer(self, at: int, is_after_grace: bool = False) -> None:
         now = self.pool.pools.now()
         if now < at:
             self._set_timer(at)
             return
-        if now - at >= STALL_MIN_NS and not grace_given:
+        if now - at >= STALL_MIN_NS and not is_after_grace:
             # The loop runs timers before it reads sockets: an answer or a connection that arrived while the
             # process was stalled must not time out unread.
             self._timer = asyncio.get_running_loop().call_later(LATE_READ_GRACE_S, self._on_timer, at, True)
@@ -169,7 +169,7 @@
         may_be_fully_sent = self._connection is not None and self._connection.may_be_fully_sent
         self.end(Result.TIMEOUT if may_be_fully_sent else Result.CONNECT_FAILED)
 
-    def wrote(self) -> None:
+    def on_request_written(self) -> None:
         """The first bytes of the request have been passed to the kernel."""
         self._permit.record_write(self.pool.pools.now(), self._transmitted_deadline)
 
@@ -179,7 +179,7 @@
         self.expires = self.written_at + self._patience
         if self._timer is not None:
             self._timer.cancel()
-        if not self.done:
+        if not self.has_ended:
             self._set_timer(self.expires)
 
     def on_answer_begun(self) -> None:
@@ -197,9 +197,9 @@
         self.end(Result.CANCELLED)
 
     def end(self, result: Result, answer: Answer | None = None) -> None:
-        if self.done:
+        if self.has_ended:
             return
-        self.done = True
+        self.has_ended = True
         if self._timer is not None:
             self._timer.cancel()
         if self._dial is not None:
--- a/driftstair/net/server_connection.py
+++ b/driftstair/net/server_connection.py
@@ -92,7 +92,7 @@
         self._reusable = self.written = self.may_be_fully_sent = self._write_blocked = self._delivered = False
         self._reset_answer()
         transport.write(data)
-        attempt.wrote()
+        attempt.on_request_written()
         if upload is None:
             self._on_last_byte_buffered(attempt)
         else:
@@ -256,7 +256,7 @@
         self.last_progress = self._pool.pools.now()
         if not self._delivered and attempt is not None:
             self._delivered = True
-            self._pool.pools.flows[self] = None
+            self._pool.pools.streaming_connections[self] = None
             stream.on_writable = self._on_stream_room
             attempt.end(Result.OK, Answer(self._status, self._headers, stream, self._load))
         if stream.failed:
@@ -286,7 +286,7 @@
 
     def _end_answer_stream(self) -> None:
         stream, self._answer_stream = self._answer_stream, None
-        self._pool.pools.flows.pop(self, None)
+        self._pool.pools.streaming_connections.pop(self, None)
         if stream is not None:
             stream.on_writable = no_op
         if self._is_reading_paused and self._transport is not None and not self._transport.is_closing():
--- a/driftstair/net/watch.py
+++ b/driftstair/net/watch.py
@@ -186,7 +186,7 @@
         self._owner.failed(self, reason)
         self.close()
 
-    def _check_timeout(self, grace_given: bool = False) -> None:
+    def _check_timeout(self, is_after_grace: bool = False) -> None:
         loop = asyncio.get_running_loop()
         remaining = (
             self._last_received
@@ -197,7 +197,7 @@
             self._timer = loop.call_later(self._silence_timeout_s, self._check_timeout)
         elif remaining > 0:
             self._timer = loop.call_later(remaining, self._check_timeout)
-        elif grace_given:
+        elif is_after_grace:
             self._owner.on_silence(self)
         else:
             # The loop runs timers before it reads sockets. After a stall, what the server sent meanwhile is
--- a/lichenspring/balance.py
+++ b/lichenspring/balance.py
@@ -46,7 +46,7 @@
 LESSER_CAP_FRACTION = 0.8  # of a reserving class's threshold
 RESUBMITTED_CAP_FRACTION = 0.5  # for a retry that the client marks: part of its aim is already used up
 OVER_SHARE_CAP_FRACTION = 0.5  # for a tenant over its share
-SHARE_TOLERANCE = 1.2  # times its share, relative to the others' requests, before a tenant is over it
+SHARE_TOLERANCE = 1.2  # of its share, relative to the others' requests, above which a tenant is over it
 SHARE_BURST_REQUESTS = 20.0  # credit that a tenant can accumulate
 
 # Servers.
@@ -67,7 +67,8 @@
 MAX_DRAWS = 12  # slots tried for two usable servers before any usable server is taken
 BAD_FAILURES = 0.7  # assumed of a bad server
 EJECT_LOG_ODDS = log(10.0)  # that a server is bad and not like the others (CUSUM test, Page, 1954)
-# Of the evidence of a server seen often, and of a time-out of one that answers other requests.
+# Weights of the evidence: for a server with frequent outcomes, and for a time-out of a server that answers
+# other requests.
 FREQUENT_OUTCOME_WEIGHT, SLOW_SERVER_WEIGHT = 0.5, 0.25
 ANSWERING_WITHIN_NS = SECOND // 2  # since its last answer, for a server that answers other requests
 FLEET_FAILURES_WEIGHT = 0.02  # of the newest outcome in the failures of all servers: covers about the last 50
@@ -220,11 +221,11 @@
         self._random = Random(seed)
         self._breakers = [Breaker(request_class.aim) for request_class in settings.classes]
         self._backends: dict[api.ServerId, Backend] = {}
-        self._subset: list[Backend] = []  # this node's part of the servers, in the order of the list
+        self._subset: list[Backend] = []  # the servers that this node uses, in the order of the list
         self._other_backends: list[Backend] = []  # used if no server of the subset is usable
         self._subset_count = 1
         self._table: list[Backend] = []
-        self._open: dict[int, OpenRequest] = {}
+        self._open_requests: dict[int, OpenRequest] = {}
         self._caps = [0.0] * len(settings.classes)  # requests in flight above which a class is refused
         self._in_flight = InFlight()
         self._last_sent = 0  # time of the newest attempt
@@ -422,7 +423,7 @@
         if backend is None:
             return False
         self._retry_budget = min(RETRY_BUDGET_MAX, self._retry_budget + RETRY_BUDGET_RATIO)
-        self._open[open_request.request.id] = open_request
+        self._open_requests[open_request.request.id] = open_request
         self._send(now, open_request, backend)
         return True
 
@@ -447,7 +448,7 @@
         )
 
     def _on_outcome(self, now: int, outcome: api.Outcome) -> None:
-        open_request = self._open.get(outcome.request)
+        open_request = self._open_requests.get(outcome.request)
         if open_request is None or outcome.attempt >= len(open_request.attempts):
             return
         attempt = open_request.attempts[outcome.attempt]
@@ -546,7 +547,7 @@
 
     def _on_hedge(self, now: int, request: int) -> None:
         """Never sends the copy to a cold box, as another server already does the same work."""
-        open_request = self._open.get(request)
+        open_request = self._open_requests.get(request)
         if (
             open_request is None
             or open_request.closed
@@ -590,14 +591,14 @@
         self._actions.append(api.Refuse(open_request.request.id, wait))
 
     def _on_client_gone(self, now: int, request: int) -> None:
-        open_request = self._open.get(request)
+        open_request = self._open_requests.get(request)
         if open_request is not None:
             open_request.closed = True
             self._remove_if_over(now, open_request)
 
     def _remove_if_over(self, now: int, open_request: OpenRequest) -> None:
         if open_request.is_over():
-            del self._open[open_request.request.id]
+            del self._open_requests[open_request.request.id]
             if open_request.request.key in self._key_queues:
                 self._advance_key_queue(open_request.request.key, now)
 
@@ -618,7 +619,7 @@
             latest = open_request.useful_until - typical
             if max(now, queue.held_until) + ahead > latest:
                 return False
-            self._open[open_request.request.id] = open_request
+            self._open_requests[open_request.request.id] = open_request
             self._defer(latest, partial(self._expire_queued, open_request))
             self._actions.append(api.SetTimer(latest, DEFERRED_TOKEN))
         queue.entries.append(open_request)
@@ -656,7 +657,7 @@
             if self._has_room(now, first.request) and self._send_first(now, first):
                 return
             self._finish(first)
-            del self._open[first.request.id]
+            del self._open_requests[first.request.id]
 
     # Choice of a server.
 
--- a/lichenspring/memory.py
+++ b/lichenspring/memory.py
@@ -66,7 +66,7 @@
         "keys": {str(key): count for key, count in balancer._key_counts.items()},
         "out": [
             [attempt.backend.server.id.hex(), open_request.request.class_index, attempt.sent_at]
-            for open_request in balancer._open.values()
+            for open_request in balancer._open_requests.values()
             for attempt in open_request.attempts
             if attempt.result is None
         ],
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -311,9 +311,9 @@
             client.writer.write(request("order", body=b"x" * 65536))
             accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), TIMEOUT_S)
             (held,) = rig.node._open_requests.values()
-            await until(lambda: held.attempts_out[0]._connection)
+            await until(lambda: held.attempts_in_flight[0]._connection)
             # A few turns later, the loop has reported that the kernel does not have all of it.
-            await until(lambda: not held.attempts_out[0]._connection.may_be_fully_sent)  # type: ignore[union-attr]
+            await until(lambda: not held.attempts_in_flight[0]._connection.may_be_fully_sent)  # type: ignore[union-attr]
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             accepted.close()
             assert status(await client.read()) == 503
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -338,11 +338,15 @@
 
 
 def test_each_allowed_caller_notifies_the_guard() -> None:
-    """`wrote` follows each first write, `record_answer` the one answer, and `record_close` each close."""
+    """`on_request_written` follows each first write, `record_answer` the one answer, and `record_close` each
+    close."""
     upstream, node = (NET / "server_connection.py").read_text(), (NET / "node.py").read_text()
     attempt = (NET / "server_attempt.py").read_text()
     connection = (NET / "client_connection.py").read_text()
-    assert "Connection.send" in calls(upstream)["wrote"] and "Attempt._write" in calls(attempt)["forbids"]
+    assert (
+        "Connection.send" in calls(upstream)["on_request_written"]
+        and "Attempt._write" in calls(attempt)["forbids"]
+    )
     assert "Node._reply" in calls(node)["record_answer"]
     ends = {"ClientConnection.close", "ClientConnection.abort", "ClientConnection._on_answer_written"}
     assert calls(connection)["_note_close"] == ends
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -105,7 +105,7 @@
 
     def send_copy(self: Balancer, now: int, outcome: api.Outcome) -> None:
         handle_outcome(self, now, outcome)
-        for entry in list(self._open.values()):
+        for entry in list(self._open_requests.values()):
             if entry.request_class.repeat is api.Repeat.SAFE and not entry.closed:
                 self._send_first(now, entry)
 
@@ -118,7 +118,7 @@
     game = Game(balancer, RULES, Random(3))
     game.play(steps=400)
     game._advance_time(5_000 * MS)
-    assert (balancer._key_queues, balancer._open, balancer._in_flight.count) == ({}, {}, 0)
+    assert (balancer._key_queues, balancer._open_requests, balancer._in_flight.count) == ({}, {}, 0)
 
 
 def test_same_events_give_same_actions() -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -67,7 +67,7 @@
                 assert len(body) in (5, 65537, 100_000, len(LONG)) and (b"short" + LONG).find(body) in (0, 5)
             assert server.connections == (2 if closes else 1)
             assert [one.result for one in rig.spy.outcomes()] == [Result.OK] * 2
-            assert not rig.node._pools.flows and not rig.frontend.streamed_answers
+            assert not rig.node._pools.streaming_connections and not rig.frontend.streamed_answers
 
     run(test())
 
@@ -88,8 +88,8 @@
             client = await rig.client()
             client.writer.write(request())
             await client.reader.readuntil(b"\r\n\r\n")
-            await until(lambda: any(one._is_reading_paused for one in rig.node._pools.flows))
-            (streamed,) = rig.node._pools.flows
+            await until(lambda: any(one._is_reading_paused for one in rig.node._pools.streaming_connections))
+            (streamed,) = rig.node._pools.streaming_connections
             assert (
                 streamed._answer_stream is not None
                 and streamed._answer_stream._buffered_bytes <= STREAM_BUFFER_BYTES_MAX + (256 << 10)
@@ -159,7 +159,7 @@
             client.writer.transport.abort()
             await until(lambda: not server.open)
             await until(lambda: not rig.frontend._connections)
-            assert not rig.node._pools.flows and not rig.node._open_requests
+            assert not rig.node._pools.streaming_connections and not rig.node._open_requests
 
     run(test())
 
