--- a/driftstair/__main__.py
+++ b/driftstair/__main__.py
@@ -17,6 +17,7 @@
 
 
 def daemon(service_file: str = "") -> int:
+    """Runs the node until it is told to end; returns the exit status."""
     # The default action would end a starting process. Once the handler is set, the file is checked again.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import uvloop
@@ -58,6 +59,7 @@
 
 
 def main() -> int:
+    """Runs the daemon or a subcommand; returns the exit status."""
     arguments = sys.argv[1:]
     if not arguments:
         return daemon()
--- a/driftstair/admission/connection_table.py
+++ b/driftstair/admission/connection_table.py
@@ -96,6 +96,8 @@
 
 @dataclass(slots=True)
 class ConnectionRecord:
+    """The state of one client connection."""
+
     state: State
     since: float  # entered this state; without a request so far, connected
     request_count: int = 0  # complete requests
@@ -115,6 +117,7 @@
 
 
 def kind_of(request_count: int) -> int:
+    """The kind of an idle connection, by the number of its requests so far."""
     return (
         KIND_BY_REQUEST_COUNT[request_count]
         if request_count < REQUEST_COUNT_THRESHOLDS[-1]
--- a/driftstair/commands.py
+++ b/driftstair/commands.py
@@ -19,6 +19,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """The parser with the options of all subcommands."""
     command_parser = argparse.ArgumentParser(
         prog="driftstair",
         description="A reverse-proxy node. With no subcommand it is the daemon.",
--- a/driftstair/daemon.py
+++ b/driftstair/daemon.py
@@ -53,6 +53,7 @@
     limits: RequestTable | None = None,
     server_overrides: ServerOverrides | None = None,
 ) -> tuple[Node, Frontend]:
+    """Creates a node and its frontend, and divides the descriptors between clients and servers."""
     clients, servers = split_descriptors(config)
     pools = Pools(servers, config.dial_timeout, config.idle_close, system)
     node = Node(config, pools, system, limits, server_overrides)
--- a/driftstair/hosts.py
+++ b/driftstair/hosts.py
@@ -33,6 +33,8 @@
 
 
 class HostList(NamedTuple):
+    """A full server list, or the changes since an earlier version of it."""
+
     version: int
     full: bool
     hosts: tuple[Host, ...]
--- a/driftstair/limits/compiled_route.py
+++ b/driftstair/limits/compiled_route.py
@@ -42,6 +42,7 @@
 
 
 def compile_rules(route: schema.Route, index: int, max_attempts: int) -> RouteRules:
+    """The limits of a route of the service file, where defaults replace missing settings."""
     retry, timeouts, copy = route.retry, route.timeout, route.copy_
     retry_on = (
         ALL_RETRIED if retry.on is None else ALWAYS_RETRIED | {RETRYABLE_RESULTS[name] for name in retry.on}
--- a/driftstair/limits/latency.py
+++ b/driftstair/limits/latency.py
@@ -13,6 +13,8 @@
 
 
 class LatencyHistogram:
+    """A histogram of the recent latencies of one route."""
+
     __slots__ = ("_counts", "_total")
 
     def __init__(self) -> None:
--- a/driftstair/limits/limiting_module.py
+++ b/driftstair/limits/limiting_module.py
@@ -39,6 +39,8 @@
 
 
 class LimitingModule:
+    """Enforces the limits of routes, and passes the requests that it admits to the decision module."""
+
     def __init__(
         self, module: api.DecisionModule, settings: api.Settings, rules: Sequence[RouteRules],
         fleet: Callable[[str], TokenBudget] = no_fleet_budget,
--- a/driftstair/limits/routes.py
+++ b/driftstair/limits/routes.py
@@ -208,7 +208,7 @@
         )  # fmt: skip
 
 
-class Found(NamedTuple):
+class RouteMatch(NamedTuple):
     """The route that a request matches at one path."""
 
     rank: Rank  # at that path
@@ -260,11 +260,11 @@
     def find(self, query: RouteQuery) -> int | None:
         """The index of the most specific route that matches the request."""
         for nodes in self._nodes(query.path):
-            best: Found | None = None
+            best: RouteMatch | None = None
             for node in nodes:
-                found = node.find(query)
-                if found is not None and (best is None or found.rank > best.rank):
-                    best = found
+                match = node.find(query)
+                if match is not None and (best is None or match.rank > best.rank):
+                    best = match
             if best is not None:
                 return best.route
         return None
@@ -289,7 +289,7 @@
         for look_up_key in pattern.look_up_keys():
             bucket.setdefault(look_up_key, index)
 
-    def find(self, query: RouteQuery) -> Found | None:
+    def find(self, query: RouteQuery) -> RouteMatch | None:
         """The most specific matching route at this path."""
         for shape in self._shapes:
             look_up_key = shape.look_up_key(query)
@@ -297,7 +297,7 @@
                 continue
             index = self._buckets[shape].get(look_up_key)
             if index is not None:
-                return Found(shape.rank, index)
+                return RouteMatch(shape.rank, index)
         return None
 
 
--- a/driftstair/net/backoff.py
+++ b/driftstair/net/backoff.py
@@ -9,6 +9,8 @@
 
 
 class Backoff:
+    """The pauses between the calls of one caller."""
+
     def __init__(self, first_s: float, max_s: float, seed: int, jitter: float = JITTER) -> None:
         """`first_s`: the longest first pause; `max_s`: the longest pause of all. `jitter`: the random share
         of a pause; 1 is full jitter."""
--- a/driftstair/net/body_stream.py
+++ b/driftstair/net/body_stream.py
@@ -15,6 +15,7 @@
 
 
 def no_op() -> None:
+    """The callback of a stream to which nothing is attached."""
     pass
 
 
@@ -114,6 +115,8 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
+    """Encodes data as one chunk (RFC 9112, section 7.1). Without data there is no chunk, as an empty one ends
+    the body."""
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
--- a/driftstair/net/json_stream.py
+++ b/driftstair/net/json_stream.py
@@ -16,6 +16,8 @@
 
 
 class JsonStreamParser:
+    """Assembles the documents of one stream from its lines."""
+
     def __init__(self) -> None:
         self._lines: list[bytes] = []  # of an incomplete document
         self._depth = 0  # its open brackets
--- a/driftstair/net/request_guard.py
+++ b/driftstair/net/request_guard.py
@@ -22,6 +22,8 @@
 
 
 class ProcessState(Enum):
+    """The stages of the process, as far as they decide which requests may start."""
+
     SERVING = "serving"
     STOPPING = "stopping"  # asked to stop; new requests are still served
     ENDED = "ended"  # a request that starts now would not be finished
@@ -81,6 +83,8 @@
 
 @dataclass(slots=True, eq=False)
 class GuardedRequest:
+    """What the guard knows about an accepted request."""
+
     request_class: RequestClass
     has_key: bool
     deadline: int  # of the client; 0: not known until the last byte has arrived
--- a/driftstair/net/start_times.py
+++ b/driftstair/net/start_times.py
@@ -18,6 +18,8 @@
 
 
 class Start(NamedTuple):
+    """A start of a server, as reported and on the monotonic clock."""
+
     started_ms: int  # Unix time
     at: int  # monotonic ns
 
--- a/driftstair/net/system.py
+++ b/driftstair/net/system.py
@@ -112,6 +112,8 @@
 
 
 class SocketListener:
+    """A listening TCP socket on the running loop."""
+
     def __init__(self, sock: socket.socket) -> None:
         self._loop = asyncio.get_running_loop()
         self._socket = sock
--- a/driftstair/observability/event_log.py
+++ b/driftstair/observability/event_log.py
@@ -18,6 +18,8 @@
 
 
 class EventLevel(Enum):
+    """Which events are written."""
+
     STATE = "state"  # server lists, process states, event loop stalls, invariant violations, counters
     REQUESTS = "requests"  # also each step of each request
 
--- a/driftstair/operations/calls.py
+++ b/driftstair/operations/calls.py
@@ -35,6 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
+    """A parsed call of the operators' API."""
+
     order: Order
     server: str = ""  # its id, if the order is about a server
     arguments: tuple[str, ...] = ()  # of an order on the tier: the purpose, or the task and a node or token
--- a/driftstair/operations/drain.py
+++ b/driftstair/operations/drain.py
@@ -28,6 +28,8 @@
 
 
 class DrainAction(Enum):
+    """What a drain does with a client connection."""
+
     STAY = "stays"
     CLOSE = "is closed"
     REFUSE = "is refused and closed"
--- a/driftstair/operations/state.py
+++ b/driftstair/operations/state.py
@@ -25,6 +25,8 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
+    """What a node passes to its next process."""
+
     orders: Orders = field(default_factory=Orders)
     discovery: str = ""  # address of the discovery service that the list version belongs to
     list: HostList | None = None
@@ -34,6 +36,7 @@
 
 
 def encode(state: State) -> bytes:
+    """The content of the state file."""
     body = json.dumps({
         "out": state.orders.out, "back": state.orders.back, "drained": int(state.orders.drained > 0),
         "drained_since": state.orders.drained,
@@ -44,6 +47,7 @@
 
 
 def decode(data: bytes) -> State:
+    """Parses the content of a state file; raises StateError."""
     header, _, body = data.partition(b"\n")
     fields = header.split(b" ")
     if len(fields) != 3 or fields[0] != MAGIC:
--- a/driftstair/service/command.py
+++ b/driftstair/service/command.py
@@ -30,6 +30,7 @@
 
 
 def check(options: argparse.Namespace) -> int:
+    """Reports all problems of a service file; returns the exit status."""
     status, problems = EXIT_OK, []
     try:
         config = _load_platform(options)
@@ -66,6 +67,7 @@
 
 
 def show(options: argparse.Namespace) -> int:
+    """Shows the effective settings; returns the exit status."""
     try:
         config = _load_platform(options)
         loaded = read(options.file)
@@ -129,6 +131,7 @@
 
 
 def schema(_: argparse.Namespace) -> int:
+    """Prints the JSON schema of the service file; returns the exit status."""
     json.dump(Service.model_json_schema(by_alias=True), sys.stdout, indent=1)
     print()
     return EXIT_OK
--- a/driftstair/service/load.py
+++ b/driftstair/service/load.py
@@ -51,6 +51,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedService:
+    """A parsed service file, with the line of each key and a hash of its text."""
+
     file: str
     service: Service
     lines: dict[toml_lines.KeyPath, int]
@@ -64,6 +66,7 @@
 
 
 def format_path(path: toml_lines.KeyPath) -> str:
+    """Formats the path of a key for a message."""
     return (
         "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in path).lstrip(".")
         or "the file"
@@ -80,6 +83,7 @@
 
 
 def parse(text: str, file: str) -> LoadedService:
+    """Parses and validates the text of a service file; raises ServiceError."""
     service, lines = parse_as(text, file, Service)
     return LoadedService(file, service, lines, hashlib.sha256(text.encode()).hexdigest()[:16])
 
--- a/driftstair/service/options.py
+++ b/driftstair/service/options.py
@@ -9,6 +9,7 @@
 
 
 def add(commands: Any) -> None:
+    """Adds the subcommand and its options."""
     config: argparse.ArgumentParser = commands.add_parser(
         "config", help="check, show or describe the service file", epilog=EPILOG
     )
--- a/driftstair/service/service_file.py
+++ b/driftstair/service/service_file.py
@@ -29,6 +29,7 @@
 
 
 def platform_of(config: Config, max_client_connections: int) -> Platform:
+    """The platform settings that a service file is validated against."""
     names = [name.decode() for name in config.classes]
     return Platform(
         classes=dict(zip(names, config.settings.classes, strict=True)),
--- a/driftstair/settings.py
+++ b/driftstair/settings.py
@@ -11,6 +11,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The platform's configuration of one node."""
+
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
--- a/driftstair/tally/tally.py
+++ b/driftstair/tally/tally.py
@@ -51,6 +51,8 @@
 
 
 class Tally:
+    """Counts the events and actions of a decision module and writes a line per interval."""
+
     def __init__(
         self, module: api.DecisionModule, settings: api.Settings, interval_ns: int, write_line: WriteLine
     ) -> None:
--- a/lichenspring/adapter.py
+++ b/lichenspring/adapter.py
@@ -156,6 +156,7 @@
 
 
 def main() -> int:
+    """Serves standard input and output; returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (wire.WireError, SettingsError) as error:
--- a/lichenspring/balance.py
+++ b/lichenspring/balance.py
@@ -137,6 +137,8 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt of a request at a server."""
+
     backend: Backend
     sent_at: int
     idle_time: int  # of its connection; 0: a new one
--- a/lichenspring/interface.py
+++ b/lichenspring/interface.py
@@ -37,6 +37,8 @@
 
 
 class ListKind(Enum):
+    """What a message about the list of servers contains."""
+
     CACHED = "cached"  # complete, as last held before a restart; may be stale
     FULL = "full"  # complete; a server that it leaves out is gone
     DELTA = "delta"  # changed entries only
@@ -44,6 +46,8 @@
 
 
 class ServerState(Enum):
+    """Whether a server takes requests."""
+
     READY = "ready"
     DRAINING = "draining"  # finishes its work and takes no new requests
     GONE = "gone"
@@ -75,6 +79,8 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
+    """The properties that requests of one class share."""
+
     aim: int  # an answer within this time earns the full worth
     worth: float
     late_worth: float  # share of the worth for an answer after the aim
@@ -93,6 +99,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
+    """A customer of the service."""
+
     share: float  # of the service
 
     def __post_init__(self) -> None:
@@ -101,6 +109,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
+    """The decision module's settings."""
+
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
     nodes: int  # that share the servers
@@ -143,6 +153,8 @@
 
 
 class ServerList(NamedTuple):
+    """The list of servers or a change of it has been received, or the attempt to get it has failed."""
+
     kind: ListKind
     servers: tuple[Server, ...]
 
@@ -162,6 +174,8 @@
 
 
 class Request(NamedTuple):
+    """A client sends a request."""
+
     id: int
     time_left: int
     class_index: int
@@ -172,6 +186,8 @@
 
 
 class Outcome(NamedTuple):
+    """An attempt has ended."""
+
     request: int
     closed: bool  # the client has its answer
     result: Result
@@ -189,10 +205,14 @@
 
 
 class ClientGone(NamedTuple):
+    """The client of a request has left, so an answer is no longer needed."""
+
     request: int
 
 
 class Timer(NamedTuple):
+    """A timer that the module has set is due."""
+
     token: int
 
 
@@ -200,6 +220,8 @@
 
 
 class Send(NamedTuple):
+    """Send an attempt of a request to a server."""
+
     request: int
     server: ServerId
     time_out: int  # 0: until the client gives up
@@ -228,6 +250,8 @@
 
 
 class SetTimer(NamedTuple):
+    """Send a `Timer` event with this token at a time."""
+
     at: int
     token: int
 
--- a/lichenspring/memory.py
+++ b/lichenspring/memory.py
@@ -51,6 +51,7 @@
 
 
 def export_state(balancer: Balancer) -> State:
+    """The learned state of a balancer as plain numbers."""
     return {
         "all": _read_fields(balancer, BALANCER_FIELDS),
         "breakers": [_read_fields(breaker, BREAKER_FIELDS) for breaker in balancer._breakers],
--- a/lichenspring/subset.py
+++ b/lichenspring/subset.py
@@ -16,7 +16,8 @@
 
 SECOND = 1_000_000_000  # in ns
 REQUESTS_PER_SERVER = 10.0  # in flight, of all nodes together, at full load
-CONTACT_INTERVAL_S = 2.0  # of a node and a server at full load; most nodes need half of it to notice a change
+# Between the requests of a node to a server at full load; most nodes need half of it to notice a change.
+CONTACT_INTERVAL_S = 2.0
 MIN_SUBSET_SIZE = 12  # servers: the two candidates of a key, and enough alternatives
 NODES_PER_ROUND = 32  # nodes, a power of two; also the largest number of subsets
 MASK_64 = (1 << 64) - 1
@@ -45,5 +46,5 @@
     # larger one.
     part = sum((node >> bit & 1) * (count >> bit + 1) for bit in range(count.bit_length() - 1))
     salt = splitmix64(node // NODES_PER_ROUND + 1)
-    order = sorted(servers, key=lambda one: splitmix64(int.from_bytes(one, "little") ^ salt))
+    order = sorted(servers, key=lambda server: splitmix64(int.from_bytes(server, "little") ^ salt))
     return set(order[part * len(order) // count : (part + 1) * len(order) // count])
--- a/lichenspring/wire.py
+++ b/lichenspring/wire.py
@@ -12,6 +12,8 @@
 
 
 class In(IntEnum):
+    """Codes of the records that the module receives."""
+
     SYNC = 0
     ACK_FIRST = 1
     SAMPLED = 2
@@ -27,6 +29,8 @@
 
 
 class Out(IntEnum):
+    """Codes of the records that the module sends."""
+
     FORWARD = 64
     BUSY = 65
     REPORT_FAILURE = 66
@@ -41,6 +45,8 @@
 
 
 class Batch(NamedTuple):
+    """The decoded records of one frame, with their common time."""
+
     clock: int
     records: list[Record]
 
@@ -93,6 +99,7 @@
 
 
 def decode_batch(frame: bytes) -> Batch:
+    """Decodes a frame; raises WireError if it is malformed."""
     if len(frame) < _BATCH_HEADER.size:
         raise WireError(f"malformed frame: {len(frame)} bytes are too few for a batch header")
     clock, count = _BATCH_HEADER.unpack_from(frame)
@@ -131,10 +138,12 @@
 
 
 def encode_action(code: Out, *fields: int | bytes) -> bytes:
+    """Encodes one action."""
     return _ACTION_LAYOUTS[code].pack(code, *fields)
 
 
 def encode_text(code: Out, text: str) -> bytes:
+    """Encodes a record that carries a text, which is cut to the maximum length."""
     data = text.encode("utf-8", "replace")[:_TEXT_MAX_BYTES]
     return _TEXT_LAYOUT.pack(code, len(data)) + data
 
