--- a/driftstair/admission/connection_table.py
+++ b/driftstair/admission/connection_table.py
@@ -19,7 +19,7 @@
 Rule 4 protects clients that send requests and read the responses. The reserved share (`_reserved_for_new`)
 grows only with new connections that send requests, so a flood of silent connections does not widen it: they
 only displace one another. A client that does not read its response has an open request, which closing would
-lose, so it is kept until its deadline; the front end enforces that.
+lose, so it is kept until its deadline; the frontend enforces that.
 
 Rules 2 to 4 use what the node has read. A connection with unread data is skipped: the node may have been
 stalled, and a request in the kernel's buffer would be lost with its connection.
@@ -96,6 +96,8 @@
 
 @dataclass(slots=True)
 class ConnectionRecord:
+    """The state of one client connection."""
+
     state: State
     since: float  # entered this state; without a request so far, connected
     request_count: int = 0  # complete requests
@@ -115,6 +117,7 @@
 
 
 def kind_of(request_count: int) -> int:
+    """The kind of an idle connection, by the number of its requests so far."""
     return (
         KIND_BY_REQUEST_COUNT[request_count]
         if request_count < REQUEST_COUNT_THRESHOLDS[-1]
@@ -403,10 +406,10 @@
     def _first_since(self, state: State, latest: float) -> Connection | None:
         """The connection longest in a state, entered at `latest` or before, that may be closed."""
         table = self._by_state[state]
-        found = takewhile(lambda connection: table[connection] <= latest, table)
+        candidates = takewhile(lambda connection: table[connection] <= latest, table)
         if state in AFTER_LAST_RESPONSE:
-            return next(found, None)
-        return self._first_without_unread(found)
+            return next(candidates, None)
+        return self._first_without_unread(candidates)
 
     def _first_without_unread(self, connections: Iterable[Connection]) -> Connection | None:
         """The first of a few connections that has no unread data."""
--- a/driftstair/net/request_guard.py
+++ b/driftstair/net/request_guard.py
@@ -22,6 +22,8 @@
 
 
 class ProcessState(Enum):
+    """The stages of the process, as far as they decide which requests may start."""
+
     SERVING = "serving"
     STOPPING = "stopping"  # asked to stop; new requests are still served
     ENDED = "ended"  # a request that starts now would not be finished
@@ -81,6 +83,8 @@
 
 @dataclass(slots=True, eq=False)
 class GuardedRequest:
+    """What the guard knows about an accepted request."""
+
     request_class: RequestClass
     has_key: bool
     deadline: int  # of the client; 0: not known until the last byte has arrived
@@ -202,11 +206,11 @@
         request.attempts[index] = GuardedAttempt(server, now)
 
     def _check_deadline(self, request: GuardedRequest, number: int, now: int, announced_ns: int) -> None:
-        left = request.deadline - now
-        detail = f"{left / MS:.0f} ms left, {announced_ns / MS:.0f} ms told"
-        if left <= -DEADLINE_SLACK_NS:
+        time_left = request.deadline - now
+        detail = f"{time_left / MS:.0f} ms left, {announced_ns / MS:.0f} ms told"
+        if time_left <= -DEADLINE_SLACK_NS:
             self._report_violation(Invariant.NO_ATTEMPT_AFTER_DEADLINE, number, detail)
-        elif announced_ns > left + DEADLINE_SLACK_NS:
+        elif announced_ns > time_left + DEADLINE_SLACK_NS:
             self._report_violation(Invariant.NO_DEADLINE_BEYOND_CLIENTS, number, detail)
 
     def _check_repeat(self, request: GuardedRequest, number: int, now: int) -> None:
