--- a/driftstair/net/frontend.py
+++ b/driftstair/net/frontend.py
@@ -130,7 +130,7 @@
         try:
             await listener.adopt(lambda: ClientConnection(self), accepted)
         except Exception as problem:
-            log.warning("setting up an accepted connection failed: %r", problem)
+            log.warning("a client was lost as it came: %r", problem)
             accepted.close()
             self._on_closed()
 
