--- a/benchmarks/breaker.py
+++ b/benchmarks/breaker.py
@@ -18,7 +18,7 @@
 from multiprocessing import get_context
 
 from driftstair.rehearsal import virtual
-from driftstair.rehearsal.load import load, shipped
+from driftstair.rehearsal.load import load, shipped_scenarios
 from lichenspring import balance, breaker
 from lichenspring.breaker import Window, percentile
 
@@ -91,7 +91,7 @@
 
     balance.Balancer._on_timer = recording  # type: ignore[method-assign]
     try:
-        rehearsal, _, _ = virtual.play(load(name, {"seed": seed}))
+        rehearsal, _, _ = virtual.run_scenario(load(name, {"seed": seed}))
     except Exception as problem:
         print(f"{name}, seed {seed}: not played: {problem!r}", file=sys.stderr)
         return []
@@ -123,7 +123,7 @@
 
 
 def jobs(number: int) -> Iterator[tuple[str, int]]:
-    names = sorted(shipped())
+    names = sorted(shipped_scenarios())
     for index in range(number):
         yield names[index % len(names)], 7000 + index
 
--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -71,7 +71,7 @@
         ):  # fmt: skip
             self.fleet = fleet
             fleet.servers.append(server)
-            self.desks = [ports.tcp() for _ in range(self.count)]
+            self.desks = [ports.reserve_tcp() for _ in range(self.count)]
             await self.start(*range(self.count))
             await fleet.wait_joined()
             traffic = Traffic(fleet)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,9 +25,9 @@
 
 def measure(job: Job) -> dict[str, Any]:
     from driftstair.rehearsal import wire
-    from driftstair.rehearsal.load import by_path, load
+    from driftstair.rehearsal.load import load, tables_from_paths
     from driftstair.rehearsal.runner import Rehearsal
-    from driftstair.rehearsal.virtual import play
+    from driftstair.rehearsal.virtual import run_scenario
 
     nodes, seed, seconds = job
     sent: Counter[str] = Counter()
@@ -39,11 +39,11 @@
 
         def note(seen: wire.Observation) -> None:
             nonlocal ran
-            if isinstance(seen, wire.Sent):
+            if isinstance(seen, wire.AttemptReceived):
                 sent[seen.box] += 1
-            elif isinstance(seen, wire.Ran):
+            elif isinstance(seen, wire.AttemptServed):
                 ran += 1
-            elif isinstance(seen, wire.Contact):
+            elif isinstance(seen, wire.ListContact):
                 lists[seen.at // 1_000_000_000] += 1
             judge(seen)
 
@@ -51,8 +51,8 @@
 
     # Descriptors in proportion: a node short of them closes clients' connections, which is another matter.
     changes = {"nodes.count": nodes, "nodes.descriptors": max(384, 384 * 40 // nodes)}
-    scenario = load("large-fleet", by_path({**changes, "seed": seed, "seconds": seconds}))
-    rehearsal, _, _ = play(scenario, prepare=watch)
+    scenario = load("large-fleet", tables_from_paths({**changes, "seed": seed, "seconds": seconds}))
+    rehearsal, _, _ = run_scenario(scenario, prepare=watch)
     asked, attempts = rehearsal.account.whole.asked, sum(sent.values())
     busiest = sorted(sent.values(), reverse=True)
     tenth = max(1, len(busiest) // 10)
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -28,8 +28,8 @@
 
 
 def measure(nodes: int, boxes: int, rate: float, seconds: float, profile: bool) -> dict[str, float]:
-    from driftstair.rehearsal.load import by_path, load
-    from driftstair.rehearsal.virtual import play
+    from driftstair.rehearsal.load import load, tables_from_paths
+    from driftstair.rehearsal.virtual import run_scenario
 
     changes = {
         "nodes.count": nodes,
@@ -37,13 +37,13 @@
         "load.rate": float(rate),
         "seconds": float(seconds),
     }
-    scenario = load("calm", by_path(changes))
+    scenario = load("calm", tables_from_paths(changes))
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     profiler = cProfile.Profile()
     began = time.process_time()
     if profile:
         profiler.enable()
-    rehearsal, _, events = play(scenario)
+    rehearsal, _, events = run_scenario(scenario)
     if profile:
         profiler.disable()
         pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
--- a/benchmarks/scale/control_servers.py
+++ b/benchmarks/scale/control_servers.py
@@ -42,7 +42,7 @@
         return [f"{HOST}:{port}" for port in self._ports]
 
     async def __aenter__(self) -> ControlServers:
-        held = [ports.tcp() for _ in range(self.count)]
+        held = [ports.reserve_tcp() for _ in range(self.count)]
         self._ports = [one.number for one in held]
         for one in held:
             one.release()
--- a/benchmarks/scale/daemons.py
+++ b/benchmarks/scale/daemons.py
@@ -63,7 +63,7 @@
             one.bind((host_of(number), 0))
             peers.append("{}:{}".format(*one.getsockname()))
         self._held.close()
-        desks = [ports.tcp() for _ in range(self.count)]
+        desks = [ports.reserve_tcp() for _ in range(self.count)]
         self._desks = [desk.number for desk in desks]
         for desk in desks:
             desk.release()
--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -217,7 +217,7 @@
     told = settings(fleet_size, pushed=True)
     told["Contract"]["AskWithin"] = 3000 * MS
     processes: list[asyncio.subprocess.Process] = []
-    held = [ports.tcp() for _ in range(nodes)]
+    held = [ports.reserve_tcp() for _ in range(nodes)]
     with tempfile.TemporaryDirectory() as folder:
         try:
             for number in range(nodes):
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -107,9 +107,11 @@
 
     def prepare(rehearsal: Any) -> None:
         for at in (15.0, 35.0):
-            rehearsal.place.loop.call_later(at, lambda: handled.append(rehearsal.boxes["s-03"].handled))
+            rehearsal.clients_machine.loop.call_later(
+                at, lambda: handled.append(rehearsal.boxes["s-03"].handled)
+            )
 
-    rehearsal, log, _ = virtual.play(load("shared-bad-eighth", tree), prepare=prepare)
+    rehearsal, log, _ = virtual.run_scenario(load("shared-bad-eighth", tree), prepare=prepare)
     found = build.build(rehearsal, log, "virtual")
     wrong = sum(one["server"] != "s-03" for one in found["tier"]["held_back"])
     return handled[1] - handled[0], wrong, found["service"]
--- a/benchmarks/soak/daemons.py
+++ b/benchmarks/soak/daemons.py
@@ -43,7 +43,7 @@
         self._folder = folder
         self._planted = planted
         self._environment = environment
-        self._port = ports.tcp()
+        self._port = ports.reserve_tcp()
         self._generation = 0
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
--- a/benchmarks/soak/registry.py
+++ b/benchmarks/soak/registry.py
@@ -32,7 +32,7 @@
         self._records = records
         self._pushed = pushed
         # Held also while nobody listens: another run would take one.
-        self._ports = [[ports.tcp() for _ in range(PLACES)] for _ in range(nodes)]
+        self._ports = [[ports.reserve_tcp() for _ in range(PLACES)] for _ in range(nodes)]
         self._listening: list[asyncio.Server] = []
         self._watches: dict[asyncio.StreamWriter, int] = {}  # those that are told, and whose they are
         self._silent: dict[asyncio.StreamWriter, int] = {}  # those on which nothing comes any more
--- a/benchmarks/soak/servers.py
+++ b/benchmarks/soak/servers.py
@@ -44,7 +44,7 @@
         self.state = "Ready"
         self.changed_at = 0.0  # when it last did, s
         self.faults: dict[FaultKind, float] = {}  # in force, and the share of requests that each befalls
-        self._held = ports.tcp()  # also while nobody listens: another run would take it
+        self._held = ports.reserve_tcp()  # also while nobody listens: another run would take it
         self.port = self._held.number
         self._records = records
         self._random = random
--- a/driftstair/experiments/design.py
+++ b/driftstair/experiments/design.py
@@ -20,7 +20,7 @@
 from driftstair.files import FileError, parse_text, read_text
 from driftstair.model.baselines import POLICIES
 from driftstair.model.world import ModelError, World
-from driftstair.rehearsal.load import ScenarioError, by_path, load
+from driftstair.rehearsal.load import ScenarioError, load, tables_from_paths
 
 FORMAT = 1
 RUNS_MOST = 100_000
@@ -144,7 +144,7 @@
         for chosen in product(*(factor.values for factor in design.factor)):
             run = _run(design, scenario, design.seeds.first, chosen, sources)
             try:
-                found = load(scenario, by_path(dict(run.changes)))
+                found = load(scenario, tables_from_paths(dict(run.changes)))
                 if not run.build:
                     World(found)
             except (ScenarioError, ModelError) as problem:
--- a/driftstair/experiments/runs.py
+++ b/driftstair/experiments/runs.py
@@ -180,9 +180,9 @@
     """By the sources of another revision, and this one's scenario."""
     import tomli_w
 
-    from driftstair.rehearsal.load import by_path, resolved
+    from driftstair.rehearsal.load import resolved_tables, tables_from_paths
 
-    tree = resolved(run.scenario, by_path({**dict(run.changes), "seed": run.seed}))
+    tree = resolved_tables(run.scenario, tables_from_paths({**dict(run.changes), "seed": run.seed}))
     with tempfile.TemporaryDirectory() as folder:
         scenario = Path(folder) / "scenario.toml"
         scenario.write_text(tomli_w.dumps(tree), encoding="utf-8")
--- a/driftstair/model/clients.py
+++ b/driftstair/model/clients.py
@@ -16,7 +16,7 @@
 from driftstair.model.node import Node
 from driftstair.rehearsal import account
 from driftstair.rehearsal.fakes.clients import ClientFigures, Load
-from driftstair.rehearsal.fakes.workload import Choice, Kind, Workload, zipf
+from driftstair.rehearsal.fakes.workload import RequestClass, WeightedChoice, Workload, zipf
 from lichenspring.subset import splitmix64
 
 NOBODY_ASKS = 50_000_000  # ns until the next look, while the load is none
@@ -62,7 +62,9 @@
         "waits", "why", "work",
     )  # fmt: skip
 
-    def __init__(self, number: int, kind: Kind, tenant: int, key: int, phase: str, began: int) -> None:
+    def __init__(
+        self, number: int, kind: RequestClass, tenant: int, key: int, phase: str, began: int
+    ) -> None:
         self.number = number
         self.kind = kind
         self.tenant = tenant
@@ -70,7 +72,7 @@
         self.key_name = b"%d" % key
         self.phase = phase
         self.began = began
-        self.due = began + kind.given_up
+        self.due = began + kind.given_up_ns
         self.honours = True
         self.tries = 0
         self.open = True
@@ -80,7 +82,7 @@
 
 class Clients:
     def __init__(
-        self, clock: Clock, front: Front, workload: Workload, figures: ClientFigures, tenants: Choice,
+        self, clock: Clock, front: Front, workload: Workload, figures: ClientFigures, tenants: WeightedChoice,
         tenant_names: list[str], keys: int, key_skew: float, load: Load, ledger: account.Account,
         way: Callable[[], int], seed: int,
     ) -> None:  # fmt: skip
@@ -129,10 +131,10 @@
         key = self._keys.draw(random)
         self.first += 1
         ask = Ask(self.first, kind, tenant, key, self._load.phase, self._clock.now)
-        ask.honours = random.random() < self._figures.honour
+        ask.honours = random.random() < self._figures.retry_after_share
         task = self._workload.task(b"%016x" % random.getrandbits(64), kind.name.encode())
         assert task is not None
-        ask.work, ask.waits = task.work, task.waits
+        ask.work, ask.waits = task.work, task.wait_s
         self.open[ask.number] = ask
         self._try(ask)
 
@@ -149,7 +151,7 @@
         node = self._front.pick()
         # The last try gets what is left; the ones before leave time for another.
         last = ask.tries > self._figures.retries
-        patience = left if last else min(left, int(ask.kind.given_up * self._figures.try_share))
+        patience = left if last else min(left, int(ask.kind.given_up_ns * self._figures.try_share))
         if node is None:
             self._again(ask, account.UNREACHABLE, 0, ran=False)
             return
@@ -172,7 +174,7 @@
             return
         if status == 200:
             latency = self._clock.now - ask.began
-            ask.why = account.SERVED if latency <= ask.kind.wanted else account.LATE
+            ask.why = account.SERVED if latency <= ask.kind.wanted_ns else account.LATE
             self._close(ask, latency)
         elif status == 503:
             self.refusals += 1
@@ -188,7 +190,7 @@
         if ask.tries > self._figures.retries or (ran and ask.kind.effect == "unsafe"):
             self._close(ask, 0)
             return
-        wait = int(self._figures.backoff * 2 ** (ask.tries - 1) * self._later.uniform(0.5, 1.5) * 1e9)
+        wait = int(self._figures.backoff_s * 2 ** (ask.tries - 1) * self._later.uniform(0.5, 1.5) * 1e9)
         if ask.honours:
             wait = max(wait, wait_asked)
         if now + wait >= ask.due:
--- a/driftstair/model/command.py
+++ b/driftstair/model/command.py
@@ -17,7 +17,7 @@
 
 from driftstair.model.baselines import POLICIES
 from driftstair.model.world import ModelError, World
-from driftstair.rehearsal.load import ScenarioError, by_path, load
+from driftstair.rehearsal.load import ScenarioError, load, tables_from_paths
 
 PLAYED, PUSHED_OVER, BAD_USE = 0, 1, 2
 SHOWN = ("service", "refused", "tries", "attempts", "handshakes", "connections", "rt50_ms", "rt95_ms", "jams")
@@ -33,7 +33,7 @@
     """One run: its row, with the figures of each second."""
     source, changes, policy = job
     began = time.process_time()
-    world = World(load(source, by_path(changes)), POLICIES[policy])
+    world = World(load(source, tables_from_paths(changes)), POLICIES[policy])
     outcome = world.play()
     seconds = [
         {
@@ -71,7 +71,9 @@
             "seconds": options.seconds,
         }  # fmt: skip
         changes = {path: value for path, value in given.items() if value is not None}
-        found = load(options.scenario, by_path(changes))  # a bad file or figure is told before any run
+        found = load(
+            options.scenario, tables_from_paths(changes)
+        )  # a bad file or figure is told before any run
         World(found)
         seeds = options.seeds or [found.seed]
         jobs = [(options.scenario, {**changes, "seed": seed}, options.policy) for seed in seeds]
--- a/driftstair/model/server.py
+++ b/driftstair/model/server.py
@@ -42,7 +42,7 @@
         self.vanished = False
         self.generation = 0
         self.open = 0  # connections
-        self.place = self  # what a fault cuts off
+        self.machine = self  # what a fault cuts off
         self.handled = self.turned_away = 0
         self.tries_while_bad = 0  # attempts that came while a fault made answers fail
         self.engine: Engine
@@ -60,7 +60,7 @@
         self.started = now if cold else -1
         self.open = 0
         self.engine = Engine(self.figures, now / 1e9, cold, self._random)
-        cold_time = int(self.figures.cold_time * 1e9)
+        cold_time = int(self.figures.cold_time_s * 1e9)
         self._budget = None
         if cold and cold_time:
             share, capacity = self.figures.cold_share, self.figures.capacity
@@ -97,7 +97,7 @@
     def accept(self) -> None:
         self.open += 1
         self.engine.connections = self.open
-        self.engine.burden(self._clock.now / 1e9, self.kind.handshake)
+        self.engine.add_overhead(self._clock.now / 1e9, self.kind.handshake_core_s)
         self._rearm()
 
     def hang_up(self, generation: int) -> None:
@@ -124,7 +124,7 @@
             attempt.lost(Result.RESET)
             return
         job = None
-        if self.open <= self.figures.connections_most and not self.draining:
+        if self.open <= self.figures.connections_max and not self.draining:
             job = self.engine.arrive(now / 1e9, attempt, work, ask.waits, ask.key_name)
         if job is None:
             self.turned_away += 1
@@ -147,7 +147,7 @@
     # The engine's time.
 
     def _rearm(self) -> None:
-        due = self.engine.due()
+        due = self.engine.next_event()
         if due < self._armed:  # an earlier look does no harm
             self._armed = due
             self._clock.at(max(self._clock.now + 1, int(due * 1e9) + 1), self._look, self.generation, due)
@@ -165,7 +165,7 @@
         self._rearm()
 
     def _finish(self, now: int, job: Job) -> None:
-        attempt: Attempt = job.name  # type: ignore[assignment]
+        attempt: Attempt = job.tag  # type: ignore[assignment]
         self.handled += 1
         if self._held.pop(attempt, None) is None or self.vanished:
             return  # nobody waits for it; the work was done all the same
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -21,7 +21,7 @@
 from driftstair.rehearsal.account import Account
 from driftstair.rehearsal.cold import ColdRule
 from driftstair.rehearsal.fakes.clients import ClientFigures, Load
-from driftstair.rehearsal.fakes.workload import Choice, Workload
+from driftstair.rehearsal.fakes.workload import WeightedChoice, Workload
 from driftstair.rehearsal.faults import FaultInjector
 from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, kinds_in_order
 from driftstair.rehearsal.scenario import Scenario
@@ -138,7 +138,7 @@
         of, clock = self.scenario, self.clock
         random = random_for(self.seed, "fleet")
         self.workload = Workload(load.classes(of), random_for(self.seed, "work"))
-        kinds = list(self.workload.kinds.values())
+        kinds = list(self.workload.request_classes.values())
         self.load = Load(of.load.rate, kinds, [one.share for one in load.classes(of)])
         self.node_names = load.node_names(of.nodes.count)
         self.nodes = {name: Node(name, self) for name in self.node_names}
@@ -150,11 +150,11 @@
             clock, self.front, self.workload,
             ClientFigures(
                 retries=clients.retries, try_share=random.uniform(*clients.try_share),
-                backoff=random.uniform(*clients.backoff_ms) / 1e3, honour=clients.honour,
-                mark_retries=clients.mark_retries, connections_most=1, idle=clients.idle_s,
-                answer_grace=of.rules.answer_grace_ms / 1e3,
+                backoff_s=random.uniform(*clients.backoff_ms) / 1e3, retry_after_share=clients.honour,
+                mark_retries=clients.mark_retries, connections_max=1, idle_timeout_s=clients.idle_s,
+                answer_grace_s=of.rules.answer_grace_ms / 1e3,
             ),
-            Choice([one.share for one in tenants]), [one.name for one in tenants], of.load.keys,
+            WeightedChoice([one.share for one in tenants]), [one.name for one in tenants], of.load.keys,
             of.load.key_skew, self.load, self.account, self._client_way, seed_for(self.seed, "clients"),
         )  # fmt: skip
         self.list_notice = random.uniform(*of.list.notice_s)
@@ -257,11 +257,11 @@
         running = [box for box in self.boxes.values() if box.running]
         for box in running:
             box.catch_up()
-        held = [box.engine.held() for box in running]
+        held = [box.engine.request_count() for box in running]
         count = max(1, len(running))
         self.outcome.seconds.append(
             Second(
-                now, sum(held), sum(box.engine.busy() for box in running) / count,
+                now, sum(held), sum(box.engine.busy_fraction() for box in running) / count,
                 sum(box.engine.is_jammed() for box in running), sum(box.open for box in running),
                 max(held, default=0),
             )
@@ -272,7 +272,7 @@
         out.tries, out.refused, out.handshakes = self.clients.tries, self.clients.refusals, self.handshakes
         boxes = list(self._by_id.values())
         out.attempts = sum(node.attempts for node in self.nodes.values())
-        out.jams = sum(box.engine.jams for box in boxes if box.generation)
+        out.jams = sum(box.engine.jam_count for box in boxes if box.generation)
         out.fallen = [box.name for box in boxes if box.fallen]
         out.list_calls, out.list_failed = self.box_list.calls, self.box_list.failed
         out.bad_tries = sum(box.tries_while_bad for box in boxes)
--- a/driftstair/rehearsal/command.py
+++ b/driftstair/rehearsal/command.py
@@ -14,7 +14,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from driftstair.rehearsal.load import ScenarioError, by_path, load, shipped
+from driftstair.rehearsal.load import ScenarioError, load, shipped_scenarios, tables_from_paths
 from driftstair.rehearsal.report import build, compare, html, text
 from driftstair.rehearsal.report.build import Report, ReportError
 from driftstair.rehearsal.scenario import Scenario
@@ -54,19 +54,19 @@
         "seed": options.seed, "nodes.count": options.nodes, "boxes.count": options.boxes,
         "load.rate": options.rate, "seconds": options.seconds, "nodes.service": options.service,
     }  # fmt: skip
-    return by_path({path: value for path, value in given.items() if value is not None})
+    return tables_from_paths({path: value for path, value in given.items() if value is not None})
 
 
 def _list(console: Console) -> int:
     table = Table(box=None, pad_edge=False, show_header=False)
-    for name in shipped():
+    for name in shipped_scenarios():
         table.add_row(f"[bold]{name}[/bold]", load(name).title)
     console.print(table)
     return KEPT
 
 
 def _show(name: str) -> int:
-    known = shipped()
+    known = shipped_scenarios()
     if name not in known:
         raise UseError(f"{name}: no shipped scenario; --list names them")
     sys.stdout.write(known[name])
@@ -112,11 +112,11 @@
     if sockets:
         from driftstair.rehearsal import sockets as environment
 
-        rehearsal, log = environment.play(scenario, tick, interrupted)
+        rehearsal, log = environment.run_scenario(scenario, tick, interrupted)
         return build.build(rehearsal, log, "sockets")
     from driftstair.rehearsal import virtual
 
-    rehearsal, log, _ = virtual.play(scenario, tick, interrupted)
+    rehearsal, log, _ = virtual.run_scenario(scenario, tick, interrupted)
     return build.build(rehearsal, log, "virtual")
 
 
--- a/driftstair/rehearsal/environment.py
+++ b/driftstair/rehearsal/environment.py
@@ -1,18 +1,19 @@
-"""What a rehearsal is played on: `virtual` in memory, `sockets` on loopback. The runner knows only this."""
+"""The interface between the runner and what a rehearsal runs on: `virtual` (in memory) or `sockets` (on
+loopback)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from driftstair.rehearsal.fakes.place import Place
+from driftstair.rehearsal.fakes.place import FakeMachine
 from driftstair.rehearsal.platform import Peers
 from driftstair.rehearsal.tier.histories import Event
 from driftstair.rehearsal.tier.links import Links
 
 
 class NodeProcess(Protocol):
-    """One node of the tier: a machine, and the daemon on it while it runs."""
+    """A node: its machine, and the daemon's process on it while that runs."""
 
     @property
     def name(self) -> str: ...
@@ -21,52 +22,57 @@
     def running(self) -> bool: ...
 
     def address(self) -> tuple[str, int]:
-        """Where it listens, or will."""
+        """The address on which the daemon listens or will listen."""
 
-    def start(self, document: dict[str, Any]) -> None: ...
+    def start(self, document: dict[str, Any]) -> None:
+        """Starts the daemon with this configuration."""
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Sends SIGKILL."""
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Sends SIGTERM."""
 
     def reload(self, document: dict[str, Any]) -> None:
-        """Its file is replaced, and it gets SIGHUP."""
+        """Replaces the configuration file and sends SIGHUP."""
 
-    def vanish(self) -> None: ...
+    def vanish(self) -> None:
+        """Cuts the machine off from the network without notice to its peers."""
 
-    def come_back(self) -> None: ...
+    def come_back(self) -> None:
+        """Connects the machine to the network again."""
 
-    def stand_still(self) -> None:
-        """SIGSTOP."""
+    def suspend(self) -> None:
+        """Sends SIGSTOP."""
 
-    def go_on(self) -> None:
-        """SIGCONT."""
+    def resume(self) -> None:
+        """Sends SIGCONT."""
 
-    def descriptors(self) -> int:
-        """In use now."""
+    def open_descriptors(self) -> int:
+        """How many descriptors the daemon has open."""
 
 
 class Environment(Protocol):
-    def place(self, name: str) -> Place:
-        """A machine for a fake."""
+    """Machines, nodes and the network of one rehearsal."""
 
-    def node(self, name: str, ended: Callable[[str, str], None]) -> NodeProcess:
-        """A machine for a node. `ended(name, why)` is called when its process ends by itself; `why` is empty
-        for an end with status 0."""
+    def fake_machine(self, name: str) -> FakeMachine:
+        """Adds a machine for a fake."""
 
-    def join(self, links: Links) -> None:
-        """Once all nodes are made: datagrams between them go through `links`, by number."""
+    def node(self, name: str, on_exit: Callable[[str, str], None]) -> NodeProcess:
+        """Adds a machine for a node. `on_exit(name, reason)` is called when the daemon's process ends without
+        being killed; the reason is empty for exit status 0."""
+
+    def connect_peers(self, links: Links) -> None:
+        """Sends the datagrams between nodes through `links`, by node number. Called once all nodes exist."""
 
     def peers(self, name: str) -> Peers:
-        """Only after `join`."""
+        """The peer addresses for a node's configuration. Available after `connect_peers`."""
 
     def histories(self) -> list[list[Event]]:
-        """What the nodes of a tier have written down, each node's, with times as the runner's."""
+        """The events that each node of a tier has recorded, with times on the runner's clock."""
 
-    def stuck(self) -> str:
-        """What waits for something that can never happen, or nothing."""
+    def find_deadlock(self) -> str:
+        """Describes a node that runs but can never continue; empty if there is none."""
 
     def finish(self) -> None:
-        """The runner has seen all that it wants."""
+        """Ends the run; called by the runner when it is done."""
--- a/driftstair/rehearsal/fakes/__init__.py
+++ b/driftstair/rehearsal/fakes/__init__.py
@@ -1,6 +1,6 @@
-"""Fakes for all that a node meets: render boxes, the box list, clients and the front layer before it.
+"""Fakes of everything that a node communicates with: render boxes, the box list, clients and the front layer.
 
-`engine` and `http1` are pure. The others speak through the same seam as the daemon
-(`driftstair.net.system`), so they stand on the simulated network and on loopback sockets alike, and note
-what they see as `wire` has it.
+`engine` and `http1` do no I/O. The others use the operating system through the same interface as the daemon
+(`driftstair.net.system`), so that they run on the simulated network and on loopback sockets, and record what
+they see as observations of `wire`.
 """
--- a/driftstair/rehearsal/fakes/billing.py
+++ b/driftstair/rehearsal/fakes/billing.py
@@ -1,5 +1,5 @@
-"""The billing side, as far as a node's export sees it: a collector that keeps each line in a file before it
-acknowledges it, and goes on from there in its next life.
+"""A fake of the billing service that receives a node's export: a collector that writes each line to a file
+before it acknowledges it, and continues from the file after a restart.
 
     python -m driftstair.rehearsal.fakes.billing FOLDER [PORT [LEASE_MS]]     # prints the port it listens on
 """
@@ -20,46 +20,52 @@
 from driftstair.ledger.segments import lines
 
 
-class Books:
-    """One file a node, of the lines as they came. A line begun when a life ended is cut off."""
+class LedgerFiles:
+    """One file per node, with its lines in order of arrival. An incomplete last line, left by a process that
+    was killed, is truncated."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self.heads: dict[str, Head] = {}
         for path in sorted(folder.glob("*-00000001.ledger")):
-            head, whole = Head(), 0
+            head, complete_bytes = Head(), 0
             for line in lines(path):
                 if not line.endswith(b"\n"):
                     break
                 _, head = head.follow(line[:-1])
-                whole += len(line)
-            os.truncate(path, whole)
+                complete_bytes += len(line)
+            os.truncate(path, complete_bytes)
             self.heads[path.name.removesuffix("-00000001.ledger")] = head
 
         self.tokens = {
             path.name.removesuffix(".token"): int(path.read_text()) for path in folder.glob("*.token")
         }
 
-    def claimed(self, node: str, token: int) -> None:
-        new = self._folder / f"{node}.new"
-        with open(new, "w", encoding="ascii") as file:
+    def store_token(self, node: str, token: int) -> None:
+        """Stores a node's token durably."""
+        temporary = self._folder / f"{node}.new"
+        with open(temporary, "w", encoding="ascii") as file:
             file.write(str(token))
             file.flush()
             os.fsync(file.fileno())
-        new.replace(self._folder / f"{node}.token")
+        temporary.replace(self._folder / f"{node}.token")
 
-    def keep(self, node: str, entries: list[Entry], fresh: Sequence[bytes]) -> None:
+    def append_lines(self, node: str, entries: list[Entry], new_lines: Sequence[bytes]) -> None:
+        """Appends new lines durably to a node's file."""
         with open(self._folder / f"{node}-00000001.ledger", "ab") as file:
-            file.write(b"".join(line + b"\n" for line in fresh))
+            file.write(b"".join(line + b"\n" for line in new_lines))
             file.flush()
             os.fsync(file.fileno())
 
 
-async def serve(folder: Path, port: int = 0, lease: int = LEASE) -> None:
-    books = Books(folder)
-    collector = Collector(books.keep, books.heads, lease, books.tokens, books.claimed)
+async def serve(folder: Path, port: int = 0, lease_ms: int = LEASE) -> None:
+    """Accepts export connections until cancelled. `lease` is in ms."""
+    ledger_files = LedgerFiles(folder)
+    collector = Collector(
+        ledger_files.append_lines, ledger_files.heads, lease_ms, ledger_files.tokens, ledger_files.store_token
+    )
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 message = read(await reader.readuntil(b"\n"))
@@ -71,7 +77,7 @@
         finally:
             writer.close()
 
-    server = await asyncio.start_server(talk, "127.0.0.1", port, limit=MESSAGE_MOST)
+    server = await asyncio.start_server(handle_connection, "127.0.0.1", port, limit=MESSAGE_MOST)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 
--- a/driftstair/rehearsal/fakes/boxlist.py
+++ b/driftstair/rehearsal/fakes/boxlist.py
@@ -1,8 +1,8 @@
-"""The box list: what runs, drains or is gone, told late, on request or by a watch, one address for each node.
+"""A fake of the box list: which boxes run, drain or are gone, on request or by a watch, with one address for
+each node.
 
-It tells what has happened to processes and nothing of their health. Changes become known to it after a
-while, a lag adds to that, and in an outage it can't be reached. Calls are worked through in turn at a fixed
-speed.
+It reports what happened to processes, and nothing about their health. It learns of a change after a delay, to
+which a lag may add, and in an outage it is unreachable. Calls are processed in sequence at a fixed speed.
 """
 
 from __future__ import annotations
@@ -16,92 +16,98 @@
 
 from driftstair.rehearsal import wire
 from driftstair.rehearsal.fakes.http1 import Message, MessageReader, WireError, response
-from driftstair.rehearsal.fakes.place import Acceptor, Place
+from driftstair.rehearsal.fakes.place import Acceptor, FakeMachine
 from driftstair.rehearsal.wire import HostState
 
-MISSED = 6.0  # s after a watch fell silent, when what it has missed counts as told
-EMPTY_LINE = 2.0  # s between two signs of life on a watch
-MOVED = 1.5  # s after a move in which the old address keeps its open connections
-HISTORY = 256  # versions whose changes are kept; a watch from before gets the whole list
+SILENT_WATCH_GRACE_S = (
+    6.0  # from when a watch fell silent until the node counts as informed of what it missed
+)
+KEEPALIVE_INTERVAL_S = 2.0  # between two empty lines on a watch
+MOVE_GRACE_S = 1.5  # how long open connections to the old address last after a move
+KEPT_VERSIONS_MAX = 256  # a watch from an older version gets the whole list
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One box as the list has it. `started`: ns since the start of the run, below 0 for long ago."""
+    """One box in the list. `started_at`: ns since the start of the run, negative for long before it."""
 
     box: str
     state: HostState
     kind: str
     addresses: dict[str, tuple[str, int]]  # by node
-    started: int
+    started_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class ListFigures:
-    """Times in s."""
+    """The speed of the list. A call costs as much as `call_lines` lines in addition to those of its
+    answer."""
 
     pushed: bool
     lines_per_s: float
     call_lines: float
-    timeout: float
+    timeout_s: float
 
 
 class BoxList:
+    """The box list, and what each node has been sent of it."""
+
     def __init__(
-        self, place: Place, figures: ListFigures, nodes: list[str], random: Random,
+        self, machine: FakeMachine, figures: ListFigures, nodes: list[str], random: Random,
         note: Callable[[wire.Observation], None],
     ) -> None:  # fmt: skip
-        self.place = place
+        self.machine = machine
         self.figures = figures
         self.note = note
         self.version = 1
-        self.extra_lag = 0.0  # s
+        self.extra_lag = 0.0  # s, set by faults
         self.down = False
         self.silent = False
         self.entries: dict[str, Entry] = {}
         self.addresses: dict[str, tuple[str, int]] = {}
-        self.calls = 0
+        self.call_count = 0
         self._nodes = nodes
         self._random = random
         self._busy_until = 0.0
         self._changes: list[tuple[int, list[Entry]]] = []
         self._acceptors: dict[str, Acceptor] = {}
         self._connections: dict[_ListConnection, None] = {}
-        self._held: dict[str, dict[str, Entry]] = {node: {} for node in nodes}
+        self._sent_entries: dict[str, dict[str, Entry]] = {node: {} for node in nodes}
         self._last_publication = 0.0
 
     def start(self, entries: list[Entry]) -> None:
-        """With what runs at the start; the nodes know it."""
-        now = self.place.now()
+        """Starts with the boxes that run at the start of the run, which the nodes know already."""
+        now = self.machine.now()
         for entry in entries:
             self.entries[entry.box] = entry
-            self.note(wire.Listed(now, entry.box, entry.state, entry.started))
+            self.note(wire.ListChanged(now, entry.box, entry.state, entry.started_at))
             for node in self._nodes:
-                self._held[node][entry.box] = entry
+                self._sent_entries[node][entry.box] = entry
         self._listen()
 
     def _listen(self) -> None:
         for node in self._nodes:
             acceptor = Acceptor(
-                self.place,
-                (self.place.host, 0),
+                self.machine,
+                (self.machine.host, 0),
                 lambda node=node: _ListConnection(self, node),  # type: ignore[misc]
             )
             self._acceptors[node] = acceptor
             self.addresses[node] = acceptor.address
 
-    def known(self, node: str) -> dict[str, Any]:
-        """The whole list as this node was last told it, for its configuration."""
-        return self._document(node, list(self._held[node].values()), True)
+    def last_sent(self, node: str) -> dict[str, Any]:
+        """The whole list as last sent to this node, for its configuration."""
+        return self._document(node, list(self._sent_entries[node].values()), True)
 
-    # What happens to boxes and to the list.
+    # Changes and faults.
 
-    def change(self, entry: Entry, after: float) -> None:
-        """`after` s and the lag it will be known. Changes become known in the order of their happening."""
-        due = max(self._last_publication, self.place.now() / 1e9 + after + self.extra_lag)
-        self._last_publication = due
-        wait = due - self.place.now() / 1e9
-        self.place.loop.call_later(wait, self._publish, entry)
+    def change(self, entry: Entry, delay_s: float) -> None:
+        """Publishes a change after `delay_s` and the additional lag. Changes are published in the order of
+        the calls."""
+        publish_at = max(self._last_publication, self.machine.now() / 1e9 + delay_s + self.extra_lag)
+        self._last_publication = publish_at
+        wait_s = publish_at - self.machine.now() / 1e9
+        self.machine.loop.call_later(wait_s, self._publish, entry)
 
     def _publish(self, entry: Entry) -> None:
         self.version += 1
@@ -110,71 +116,78 @@
         else:
             self.entries[entry.box] = entry
         self._changes.append((self.version, [entry]))
-        del self._changes[:-HISTORY]
-        self.note(wire.Listed(self.place.now(), entry.box, entry.state, entry.started))
+        del self._changes[:-KEPT_VERSIONS_MAX]
+        self.note(wire.ListChanged(self.machine.now(), entry.box, entry.state, entry.started_at))
         if not self.down:
             for connection in list(self._connections):
                 if connection.watching:
                     connection.send_changes([entry])
 
     def go_down(self, silent: bool) -> None:
+        """Begins an outage: calls fail and connections are reset, or with `silent` get no answer."""
         self.down, self.silent = True, silent
         if not silent:
             for connection in list(self._connections):
-                connection.drop()
+                connection.reset()
 
     def fall_silent(self, node: str) -> None:
-        """Its open watch: the connection stays, and nothing more comes on it."""
+        """Sends nothing more on a node's open watch, and keeps the connection."""
         for connection in self._connections:
             if connection.node == node and connection.watching:
-                connection.silent_at = self.place.now()
+                connection.silent_at = self.machine.now()
 
-    def missed(self, connection: _ListConnection, entries: list[Entry]) -> None:
-        """What a silent watch does not bring: it counts as told a while after the silence began."""
+    def schedule_missed(self, connection: _ListConnection, entries: list[Entry]) -> None:
+        """Records entries that a silent watch does not deliver: the node counts as informed of them some time
+        after the watch fell silent."""
         assert connection.silent_at is not None
-        wait = max(0.0, connection.silent_at / 1e9 + MISSED - self.place.now() / 1e9)
-        self.place.loop.call_later(wait, self._count_as_told, connection.node, entries)
+        wait_s = max(0.0, connection.silent_at / 1e9 + SILENT_WATCH_GRACE_S - self.machine.now() / 1e9)
+        self.machine.loop.call_later(wait_s, self._record_missed, connection.node, entries)
 
-    def _count_as_told(self, node: str, entries: list[Entry]) -> None:
+    def _record_missed(self, node: str, entries: list[Entry]) -> None:
         for entry in entries:
-            if self.entries.get(entry.box) in (entry, None):  # nothing newer is known
-                self.note(wire.Told(self.place.now(), node, entry.box, entry.state, entry.started))
+            if self.entries.get(entry.box) in (entry, None):  # there is no newer entry
+                self.note(
+                    wire.ListEntrySent(self.machine.now(), node, entry.box, entry.state, entry.started_at)
+                )
 
     def come_up(self) -> None:
+        """Ends an outage; open watches get what they missed."""
         self.down = self.silent = False
         for connection in list(self._connections):
-            connection.catch_up()
+            connection.send_missed()
 
     def move(self) -> None:
-        """To other addresses; the old ones take no new connection."""
+        """Moves the list to other addresses; the old ones accept no new connections."""
         for acceptor in self._acceptors.values():
             acceptor.close()
         old = list(self._connections)
         self._listen()
-        self.place.loop.call_later(MOVED, self._drop_all, old)
+        self.machine.loop.call_later(MOVE_GRACE_S, self._reset_all, old)
 
-    def _drop_all(self, connections: list[_ListConnection]) -> None:
+    def _reset_all(self, connections: list[_ListConnection]) -> None:
         for connection in connections:
-            connection.drop()
+            connection.reset()
 
     # Calls.
 
-    def came(self, connection: _ListConnection) -> None:
+    def add_connection(self, connection: _ListConnection) -> None:
+        """Registers a new connection."""
         self._connections[connection] = None
 
-    def left(self, connection: _ListConnection) -> None:
+    def remove_connection(self, connection: _ListConnection) -> None:
+        """Removes a closed connection."""
         self._connections.pop(connection, None)
 
-    def take(self, connection: _ListConnection, message: Message) -> None:
-        """A call: whole lists and watches wait in one queue."""
-        self.calls += 1
-        now = self.place.now()
-        target = message.first.split(b" ")[1].decode("latin-1")
+    def handle_call(self, connection: _ListConnection, message: Message) -> None:
+        """Processes a call. Calls for the whole list and for watches wait in one queue."""
+        self.call_count += 1
+        now = self.machine.now()
+        target = message.start_line.split(b" ")[1].decode("latin-1")
         path, _, query = target.partition("?")
         if path != "/discovery/hosts":
             connection.write(response(404))
             return
-        self.note(wire.Contact(now, connection.node, False))
+        self.note(wire.ListContact(now, connection.node, False))
         options = dict(part.partition("=")[::2] for part in query.split("&") if part)
         since = int(options.get("from", "0")) if options.get("from", "0").isdigit() else 0
         watch = options.get("watch") == "1"
@@ -186,60 +199,68 @@
         if self.figures.pushed:
             self._answer(connection, watch, since)
             return
-        cost = (self.figures.call_lines + len(self.entries)) / self.figures.lines_per_s
-        begins = max(self._busy_until, now / 1e9)
-        if begins + cost - now / 1e9 > self.figures.timeout:
-            wait = self.figures.timeout
-            self.place.loop.call_later(wait, connection.refuse)
+        duration_s = (self.figures.call_lines + len(self.entries)) / self.figures.lines_per_s
+        begin_at = max(self._busy_until, now / 1e9)
+        if begin_at + duration_s - now / 1e9 > self.figures.timeout_s:
+            wait_s = self.figures.timeout_s
+            self.machine.loop.call_later(wait_s, connection.refuse)
         else:
-            self._busy_until = begins + cost
-            self.place.loop.call_later(begins + cost - now / 1e9, self._answer, connection, watch, since)
+            self._busy_until = begin_at + duration_s
+            self.machine.loop.call_later(
+                begin_at + duration_s - now / 1e9, self._answer, connection, watch, since
+            )
 
     def _answer(self, connection: _ListConnection, watch: bool, since: int) -> None:
         if self.down or not connection.is_open():
-            connection.drop()
+            connection.reset()
             return
         if not watch:
             entries = list(self.entries.values())
             body = json.dumps(self._document(connection.node, entries, True)).encode()
             connection.write(response(200, (b"Content-Type: application/json",), body))
-            self._told(connection.node, entries, True)
+            self._record_sent(connection.node, entries, True)
             return
         connection.watching = True
         connection.version = self.version
-        self.note(wire.Contact(self.place.now(), connection.node, True))
-        full, entries = self.since(since)
-        first = self.line(connection.node, entries, full)  # also if nothing has changed
+        self.note(wire.ListContact(self.machine.now(), connection.node, True))
+        full, entries = self.entries_since(since)
+        first = self.encode_line(connection.node, entries, full)  # sent even without a change
         connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + first)
-        connection.stay_alive()
+        connection.send_keepalive()
 
-    def since(self, version: int) -> tuple[bool, list[Entry]]:
-        """Whether it is the whole list, and the entries that a reader of `version` lacks."""
-        known = self._changes and self._changes[0][0] <= version + 1
-        if version <= self.version and (known or version == self.version):
+    def entries_since(self, version: int) -> tuple[bool, list[Entry]]:
+        """The entries that a reader of `version` lacks; with True, they are the whole list."""
+        is_covered = self._changes and self._changes[0][0] <= version + 1
+        if version <= self.version and (is_covered or version == self.version):
             return False, [
-                entry for number, entries in self._changes if number > version for entry in entries
+                entry
+                for change_version, entries in self._changes
+                if change_version > version
+                for entry in entries
             ]
         return True, list(self.entries.values())
 
-    def line(self, node: str, entries: list[Entry], full: bool) -> bytes:
+    def encode_line(self, node: str, entries: list[Entry], full: bool) -> bytes:
+        """Encodes entries as one line of a watch (an HTTP chunk), and records them as sent."""
         text = json.dumps(self._document(node, entries, full)).encode() + b"\n"
-        self._told(node, entries, full)
+        self._record_sent(node, entries, full)
         return b"%x\r\n%s\r\n" % (len(text), text)
 
-    def _told(self, node: str, entries: list[Entry], full: bool) -> None:
-        now = self.place.now()
-        held = self._held[node]
+    def _record_sent(self, node: str, entries: list[Entry], full: bool) -> None:
+        now = self.machine.now()
+        sent_entries = self._sent_entries[node]
         if full:
             listed = {entry.box for entry in entries}
-            for box in [box for box in held if box not in listed]:
-                self.note(wire.Told(now, node, box, HostState.GONE, held.pop(box).started))
+            for box in [box for box in sent_entries if box not in listed]:
+                self.note(
+                    wire.ListEntrySent(now, node, box, HostState.GONE, sent_entries.pop(box).started_at)
+                )
         for entry in entries:
-            self.note(wire.Told(now, node, entry.box, entry.state, entry.started))
+            self.note(wire.ListEntrySent(now, node, entry.box, entry.state, entry.started_at))
             if entry.state is HostState.GONE:
-                held.pop(entry.box, None)
+                sent_entries.pop(entry.box, None)
             else:
-                held[entry.box] = entry
+                sent_entries[entry.box] = entry
 
     def _document(self, node: str, entries: list[Entry], full: bool) -> dict[str, Any]:
         return {
@@ -250,46 +271,48 @@
 
     def _entry(self, node: str, entry: Entry) -> dict[str, Any]:
         host, port = entry.addresses[node]
-        started = self.place.unix_ms(entry.started) if entry.started >= 0 else 0
+        started_at = self.machine.unix_ms(entry.started_at) if entry.started_at >= 0 else 0
         return {
             "id": entry.box, "addr": f"{host}:{port}", "zone": "room", "kind": entry.kind, "cell": 0,
-            "state": entry.state.value, "weight": 1.0, "started_ms": started,
+            "state": entry.state.value, "weight": 1.0, "started_ms": started_at,
         }  # fmt: skip
 
 
 class _ListConnection(asyncio.Protocol):
-    def __init__(self, owner: BoxList, node: str) -> None:
+    """A connection from a node to the box list; `version` is the last one sent on its watch."""
+
+    def __init__(self, box_list: BoxList, node: str) -> None:
         self.node = node
         self.watching = False
         self.silent_at: int | None = None  # ns
-        self.version = 0  # that it has been told, once it watches
-        self._owner = owner
+        self.version = 0  # of the list
+        self._box_list = box_list
         self._reader = MessageReader()
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        if self._owner.down and not self._owner.silent:
-            # It has asked, and the call has failed: for the rule on drains that is asking.
-            self._owner.note(wire.Contact(self._owner.place.now(), self.node, False))
-            self._owner.place.reset(self._transport)
+        if self._box_list.down and not self._box_list.silent:
+            # For the rule on drains a failed call counts as a call.
+            self._box_list.note(wire.ListContact(self._box_list.machine.now(), self.node, False))
+            self._box_list.machine.reset(self._transport)
             return
-        self._owner.came(self)
+        self._box_list.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        now = self._owner.place.now()
+        now = self._box_list.machine.now()
         try:
             for message in self._reader.feed(data, now):
-                self._owner.take(self, message)
-        except WireError as problem:
-            self._owner.note(wire.Unasked(now, self.node, f"the box list was sent: {problem}"))
-            self.drop()
+                self._box_list.handle_call(self, message)
+        except WireError as exception:
+            self._box_list.note(wire.UnexpectedMessage(now, self.node, f"the box list was sent: {exception}"))
+            self.reset()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
         if self.watching:
-            self._owner.note(wire.Contact(self._owner.place.now(), self.node, False))
-        self._owner.left(self)
+            self._box_list.note(wire.ListContact(self._box_list.machine.now(), self.node, False))
+        self._box_list.remove_connection(self)
 
     def is_open(self) -> bool:
         return self._transport is not None and not self._transport.is_closing()
@@ -300,23 +323,23 @@
 
     def send_changes(self, entries: list[Entry]) -> None:
         if self.silent_at is not None:
-            self._owner.missed(self, entries)
+            self._box_list.schedule_missed(self, entries)
             return
-        self.version = self._owner.version
-        self.write(self._owner.line(self.node, entries, False))
+        self.version = self._box_list.version
+        self.write(self._box_list.encode_line(self.node, entries, False))
 
-    def catch_up(self) -> None:
-        """All that this watch has not been told, as after a silence."""
-        if self.watching and self.silent_at is None and self.version != self._owner.version:
-            full, entries = self._owner.since(self.version)
-            self.version = self._owner.version
-            self.write(self._owner.line(self.node, entries, full))
+    def send_missed(self) -> None:
+        """Sends what this watch missed in an outage."""
+        if self.watching and self.silent_at is None and self.version != self._box_list.version:
+            full, entries = self._box_list.entries_since(self.version)
+            self.version = self._box_list.version
+            self.write(self._box_list.encode_line(self.node, entries, full))
 
-    def stay_alive(self) -> None:
+    def send_keepalive(self) -> None:
         if self.is_open():
-            if not self._owner.down and self.silent_at is None:
+            if not self._box_list.down and self.silent_at is None:
                 self.write(b"1\r\n\n\r\n")
-            self._owner.place.loop.call_later(EMPTY_LINE, self.stay_alive)
+            self._box_list.machine.loop.call_later(KEEPALIVE_INTERVAL_S, self.send_keepalive)
 
     def refuse(self) -> None:
         self.write(response(503))
@@ -326,6 +349,6 @@
         if self._transport is not None:
             self._transport.close()
 
-    def drop(self) -> None:
+    def reset(self) -> None:
         if self._transport is not None:
-            self._owner.place.reset(self._transport)
+            self._box_list.machine.reset(self._transport)
--- a/driftstair/rehearsal/fakes/clients.py
+++ b/driftstair/rehearsal/fakes/clients.py
@@ -1,5 +1,5 @@
-"""All clients together: arrivals that wait for nobody, connections that are kept, and retries of their
-own."""
+"""The fake clients: arrivals that do not wait for answers (an open-loop load), connections that are reused,
+and retries by the clients."""
 
 from __future__ import annotations
 
@@ -14,89 +14,99 @@
 from driftstair.rehearsal import account, wire
 from driftstair.rehearsal.fakes.front import FrontLayer
 from driftstair.rehearsal.fakes.http1 import MessageReader, WireError, status_of
-from driftstair.rehearsal.fakes.place import Place
-from driftstair.rehearsal.fakes.workload import Choice, Kind, Workload, zipf
+from driftstair.rehearsal.fakes.place import FakeMachine
+from driftstair.rehearsal.fakes.workload import RequestClass, WeightedChoice, Workload, zipf
 from lichenspring.subset import splitmix64
 
-NOBODY_ASKS = 0.05  # s until the next look, while the load is none
-IDLE_LOOK = 1.0  # s
-CLOSE_AFTER = 2  # times the grace of an answer: then nobody waits at its connection
+ZERO_LOAD_CHECK_S = 0.05  # between two checks for load while there is none
+IDLE_CHECK_S = 1.0  # between two checks for idle connections
+CLOSE_GRACE_MULTIPLE = 2  # times the grace of an answer, after which the connection is closed
 
 
 @dataclass(frozen=True, slots=True)
 class ClientFigures:
-    """Times in s."""
+    """How clients behave. `try_share`: the share of the given-up time that each try but the last may take;
+    `retry_after_share`: the share of operations that respect Retry-After; `hold_share`: the share that use a
+    connection of their own and keep it open."""
 
     retries: int
     try_share: float
-    backoff: float
-    honour: float
+    backoff_s: float
+    retry_after_share: float
     mark_retries: bool
-    connections_most: int  # to one node
-    idle: float
-    answer_grace: float
+    connections_max: int  # to each node
+    idle_timeout_s: float
+    answer_grace_s: float
     hold_share: float = 0.0
 
 
-class Ask:
-    """A first try and all that follows it."""
+class Operation:
+    """A first try and its retries."""
 
     __slots__ = (
-        "began", "due", "holds", "honours", "key", "kind", "open", "phase", "tenant", "tries",
-        "why",
+        "began_at", "deadline", "holds_connection", "key", "kind", "open", "outcome", "phase",
+        "respects_retry_after", "tenant", "tries",
     )  # fmt: skip
 
-    def __init__(self, kind: Kind, tenant: str, key: bytes, phase: str, began: int, honours: bool) -> None:
+    def __init__(
+        self, kind: RequestClass, tenant: str, key: bytes, phase: str, began_at: int,
+        respects_retry_after: bool,
+    ) -> None:  # fmt: skip
         self.kind = kind
         self.tenant = tenant
         self.key = key
         self.phase = phase
-        self.began = began
-        self.due = began + kind.given_up
-        self.honours = honours
-        self.holds = False  # on a connection of its own, which it keeps for nothing
+        self.began_at = began_at
+        self.deadline = began_at + kind.given_up_ns
+        self.respects_retry_after = respects_retry_after
+        self.holds_connection = False  # uses a connection of its own and keeps it open afterwards
         self.tries = 0
         self.open = True
-        self.why = account.UNREACHABLE
+        self.outcome = account.UNREACHABLE
 
 
 class Try:
-    """One request on the wire."""
+    """One request on the wire. `live` until its client has an answer or stops waiting."""
 
-    __slots__ = ("again", "ask", "connection", "live", "node", "patience", "request", "timer", "until")
+    __slots__ = (
+        "connection", "expires_at", "live", "node", "operation", "patience", "request", "resent", "timer",
+    )  # fmt: skip
 
-    def __init__(self, ask: Ask, request: bytes, node: str, patience: int, until: int) -> None:
-        self.ask = ask
+    def __init__(
+        self, operation: Operation, request: bytes, node: str, patience: int, expires_at: int
+    ) -> None:
+        self.operation = operation
         self.request = request
         self.node = node
-        self.patience = patience  # ns
-        self.until = until
-        self.again = False
+        self.patience = patience
+        self.expires_at = expires_at
+        self.resent = False
         self.live = True
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
 
 class Clients:
-    """`serves(node)` tells whether the node's process runs at all: what a client can't know and its network
-    does. `load` is what a runner turns."""
+    """All clients. `is_serving(node)` tells whether the node's process runs, which a client can't know but
+    its network does. The runner changes `load` during the run."""
 
     def __init__(
-        self, place: Place, front: FrontLayer, workload: Workload, figures: ClientFigures, tenants: Choice,
-        tenant_names: list[str], keys: int, key_skew: float, load: Load, ledger: account.Account,
-        note: Callable[[wire.Observation], None], serves: Callable[[str], bool], seed: int,
+        self, machine: FakeMachine, front: FrontLayer, workload: Workload, figures: ClientFigures,
+        tenants: WeightedChoice, tenant_names: list[str], keys: int, key_skew: float, load: Load,
+        ledger: account.Account,
+        note: Callable[[wire.Observation], None], is_serving: Callable[[str], bool], seed: int,
     ) -> None:  # fmt: skip
-        self.place = place
+        self.machine = machine
         self.front = front
         self.figures = figures
         self.note = note
         self.load = load
         self.ledger = ledger
-        self.serves = serves
-        self.in_flight: dict[str, int] = {}  # requests on the wire, by node
-        self.asks_open = 0
+        self.is_serving = is_serving
+        self.in_flight: dict[str, int] = {}  # requests by node
+        self.open_operations = 0
         self.running = False
-        self._asks: dict[Ask, None] = {}
+        self._operations: dict[Operation, None] = {}
         self._workload = workload
         self._tenants = tenants
         self._tenant_names = tenant_names
@@ -108,74 +118,78 @@
         self._pools: dict[str, Pool] = {}
 
     def start(self) -> None:
+        """Begins the arrivals."""
         self.running = True
-        self._next_arrival = self.place.now()
-        self.place.loop.call_later(0.0, self._arrive)
-        self.place.loop.call_later(IDLE_LOOK, self._look_at_idle)
+        self._next_arrival = self.machine.now()
+        self.machine.loop.call_later(0.0, self._arrive)
+        self.machine.loop.call_later(IDLE_CHECK_S, self._close_idle_connections)
 
     def stop(self) -> None:
-        """No new first tries; what is open goes on."""
+        """Ends the arrivals; open operations continue."""
         self.running = False
 
     def cut_off(self) -> None:
-        """The run ends now: what is open has no answer."""
-        for ask in list(self._asks):
-            ask.why = account.CUT_OFF
-            self._close(ask, 0)
+        """Closes all open operations without an answer, at the end of the run."""
+        for operation in list(self._operations):
+            operation.outcome = account.CUT_OFF
+            self._close_operation(operation, 0)
 
     # Arrivals.
 
     def _arrive(self) -> None:
-        """All whose time has come: a loop that counts in whole milliseconds, as real ones do, would else
-        bring fewer than are due."""
+        """Starts all operations that are due. Timers of a real event loop have a resolution of 1 ms, so that
+        one timer for each arrival would start too few."""
         if not self.running:
             return
-        now = self.place.now()
+        now = self.machine.now()
         while self._next_arrival <= now:
             rate = self.load.rate(now)
             if rate <= 0:
-                self._next_arrival = now + int(NOBODY_ASKS * 1e9)
+                self._next_arrival = now + int(ZERO_LOAD_CHECK_S * 1e9)
                 break
             self._next_arrival += int(-log(1.0 - self._random.random()) / rate * 1e9)
-            self._ask(now)
-        wait = max(0, self._next_arrival - now)
-        self.place.loop.call_later(wait / 1e9, self._arrive)
+            self._start_operation(now)
+        wait_ns = max(0, self._next_arrival - now)
+        self.machine.loop.call_later(wait_ns / 1e9, self._arrive)
 
-    def _ask(self, now: int) -> None:
+    def _start_operation(self, now: int) -> None:
         random = self._random
         kind = self.load.draw(random)
         tenant = self._tenant_names[self._tenants.draw(random)]
         key = b"video-%d" % self._keys.draw(random)
-        ask = Ask(kind, tenant, key, self.load.phase, now, random.random() < self.figures.honour)
-        # No draw where nobody holds: what was drawn before there were such clients stays as it was.
-        ask.holds = self.figures.hold_share > 0 and random.random() < self.figures.hold_share
-        self.asks_open += 1
-        self._asks[ask] = None
-        self._try(ask)
-
-    def _try(self, ask: Ask) -> None:
-        if not ask.open:
+        operation = Operation(
+            kind, tenant, key, self.load.phase, now, random.random() < self.figures.retry_after_share
+        )
+        # Nothing is drawn if no client holds connections, so that other scenarios draw the same numbers as
+        # before.
+        operation.holds_connection = self.figures.hold_share > 0 and random.random() < self.figures.hold_share
+        self.open_operations += 1
+        self._operations[operation] = None
+        self._start_try(operation)
+
+    def _start_try(self, operation: Operation) -> None:
+        if not operation.open:
             return
-        now = self.place.now()
-        left = ask.due - now
-        if left <= 0:
-            self._close(ask, 0)
+        now = self.machine.now()
+        remaining = operation.deadline - now
+        if remaining <= 0:
+            self._close_operation(operation, 0)
             return
-        ask.tries += 1
+        operation.tries += 1
         node = self.front.pick()
         if node is None:
-            ask.why = account.UNREACHABLE
-            self._again(ask, 0.0, ran=False)
+            operation.outcome = account.UNREACHABLE
+            self._retry_or_close(operation, 0.0, may_have_run=False)
             return
-        # The last try gets what is left; the ones before leave time for another.
-        patience = left if ask.tries > self.figures.retries else min(
-            left, int(ask.kind.given_up * self.figures.try_share)
+        # The last try gets the remaining time; earlier ones leave time for another.
+        patience = remaining if operation.tries > self.figures.retries else min(
+            remaining, int(operation.kind.given_up_ns * self.figures.try_share)
         )  # fmt: skip
         self._last_id += 1
         request = b"%016x" % splitmix64(self._ids + self._last_id)
-        one = Try(ask, request, node, patience, now + patience)
-        one.timer = self.place.loop.call_later(patience / 1e9, self._time_is_up, one)
-        self._pool(node).carry(one)
+        client_try = Try(operation, request, node, patience, now + patience)
+        client_try.timer = self.machine.loop.call_later(patience / 1e9, self._on_timeout, client_try)
+        self._pool(node).dispatch(client_try)
 
     def _pool(self, node: str) -> Pool:
         pool = self._pools.get(node)
@@ -183,130 +197,149 @@
             pool = self._pools[node] = Pool(self, node)
         return pool
 
-    def send(self, one: Try, connection: Connection) -> None:
-        """On a connection that is up and free."""
-        now = self.place.now()
-        ask = one.ask
-        left = one.until - now
-        one.connection = connection
-        self.in_flight[one.node] = self.in_flight.get(one.node, 0) + 1
-        retry = b"X-Retry: 1\r\n" if ask.tries > 1 and self.figures.mark_retries else b""
-        safe = ask.kind.effect == "safe"
-        keyed = b"Idempotency-Key: k-%s\r\n" % one.request if ask.kind.effect == "keyed" else b""
-        body = b"" if safe else b"caption of " + ask.key
+    def send(self, client_try: Try, connection: Connection) -> None:
+        """Sends the request of a try on a free connection."""
+        now = self.machine.now()
+        operation = client_try.operation
+        remaining = client_try.expires_at - now
+        client_try.connection = connection
+        self.in_flight[client_try.node] = self.in_flight.get(client_try.node, 0) + 1
+        retry = b"X-Retry: 1\r\n" if operation.tries > 1 and self.figures.mark_retries else b""
+        safe = operation.kind.effect == "safe"
+        keyed = b"Idempotency-Key: k-%s\r\n" % client_try.request if operation.kind.effect == "keyed" else b""
+        body = b"" if safe else b"caption of " + operation.key
         length = b"" if safe else b"Content-Length: %d\r\n" % len(body)
         connection.write(
             b"%s /api HTTP/1.1\r\nHost: captions\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\n"
             b"X-Key: %s\r\nX-Deadline: %du\r\n%s%s%s\r\n%s"
             % (
-                b"GET" if safe else b"POST", one.request, ask.kind.name.encode(), ask.tenant.encode(),
-                ask.key, left // 1000, retry, keyed, length, body,
+                b"GET" if safe else b"POST", client_try.request, operation.kind.name.encode(),
+                operation.tenant.encode(), operation.key, remaining // 1000, retry, keyed, length, body,
             )
         )  # fmt: skip
-        self.note(wire.Asked(now, one.request, one.node, ask.kind.name, left, connection.since, one.again))
+        self.note(
+            wire.RequestSent(
+                now,
+                client_try.request,
+                client_try.node,
+                operation.kind.name,
+                remaining,
+                connection.connected_at,
+                client_try.resent,
+            )
+        )
 
-    # What becomes of a try.
+    # The outcome of a try.
 
-    def answered(self, one: Try, status: int, fields: dict[bytes, bytes], body: bytes) -> None:
-        now = self.place.now()
+    def on_answer(self, client_try: Try, status: int, fields: dict[bytes, bytes], body: bytes) -> None:
+        """A final answer arrived."""
+        now = self.machine.now()
         token = body.partition(b"\n")[0] if status == 200 else b""
-        self.note(wire.Answered(now, one.request, status, token))
-        self._left_wire(one)
-        if not one.live:
-            return  # it has given up on it, and may be asking anew
-        self._over(one)
-        ask = one.ask
+        self.note(wire.ResponseReceived(now, client_try.request, status, token))
+        self._leave_flight(client_try)
+        if not client_try.live:
+            return  # the client stopped waiting, and may have retried
+        self._end_try(client_try)
+        operation = client_try.operation
         if status == 200:
-            latency = now - ask.began
-            ask.why = account.SERVED if latency <= ask.kind.wanted else account.LATE
-            self._close(ask, latency)
+            latency = now - operation.began_at
+            operation.outcome = account.SERVED if latency <= operation.kind.wanted_ns else account.LATE
+            self._close_operation(operation, latency)
         elif status in (429, 503):
-            ask.why = account.REFUSED
-            self._again(ask, _seconds(fields.get(b"retry-after", b"")), ran=False)
+            operation.outcome = account.REFUSED
+            self._retry_or_close(operation, _seconds(fields.get(b"retry-after", b"")), may_have_run=False)
         else:
-            ask.why = account.FAILED
-            self._again(ask, 0.0, ran=True)
-
-    def cut(self, one: Try, how: str) -> None:
-        """Its connection ended first."""
-        now = self.place.now()
-        self.note(wire.Cut(now, one.request, how))
-        self._left_wire(one)
-        if not one.live:
+            operation.outcome = account.FAILED
+            self._retry_or_close(operation, 0.0, may_have_run=True)
+
+    def on_connection_ended(self, client_try: Try, reason: str) -> None:
+        """The connection of a try ended before its answer."""
+        now = self.machine.now()
+        self.note(wire.ConnectionEnded(now, client_try.request, reason))
+        self._leave_flight(client_try)
+        if not client_try.live:
             return
-        if self.serves(one.node) and not one.again and one.until > now:
-            # The node closed the connection between two requests, and this one crossed that.
-            one.again = True
-            one.connection = None
-            self._pool(one.node).carry(one)
+        if self.is_serving(client_try.node) and not client_try.resent and client_try.expires_at > now:
+            # The node closed the connection between two requests while this one was on its way.
+            client_try.resent = True
+            client_try.connection = None
+            self._pool(client_try.node).dispatch(client_try)
             return
-        self._over(one)
-        one.ask.why = account.FAILED
-        self._again(one.ask, 0.0, ran=True)
-
-    def unreachable(self, one: Try) -> None:
-        """No connection came up."""
-        if one.live:
-            self._over(one)
-            one.ask.why = account.UNREACHABLE
-            self._again(one.ask, 0.0, ran=False)
-
-    def _time_is_up(self, one: Try) -> None:
-        if not one.live:
+        self._end_try(client_try)
+        client_try.operation.outcome = account.FAILED
+        self._retry_or_close(client_try.operation, 0.0, may_have_run=True)
+
+    def on_unreachable(self, client_try: Try) -> None:
+        """No connection could be opened for a try."""
+        if client_try.live:
+            self._end_try(client_try)
+            client_try.operation.outcome = account.UNREACHABLE
+            self._retry_or_close(client_try.operation, 0.0, may_have_run=False)
+
+    def _on_timeout(self, client_try: Try) -> None:
+        if not client_try.live:
             return
-        self._over(one)
-        one.ask.why = account.GAVE_UP
-        connection = one.connection
+        self._end_try(client_try)
+        client_try.operation.outcome = account.GAVE_UP
+        connection = client_try.connection
         if connection is not None:
-            # Its answer may still be on the way; nobody waits for longer than that.
-            grace = CLOSE_AFTER * self.figures.answer_grace
-            self.place.loop.call_later(grace, self._leave, one, connection)
-        self._again(one.ask, 0.0, ran=True)
-
-    def _leave(self, one: Try, connection: Connection) -> None:
-        if connection.current is one:
-            self.note(wire.LeftOff(self.place.now(), one.request))
-            self._left_wire(one)
+            # The answer may still be on its way; the connection is closed after a grace.
+            grace_s = CLOSE_GRACE_MULTIPLE * self.figures.answer_grace_s
+            self.machine.loop.call_later(grace_s, self._close_abandoned, client_try, connection)
+        self._retry_or_close(client_try.operation, 0.0, may_have_run=True)
+
+    def _close_abandoned(self, client_try: Try, connection: Connection) -> None:
+        if connection.current is client_try:
+            self.note(wire.RequestAbandoned(self.machine.now(), client_try.request))
+            self._leave_flight(client_try)
             connection.current = None
             connection.close()
 
-    def _over(self, one: Try) -> None:
-        one.live = False
-        if one.timer is not None:
-            one.timer.cancel()
+    def _end_try(self, client_try: Try) -> None:
+        client_try.live = False
+        if client_try.timer is not None:
+            client_try.timer.cancel()
 
-    def _left_wire(self, one: Try) -> None:
-        self.in_flight[one.node] -= 1
+    def _leave_flight(self, client_try: Try) -> None:
+        self.in_flight[client_try.node] -= 1
 
-    def _again(self, ask: Ask, wait_asked: float, ran: bool) -> None:
-        """After a try without an answer that could be used. `ran`: it may have run."""
-        now = self.place.now()
-        if ask.tries > self.figures.retries or (ran and ask.kind.effect == "unsafe"):
-            self._close(ask, 0)
+    def _retry_or_close(self, operation: Operation, retry_after_s: float, may_have_run: bool) -> None:
+        """Retries after a try without a usable answer, or closes the operation. `may_have_run`: a box may
+        have run the request."""
+        now = self.machine.now()
+        if operation.tries > self.figures.retries or (may_have_run and operation.kind.effect == "unsafe"):
+            self._close_operation(operation, 0)
             return
-        wait = self.figures.backoff * 2 ** (ask.tries - 1) * self._random.uniform(0.5, 1.5)
-        if ask.honours:
-            wait = max(wait, wait_asked)
-        if now + int(wait * 1e9) >= ask.due:
-            self._close(ask, 0)
+        wait_s = self.figures.backoff_s * 2 ** (operation.tries - 1) * self._random.uniform(0.5, 1.5)
+        if operation.respects_retry_after:
+            wait_s = max(wait_s, retry_after_s)
+        if now + int(wait_s * 1e9) >= operation.deadline:
+            self._close_operation(operation, 0)
             return
-        self.place.loop.call_later(wait, self._try, ask)
+        self.machine.loop.call_later(wait_s, self._start_try, operation)
 
-    def _close(self, ask: Ask, latency: int) -> None:
-        if not ask.open:
+    def _close_operation(self, operation: Operation, latency: int) -> None:
+        if not operation.open:
             return
-        ask.open = False
-        self.asks_open -= 1
-        del self._asks[ask]
+        operation.open = False
+        self.open_operations -= 1
+        del self._operations[operation]
         self.ledger.close(
-            ask.kind.name, ask.tenant, ask.phase, ask.began, ask.kind.worth, ask.why, latency, ask.tries
+            operation.kind.name,
+            operation.tenant,
+            operation.phase,
+            operation.began_at,
+            operation.kind.worth,
+            operation.outcome,
+            latency,
+            operation.tries,
         )
 
-    def _look_at_idle(self) -> None:
-        before = self.place.now() - int(self.figures.idle * 1e9)
+    def _close_idle_connections(self) -> None:
+        idle_before = self.machine.now() - int(self.figures.idle_timeout_s * 1e9)
         for pool in self._pools.values():
-            pool.close_idle(before)
-        self.place.loop.call_later(IDLE_LOOK, self._look_at_idle)
+            pool.close_idle(idle_before)
+        self.machine.loop.call_later(IDLE_CHECK_S, self._close_idle_connections)
 
 
 def _seconds(text: bytes) -> float:
@@ -317,140 +350,146 @@
 
 
 class Load:
-    """How much is asked for, and of what: figures that a runner turns while the run goes on."""
+    """The arrival rate and the mix of classes. Faults and phases change them during the run, each under a key
+    of its own."""
 
-    def __init__(self, rate: float, kinds: list[Kind], shares: list[float]) -> None:
+    def __init__(self, rate: float, classes: list[RequestClass], shares: list[float]) -> None:
         self.phase = ""
         self._rate = rate
-        self._kinds = kinds
+        self._classes = classes
         total = sum(shares)
         self._shares = [share / total for share in shares]
-        self._times: dict[object, Callable[[int], float]] = {}  # factors on the whole, by who set them
-        self._by_class: dict[object, dict[str, float]] = {}  # factors on classes
-        self._choice = Choice(self._shares)
-        self._sum = 1.0
-
-    def set_times(self, who: object, times: Callable[[int], float] | None) -> None:
-        """A factor on the whole load, by the time in ns; None takes it back."""
-        if times is None:
-            self._times.pop(who, None)
+        self._factors: dict[object, Callable[[int], float]] = {}  # on the whole rate, by key
+        self._class_factors: dict[object, dict[str, float]] = {}  # on classes, by key
+        self._choice = WeightedChoice(self._shares)
+        self._total_share = 1.0
+
+    def set_factor(self, key: object, factor: Callable[[int], float] | None) -> None:
+        """Sets a factor on the whole rate, as a function of the time in ns; None removes it."""
+        if factor is None:
+            self._factors.pop(key, None)
         else:
-            self._times[who] = times
+            self._factors[key] = factor
 
-    def set_classes(self, who: object, factors: dict[str, float] | None) -> None:
-        """Factors on the load of some classes; the others ask as before. None takes them back."""
+    def set_class_factors(self, key: object, factors: dict[str, float] | None) -> None:
+        """Sets factors on the rates of some classes, without a change to the others; None removes them."""
         if factors is None:
-            self._by_class.pop(who, None)
+            self._class_factors.pop(key, None)
         else:
-            self._by_class[who] = factors
+            self._class_factors[key] = factors
         weights = []
-        for kind, share in zip(self._kinds, self._shares, strict=True):
-            for factors in self._by_class.values():
-                share *= factors.get(kind.name, 1.0)
+        for request_class, share in zip(self._classes, self._shares, strict=True):
+            for factors in self._class_factors.values():
+                share *= factors.get(request_class.name, 1.0)
             weights.append(share)
-        self._sum = sum(weights)
-        if self._sum:
-            self._choice = Choice(weights)
+        self._total_share = sum(weights)
+        if self._total_share:
+            self._choice = WeightedChoice(weights)
 
     def rate(self, now: int) -> float:
-        """First tries a second."""
-        rate = self._rate * self._sum
-        for times in self._times.values():
-            rate *= times(now)
+        """First tries per second."""
+        rate = self._rate * self._total_share
+        for factor in self._factors.values():
+            rate *= factor(now)
         return rate
 
-    def draw(self, random: Random) -> Kind:
-        return self._kinds[self._choice.draw(random)]
+    def draw(self, random: Random) -> RequestClass:
+        """Draws the class of an operation."""
+        return self._classes[self._choice.draw(random)]
 
 
 class Pool:
-    """The connections of all clients to one node."""
+    """The connections of all clients to one node, and the tries that wait for one."""
 
     def __init__(self, clients: Clients, node: str) -> None:
         self.clients = clients
         self.node = node
-        self.open = 0  # or being dialed
+        self.open = 0  # including those being opened
         self._idle: list[Connection] = []
         self._waiting: deque[Try] = deque()
         self._tasks: dict[asyncio.Task[None], None] = {}
 
-    def carry(self, one: Try) -> None:
-        while self._idle and not one.ask.holds:
+    def dispatch(self, client_try: Try) -> None:
+        """Sends a try on an idle or a new connection; at the limit it waits."""
+        while self._idle and not client_try.operation.holds_connection:
             connection = self._idle.pop()
             if not connection.closed:
-                connection.send(one)
+                connection.send(client_try)
                 return
-        if self.open >= self.clients.figures.connections_most:
-            self._waiting.append(one)
+        if self.open >= self.clients.figures.connections_max:
+            self._waiting.append(client_try)
             return
-        self._dial(one)
+        self._dial(client_try)
 
-    def _dial(self, one: Try) -> None:
+    def _dial(self, client_try: Try) -> None:
         self.open += 1
-        task = self.clients.place.loop.create_task(self._connect(one))
+        task = self.clients.machine.loop.create_task(self._open_connection(client_try))
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    async def _connect(self, one: Try) -> None:
+    async def _open_connection(self, client_try: Try) -> None:
         clients = self.clients
-        left = max(0.0, (one.until - clients.place.now()) / 1e9)
+        remaining = max(0.0, (client_try.expires_at - clients.machine.now()) / 1e9)
         try:
-            async with asyncio.timeout(left):
-                made = await clients.place.system.dial(
+            async with asyncio.timeout(remaining):
+                protocol = await clients.machine.system.dial(
                     lambda: Connection(self), clients.front.addresses[self.node]
                 )
         except (OSError, TimeoutError):
             self.open -= 1
-            clients.unreachable(one)
-            self._next()
+            clients.on_unreachable(client_try)
+            self._dial_next()
             return
-        connection = cast(Connection, made)
-        connection.held = one.ask.holds
-        if one.live and not connection.closed:
-            connection.send(one)
-        elif one.live:
-            clients.unreachable(one)
+        connection = cast(Connection, protocol)
+        connection.is_held = client_try.operation.holds_connection
+        if client_try.live and not connection.closed:
+            connection.send(client_try)
+        elif client_try.live:
+            clients.on_unreachable(client_try)
         else:
-            self.free(connection)
+            self.release(connection)
 
-    def free(self, connection: Connection) -> None:
-        if connection.closed or connection.held:
+    def release(self, connection: Connection) -> None:
+        """A connection has no request any more: gives it a waiting try, or keeps it idle."""
+        if connection.closed or connection.is_held:
             return
-        connection.idle_since = self.clients.place.now()
+        connection.idle_since = self.clients.machine.now()
         while self._waiting:
-            one = self._waiting.popleft()
-            if one.live:
-                connection.send(one)
+            client_try = self._waiting.popleft()
+            if client_try.live:
+                connection.send(client_try)
                 return
         self._idle.append(connection)
 
-    def lost(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
+        """Removes a closed connection."""
         self.open -= 1
         if connection in self._idle:
             self._idle.remove(connection)
-        self._next()
+        self._dial_next()
 
-    def _next(self) -> None:
-        while self._waiting and self.open < self.clients.figures.connections_most:
-            one = self._waiting.popleft()
-            if one.live:
-                self._dial(one)
+    def _dial_next(self) -> None:
+        while self._waiting and self.open < self.clients.figures.connections_max:
+            client_try = self._waiting.popleft()
+            if client_try.live:
+                self._dial(client_try)
                 return
 
-    def close_idle(self, before: int) -> None:
-        for connection in [one for one in self._idle if one.idle_since < before]:
+    def close_idle(self, idle_before: int) -> None:
+        """Closes connections that have been idle since before a time (ns)."""
+        for connection in [idle for idle in self._idle if idle.idle_since < idle_before]:
             self._idle.remove(connection)
             connection.close()
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a node, one request at a time."""
+    """A connection to a node, with one request at a time."""
 
     def __init__(self, pool: Pool) -> None:
         self.current: Try | None = None
         self.closed = False
-        self.held = False  # its client asks no more, and keeps it
-        self.since = 0  # when it came up
+        self.is_held = False  # its client sends no more requests and keeps it open
+        self.connected_at = 0
         self.idle_since = 0
         self._pool = pool
         self._reader = MessageReader()
@@ -458,11 +497,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self.since = self.idle_since = self._pool.clients.place.now()
+        self.connected_at = self.idle_since = self._pool.clients.machine.now()
 
-    def send(self, one: Try) -> None:
-        self.current = one
-        self._pool.clients.send(one, self)
+    def send(self, client_try: Try) -> None:
+        self.current = client_try
+        self._pool.clients.send(client_try, self)
 
     def write(self, data: bytes) -> None:
         assert self._transport is not None
@@ -470,32 +509,34 @@
 
     def data_received(self, data: bytes) -> None:
         clients = self._pool.clients
-        now = clients.place.now()
+        now = clients.machine.now()
         try:
             messages = self._reader.feed(data, now)
             for message in messages:
-                status = status_of(message.first)
-                one, self.current = self.current, None
-                if one is None:
+                status = status_of(message.start_line)
+                client_try, self.current = self.current, None
+                if client_try is None:
                     raise WireError(f"an answer {status} that nobody asked for")
-                clients.answered(one, status, message.fields, message.body)
+                clients.on_answer(client_try, status, message.fields, message.body)
                 if message.fields.get(b"connection", b"").lower() == b"close":
                     self.close()
                 else:
-                    self._pool.free(self)
-        except WireError as problem:
-            clients.note(wire.Unasked(now, self._pool.node, f"a client got what is no answer: {problem}"))
+                    self._pool.release(self)
+        except WireError as exception:
+            clients.note(
+                wire.UnexpectedMessage(now, self._pool.node, f"a client got what is no answer: {exception}")
+            )
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        one, self.current = self.current, None
-        self._pool.lost(self)
-        if one is not None:
-            how = "closed" if exc is None else type(exc).__name__
+        client_try, self.current = self.current, None
+        self._pool.remove(self)
+        if client_try is not None:
+            reason = "closed" if exc is None else type(exc).__name__
             if self._reader.is_partial():
-                how += " in the midst of an answer"
-            self._pool.clients.cut(one, how)
+                reason += " in the midst of an answer"
+            self._pool.clients.on_connection_ended(client_try, reason)
 
     def close(self) -> None:
         self.closed = True
--- a/driftstair/rehearsal/fakes/crowd.py
+++ b/driftstair/rehearsal/fakes/crowd.py
@@ -1,4 +1,4 @@
-"""Strangers that connect and ask for nothing, as fast as they are told to, until they are closed."""
+"""Connections that send no whole request, opened at a fixed rate and kept until the node closes them."""
 
 from __future__ import annotations
 
@@ -6,79 +6,85 @@
 from typing import cast
 
 from driftstair.rehearsal.fakes.front import FrontLayer
-from driftstair.rehearsal.fakes.place import Place
+from driftstair.rehearsal.fakes.place import FakeMachine
 
-OPEN_MOST = 2000  # connections of one crowd at a time: it is bounded whatever the node does
-BEGIN = b"GET /api HTTP/1.1\r\nX-Cl"
+OPEN_CONNECTIONS_MAX = 2000  # connections open at a time, even if the node closes none
+PARTIAL_REQUEST = b"GET /api HTTP/1.1\r\nX-Cl"
 
 
 class SilentCrowd:
-    def __init__(self, place: Place, front: FrontLayer, per_s: float, begin: bool) -> None:
-        self.open: dict[_Stranger, None] = {}
-        self._place = place
+    """Opens `per_s` connections per second. With `begin` each sends the beginning of a request, otherwise
+    nothing."""
+
+    def __init__(self, machine: FakeMachine, front: FrontLayer, per_s: float, begin: bool) -> None:
+        self.open: dict[_SilentConnection, None] = {}
+        self._machine = machine
         self._front = front
-        self._every = 1.0 / per_s
-        self._begin = begin
-        self._coming = False
-        self._due = 0.0
+        self._interval_s = 1.0 / per_s
+        self._sends_partial_request = begin
+        self._running = False
+        self._next_at = 0.0
         self._tasks: dict[asyncio.Task[None], None] = {}
 
-    def come(self) -> None:
-        self._coming = True
-        self._due = self._place.loop.time()
-        self._next()
+    def start(self) -> None:
+        """Starts opening connections."""
+        self._running = True
+        self._next_at = self._machine.loop.time()
+        self._open_due()
 
     def stop(self) -> None:
-        """No more come, and those that are there leave."""
-        self._coming = False
-        for stranger in list(self.open):
-            stranger.leave()
-
-    def _next(self) -> None:
-        """All whose time has come: a real loop counts in whole milliseconds."""
-        if not self._coming:
+        """Opens no more connections and closes the open ones."""
+        self._running = False
+        for connection in list(self.open):
+            connection.close()
+
+    def _open_due(self) -> None:
+        """Opens all connections that are due: timers of a real event loop have a resolution of 1 ms."""
+        if not self._running:
             return
-        while self._due <= self._place.loop.time():
-            self._due += self._every
+        while self._next_at <= self._machine.loop.time():
+            self._next_at += self._interval_s
             node = self._front.pick()
-            if node is not None and len(self.open) + len(self._tasks) < OPEN_MOST:
-                task = self._place.loop.create_task(self._connect(self._front.addresses[node]))
+            if node is not None and len(self.open) + len(self._tasks) < OPEN_CONNECTIONS_MAX:
+                task = self._machine.loop.create_task(self._connect(self._front.addresses[node]))
                 self._tasks[task] = None
                 task.add_done_callback(lambda done: self._tasks.pop(done, None))
-        self._place.loop.call_later(max(0.0, self._due - self._place.loop.time()), self._next)
+        self._machine.loop.call_later(max(0.0, self._next_at - self._machine.loop.time()), self._open_due)
 
     async def _connect(self, address: tuple[str, int]) -> None:
         try:
             async with asyncio.timeout(2.0):
-                await self._place.system.dial(lambda: _Stranger(self), address)
+                await self._machine.system.dial(lambda: _SilentConnection(self), address)
         except (OSError, TimeoutError):
             return
 
-    def entered(self, stranger: _Stranger) -> bytes:
-        self.open[stranger] = None
-        if not self._coming:
-            stranger.leave()
-        return BEGIN if self._begin else b""
+    def add(self, connection: _SilentConnection) -> bytes:
+        """Registers an established connection; returns what it sends first."""
+        self.open[connection] = None
+        if not self._running:
+            connection.close()
+        return PARTIAL_REQUEST if self._sends_partial_request else b""
 
-    def left(self, stranger: _Stranger) -> None:
-        self.open.pop(stranger, None)
+    def remove(self, connection: _SilentConnection) -> None:
+        """Removes a closed connection."""
+        self.open.pop(connection, None)
 
 
-class _Stranger(asyncio.Protocol):
+class _SilentConnection(asyncio.Protocol):
     def __init__(self, crowd: SilentCrowd) -> None:
         self._crowd = crowd
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        begin = self._crowd.entered(self)
-        if begin:
-            self._transport.write(begin)
+        first_bytes = self._crowd.add(self)
+        if first_bytes:
+            self._transport.write(first_bytes)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._crowd.left(self)
+        self._crowd.remove(self)
 
-    def leave(self) -> None:
+    def close(self) -> None:
         if self._transport is not None:
             self._transport.close()
--- a/driftstair/rehearsal/fakes/front.py
+++ b/driftstair/rehearsal/fakes/front.py
@@ -1,7 +1,6 @@
-"""The plain layer before the nodes: it deals out requests among the nodes that it holds to be there, evenly
-but for those that `times` names.
+"""The simple load balancer in front of the nodes: a round robin over the nodes that it considers up.
 
-It takes in a node once `GET /up` has answered 200, and notices only after some seconds that one has died.
+It adds a node once `GET /up` answers 200, and notices only after some seconds that one has died.
 """
 
 from __future__ import annotations
@@ -12,83 +11,92 @@
 from typing import cast
 
 from driftstair.rehearsal.fakes.http1 import MessageReader, WireError, status_of
-from driftstair.rehearsal.fakes.place import Place
+from driftstair.rehearsal.fakes.place import FakeMachine
 
-ASK_EVERY = 0.1  # s
-ENDING = (0.2, 0.4)  # s after SIGTERM in which new connections still come
-ANSWER_WITHIN = 2.0  # s
+PROBE_INTERVAL_S = 0.1
+DRAIN_NOTICE_S = (0.2, 0.4)  # from SIGTERM to the last new connections
+PROBE_TIMEOUT_S = 2.0
 
 
 class FrontLayer:
+    """`notice_s`: how long a dead node still gets requests. `weights`: turns in a round for each node that
+    has more than one."""
+
     def __init__(
-        self, place: Place, nodes: list[str], notice: float, random: Random,
-        times: dict[str, int] | None = None,
+        self, machine: FakeMachine, nodes: list[str], notice_s: float, random: Random,
+        weights: dict[str, int] | None = None,
     ) -> None:  # fmt: skip
         self.addresses: dict[str, tuple[str, int]] = {}
-        self._place = place
-        # Those that see more than the others have so many turns.
-        self._nodes = nodes if not times else [one for one in nodes for _ in range(times.get(one, 1))]
-        if times:
-            random.shuffle(self._nodes)
-        self._notice = notice  # s
+        self._machine = machine
+        # A node with a weight appears so many times in the rotation.
+        self._rotation = (
+            nodes if not weights else [node for node in nodes for _ in range(weights.get(node, 1))]
+        )
+        if weights:
+            random.shuffle(self._rotation)
+        self._notice_s = notice_s
         self._random = random
-        self._there: dict[str, bool] = dict.fromkeys(nodes, False)
-        # A word on an earlier generation counts no more.
+        self._up: dict[str, bool] = dict.fromkeys(nodes, False)
+        # Events of an earlier generation of a node are ignored.
         self._generations: dict[str, int] = dict.fromkeys(nodes, 0)
-        self._turn = 0
+        self._position = 0
         self._tasks: dict[asyncio.Task[None], None] = {}
 
     def pick(self) -> str | None:
-        """The next node in turn; None while none is held to be there."""
-        for _ in self._nodes:
-            self._turn = (self._turn + 1) % len(self._nodes)
-            if self._there[self._nodes[self._turn]]:
-                return self._nodes[self._turn]
+        """The next node in the rotation; None while no node is considered up."""
+        for _ in self._rotation:
+            self._position = (self._position + 1) % len(self._rotation)
+            if self._up[self._rotation[self._position]]:
+                return self._rotation[self._position]
         return None
 
-    def has(self, node: str) -> bool:
-        return self._there[node]
+    def is_up(self, node: str) -> bool:
+        """Whether a node is considered up."""
+        return self._up[node]
 
-    def node_starts(self, node: str, address: tuple[str, int], ready: Callable[[], None]) -> None:
-        """Ask until it says that it is up; `ready` is called then."""
+    def node_starts(self, node: str, address: tuple[str, int], on_ready: Callable[[], None]) -> None:
+        """A node was started: probes it until it is up, and then calls `on_ready`."""
         self.addresses[node] = address
         self._generations[node] += 1
-        task = self._place.loop.create_task(self._ask(node, self._generations[node], ready))
+        task = self._machine.loop.create_task(self._probe_until_up(node, self._generations[node], on_ready))
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
     def node_dies(self, node: str) -> None:
+        """A node died, which this layer notices after a while."""
         self._generations[node] += 1
-        self._place.loop.call_later(self._notice, self._drop, node, self._generations[node])
+        self._machine.loop.call_later(self._notice_s, self._drop, node, self._generations[node])
 
     def node_ends(self, node: str) -> None:
-        """It was told to end, and so was this layer."""
+        """A node was asked to end, and this layer was informed of it."""
         self._generations[node] += 1
-        self._place.loop.call_later(self._random.uniform(*ENDING), self._drop, node, self._generations[node])
+        self._machine.loop.call_later(
+            self._random.uniform(*DRAIN_NOTICE_S), self._drop, node, self._generations[node]
+        )
 
     def _drop(self, node: str, generation: int) -> None:
         if self._generations[node] == generation:
-            self._there[node] = False
+            self._up[node] = False
 
-    async def _ask(self, node: str, generation: int, ready: Callable[[], None]) -> None:
+    async def _probe_until_up(self, node: str, generation: int, on_ready: Callable[[], None]) -> None:
         while self._generations[node] == generation:
-            if await self._is_up(node):
+            if await self._probe(node):
                 if self._generations[node] == generation:
-                    self._there[node] = True
-                    ready()
+                    self._up[node] = True
+                    on_ready()
                 return
-            await asyncio.sleep(ASK_EVERY)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
-    async def _is_up(self, node: str) -> bool:
+    async def _probe(self, node: str) -> bool:
         try:
-            async with asyncio.timeout(ANSWER_WITHIN):
-                made = await self._place.system.dial(_UpQuestion, self.addresses[node])
-                return await cast(_UpQuestion, made).answer
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
+                protocol = await self._machine.system.dial(_UpProbe, self.addresses[node])
+                return await cast(_UpProbe, protocol).answer
         except (OSError, TimeoutError, WireError):
             return False
 
 
-class _UpQuestion(asyncio.Protocol):
+class _UpProbe(asyncio.Protocol):
     def __init__(self) -> None:
         self.answer: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._reader = MessageReader()
@@ -101,7 +109,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             messages = self._reader.feed(data, 0)
-            status = status_of(messages[0].first) if messages else 0
+            status = status_of(messages[0].start_line) if messages else 0
         except WireError:
             status = -1
         if status and not self.answer.done():
--- a/driftstair/rehearsal/fakes/place.py
+++ b/driftstair/rehearsal/fakes/place.py
@@ -1,4 +1,4 @@
-"""Where a fake stands: a machine with a loop, a clock and sockets, simulated or real."""
+"""The machine of a fake, simulated or on loopback: an event loop, a clock and sockets."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from driftstair.net.system import Listener, System
 
-BACKLOG = 4096
+DEFAULT_BACKLOG = 4096
 
 
-class Place(Protocol):
-    """One machine. Times are ns since the start of the run."""
+class FakeMachine(Protocol):
+    """The machine that a fake runs on. Times are ns since the start of the run."""
 
     @property
     def name(self) -> str: ...
@@ -29,32 +29,34 @@
     def now(self) -> int: ...
 
     def unix_ms(self, at: int) -> int:
-        """A time of the run on the wall clock, in ms."""
+        """Converts a time of the run to Unix time in ms."""
 
     def reset(self, transport: asyncio.Transport) -> None:
-        """End a connection so that its peer sees a reset."""
+        """Closes a connection with a reset."""
 
     def die(self) -> None:
-        """Its process is killed; `restart` gives the machine another one."""
+        """Kills the fake's process."""
 
-    def restart(self) -> None: ...
+    def restart(self) -> None:
+        """Starts a new process on the machine after `die`."""
 
     def vanish(self) -> None:
-        """Cut off in silence, until `come_back`."""
+        """Cuts the machine off from the network without notice to its peers, until `come_back`."""
 
-    def come_back(self) -> None: ...
+    def come_back(self) -> None:
+        """Connects the machine to the network again."""
 
 
 class Acceptor:
-    """Takes in all that connect to one address, each with a protocol of `factory`'s making."""
+    """Accepts all connections to one address, each with a new protocol from `factory`."""
 
     def __init__(
-        self, place: Place, address: tuple[str, int], factory: Callable[[], asyncio.BaseProtocol],
-        backlog: int = BACKLOG,
+        self, machine: FakeMachine, address: tuple[str, int], factory: Callable[[], asyncio.BaseProtocol],
+        backlog: int = DEFAULT_BACKLOG,
     ) -> None:  # fmt: skip
-        self._place = place
+        self._machine = machine
         self._factory = factory
-        self._listener: Listener = place.system.listen(address, backlog)
+        self._listener: Listener = machine.system.listen(address, backlog)
         self.address = self._listener.address
         self._tasks: dict[asyncio.Task[None], None] = {}
         self._open = True
@@ -67,8 +69,8 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                return  # no descriptor left, or that one is gone already
-            task = self._place.loop.create_task(self._adopt(accepted))
+                return  # no descriptor is free, or the peer closed the connection already
+            task = self._machine.loop.create_task(self._adopt(accepted))
             self._tasks[task] = None
             task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
@@ -76,6 +78,7 @@
         await self._listener.adopt(self._factory, accepted)
 
     def close(self) -> None:
+        """Closes the listening socket."""
         if self._open:
             self._open = False
             self._listener.pause()
--- a/driftstair/rehearsal/fakes/workload.py
+++ b/driftstair/rehearsal/fakes/workload.py
@@ -1,6 +1,7 @@
-"""What each request is: its class, tenant, key and work, drawn from the seed.
+"""The classes of requests and the work of each request, drawn from the seed.
 
-A request's work follows from its id alone, so that a box on any machine finds the same without being told.
+The work of a request is derived from its id, so that a box on any machine computes the same value without
+receiving it.
 """
 
 from __future__ import annotations
@@ -21,73 +22,86 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """A class as drawn for one run. Times in s, work in core-seconds."""
+class RequestClass:
+    """A class of requests, as drawn for one run. `work` (core-seconds) and `wait_s` are means; `mu` and
+    `sigma` are the parameters of the log-normal distribution of the work."""
 
     name: str
     index: int
     work: float
-    waits: float
+    wait_s: float
     mu: float
     sigma: float
-    wanted: int  # ns
-    given_up: int  # ns
+    wanted_ns: int
+    given_up_ns: int
     worth: float
     effect: str
-    body: int
+    body_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class Task:
+    """What one request costs: work in core-seconds, a wait for other services, and the size of the answer."""
+
     work: float
-    waits: float
-    body: int
+    wait_s: float
+    body_bytes: int
 
 
 class Workload:
-    def __init__(self, classes: Sequence[Class], random: Random) -> None:
-        self.kinds: dict[str, Kind] = {}
-        self._named: dict[bytes, Kind] = {}
-        for index, one in enumerate(classes):
-            work = random.uniform(*one.work_ms) / 1e3
-            sigma = sqrt(log(1.0 + one.spread**2))
-            kind = Kind(
-                one.name, index, work, random.uniform(*one.waits_ms) / 1e3,
-                log(max(work, 1e-9)) - sigma**2 / 2, sigma, int(one.wanted_ms * 1e6),
-                int(one.given_up_ms * 1e6), one.worth, one.effect, one.body_bytes,
+    """The classes of one run, by name."""
+
+    def __init__(self, scenario_classes: Sequence[Class], random: Random) -> None:
+        self.request_classes: dict[str, RequestClass] = {}
+        self._by_name: dict[bytes, RequestClass] = {}
+        for index, scenario_class in enumerate(scenario_classes):
+            work = random.uniform(*scenario_class.work_ms) / 1e3
+            sigma = sqrt(log(1.0 + scenario_class.spread**2))
+            request_class = RequestClass(
+                scenario_class.name, index, work, random.uniform(*scenario_class.waits_ms) / 1e3,
+                log(max(work, 1e-9)) - sigma**2 / 2, sigma, int(scenario_class.wanted_ms * 1e6),
+                int(scenario_class.given_up_ms * 1e6), scenario_class.worth, scenario_class.effect,
+                scenario_class.body_bytes,
             )  # fmt: skip
-            self.kinds[one.name] = kind
-            self._named[one.name.encode()] = kind
+            self.request_classes[scenario_class.name] = request_class
+            self._by_name[scenario_class.name.encode()] = request_class
 
-    def task(self, request: bytes, kind_name: bytes) -> Task | None:
-        """The work of a request by its id and class; None for one that no client would send."""
-        kind = self._named.get(kind_name)
+    def task(self, request: bytes, class_name: bytes) -> Task | None:
+        """The cost of a request from its id and class; None if no client would send such a request."""
+        request_class = self._by_name.get(class_name)
         try:
-            number = int(request, 16)
+            request_number = int(request, 16)
         except ValueError:
             return None
-        if kind is None or len(request) != 16:
+        if request_class is None or len(request) != 16:
             return None
-        chance = ((splitmix64(number) >> 11) + 0.5) / (1 << 53)
-        work = exp(kind.mu + kind.sigma * _NORMAL.inv_cdf(chance))
-        return Task(work, kind.waits * (0.5 + (splitmix64(number ^ _MASK) >> 11) / (1 << 53)), kind.body)
+        quantile = ((splitmix64(request_number) >> 11) + 0.5) / (1 << 53)
+        work = exp(request_class.mu + request_class.sigma * _NORMAL.inv_cdf(quantile))
+        return Task(
+            work,
+            request_class.wait_s * (0.5 + (splitmix64(request_number ^ _MASK) >> 11) / (1 << 53)),
+            request_class.body_bytes,
+        )
 
     def mean_work(self, shares: dict[str, float]) -> float:
-        """Core-seconds of a request, over classes of these shares."""
+        """The mean work (core-seconds) of a request, for classes with these shares."""
         total = sum(shares.values())
-        return sum(self.kinds[name].work * share for name, share in shares.items()) / total
+        return sum(self.request_classes[name].work * share for name, share in shares.items()) / total
 
 
-class Choice:
-    """One of several, by weight."""
+class WeightedChoice:
+    """Draws an index at random, by weight."""
 
     def __init__(self, weights: Sequence[float]) -> None:
-        self._sums = list(accumulate(weights))
+        self._cumulative_weights = list(accumulate(weights))
 
     def draw(self, random: Random) -> int:
-        return min(bisect_right(self._sums, random.random() * self._sums[-1]), len(self._sums) - 1)
+        return min(
+            bisect_right(self._cumulative_weights, random.random() * self._cumulative_weights[-1]),
+            len(self._cumulative_weights) - 1,
+        )
 
 
-def zipf(count: int, skew: float) -> Choice:
-    """Weights by rank (Zipf): the r-th most popular is asked for as 1 / r ** skew."""
-    return Choice([1.0 / rank**skew for rank in range(1, count + 1)])
+def zipf(count: int, skew: float) -> WeightedChoice:
+    """Weights of a Zipf distribution: that of rank r is 1 / r ** skew."""
+    return WeightedChoice([1.0 / rank**skew for rank in range(1, count + 1)])
--- a/driftstair/rehearsal/faults.py
+++ b/driftstair/rehearsal/faults.py
@@ -39,8 +39,8 @@
             return float(before + (phase.rate - before) * part)
 
         self._stage.load.phase = phase.name
-        self._stage.load.set_times("phase", times)
-        self._stage.load.set_classes("phase", phase.shares)
+        self._stage.load.set_factor("phase", times)
+        self._stage.load.set_class_factors("phase", phase.shares)
         self._stage.say(f"phase {phase.name}")
 
     def _choose_boxes(self, fault: model._AtBoxes, index: int) -> list[Box]:
@@ -91,13 +91,13 @@
     def _slowed(self, boxes: list[Box], times: float) -> End:
         for box in boxes:
             if box.running:
-                box.set_slow(box.engine.slow * times)
+                box.set_slow(box.engine.slowdown * times)
 
         def end() -> None:
             self._stage.say(f"{_names(boxes)} as fast as before")
             for box in boxes:
                 if box.running:
-                    box.set_slow(max(1.0, box.engine.slow / times))
+                    box.set_slow(max(1.0, box.engine.slowdown / times))
 
         return end
 
@@ -116,7 +116,7 @@
         boxes = self._choose_boxes(fault, index)
         for box in boxes:
             self._stage.say(f"box {box.name} is cut off in silence")
-            box.place.vanish()
+            box.machine.vanish()
             self._stage.cuts[box.name] = (self._stage.now(), FOREVER)
             self._stage.tell_list(box, HostState.GONE, silent=True)
 
@@ -126,7 +126,7 @@
                 if self._stage.boxes.get(box.name) is not box:
                     continue  # replaced meanwhile: its name is gone, and its machine is another box's
                 self._stage.say(f"box {box.name} is back")
-                box.place.come_back()
+                box.machine.come_back()
                 if box.running:
                     self._stage.tell_list(box, HostState.DRAINING if box.draining else HostState.READY)
 
@@ -162,8 +162,8 @@
 
     def _crowd_comes(self, fault: model.SilentCrowd, index: int) -> End:
         self._stage.say(f"{fault.per_s:g} strangers a second connect and ask for nothing")
-        crowd = SilentCrowd(self._stage.place, self._stage.front, fault.per_s, fault.begin)
-        crowd.come()
+        crowd = SilentCrowd(self._stage.clients_machine, self._stage.front, fault.per_s, fault.begin)
+        crowd.start()
         return crowd.stop
 
     def _replace_boxes(self, fault: model.Replace, index: int) -> End:
@@ -182,13 +182,13 @@
             return 1.0 + (fault.times - 1.0) * min(rise, fall)
 
         self._stage.say(f"{fault.times:g} times the traffic")
-        self._stage.load.set_times(index, times)
-        return lambda: self._stage.load.set_times(index, None)
+        self._stage.load.set_factor(index, times)
+        return lambda: self._stage.load.set_factor(index, None)
 
     def _surge(self, fault: model.Surge, index: int) -> End:
         self._stage.say(f"{fault.times:g} times the {fault.of_class}")
-        self._stage.load.set_classes(index, {fault.of_class: fault.times})
-        return lambda: self._stage.load.set_classes(index, None)
+        self._stage.load.set_class_factors(index, {fault.of_class: fault.times})
+        return lambda: self._stage.load.set_class_factors(index, None)
 
     def _list_out(self, fault: model.ListOutage, index: int) -> End:
         self._stage.say("the box list is out of reach")
@@ -242,7 +242,7 @@
 
     def _nodes_stall(self, fault: model.NodeStalls, index: int) -> End:
         names = self._choose_nodes(fault, index)
-        return self._silent(names, "stands still", lambda node: node.stand_still(), lambda node: node.go_on())
+        return self._silent(names, "stands still", lambda node: node.suspend(), lambda node: node.resume())
 
     def _silent(
         self, names: list[str], what: str, fall: Callable[[NodeProcess], None],
@@ -262,7 +262,7 @@
                 self._stage.vanished.discard(name)
                 come_back(self._stage.nodes[name])
                 self._end_cut(name)
-                self._stage.note(wire.NodeUp(self._stage.now(), name, anew=False))
+                self._stage.note(wire.NodeUp(self._stage.now(), name, new_process=False))
                 self._stage.front.node_starts(name, self._stage.nodes[name].address(), lambda: None)
 
         return end
@@ -276,13 +276,13 @@
         def stand() -> None:
             if not over and not self._stage.over:
                 for name in names:
-                    self._stage.nodes[name].stand_still()
+                    self._stage.nodes[name].suspend()
                 self._stage.after(fault.stands_ms / 1e3, run)
 
         def run() -> None:
             for name in names:
                 if name not in self._stage.vanished:
-                    self._stage.nodes[name].go_on()
+                    self._stage.nodes[name].resume()
             self._stage.after(fault.runs_ms / 1e3, stand)
 
         def end() -> None:
--- a/driftstair/rehearsal/hunt.py
+++ b/driftstair/rehearsal/hunt.py
@@ -60,7 +60,7 @@
 def judge(tree: Tree) -> Finding:
     """Play a scenario in virtual time."""
     try:
-        rehearsal, _, _ = virtual.play(parse(deepcopy(tree), "drawn"))
+        rehearsal, _, _ = virtual.run_scenario(parse(deepcopy(tree), "drawn"))
     except Exception as problem:
         # Guards against the end of a hunt, and the loss of all it has found, by a scenario that the kit can't
         # play: seen with two replacements of one box.
--- a/driftstair/rehearsal/load.py
+++ b/driftstair/rehearsal/load.py
@@ -1,4 +1,4 @@
-"""Reads scenario files, and refuses by file, key and reason what could not be played."""
+"""Reads and validates scenario files. Errors name the file, the key and the reason."""
 
 from __future__ import annotations
 
@@ -19,53 +19,55 @@
 
 log = logging.getLogger(__name__)
 
-EXTENDS_MOST = 8
-RENAMED = {"trouble": "fault"}  # keys of version 0.1 by their names now; they are read until 0.3
+EXTENDS_DEPTH_MAX = 8  # of scenarios that extend one another
+RENAMED_KEYS = {
+    "trouble": "fault"
+}  # keys of version 0.1 and their new names; the old ones are read until 0.3
 
 
 class ScenarioError(Exception):
-    """A scenario that can't be played: one line with the file, the key and why."""
+    """An invalid scenario: one line with the file, the key and the reason."""
 
 
-def shipped() -> dict[str, str]:
-    """The scenarios that come with the kit: their names and the texts of their files."""
+def shipped_scenarios() -> dict[str, str]:
+    """The scenarios included in the package, as the texts of their files by name."""
     folder = files("driftstair.rehearsal") / "scenarios"
-    found = {entry.name: entry.read_text(encoding="utf-8") for entry in folder.iterdir()}
-    return {name.removesuffix(".toml"): found[name] for name in sorted(found) if name.endswith(".toml")}
+    texts = {entry.name: entry.read_text(encoding="utf-8") for entry in folder.iterdir()}
+    return {name.removesuffix(".toml"): texts[name] for name in sorted(texts) if name.endswith(".toml")}
 
 
 def load(source: str, changes: dict[str, Any] | None = None) -> Scenario:
-    """A shipped scenario by its name, or a file by its path. `changes` are laid over the file's tables, as
-    another file that extends it would be. Raises ScenarioError."""
-    where, tree = _whole(source, changes or {})
+    """Loads a shipped scenario by name, or a file by path. `changes` are merged over its tables, like those
+    of a file that extends it. Raises ScenarioError."""
+    where, tree = _resolve(source, changes or {})
     return parse(tree, where)
 
 
-def resolved(source: str, changes: dict[str, Any] | None = None) -> dict[str, Any]:
-    """The tables of such a scenario, with nothing left to look up. Raises ScenarioError."""
-    return _whole(source, changes or {})[1]
+def resolved_tables(source: str, changes: dict[str, Any] | None = None) -> dict[str, Any]:
+    """The tables of a scenario as in `load`, with `extends` resolved. Raises ScenarioError."""
+    return _resolve(source, changes or {})[1]
 
 
-def _whole(source: str, changes: dict[str, Any]) -> tuple[str, dict[str, Any]]:
+def _resolve(source: str, changes: dict[str, Any]) -> tuple[str, dict[str, Any]]:
     where, tree = _read(source)
-    tree = _with_new_names(tree, where)
-    for _ in range(EXTENDS_MOST):
+    tree = _replace_renamed_keys(tree, where)
+    for _ in range(EXTENDS_DEPTH_MAX):
         base = tree.pop("extends", None)
         if base is None:
             break
-        if not isinstance(base, str) or base not in shipped():
-            near = _nearest(base, shipped())
-            raise ScenarioError(f"{where}: extends: {base!r} is no shipped scenario{near}")
-        tree = _laid_over(_read(base)[1], tree)
+        if not isinstance(base, str) or base not in shipped_scenarios():
+            suggestion = _suggestion(base, shipped_scenarios())
+            raise ScenarioError(f"{where}: extends: {base!r} is no shipped scenario{suggestion}")
+        tree = _merge(_read(base)[1], tree)
     else:
-        raise ScenarioError(f"{where}: extends: more than {EXTENDS_MOST} files deep")
-    return where, _laid_over(tree, _with_new_names(changes, where))
+        raise ScenarioError(f"{where}: extends: more than {EXTENDS_DEPTH_MAX} files deep")
+    return where, _merge(tree, _replace_renamed_keys(changes, where))
 
 
-def _with_new_names(tree: dict[str, Any], where: str) -> dict[str, Any]:
-    """The same tables, with a warning for each key that has been renamed. Raises ScenarioError where a file
-    has both names."""
-    for old, new in RENAMED.items():
+def _replace_renamed_keys(tree: dict[str, Any], where: str) -> dict[str, Any]:
+    """Replaces renamed keys by their new names, with a warning for each. Raises ScenarioError if a file has
+    both names."""
+    for old, new in RENAMED_KEYS.items():
         if old not in tree:
             continue
         if new in tree:
@@ -76,93 +78,98 @@
 
 
 def parse(tree: dict[str, Any], where: str) -> Scenario:
-    """A scenario from its tables; `where` names them in errors."""
+    """Validates the tables of a scenario. `where` names their source in errors. Raises ScenarioError."""
     try:
-        found = Scenario.model_validate(tree)
-    except ValidationError as problem:
-        raise ScenarioError(f"{where}: {_explained(problem.errors()[0])}") from None
-    _check(found, where)
-    return found
+        scenario = Scenario.model_validate(tree)
+    except ValidationError as error:
+        raise ScenarioError(f"{where}: {_describe_error(error.errors()[0])}") from None
+    _check_scenario(scenario, where)
+    return scenario
 
 
-def classes(of: Scenario) -> tuple[model.Class, ...]:
-    return of.classes or model.CLASSES
+def classes(scenario: Scenario) -> tuple[model.Class, ...]:
+    """The scenario's request classes, or the default ones."""
+    return scenario.classes or model.CLASSES
 
 
-def tenants(of: Scenario) -> tuple[model.Tenant, ...]:
-    return of.tenants or model.TENANTS
+def tenants(scenario: Scenario) -> tuple[model.Tenant, ...]:
+    """The scenario's tenants, or the default ones."""
+    return scenario.tenants or model.TENANTS
 
 
-def kinds(of: Scenario) -> tuple[model.Kind, ...]:
-    return of.boxes.kind or model.KINDS
+def kinds(scenario: Scenario) -> tuple[model.Kind, ...]:
+    """The scenario's kinds of boxes, or the default ones."""
+    return scenario.boxes.kind or model.KINDS
 
 
 def _read(source: str) -> tuple[str, dict[str, Any]]:
-    known = shipped()
+    known = shipped_scenarios()
     if source in known:
         return source, tomllib.loads(known[source])
     path = Path(source)
     if not path.suffix and not path.exists():
-        raise ScenarioError(f"{source}: no such scenario{_nearest(source, known)}; --list names them")
+        raise ScenarioError(f"{source}: no such scenario{_suggestion(source, known)}; --list names them")
     try:
         return source, parse_text(read_text(source), tomllib.loads)
-    except FileError as problem:
-        raise ScenarioError(f"{source}: {problem}") from None
-    except tomllib.TOMLDecodeError as problem:
-        raise ScenarioError(f"{source}: no TOML text: {problem}") from None
+    except FileError as error:
+        raise ScenarioError(f"{source}: {error}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise ScenarioError(f"{source}: no TOML text: {error}") from None
 
 
-def _laid_over(base: dict[str, Any], top: dict[str, Any]) -> dict[str, Any]:
-    """Tables are laid over key by key; anything else, lists too, replaces what was there."""
-    out = dict(base)
+def _merge(base: dict[str, Any], top: dict[str, Any]) -> dict[str, Any]:
+    """Merges tables key by key, recursively; any other value, a list too, replaces that of the base."""
+    merged = dict(base)
     for key, value in top.items():
-        before = out.get(key)
-        if isinstance(before, dict) and isinstance(value, dict):
-            out[key] = _laid_over(before, value)
+        base_value = merged.get(key)
+        if isinstance(base_value, dict) and isinstance(value, dict):
+            merged[key] = _merge(base_value, value)
         else:
-            out[key] = value
-    return out
+            merged[key] = value
+    return merged
 
 
-def _nearest(name: object, known: Any) -> str:
-    found = get_close_matches(str(name), list(known), 1)
-    return f" (did you mean {found[0]!r}?)" if found else ""
+def _suggestion(name: object, known: Any) -> str:
+    matches = get_close_matches(str(name), list(known), 1)
+    return f" (did you mean {matches[0]!r}?)" if matches else ""
 
 
-def _explained(problem: ErrorDetails) -> str:
-    """One error with its place first, as it stands in the file, and the nearest known name."""
-    steps = [step for index, step in enumerate(problem["loc"]) if not _is_tag(problem["loc"], index)]
+def _describe_error(error: ErrorDetails) -> str:
+    """Formats an error: the key first, as written in the file, and the nearest known name."""
+    steps = [step for index, step in enumerate(error["loc"]) if not _is_union_tag(error["loc"], index)]
     shown = "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in steps).lstrip(".")
-    reason, given = problem["msg"], problem["input"]
-    if problem["type"] == "extra_forbidden":
-        table = _table_at(problem["loc"][:-1])
+    reason, given = error["msg"], error["input"]
+    if error["type"] == "extra_forbidden":
+        table = _table_at(error["loc"][:-1])
         known = [field.alias or name for name, field in table.model_fields.items()]
-        near = _nearest(steps[-1], known)
-        return f"{shown}: no such key{near or '; known here: ' + ', '.join(sorted(known))}"
-    if problem["type"] == "missing":
+        suggestion = _suggestion(steps[-1], known)
+        return f"{shown}: no such key{suggestion or '; known here: ' + ', '.join(sorted(known))}"
+    if error["type"] == "missing":
         return f"{shown}: is missing"
-    if problem["type"] == "union_tag_not_found":
+    if error["type"] == "union_tag_not_found":
         return f"{shown}.kind: is missing; there are {', '.join(FAULT_KINDS)}"
-    if problem["type"] == "union_tag_invalid":
+    if error["type"] == "union_tag_invalid":
         kind = given.get("kind") if isinstance(given, dict) else given
-        near = _nearest(kind, FAULT_KINDS)
-        return f"{shown}.kind: no such fault: {kind!r}{near}; there are {', '.join(FAULT_KINDS)}"
+        suggestion = _suggestion(kind, FAULT_KINDS)
+        return f"{shown}.kind: no such fault: {kind!r}{suggestion}; there are {', '.join(FAULT_KINDS)}"
     reason = reason.removeprefix("Value error, ")
     return f"{shown or 'the file'}: {reason[:1].lower()}{reason[1:]}, not {given!r:.60}"
 
 
 FAULT_KINDS: dict[str, type[BaseModel]] = {
-    get_args(one.model_fields["kind"].annotation)[0]: one for one in get_args(model.AnyFault)
+    get_args(fault_type.model_fields["kind"].annotation)[0]: fault_type
+    for fault_type in get_args(model.AnyFault)
 }
 
 
-def _is_tag(steps: tuple[int | str, ...], index: int) -> bool:
-    """Of a union's member the library names the kind in the path, where the file has nothing."""
+def _is_union_tag(steps: tuple[int | str, ...], index: int) -> bool:
+    """Whether a step of an error's path is the kind of a fault, which pydantic inserts and the file doesn't
+    have."""
     return index == 2 and steps[0] == "fault"
 
 
 def _table_at(steps: tuple[int | str, ...]) -> type[BaseModel]:
-    """The type of the table at a path, to tell its keys."""
+    """The type of the table at a path, for its known keys."""
     tables: dict[tuple[int | str, ...], type[BaseModel]] = {
         (): Scenario, ("load",): model.Load, ("class",): model.Class, ("tenant",): model.Tenant,
         ("nodes",): model.Nodes, ("nodes", "tier"): model.Tier,
@@ -178,115 +185,119 @@
     return tables[tuple(step for step in steps if isinstance(step, str))]
 
 
-# What types can't say.
+# Constraints that the types can't express.
 
 
-def _check(found: Scenario, where: str) -> None:
-    def refuse(key: str, why: str) -> None:
-        raise ScenarioError(f"{where}: {key}: {why}")
+def _check_scenario(scenario: Scenario, where: str) -> None:
+    def refuse(key: str, reason: str) -> None:
+        raise ScenarioError(f"{where}: {key}: {reason}")
 
-    named = classes(found)
-    for what, names in (
-        ("class", [one.name for one in named]),
-        ("tenant", [one.name for one in tenants(found)]),
-        ("boxes.kind", [one.name for one in kinds(found)]),
-        ("phase", [one.name for one in found.phases]),
+    request_classes = classes(scenario)
+    for entity, names in (
+        ("class", [item.name for item in request_classes]),
+        ("tenant", [item.name for item in tenants(scenario)]),
+        ("boxes.kind", [item.name for item in kinds(scenario)]),
+        ("phase", [item.name for item in scenario.phases]),
     ):
-        twice = next((name for name in names if names.count(name) > 1), None)
-        if twice is not None:
-            refuse(what, f"two are named {twice!r}")
-    class_names = [one.name for one in named]
-    for index, one in enumerate(named):
-        if one.wanted_ms > one.given_up_ms:
+        duplicate = next((name for name in names if names.count(name) > 1), None)
+        if duplicate is not None:
+            refuse(entity, f"two are named {duplicate!r}")
+    class_names = [item.name for item in request_classes]
+    for index, item in enumerate(request_classes):
+        if item.wanted_ms > item.given_up_ms:
             refuse(
                 f"class[{index}].wanted_ms",
-                f"{one.wanted_ms:g} is after given_up_ms, {one.given_up_ms:g}: nobody would wait for it",
+                f"{item.wanted_ms:g} is after given_up_ms, {item.given_up_ms:g}: nobody would wait for it",
             )
-    before = -1.0
-    for index, phase in enumerate(found.phases):
-        if phase.at_s <= before:
-            refuse(f"phase[{index}].at_s", f"{phase.at_s:g} is not after the phase before it, {before:g}")
-        if phase.at_s >= found.seconds:
-            refuse(f"phase[{index}].at_s", f"{phase.at_s:g} is not before the end, {found.seconds:g}")
+    previous_at_s = -1.0
+    for index, phase in enumerate(scenario.phases):
+        if phase.at_s <= previous_at_s:
+            refuse(
+                f"phase[{index}].at_s", f"{phase.at_s:g} is not after the phase before it, {previous_at_s:g}"
+            )
+        if phase.at_s >= scenario.seconds:
+            refuse(f"phase[{index}].at_s", f"{phase.at_s:g} is not before the end, {scenario.seconds:g}")
         for name in phase.shares:
             if name not in class_names:
-                refuse(f"phase[{index}].shares.{name}", f"no such class{_nearest(name, class_names)}")
-        before = phase.at_s
-    if found.nodes.tier is not None:
+                refuse(f"phase[{index}].shares.{name}", f"no such class{_suggestion(name, class_names)}")
+        previous_at_s = phase.at_s
+    if scenario.nodes.tier is not None:
         for key in ("wall_off_h", "clock_rates"):
-            odd: tuple[str, ...] = tuple(getattr(found.nodes.tier, key))
-            if odd:
-                _check_nodes(found, odd, f"nodes.tier.{key}", refuse)
-    if found.nodes.tier is not None and found.nodes.tier.liars:
-        _check_nodes(found, found.nodes.tier.liars, "nodes.tier.liars", refuse)
-        if not found.nodes.tier.judge:
+            nodes: tuple[str, ...] = tuple(getattr(scenario.nodes.tier, key))
+            if nodes:
+                _check_nodes(scenario, nodes, f"nodes.tier.{key}", refuse)
+    if scenario.nodes.tier is not None and scenario.nodes.tier.liars:
+        _check_nodes(scenario, scenario.nodes.tier.liars, "nodes.tier.liars", refuse)
+        if not scenario.nodes.tier.judge:
             refuse("nodes.tier.liars", "nobody listens without judge = true")
-    for name, budget in found.nodes.budgets().items():
-        key, least = f"nodes.tier.{name}", found.nodes.count / budget.per_s
-        if found.nodes.service is not None:
+    for name, budget in scenario.nodes.budgets().items():
+        key, burst_min_s = f"nodes.tier.{name}", scenario.nodes.count / budget.per_s
+        if scenario.nodes.service is not None:
             refuse(key, "stands in nodes.service, where there is one")
-        if budget.burst_s < least:
-            refuse(f"{key}.burst_s", f"a node alone never has one token to spend; {least:g} would do")
-    for index, fault in enumerate(found.faults):
-        _check_fault(found, fault, f"fault[{index}]", class_names, refuse)
+        if budget.burst_s < burst_min_s:
+            refuse(f"{key}.burst_s", f"a node alone never has one token to spend; {burst_min_s:g} would do")
+    for index, fault in enumerate(scenario.faults):
+        _check_fault(scenario, fault, f"fault[{index}]", class_names, refuse)
 
 
 def _check_fault(
-    found: Scenario, fault: model.AnyFault, key: str, class_names: list[str], refuse: Any
+    scenario: Scenario, fault: model.AnyFault, key: str, class_names: list[str], refuse: Any
 ) -> None:
-    if fault.at_s >= found.seconds:
-        refuse(f"{key}.at_s", f"{fault.at_s:g} is not before the end, seconds = {found.seconds:g}")
+    if fault.at_s >= scenario.seconds:
+        refuse(f"{key}.at_s", f"{fault.at_s:g} is not before the end, seconds = {scenario.seconds:g}")
     if isinstance(fault, model.Surge) and fault.of_class not in class_names:
-        near = _nearest(fault.of_class, class_names)
-        refuse(f"{key}.of_class", f"no such class: {fault.of_class!r}{near}")
-    if isinstance(fault, model.ListMoves) and found.list.mode == "pushed":
+        suggestion = _suggestion(fault.of_class, class_names)
+        refuse(f"{key}.of_class", f"no such class: {fault.of_class!r}{suggestion}")
+    if isinstance(fault, model.ListMoves) and scenario.list.mode == "pushed":
         refuse(f"{key}.kind", "a pushed list is on the node's own machine and does not move")
     if isinstance(fault, model._AtNodes):
         if fault.nodes is None:
             refuse(f"{key}.nodes", "give how many, or names")
-        _check_nodes(found, fault.nodes, f"{key}.nodes", refuse)
+        _check_nodes(scenario, fault.nodes, f"{key}.nodes", refuse)
     if isinstance(fault, model.Links):
-        if found.nodes.tier is None:
+        if scenario.nodes.tier is None:
             refuse(f"{key}.kind", "nodes send each other nothing without a table [nodes.tier]")
-        _check_nodes(found, fault.senders, f"{key}.senders", refuse)
-        _check_nodes(found, fault.receivers, f"{key}.receivers", refuse)
+        _check_nodes(scenario, fault.senders, f"{key}.senders", refuse)
+        _check_nodes(scenario, fault.receivers, f"{key}.receivers", refuse)
     if isinstance(fault, model._AtBoxes):
         if (fault.boxes is None) == (fault.part is None):
             refuse(f"{key}.boxes", "give either boxes (how many, or names) or part (a share of them)")
-        kind_names = [one.name for one in kinds(found)]
+        kind_names = [kind.name for kind in kinds(scenario)]
         if fault.of_kind is not None and fault.of_kind not in kind_names:
-            near = _nearest(fault.of_kind, kind_names)
-            refuse(f"{key}.of_kind", f"no such kind of box: {fault.of_kind!r}{near}")
+            suggestion = _suggestion(fault.of_kind, kind_names)
+            refuse(f"{key}.of_kind", f"no such kind of box: {fault.of_kind!r}{suggestion}")
         if isinstance(fault.boxes, int):
-            if not 1 <= fault.boxes <= found.boxes.count:
-                refuse(f"{key}.boxes", f"{fault.boxes} of {found.boxes.count} boxes can't be chosen")
+            if not 1 <= fault.boxes <= scenario.boxes.count:
+                refuse(f"{key}.boxes", f"{fault.boxes} of {scenario.boxes.count} boxes can't be chosen")
         elif fault.boxes is not None:
-            names = box_names(found.boxes.count)
+            names = box_names(scenario.boxes.count)
             for name in fault.boxes:
                 if name not in names:
                     refuse(f"{key}.boxes", f"no such box: {name!r}; there are {names[0]} to {names[-1]}")
 
 
-def _check_nodes(found: Scenario, chosen: model.Chosen, key: str, refuse: Any) -> None:
-    nodes = node_names(found.nodes.count)
-    if isinstance(chosen, int) and not 1 <= chosen <= len(nodes):
-        refuse(key, f"{chosen} of {len(nodes)} nodes can't be chosen")
-    for name in chosen if isinstance(chosen, tuple) else ():
+def _check_nodes(scenario: Scenario, selection: model.Chosen, key: str, refuse: Any) -> None:
+    nodes = node_names(scenario.nodes.count)
+    if isinstance(selection, int) and not 1 <= selection <= len(nodes):
+        refuse(key, f"{selection} of {len(nodes)} nodes can't be chosen")
+    for name in selection if isinstance(selection, tuple) else ():
         if name not in nodes:
             refuse(key, f"no such node: {name!r}; there are {nodes[0]} to {nodes[-1]}")
 
 
 def node_names(count: int) -> list[str]:
+    """The names of the nodes, in order."""
     return [f"n{index}" for index in range(count)]
 
 
 def box_names(count: int) -> list[str]:
+    """The names of the boxes at the start, in order."""
     width = max(2, len(str(count)))
     return [f"s-{index:0{width}d}" for index in range(1, count + 1)]
 
 
-def by_path(changes: dict[str, Any]) -> dict[str, Any]:
-    """`{"load.rate": 3}` as the tables that a file would have. Raises ScenarioError."""
+def tables_from_paths(changes: dict[str, Any]) -> dict[str, Any]:
+    """Converts dotted paths, such as `{"load.rate": 3}`, to nested tables. Raises ScenarioError."""
     tree: dict[str, Any] = {}
     for path, value in changes.items():
         *tables, key = path.split(".")
--- a/driftstair/rehearsal/platform.py
+++ b/driftstair/rehearsal/platform.py
@@ -1,4 +1,4 @@
-"""A node's configuration in the platform's form, from a scenario."""
+"""Builds a node's configuration, in the platform's format, and the checker's rules from a scenario."""
 
 from __future__ import annotations
 
@@ -15,77 +15,86 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """Addresses of the datagrams between nodes, as one of them is told."""
+    """The addresses for datagrams between nodes, for the configuration of one node."""
 
     listen: str
-    all: list[str]  # by number
+    addresses: list[str]  # of all nodes, by number
 
 
-def _ns(seconds: float) -> int:
+def _to_ns(seconds: float) -> int:
     return int(seconds * 1e9)
 
 
-def settings(of: Scenario, number: int = 0) -> dict[str, Any]:
-    """The object that tells a node of its deployment."""
-    coldest = max(load.kinds(of), key=lambda kind: kind.cold_s)
-    tenants = load.tenants(of)
-    total = sum(tenant.share for tenant in tenants)
+def settings(scenario: Scenario, node_number: int = 0) -> dict[str, Any]:
+    """The settings that describe the deployment to a node."""
+    slowest_to_warm = max(load.kinds(scenario), key=lambda kind: kind.cold_s)
+    tenants = load.tenants(scenario)
+    total_share = sum(tenant.share for tenant in tenants)
     return {
         "Contract": {
-            "AskWithin": _ns(of.list.ask_within_s),
-            "Cold": _ns(coldest.cold_s),
-            "ColdShare": min(kind.cold_share for kind in load.kinds(of)),
+            "AskWithin": _to_ns(scenario.list.ask_within_s),
+            "Cold": _to_ns(slowest_to_warm.cold_s),
+            "ColdShare": min(kind.cold_share for kind in load.kinds(scenario)),
         },
         "Feedback": {"Fields": ["load_share", "depth"], "How": "answers"},
         "Grades": [
             {
-                "Name": one.name, "Aim": int(one.wanted_ms * MS), "Deadline": int(one.given_up_ms * MS),
-                "Worth": one.worth, "LateShare": 0.0, "Semantics": SEMANTICS[one.effect], "Group": "all",
-                "MemorySpan": _ns(one.repeats_dropped_s), "Stream": False,
+                "Name": request_class.name, "Aim": int(request_class.wanted_ms * MS),
+                "Deadline": int(request_class.given_up_ms * MS), "Worth": request_class.worth,
+                "LateShare": 0.0, "Semantics": SEMANTICS[request_class.effect], "Group": "all",
+                "MemorySpan": _to_ns(request_class.repeats_dropped_s), "Stream": False,
             }
-            for one in load.classes(of)
+            for request_class in load.classes(scenario)
         ],
-        "Kinds": [kind.name for kind in load.kinds(of)],
+        "Kinds": [kind.name for kind in load.kinds(scenario)],
         "Zones": ["room"],
-        "Tenants": [{"Name": tenant.name, "Share": tenant.share / total} for tenant in tenants],
-        "MembershipMode": "pushed" if of.list.mode == "pushed" else "on_request",
+        "Tenants": [{"Name": tenant.name, "Share": tenant.share / total_share} for tenant in tenants],
+        "MembershipMode": "pushed" if scenario.list.mode == "pushed" else "on_request",
         "Limits": {
-            "DialTimeout": int(of.nodes.dial_timeout_ms * MS),
-            "IdleClose": _ns(min(kind.idle_s for kind in load.kinds(of))),
-            "MaxRetryAfter": _ns(of.nodes.retry_after_most_s),
-            "OpenCap": of.nodes.open_most,
-            "RetryAfter": of.nodes.retry_after_most_s > 0,
-            "SendCap": of.nodes.attempts,
-        } | ({} if of.nodes.tier is None else {"Peers": True}),
+            "DialTimeout": int(scenario.nodes.dial_timeout_ms * MS),
+            "IdleClose": _to_ns(min(kind.idle_s for kind in load.kinds(scenario))),
+            "MaxRetryAfter": _to_ns(scenario.nodes.retry_after_most_s),
+            "OpenCap": scenario.nodes.open_most,
+            "RetryAfter": scenario.nodes.retry_after_most_s > 0,
+            "SendCap": scenario.nodes.attempts,
+        } | ({} if scenario.nodes.tier is None else {"Peers": True}),
         "MyZone": 0,
-        "PeersTotal": of.nodes.count,
-        "SelfIndex": number,
+        "PeersTotal": scenario.nodes.count,
+        "SelfIndex": node_number,
         "WorthBy": "request",
     }  # fmt: skip
 
 
 def document(
-    of: Scenario, name: str, listen: tuple[str, int], discovery: tuple[str, int], seed: int,
+    scenario: Scenario, name: str, listen: tuple[str, int], discovery: tuple[str, int], seed: int,
     known: dict[str, Any], peers: Peers | None = None,
 ) -> dict[str, Any]:  # fmt: skip
-    """What the file at BALANCER_CONFIG holds."""
-    told = {} if peers is None else {"peer_listen": peers.listen, "peers": peers.all}
-    return told | {
+    """The content of a node's configuration file (BALANCER_CONFIG)."""
+    peer_settings = {} if peers is None else {"peer_listen": peers.listen, "peers": peers.addresses}
+    return peer_settings | {
         "name": name,
         "listen": f"{listen[0]}:{listen[1]}",
         "discovery": f"{discovery[0]}:{discovery[1]}",
         "seed": f"{seed:016x}",
-        "limits": {"cores": 1.0, "memory_mb": of.nodes.memory_mb, "sockets": of.nodes.descriptors},
-        "settings": settings(of, int(name.removeprefix("n"))),
+        "limits": {
+            "cores": 1.0,
+            "memory_mb": scenario.nodes.memory_mb,
+            "sockets": scenario.nodes.descriptors,
+        },
+        "settings": settings(scenario, int(name.removeprefix("n"))),
         "known": known,
     }
 
 
-def rule_book(of: Scenario) -> RuleBook:
+def rule_book(scenario: Scenario) -> RuleBook:
+    """The rules that the checker applies to a run of the scenario."""
     return RuleBook(
-        classes={one.name: Repeats(one.effect, _ns(one.repeats_dropped_s)) for one in load.classes(of)},
-        answer_grace=int(of.rules.answer_grace_ms * MS),
-        drain_grace=_ns(of.rules.drain_grace_s),
-        ask_within=_ns(of.list.ask_within_s),
-        cold=ColdRule(of.rules.cold_multiple, _ns(of.rules.cold_window_s)),
+        classes={
+            request_class.name: Repeats(request_class.effect, _to_ns(request_class.repeats_dropped_s))
+            for request_class in load.classes(scenario)
+        },
+        answer_grace=int(scenario.rules.answer_grace_ms * MS),
+        drain_grace=_to_ns(scenario.rules.drain_grace_s),
+        ask_within=_to_ns(scenario.list.ask_within_s),
+        cold=ColdRule(scenario.rules.cold_multiple, _to_ns(scenario.rules.cold_window_s)),
     )
--- a/driftstair/rehearsal/ports.py
+++ b/driftstair/rehearsal/ports.py
@@ -1,7 +1,8 @@
-"""Ports of loopback for processes that are started later.
+"""Reserves loopback ports for processes that are started later.
 
-Ports asked of the kernel one after the other, each given back at once, may be the same twice: of 200 drawn
-from its 28,000, in every second play. So they are held until the process that is to have them starts.
+If each port is requested from the kernel and given back at once, the same port may be returned twice: among
+200 from its range of 28,000 this happens in every second run. Each port is therefore held until the process
+that is to use it starts.
 """
 
 from __future__ import annotations
@@ -12,8 +13,9 @@
 
 
 class Port:
-    """Held from now on. A port of TCP stays held while another process listens there (both sides of it with
-    SO_REUSEADDR, socket(7)), so a restart finds it again; one of UDP is given up by `release`."""
+    """A reserved port, held until `release`. A TCP port stays held while another process listens on it (both
+    sockets use SO_REUSEADDR, socket(7)), so that it is still free after a restart of that process; a UDP port
+    has to be released before the process binds it."""
 
     def __init__(self, kind: socket.SocketKind) -> None:
         self._socket = socket.socket(socket.AF_INET, kind)
@@ -23,12 +25,15 @@
         self.number = int(self._socket.getsockname()[1])
 
     def release(self) -> None:
+        """Gives the port back."""
         self._socket.close()
 
 
-def tcp() -> Port:
+def reserve_tcp() -> Port:
+    """Reserves a TCP port."""
     return Port(socket.SOCK_STREAM)
 
 
-def udp(count: int) -> list[Port]:
+def reserve_udp(count: int) -> list[Port]:
+    """Reserves distinct UDP ports."""
     return [Port(socket.SOCK_DGRAM) for _ in range(count)]
--- a/driftstair/rehearsal/report/build.py
+++ b/driftstair/rehearsal/report/build.py
@@ -89,7 +89,7 @@
         "boxes": {
             box.name: {
                 "kind": box.kind.name, "speed": round(box.figures.speed, 4), "handled": box.handled,
-                "turned_away": box.turned_away, "jams": box.engine.jams,
+                "turned_away": box.turned_away, "jams": box.engine.jam_count,
             }
             for box in (*of.gone.values(), *of.boxes.values())
         },
--- a/driftstair/rehearsal/rules.py
+++ b/driftstair/rehearsal/rules.py
@@ -122,10 +122,12 @@
         self._contact: dict[str, tuple[int, bool]] = {}
         self._cold: dict[str, _Cold] = {}
         self._handlers = {
-            wire.Asked: self._asked, wire.Answered: self._answered, wire.Cut: self._cut,
-            wire.LeftOff: self._left_off, wire.Unasked: self._unasked, wire.Sending: self._sending,
-            wire.Sent: self._sent, wire.NotRun: self._not_run, wire.Ran: self._ran,
-            wire.Listed: self._list_changed, wire.Told: self._node_told, wire.Contact: self._node_asked,
+            wire.RequestSent: self._asked, wire.ResponseReceived: self._answered,
+            wire.ConnectionEnded: self._cut, wire.RequestAbandoned: self._left_off,
+            wire.UnexpectedMessage: self._unasked, wire.AttemptStarted: self._sending,
+            wire.AttemptReceived: self._sent, wire.AttemptNotRun: self._not_run,
+            wire.AttemptServed: self._ran, wire.ListChanged: self._list_changed,
+            wire.ListEntrySent: self._node_told, wire.ListContact: self._node_asked,
             wire.NodeUp: self._node_up, wire.NodeDown: self._node_down, wire.BoxUp: self._box_up,
             wire.BoxDown: self._box_down,
         }  # fmt: skip
@@ -172,24 +174,24 @@
         ask.open = False
         ask.ended = at
 
-    def _asked(self, seen: wire.Asked) -> None:
+    def _asked(self, seen: wire.RequestSent) -> None:
         ask = self._asks.get(seen.request)
         if ask is not None:
             # Sent once more on another connection; it keeps its history of attempts.
             ask.asked_again = True
-            ask.node, ask.connected, ask.open = seen.node, seen.connected, True
+            ask.node, ask.connected, ask.open = seen.node, seen.connected_at, True
             ask.asked, ask.until = seen.at, seen.at + seen.patience + self._book.answer_grace
         else:
             self.judged += 1
             ask = self._asks[seen.request] = _Ask(
                 seen.node, seen.kind, seen.at, seen.at + seen.patience + self._book.answer_grace,
-                seen.connected,
+                seen.connected_at,
             )  # fmt: skip
         # A dead machine takes nothing, and a connection to a process that has died is none.
-        ask.voided = self._down.get(seen.node, False) or seen.connected < self._died.get(seen.node, -1)
+        ask.voided = self._down.get(seen.node, False) or seen.connected_at < self._died.get(seen.node, -1)
         heappush(self._due, (ask.until, seen.request))
 
-    def _answered(self, seen: wire.Answered) -> None:
+    def _answered(self, seen: wire.ResponseReceived) -> None:
         ask = self._asks.get(seen.request)
         if ask is None:
             self._broken(1, seen.at, "an answer to a request that nobody made", seen.request)
@@ -212,7 +214,7 @@
                 self._broken(2, seen.at, f"refused, though it may have run: {_history(ask)}", seen.request,
                              maybe[0].box, ask.node)  # fmt: skip
 
-    def _cut(self, seen: wire.Cut) -> None:
+    def _cut(self, seen: wire.ConnectionEnded) -> None:
         ask = self._asks.get(seen.request)
         if ask is None or not ask.open or ask.voided:
             return
@@ -220,17 +222,17 @@
             # Closed between requests, and this one crossed that: its client sends it once more.
             self._end(ask, seen.at)
             return
-        self._broken(1, seen.at, f"its connection ended ({seen.how}) with no answer; {_history(ask)}",
+        self._broken(1, seen.at, f"its connection ended ({seen.reason}) with no answer; {_history(ask)}",
                      seen.request, node=ask.node)  # fmt: skip
         self._end(ask, seen.at)
 
-    def _left_off(self, seen: wire.LeftOff) -> None:
+    def _left_off(self, seen: wire.RequestAbandoned) -> None:
         ask = self._asks.get(seen.request)
         if ask is not None and ask.open:
             self._end(ask, seen.at)
 
-    def _unasked(self, seen: wire.Unasked) -> None:
-        self._broken(1, seen.at, seen.what, node=seen.node)
+    def _unasked(self, seen: wire.UnexpectedMessage) -> None:
+        self._broken(1, seen.at, seen.description, node=seen.node)
 
     # Rule 2: no effect twice. Rule 3: drains.
 
@@ -238,15 +240,15 @@
         found = self._book.classes.get(ask.kind)
         return found.effect if found is not None else "safe"
 
-    def _sending(self, seen: wire.Sending) -> None:
+    def _sending(self, seen: wire.AttemptStarted) -> None:
         self._check_drain(seen)
         ask = self._asks.get(seen.request)
         if ask is None:
             self._broken(1, seen.at, "sent to a box, though no client asked for it", seen.request, seen.box,
                          seen.node)  # fmt: skip
             return
-        if not ask.open and ask.status and seen.left > ask.ended + self._book.sending_grace:
-            late = (seen.left - ask.ended) / 1e6
+        if not ask.open and ask.status and seen.sent_at > ask.ended + self._book.sending_grace:
+            late = (seen.sent_at - ask.ended) / 1e6
             self._broken(1, seen.at, f"sent to a box {late:.0f} ms after its final answer, {ask.status}",
                          seen.request, seen.box, seen.node)  # fmt: skip
         self._check_repeat(seen, ask)
@@ -256,7 +258,7 @@
         ask.attempts.append(attempt)
         self._attempts[seen.attempt] = (seen.request, attempt)
 
-    def _check_repeat(self, seen: wire.Sending, ask: _Ask) -> None:
+    def _check_repeat(self, seen: wire.AttemptStarted, ask: _Ask) -> None:
         effect = self._effect(ask)
         maybe = [one for one in ask.attempts if one.whole >= 0 and one.not_run < 0]
         if effect == "unsafe" and maybe:
@@ -272,7 +274,7 @@
                     f"{window / 1e9:.3f} s: {_history(ask)}", seen.request, seen.box, seen.node,
                 )  # fmt: skip
 
-    def _sent(self, seen: wire.Sent) -> None:
+    def _sent(self, seen: wire.AttemptReceived) -> None:
         found = self._attempts.get(seen.attempt)
         if found is not None:
             found[1].whole = seen.at
@@ -280,23 +282,23 @@
         if cold is not None:
             self._check_cold(seen, cold)
 
-    def _not_run(self, seen: wire.NotRun) -> None:
+    def _not_run(self, seen: wire.AttemptNotRun) -> None:
         found = self._attempts.get(seen.attempt)
         if found is not None:
             found[1].not_run = seen.at
 
-    def _ran(self, seen: wire.Ran) -> None:
+    def _ran(self, seen: wire.AttemptServed) -> None:
         ask = self._asks.get(seen.request)
         if ask is not None:
             ask.tokens.add(seen.token)
 
-    def _check_drain(self, seen: wire.Sending) -> None:
+    def _check_drain(self, seen: wire.AttemptStarted) -> None:
         since = self._told_since(seen.node, seen.box, seen.at)
         limit = self._book.drain_grace + self._book.socket_grace
-        if since is not None and seen.left > since[0] + limit:
+        if since is not None and seen.sent_at > since[0] + limit:
             self._broken(
                 3, seen.at,
-                f"sent {(seen.left - since[0]) / 1e9:.3f} s after the node {since[1]}; "
+                f"sent {(seen.sent_at - since[0]) / 1e9:.3f} s after the node {since[1]}; "
                 f"{limit / 1e9:.2f} s are allowed", seen.request, seen.box, seen.node,
             )  # fmt: skip
 
@@ -316,7 +318,7 @@
 
     # Rule 4: cold boxes.
 
-    def _check_cold(self, seen: wire.Sent, cold: _Cold) -> None:
+    def _check_cold(self, seen: wire.AttemptReceived, cold: _Cold) -> None:
         if seen.at >= cold.budget.warm_at():
             del self._cold[seen.box]
             return
@@ -345,22 +347,22 @@
 
     # What the list, the nodes and the boxes do.
 
-    def _list_changed(self, seen: wire.Listed) -> None:
-        self._listed[seen.box] = (seen.at, seen.state, seen.started)
+    def _list_changed(self, seen: wire.ListChanged) -> None:
+        self._listed[seen.box] = (seen.at, seen.state, seen.started_at)
 
-    def _node_told(self, seen: wire.Told) -> None:
+    def _node_told(self, seen: wire.ListEntrySent) -> None:
         before = self._told.get((seen.node, seen.box))
         leaves = seen.state is not HostState.READY
         if before is not None and leaves and before[1] is not HostState.READY:
             return  # the first word counts
-        self._told[(seen.node, seen.box)] = (seen.at, seen.state, seen.started)
+        self._told[(seen.node, seen.box)] = (seen.at, seen.state, seen.started_at)
 
-    def _node_asked(self, seen: wire.Contact) -> None:
-        self._contact[seen.node] = (seen.at, seen.standing)
+    def _node_asked(self, seen: wire.ListContact) -> None:
+        self._contact[seen.node] = (seen.at, seen.watching)
 
     def _node_up(self, seen: wire.NodeUp) -> None:
         self._down[seen.node] = False
-        if seen.anew:
+        if seen.new_process:
             self._contact[seen.node] = (seen.at, False)
 
     def _node_down(self, seen: wire.NodeDown) -> None:
@@ -380,9 +382,9 @@
             del self._told[(node, box)]
 
     def _box_up(self, seen: wire.BoxUp) -> None:
-        if seen.cold_share < 1.0 and seen.cold_time > 0:
+        if seen.cold_share < 1.0 and seen.cold_time_ns > 0:
             self._cold[seen.box] = _Cold(
-                ColdBudget(self._book.cold, seen.at, seen.capacity, seen.cold_share, seen.cold_time)
+                ColdBudget(self._book.cold, seen.at, seen.capacity, seen.cold_share, seen.cold_time_ns)
             )
 
     def _box_down(self, seen: wire.BoxDown) -> None:
--- a/driftstair/rehearsal/runner.py
+++ b/driftstair/rehearsal/runner.py
@@ -20,8 +20,8 @@
 from driftstair.rehearsal.fakes.boxlist import BoxList, Entry, ListFigures
 from driftstair.rehearsal.fakes.clients import ClientFigures, Clients, Load
 from driftstair.rehearsal.fakes.front import FrontLayer
-from driftstair.rehearsal.fakes.place import Place
-from driftstair.rehearsal.fakes.workload import Choice, Workload
+from driftstair.rehearsal.fakes.place import FakeMachine
+from driftstair.rehearsal.fakes.workload import WeightedChoice, Workload
 from driftstair.rehearsal.faults import FaultInjector
 from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, kinds_in_order
 from driftstair.rehearsal.rules import Checker
@@ -100,36 +100,37 @@
         of, environment = self.scenario, self.environment
         random = random_for(self.seed, "fleet")
         self.workload = Workload(load.classes(of), random_for(self.seed, "work"))
-        self.place = environment.place("clients")
+        self.clients_machine = environment.fake_machine("clients")
         self.front = FrontLayer(
-            self.place, self.node_names, random.uniform(*of.front.notice_s), random_for(self.seed, "front"),
+            self.clients_machine, self.node_names, random.uniform(*of.front.notice_s),
+            random_for(self.seed, "front"),
             dict.fromkeys(
                 self.node_names[: round(of.front.busy_part * len(self.node_names))],
                 round(of.front.busy_times),
             ),
         )  # fmt: skip
-        kinds = list(self.workload.kinds.values())
+        kinds = list(self.workload.request_classes.values())
         self.load = Load(of.load.rate, kinds, [one.share for one in load.classes(of)])
         tenants = load.tenants(of)
         clients = of.clients
         self.clients = Clients(
-            self.place, self.front, self.workload,
+            self.clients_machine, self.front, self.workload,
             ClientFigures(
                 retries=clients.retries, try_share=random.uniform(*clients.try_share),
-                backoff=random.uniform(*clients.backoff_ms) / 1e3, honour=clients.honour,
+                backoff_s=random.uniform(*clients.backoff_ms) / 1e3, retry_after_share=clients.honour,
                 mark_retries=clients.mark_retries,
-                connections_most=max(1, int(clients.connections_share * of.nodes.descriptors)),
-                idle=clients.idle_s, answer_grace=of.rules.answer_grace_ms / 1e3,
+                connections_max=max(1, int(clients.connections_share * of.nodes.descriptors)),
+                idle_timeout_s=clients.idle_s, answer_grace_s=of.rules.answer_grace_ms / 1e3,
                 hold_share=clients.hold_share,
             ),
-            Choice([one.share for one in tenants]), [one.name for one in tenants], of.load.keys,
+            WeightedChoice([one.share for one in tenants]), [one.name for one in tenants], of.load.keys,
             of.load.key_skew, self.load, self.account, self.note, self._serves,
             seed_for(self.seed, "clients"),
         )  # fmt: skip
         self.list_notice = random.uniform(*of.list.notice_s)
         self.silent_notice = random.uniform(*of.list.silent_notice_s)
         self.box_list = BoxList(
-            environment.place("list"),
+            environment.fake_machine("list"),
             ListFigures(
                 of.list.mode == "pushed", of.list.lines_per_s, of.list.call_lines, of.list.timeout_ms / 1e3
             ),
@@ -140,19 +141,19 @@
         server_kinds = load.kinds(of)
         names = load.box_names(of.boxes.count)
         for name, kind_index in zip(names, kinds_in_order(of, random), strict=True):
-            self.boxes[name] = self._box(name, server_kinds[kind_index], environment.place(name))
+            self.boxes[name] = self._box(name, server_kinds[kind_index], environment.fake_machine(name))
         self.nodes = {name: environment.node(name, self._node_ended) for name in self.node_names}
         self.tier: TierStage | None = None
         if of.nodes.tier is not None:
             self.tier = TierStage(
                 of.nodes.tier, self.node_names, seed_for(self.seed, "links"), load.box_names(of.boxes.count)
             )  # fmt: skip
-            environment.join(self.tier.links)
+            environment.connect_peers(self.tier.links)
 
-    def _box(self, name: str, kind: model.Kind, place: Place) -> Box:
+    def _box(self, name: str, kind: model.Kind, machine: FakeMachine) -> Box:
         figures = draw_figures(self.scenario, kind, random_for(self.seed, "box", name))
         return Box(
-            name, box_kind(kind), figures, place, self.node_names, self.workload,
+            name, box_kind(kind), figures, machine, self.node_names, self.workload,
             platform.rule_book(self.scenario).cold, self.note, self._left,
             seed_for(self.seed, "box", name, "chance"), self._numbers,
         )  # fmt: skip
@@ -174,10 +175,10 @@
         return at
 
     def now(self) -> int:
-        return self.place.now()
+        return self.clients_machine.now()
 
     def after(self, seconds: float, what: Callable[..., None], *args: object) -> None:
-        self.place.loop.call_later(seconds, what, *args)
+        self.clients_machine.loop.call_later(seconds, what, *args)
 
     def say(self, what: str) -> None:
         self.events.append(Event(self.now(), what))
@@ -192,10 +193,10 @@
 
     def _wait_for_nodes(self, waited: float) -> None:
         """Clients come when all nodes are ready."""
-        self.stuck = self.environment.stuck()
+        self.stuck = self.environment.find_deadlock()
         if self.stuck:
             self._end()
-        elif all(self.front.has(name) for name in self.node_names) or waited >= READY_WITHIN:
+        elif all(self.front.is_up(name) for name in self.node_names) or waited >= READY_WITHIN:
             self.began = self.account.origin = self.now()
             if waited >= READY_WITHIN:
                 self.say("clients come, though not all nodes are up")
@@ -222,7 +223,7 @@
         self._wait_for_answers(longest + 1.0)
 
     def _wait_for_answers(self, left: float) -> None:
-        if self.clients.asks_open and left > 0:
+        if self.clients.open_operations and left > 0:
             self.after(0.1, self._wait_for_answers, left - 0.1)
         else:
             self.after(STILL, self._end)
@@ -236,14 +237,19 @@
             if box.running:
                 engine = box.engine
                 engine.advance_to(now / 1e9)
-                boxes[name] = (engine.busy(), engine.held(), engine.waiting(), box.open)
+                boxes[name] = (
+                    engine.busy_fraction(),
+                    engine.request_count(),
+                    engine.queue_length(),
+                    box.open_connections,
+                )
         self.samples.append(
             Sample(
                 now, {name: self.clients.in_flight.get(name, 0) for name in self.node_names}, boxes,
-                {name: node.descriptors() for name, node in self.nodes.items()},
+                {name: node.open_descriptors() for name, node in self.nodes.items()},
             )
         )  # fmt: skip
-        self.stuck = self.environment.stuck()
+        self.stuck = self.environment.find_deadlock()
         if self.stuck:
             self._end()
             return
@@ -290,7 +296,7 @@
     def document(self, name: str) -> dict[str, object]:
         return platform.document(
             self.scenario, name, self.nodes[name].address(), self.box_list.addresses[name],
-            seed_for(self.seed, "node", name, self._generations[name]), self.box_list.known(name),
+            seed_for(self.seed, "node", name, self._generations[name]), self.box_list.last_sent(name),
             None if self.tier is None else self.environment.peers(name),
         )  # fmt: skip
 
@@ -387,7 +393,7 @@
         if self.over or box.running or self.boxes.get(box.name) is not box:
             return
         self.say(f"box {box.name} starts, cold")
-        box.place.restart()
+        box.machine.restart()
         box.start(cold=True)
         self.tell_list(box, HostState.READY)
 
@@ -412,9 +418,9 @@
         del self.boxes[old.name]
         self.gone[old.name] = old
         if same_address:
-            old.place.restart()
+            old.machine.restart()
         box = self.boxes[name] = self._box(
-            name, kind, old.place if same_address else self.environment.place(name)
+            name, kind, old.machine if same_address else self.environment.fake_machine(name)
         )
         self.say(f"box {old.name} is gone; {name} starts {'at its address' if same_address else 'elsewhere'}")
         box.start(cold=True, addresses=old.addresses if same_address else None)
--- a/driftstair/rehearsal/seeds.py
+++ b/driftstair/rehearsal/seeds.py
@@ -1,4 +1,5 @@
-"""One seed for a run; each part of it draws from one of its own, so that a change of one moves no other."""
+"""Derives a seed for each part of a run from the run's seed, so that a change to one part does not affect the
+random numbers of another."""
 
 from __future__ import annotations
 
@@ -6,11 +7,12 @@
 from random import Random
 
 
-def seed_for(seed: int, *part: object) -> int:
-    """64 bits that depend on the run's seed and on what they are for."""
-    text = "/".join(str(one) for one in (seed, *part))
-    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "little")
+def seed_for(seed: int, *labels: object) -> int:
+    """A 64-bit seed derived from the run's seed and from labels that name its use."""
+    name = "/".join(str(label) for label in (seed, *labels))
+    return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "little")
 
 
-def random_for(seed: int, *part: object) -> Random:
-    return Random(seed_for(seed, *part))
+def random_for(seed: int, *labels: object) -> Random:
+    """A random number generator for the use that the labels name."""
+    return Random(seed_for(seed, *labels))
--- a/driftstair/rehearsal/sim/__init__.py
+++ b/driftstair/rehearsal/sim/__init__.py
@@ -1,6 +1,7 @@
-"""Processes, clocks and a network that exist in memory only, in virtual time.
+"""Simulates processes, clocks and a network in memory, in virtual time.
 
-`scheduler` holds the one queue of events and the clock; `loop` gives each simulated process an asyncio event
-loop of its own on that queue; `network` has machines, listening sockets and byte streams between them;
-`system` hands all of it to the daemon through the seam of `driftstair.net.system`.
+`scheduler` holds the clock and the single event queue; `loop` gives each simulated process its own asyncio
+event loop on that queue; `network` has machines, listening sockets and the links between them, `stream` the
+byte streams and `datagrams` the UDP sockets; `system` offers all of it to the daemon through the interface
+`driftstair.net.system.System`.
 """
--- a/driftstair/rehearsal/sim/datagrams.py
+++ b/driftstair/rehearsal/sim/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP sockets of simulated machines. A datagram that finds nobody is lost, and nobody is told."""
+"""UDP sockets of simulated machines. A datagram that reaches no socket is dropped without an error."""
 
 from __future__ import annotations
 
@@ -12,55 +12,62 @@
     from driftstair.rehearsal.sim.loop import ProcessLoop
     from driftstair.rehearsal.sim.network import Address, Machine
 
-QUEUE_MOST = 256  # datagrams that wait for a process that does not read; the rest are lost
+RECEIVE_QUEUE_MAX = 256  # datagrams that wait for a process that does not read; any more are dropped
 
 
 class SimulatedDatagrams:
+    """A UDP socket; implements `driftstair.net.system.DatagramSocket`."""
+
     def __init__(
         self, machine: Machine, loop: ProcessLoop, address: Address,
-        received: Callable[[bytes, Address], None], most: int,
+        on_datagram: Callable[[bytes, Address], None], bytes_max: int,
     ) -> None:  # fmt: skip
-        from driftstair.rehearsal.sim.network import error
+        from driftstair.rehearsal.sim.network import os_error
 
-        port = address[1] or machine.free_port()
+        port = address[1] or machine.allocate_port()
         if port in machine.datagrams:
-            raise error(errno.EADDRINUSE)
+            raise os_error(errno.EADDRINUSE)
         machine.take_descriptor()
         self.address = address[0], port
         self.send_errors = 0
         self.receive_errors = 0
         self._machine = machine
         self._loop = loop
-        self._received = received
-        self._most = most
-        self._waiting = 0
+        self._on_datagram = on_datagram
+        self._bytes_max = bytes_max
+        self._queued = 0
         machine.datagrams[port] = self
 
     def send(self, data: bytes, address: Address) -> None:
+        """Sends a datagram. An unknown address counts as a send error."""
         network, source = self._machine.network, self._machine
         target = network.machine(address[0])
         if target is None:
             self.send_errors += 1
             return
-        for late, what in network.fate(source, target, data):
-            when = network.scheduler.now + network.delay(source, target) + int(late * SECOND)
-            network.happen(when, _arrive, source, target, address[1], self.address, what)
+        for extra_delay_s, payload in network.datagram_deliveries(source, target, data):
+            arrival = (
+                network.scheduler.now + network.draw_delay_ns(source, target) + int(extra_delay_s * SECOND)
+            )
+            network.schedule(arrival, _deliver, source, target, address[1], self.address, payload)
 
-    def arrive(self, data: bytes, source: Address) -> None:
-        if self._waiting < QUEUE_MOST:
-            self._waiting += 1
-            self._loop.call_soon(self._read, data[: self._most + 1], source)
+    def enqueue(self, data: bytes, source: Address) -> None:
+        """Queues a datagram from the network for the process."""
+        if self._queued < RECEIVE_QUEUE_MAX:
+            self._queued += 1
+            self._loop.call_soon(self._pass_on, data[: self._bytes_max + 1], source)
 
-    def _read(self, data: bytes, source: Address) -> None:
-        self._waiting -= 1
+    def _pass_on(self, data: bytes, source: Address) -> None:
+        self._queued -= 1
         if self._machine.datagrams.get(self.address[1]) is self:
-            self._received(data, source)
+            self._on_datagram(data, source)
 
     def close(self) -> None:
+        """Closes the socket and gives its descriptor back."""
         if self._machine.datagrams.pop(self.address[1], None) is not None:
-            self._machine.descriptors -= 1
+            self._machine.descriptors_in_use -= 1
 
 
-def _arrive(source: Machine, target: Machine, port: int, sender: Address, data: bytes) -> None:
-    if source.reachable and target.reachable and (own := target.datagrams.get(port)) is not None:
-        own.arrive(data, sender)
+def _deliver(source: Machine, target: Machine, port: int, sender: Address, data: bytes) -> None:
+    if source.reachable and target.reachable and (datagram_socket := target.datagrams.get(port)) is not None:
+        datagram_socket.enqueue(data, sender)
--- a/driftstair/rehearsal/sim/loop.py
+++ b/driftstair/rehearsal/sim/loop.py
@@ -1,8 +1,8 @@
-"""One simulated process's asyncio event loop, on the shared queue of virtual time.
+"""The asyncio event loop of one simulated process, on the shared event queue of virtual time.
 
-Each process has a loop of its own, so that it can be killed: a dead loop runs nothing more and takes nothing
-more, as a process that is gone. Only what this project's daemon and fakes use of an event loop is here;
-anything else raises NotImplementedError by name (`asyncio.AbstractEventLoop`).
+Each process has its own loop, so that it can be killed: a dead loop runs no callback and accepts no new one,
+like a process that has ended. Only the parts of an event loop that this project's daemon and fakes use are
+implemented; any other method raises NotImplementedError (`asyncio.AbstractEventLoop`).
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 
 
 class ProcessLoop(asyncio.AbstractEventLoop):
-    """`on_crash` hears of each exception that a callback or a task let out: (message, exception)."""
+    """The event loop of one process. `on_crash(message, exception)` is called for each exception that a
+    callback or a task does not handle."""
 
     def __init__(
         self, scheduler: Scheduler, name: str, on_crash: Callable[[str, BaseException | None], None]
@@ -26,12 +27,12 @@
         self.scheduler = scheduler
         self.name = name
         self.dead = False
-        self.held: list[asyncio.Handle] | None = None  # of a process that stands still: what it will do
+        self.suspended_handles: list[asyncio.Handle] | None = None  # while suspended: what runs later
         self._on_crash = on_crash
-        self._signals: dict[int, tuple[Callable[..., object], tuple[Any, ...]]] = {}
+        self._signal_handlers: dict[int, tuple[Callable[..., object], tuple[Any, ...]]] = {}
         self._tasks: dict[asyncio.Task[Any], None] = {}
 
-    # Time.
+    # Time and callbacks.
 
     def time(self) -> float:
         return self.scheduler.now / SECOND
@@ -41,7 +42,7 @@
     ) -> asyncio.Handle:
         handle = asyncio.Handle(callback, args, self, context)
         if not self.dead:
-            self.scheduler.soon(self, handle)
+            self.scheduler.add_ready(self, handle)
         return handle
 
     call_soon_threadsafe = call_soon  # type: ignore[assignment]
@@ -50,7 +51,7 @@
         self, delay: float, callback: Callable[..., object], *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:  # fmt: skip
-        # Rounded up: a timer that came early would find nothing due yet.
+        # Rounded up: a timer that fires early would find nothing due yet.
         return self.call_at_ns(self.scheduler.now + max(0, -int(-delay * SECOND // 1)), callback, *args,
                                context=context)  # fmt: skip
 
@@ -61,27 +62,28 @@
         return self.call_at_ns(-int(-when * SECOND // 1), callback, *args, context=context)
 
     def call_at_ns(
-        self, when: int, callback: Callable[..., object], *args: Any,
+        self, when_ns: int, callback: Callable[..., object], *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:  # fmt: skip
-        """As `call_at`, in whole ns of virtual time."""
-        handle = asyncio.TimerHandle(when / SECOND, callback, args, self, context)
+        """Like `call_at`, with a time in whole nanoseconds of virtual time."""
+        handle = asyncio.TimerHandle(when_ns / SECOND, callback, args, self, context)
         if not self.dead:
-            self.scheduler.at(when, self, handle)
+            self.scheduler.add_timer(when_ns, self, handle)
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """The queue passes over it when its time comes."""
+        """Does nothing: the scheduler skips a cancelled handle when its time comes."""
 
-    def stand_still(self) -> None:
-        """As SIGSTOP: what becomes due waits."""
-        if self.held is None:
-            self.held = []
+    def suspend(self) -> None:
+        """Suspends the process, like SIGSTOP: handles that become due are kept for `resume`."""
+        if self.suspended_handles is None:
+            self.suspended_handles = []
 
-    def go_on(self) -> None:
-        held, self.held = self.held or [], None
-        for handle in held:
-            self.scheduler.soon(self, handle)
+    def resume(self) -> None:
+        """Continues a suspended process, like SIGCONT, and runs the handles that became due meanwhile."""
+        handles, self.suspended_handles = self.suspended_handles or [], None
+        for handle in handles:
+            self.scheduler.add_ready(self, handle)
 
     # Futures and tasks.
 
@@ -93,18 +95,18 @@
         context: contextvars.Context | None = None,
     ) -> asyncio.Task[_T]:  # fmt: skip
         task: asyncio.Task[_T] = asyncio.Task(coro, loop=self, name=name, context=context)
-        self._tasks[task] = None  # held here as a process holds them; the collector decides nothing
-        task.add_done_callback(self._done)
+        self._tasks[task] = None  # keeps a reference: garbage collection must not affect a run
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.pop(task, None)
-        if not task.cancelled() and (problem := task.exception()) is not None:
-            # Said when it happens: asyncio says it only once the collector comes by.
+        if not task.cancelled() and (exception := task.exception()) is not None:
+            # Reported at once: asyncio reports it only when the task is garbage-collected.
             task._log_traceback = False
-            self._on_crash(f"task {task.get_coro()!s:.60}", problem)
+            self._on_crash(f"task {task.get_coro()!s:.60}", exception)
 
-    # What goes wrong.
+    # Errors.
 
     def get_debug(self) -> bool:
         return False
@@ -116,26 +118,27 @@
     def default_exception_handler(self, context: dict[str, Any]) -> None:
         self.call_exception_handler(context)
 
-    # Signals and the end.
+    # Signals and termination.
 
     def add_signal_handler(self, sig: int, callback: Callable[..., object], *args: Any) -> None:  # type: ignore[override]
-        self._signals[sig] = (callback, args)
+        self._signal_handlers[sig] = (callback, args)
 
     def remove_signal_handler(self, sig: int) -> bool:
-        return self._signals.pop(sig, None) is not None
+        return self._signal_handlers.pop(sig, None) is not None
 
-    def signal(self, sig: int) -> bool:
-        """A signal arrives; False if the process has no handler and the signal's default would end it."""
-        if self.dead or sig not in self._signals:
+    def deliver_signal(self, sig: int) -> bool:
+        """Delivers a signal. Returns False if the process has no handler for it, so that the default action
+        would end the process."""
+        if self.dead or sig not in self._signal_handlers:
             return False
-        callback, args = self._signals[sig]
+        callback, args = self._signal_handlers[sig]
         self.call_soon(callback, *args)
         return True
 
     def kill(self) -> None:
-        """At once and with no last word, as SIGKILL."""
+        """Ends the process at once, like SIGKILL."""
         self.dead = True
-        self._signals.clear()
+        self._signal_handlers.clear()
         for task in self._tasks:
             task._log_destroy_pending = False  # type: ignore[attr-defined]
 
@@ -148,11 +151,11 @@
     def close(self) -> None:
         self.kill()
 
-    def waiting(self) -> list[str]:
-        """The tasks that are not done, for those who ask why nothing happens."""
+    def pending_tasks(self) -> list[str]:
+        """The names of the tasks that are not done, to explain a deadlock."""
         return [getattr(task.get_coro(), "__qualname__", task.get_name()) for task in self._tasks]
 
 
-def enter(loop: ProcessLoop | None) -> None:
-    """The process whose turn it is; `asyncio.get_running_loop` finds its loop."""
+def set_running_loop(loop: ProcessLoop | None) -> None:
+    """Makes a process the running one: `asyncio.get_running_loop` returns its loop."""
     asyncio._set_running_loop(loop)
