--- a/driftstair/rehearsal/sim/stream.py
+++ b/driftstair/rehearsal/sim/stream.py
@@ -1,8 +1,8 @@
-"""One side of a connection in memory: an asyncio transport on a reliable, ordered byte stream.
+"""One end of a connection in memory: an asyncio transport on a reliable, ordered byte stream.
 
-What a write hands over is with the kernel at once, as far as the receiver's window lets it; the rest waits
-in the transport's buffer, and the protocol is told as asyncio tells it. Closing sends what is buffered and
-then a FIN, or a reset if something that came is still unread (RFC 1122, 4.2.2.13; RFC 9293, 3.10.4).
+Written data go to the simulated kernel at once, as far as the receiver's window allows; the rest waits in the
+transport's buffer, with asyncio's flow control for the protocol. Closing sends the buffered data and then a
+FIN, or a reset if received data are still unread (RFC 1122, 4.2.2.13; RFC 9293, 3.10.4).
 """
 
 from __future__ import annotations
@@ -13,22 +13,25 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from driftstair.rehearsal.sim.loop import ProcessLoop, enter
+from driftstair.rehearsal.sim.loop import ProcessLoop, set_running_loop
 
 if TYPE_CHECKING:
     from driftstair.rehearsal.sim.network import Machine, Network
 
-WINDOW = 256 << 10  # bytes on the way or unread by the receiver
-HIGH = 64 << 10  # bytes in the transport's buffer until the protocol is told, unless it asks otherwise
+RECEIVE_WINDOW_BYTES = 256 << 10  # in flight, or unread by the receiver
+HIGH_WATER_BYTES = 64 << 10  # default; above it the protocol is told to pause writing
 
-FIN = b""  # in place of data: the end of the stream
+FIN = b""  # an empty segment stands for the end of the stream
 
 
 class Endpoint(asyncio.Transport):
+    """One end of a connection, on one machine: the transport of the process and the socket of the kernel."""
+
     __slots__ = (
-        "_buffer", "_closing", "_eof_pending", "_eof_sent", "_fin_seen", "_gone", "_held", "_high",
-        "_last_arrival", "_lost_called", "_low", "_network", "_on_the_way", "_paused_protocol", "_protocol",
-        "_reading", "_received", "_reset", "address", "counted", "left_at", "loop", "machine", "peer",
+        "_buffer", "_closing", "_eof_pending", "_eof_sent", "_fin_seen", "_high_water", "_last_arrival",
+        "_loss_scheduled", "_low_water", "_network", "_protocol", "_protocol_paused", "_reading", "_received",
+        "_reset_error", "_socket_closed", "_undelivered", "_unread_by_peer", "address", "holds_descriptor",
+        "loop", "machine", "peer", "peer_left_at",
     )  # fmt: skip
 
     def __init__(self, network: Network, machine: Machine, address: tuple[str, int]) -> None:
@@ -37,40 +40,41 @@
         self.address = address
         self.peer: Endpoint | None = None
         self.loop: ProcessLoop | None = None
-        self.counted = False  # holds a descriptor of its machine
+        self.holds_descriptor = False  # of its machine
         self._network = network
         self._protocol: Any = None
-        self._buffer = bytearray()  # written, not yet with the kernel
-        self._high, self._low = HIGH, HIGH // 4
-        self._paused_protocol = False
-        self._on_the_way = 0  # bytes that the peer's process has not read
+        self._buffer = bytearray()  # written, not yet passed to the kernel
+        self._high_water, self._low_water = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
+        self._protocol_paused = False
+        self._unread_by_peer = 0  # bytes
         self._last_arrival = 0
-        self._held: list[bytes] = []  # while the network does not carry it
-        self._received: deque[bytes] = deque()  # arrived, not yet read; FIN stands for the end
+        self._undelivered: list[bytes] = []  # segments, while either machine is cut off
+        self._received: deque[bytes] = deque()  # segments not yet read by the process
         self._reading = True
         self._fin_seen = False
         self._closing = False
         self._eof_pending = False
         self._eof_sent = False
-        self._gone = False  # its socket is closed
-        self._lost_called = False
-        self._reset: OSError | None = None
-        self.left_at: int | None = None  # when the peer's end or its reset arrived
+        self._socket_closed = False
+        self._loss_scheduled = False
+        self._reset_error: OSError | None = None
+        self.peer_left_at: int | None = None  # ns; when the peer's FIN or reset arrived
         machine.endpoints[self] = None
 
-    def join(self, other: Endpoint) -> None:
+    def connect_to(self, other: Endpoint) -> None:
+        """Makes two endpoints the ends of one connection."""
         self.peer, other.peer = other, self
 
     def attach(self, loop: ProcessLoop, protocol: asyncio.BaseProtocol) -> None:
-        """The process takes the connection; what has come already is read in its next turn."""
+        """Gives the connection to a process. Data that have already arrived are read in its next turn."""
         self.loop, self._protocol = loop, protocol
         protocol.connection_made(self)
-        if self._reset is not None:
-            loop.call_soon(self._lose, self._reset)
+        if self._reset_error is not None:
+            loop.call_soon(self._finish_closing, self._reset_error)
         elif self._received:
-            loop.call_soon(self._read_on)
+            loop.call_soon(self._deliver_received)
 
-    # What asyncio asks of a transport.
+    # The interface of asyncio.Transport.
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         if name == "sockname":
@@ -92,14 +96,16 @@
         return self._reading and not self._closing
 
     def has_unread(self) -> bool:
-        """Whether anything has come, the end included, that the process has not read."""
-        return bool(self._received) or self._reset is not None
+        """Whether data, the end of the stream or a reset have arrived that the process has not read."""
+        return bool(self._received) or self._reset_error is not None
 
     def unread_bytes(self) -> int:
+        """How many bytes have arrived that the process has not read."""
         return sum(len(data) for data in self._received if data is not FIN)
 
     def was_reset(self) -> bool:
-        return self._reset is not None
+        """Whether the connection was reset."""
+        return self._reset_error is not None
 
     def pause_reading(self) -> None:
         self._reading = False
@@ -108,17 +114,17 @@
         if not self._reading:
             self._reading = True
             if self._received and self.loop is not None:
-                self.loop.call_soon(self._read_on)
+                self.loop.call_soon(self._deliver_received)
 
     def get_write_buffer_size(self) -> int:
         return len(self._buffer)
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        return self._low, self._high
+        return self._low_water, self._high_water
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        self._high = HIGH if high is None else high
-        self._low = self._high // 4 if low is None else low
+        self._high_water = HIGH_WATER_BYTES if high is None else high
+        self._low_water = self._high_water // 4 if low is None else low
 
     def can_write_eof(self) -> bool:
         return True
@@ -126,242 +132,251 @@
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self._eof_pending or self._eof_sent:
             raise RuntimeError("Cannot call write() after write_eof()")
-        if self._closing or self._gone or not data:
+        if self._closing or self._socket_closed or not data:
             return
         if self._buffer:
             self._buffer += data
         else:
-            room = WINDOW - self._on_the_way
+            window_left = RECEIVE_WINDOW_BYTES - self._unread_by_peer
             data = bytes(data)
-            if len(data) > room:
-                self._buffer += data[room:]
-                data = data[:room]
+            if len(data) > window_left:
+                self._buffer += data[window_left:]
+                data = data[:window_left]
             if data:
                 self._transmit(data)
-        if len(self._buffer) > self._high and not self._paused_protocol:
-            self._paused_protocol = True
+        if len(self._buffer) > self._high_water and not self._protocol_paused:
+            self._protocol_paused = True
             self._protocol.pause_writing()
 
     def write_eof(self) -> None:
         if self._eof_pending or self._eof_sent or self._closing:
             return
         self._eof_pending = True
-        self._end_if_flushed()
+        self._finish_if_flushed()
 
     def close(self) -> None:
-        """Once all that was written is with the kernel."""
+        """Closes the connection once all written data have been passed to the kernel."""
         if self._closing:
             return
         self._closing = True
         if not self._buffer:
-            self._lose_soon(None)
+            self._schedule_connection_lost(None)
 
     def abort(self) -> None:
-        """Now: what the kernel has it still sends, what waits in the buffer is dropped."""
+        """Closes the connection at once: the kernel still sends what it has, the transport's buffer is
+        dropped."""
         self._buffer.clear()
-        already, self._closing = self._closing, True
-        if not already or not self._lost_called:
-            self._lose_soon(None)
+        was_closing, self._closing = self._closing, True
+        if not was_closing or not self._loss_scheduled:
+            self._schedule_connection_lost(None)
 
     def reset(self) -> None:
-        """Now, and the peer gets a reset in place of an end (SO_LINGER with a time of 0)."""
-        if self._gone or self._lost_called:
+        """Closes the connection at once with a reset in place of a FIN (SO_LINGER with a time of 0)."""
+        if self._socket_closed or self._loss_scheduled:
             return
         self._buffer.clear()
         self._closing = True
         self._send_reset()
-        self._lose_soon(ConnectionAbortedError(errno.ECONNABORTED, os.strerror(errno.ECONNABORTED)))
+        self._schedule_connection_lost(
+            ConnectionAbortedError(errno.ECONNABORTED, os.strerror(errno.ECONNABORTED))
+        )
 
     # The kernel's side: sending.
 
     def _transmit(self, data: bytes) -> None:
-        self._on_the_way += len(data)
+        self._unread_by_peer += len(data)
         network = self._network
         link = network.link
-        if len(data) > link.segment:
-            for start in range(0, len(data), link.segment):
-                self._carry(data[start : start + link.segment])
-        elif len(data) > 1 and link.split and network.random.random() < link.split:
-            cut = network.random.randrange(1, len(data))
-            self._carry(data[:cut])
-            self._carry(data[cut:])
+        if len(data) > link.segment_bytes:
+            for start in range(0, len(data), link.segment_bytes):
+                self._send_segment(data[start : start + link.segment_bytes])
+        elif len(data) > 1 and link.split_probability and network.random.random() < link.split_probability:
+            split_at = network.random.randrange(1, len(data))
+            self._send_segment(data[:split_at])
+            self._send_segment(data[split_at:])
         else:
-            self._carry(data)
+            self._send_segment(data)
 
-    def _carry(self, data: bytes) -> None:
+    def _send_segment(self, data: bytes) -> None:
         peer = self.peer
         assert peer is not None
-        if self._held or not self.machine.reachable or not peer.machine.reachable:
-            self._held.append(data)
+        if self._undelivered or not self.machine.reachable or not peer.machine.reachable:
+            self._undelivered.append(data)
             return
         network = self._network
-        arrival = max(self._last_arrival, network.scheduler.now + network.delay(self.machine, peer.machine))
+        arrival = max(
+            self._last_arrival, network.scheduler.now + network.draw_delay_ns(self.machine, peer.machine)
+        )
         self._last_arrival = arrival
-        network.happen(arrival, peer._arrive, data)
+        network.schedule(arrival, peer._on_segment, data)
 
-    def send_held(self) -> None:
-        """The network carries again: what was lost is sent anew."""
-        held, self._held = self._held, []
-        for data in held:
-            self._carry(data)
+    def send_undelivered(self) -> None:
+        """Sends again, in order, the segments lost while a machine was cut off."""
+        segments, self._undelivered = self._undelivered, []
+        for data in segments:
+            self._send_segment(data)
 
-    def _end_if_flushed(self) -> None:
+    def _finish_if_flushed(self) -> None:
         if self._buffer:
             return
         if self._eof_pending and not self._eof_sent:
             self._eof_sent = True
-            self._carry(FIN)
+            self._send_segment(FIN)
         if self._closing:
-            self._lose_soon(None)
+            self._schedule_connection_lost(None)
 
-    def _window_opened(self) -> None:
-        """The peer has read: more of the buffer may go."""
-        if self._gone:
+    def _on_window_opened(self) -> None:
+        """The peer has read data: passes more of the buffer to the kernel."""
+        if self._socket_closed:
             return
-        room = WINDOW - self._on_the_way
-        if self._buffer and room > 0:
-            data = bytes(self._buffer[:room])
-            del self._buffer[:room]
+        window_left = RECEIVE_WINDOW_BYTES - self._unread_by_peer
+        if self._buffer and window_left > 0:
+            data = bytes(self._buffer[:window_left])
+            del self._buffer[:window_left]
             self._transmit(data)
-        if self._paused_protocol and len(self._buffer) <= self._low and not self._lost_called:
-            self._paused_protocol = False
-            self._call(self._protocol.resume_writing)
+        if self._protocol_paused and len(self._buffer) <= self._low_water and not self._loss_scheduled:
+            self._protocol_paused = False
+            self._call_protocol(self._protocol.resume_writing)
         if not self._buffer:
-            self._end_if_flushed()
+            self._finish_if_flushed()
 
     # The kernel's side: receiving.
 
-    def _arrive(self, data: bytes) -> None:
+    def _on_segment(self, data: bytes) -> None:
         peer = self.peer
         assert peer is not None
         if not self.machine.reachable or not peer.machine.reachable:
-            peer._held.append(data)
+            peer._undelivered.append(data)
             return
-        if self._gone:
-            # To a socket that is closed, or of a process that is gone, the kernel answers with a reset.
-            if data is not FIN or self._reset is not None:
+        if self._socket_closed:
+            # The kernel answers data for a closed socket, or for that of an ended process, with a reset.
+            if data is not FIN or self._reset_error is not None:
                 self._send_reset()
             return
         if data is FIN:
-            self.left_at = self._network.scheduler.now
+            self.peer_left_at = self._network.scheduler.now
         self._received.append(data)
         if self._reading and self.loop is not None and len(self._received) == 1:
-            self._read_on()
+            self._deliver_received()
 
-    def _read_on(self) -> None:
-        """The process reads what has come; its protocol may pause or close in the midst of it."""
-        while self._received and self._reading and not self._closing and not self._gone:
+    def _deliver_received(self) -> None:
+        """Passes received segments to the protocol, which may pause reading or close meanwhile."""
+        while self._received and self._reading and not self._closing and not self._socket_closed:
             data = self._received.popleft()
             if data is FIN:
                 self._fin_seen = True
-                self._call(self._eof)
+                self._call_protocol(self._on_eof)
                 return
             peer = self.peer
             assert peer is not None
-            peer._on_the_way -= len(data)
+            peer._unread_by_peer -= len(data)
             if peer._buffer:
                 network = self._network
-                when = network.scheduler.now + network.delay(self.machine, peer.machine)
-                network.happen(when, peer._window_opened)
-            self._call(self._protocol.data_received, data)
+                arrival = network.scheduler.now + network.draw_delay_ns(self.machine, peer.machine)
+                network.schedule(arrival, peer._on_window_opened)
+            self._call_protocol(self._protocol.data_received, data)
 
-    def _eof(self) -> None:
+    def _on_eof(self) -> None:
         if not self._protocol.eof_received():
             self.close()
 
-    def _call(self, function: Any, *args: Any) -> None:
-        """A protocol's callback, in its own process; what it raises is that process's failure."""
+    def _call_protocol(self, callback: Any, *args: Any) -> None:
+        """Runs a callback of the protocol in its own process; an exception is a failure of that process."""
         loop = self.loop
         if loop is None or loop.dead:
             return
-        before = asyncio._get_running_loop()
-        if before is loop:
+        previous_loop = asyncio._get_running_loop()
+        if previous_loop is loop:
             try:
-                function(*args)
-            except Exception as problem:
-                self._fail(loop, problem)
+                callback(*args)
+            except Exception as exception:
+                self._on_callback_error(loop, exception)
             return
-        enter(loop)
+        set_running_loop(loop)
         try:
-            function(*args)
-        except Exception as problem:
-            self._fail(loop, problem)
+            callback(*args)
+        except Exception as exception:
+            self._on_callback_error(loop, exception)
         finally:
-            enter(before)  # type: ignore[arg-type]
+            set_running_loop(previous_loop)  # type: ignore[arg-type]
 
-    def _fail(self, loop: ProcessLoop, problem: Exception) -> None:
-        """As asyncio and uvloop do: said, and the connection ends."""
-        loop.call_exception_handler({"message": "protocol callback", "exception": problem})
+    def _on_callback_error(self, loop: ProcessLoop, exception: Exception) -> None:
+        """Reports an exception of a protocol's callback and aborts the connection, as asyncio and uvloop
+        do."""
+        loop.call_exception_handler({"message": "protocol callback", "exception": exception})
         self.abort()
 
     def _send_reset(self) -> None:
         peer = self.peer
         if peer is None or not self.machine.reachable or not peer.machine.reachable:
-            return  # a reset is sent once; lost is lost
+            return  # a reset is sent only once, and may be lost
         network = self._network
-        arrival = max(self._last_arrival, network.scheduler.now + network.delay(self.machine, peer.machine))
-        network.happen(arrival, peer._arrive_reset)
+        arrival = max(
+            self._last_arrival, network.scheduler.now + network.draw_delay_ns(self.machine, peer.machine)
+        )
+        network.schedule(arrival, peer._on_reset)
 
-    def _arrive_reset(self) -> None:
-        if self._gone or not self.machine.reachable:
+    def _on_reset(self) -> None:
+        if self._socket_closed or not self.machine.reachable:
             return
-        self._reset = ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
-        self.left_at = self.left_at or self._network.scheduler.now
+        self._reset_error = ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
+        self.peer_left_at = self.peer_left_at or self._network.scheduler.now
         self._received.clear()
         self._buffer.clear()
         if self.loop is not None:
             self._closing = True
-            self._lose_soon(self._reset)
+            self._schedule_connection_lost(self._reset_error)
 
-    # The end.
+    # The end of the connection.
 
-    def _lose_soon(self, problem: OSError | None) -> None:
-        if self._lost_called or self.loop is None:
+    def _schedule_connection_lost(self, exception: OSError | None) -> None:
+        if self._loss_scheduled or self.loop is None:
             return
-        self._lost_called = True
-        self.loop.call_soon(self._lose, problem)
+        self._loss_scheduled = True
+        self.loop.call_soon(self._finish_closing, exception)
 
-    def _lose(self, problem: OSError | None) -> None:
-        self._lost_called = True
+    def _finish_closing(self, exception: OSError | None) -> None:
+        self._loss_scheduled = True
         self._closing = True
-        if self._gone:
+        if self._socket_closed:
             return
         unread = bool(self._received) and any(data is not FIN for data in self._received)
-        was_reset = problem is not None
-        self._release()
+        was_reset = exception is not None
+        self._close_socket()
         if not was_reset:
             if unread:
                 self._send_reset()
             elif not self._eof_sent:
                 self._eof_sent = True
-                self._carry(FIN)
-        self._call(self._protocol.connection_lost, problem)
-        self._protocol = _Nobody
-
-    def _release(self) -> None:
-        self._gone = True
-        if self.counted:
-            self.counted = False
-            self.machine.descriptors -= 1
-        # Kept by its machine no longer than it has something to send anew.
-        if not self._held:
+                self._send_segment(FIN)
+        self._call_protocol(self._protocol.connection_lost, exception)
+        self._protocol = _DETACHED_PROTOCOL
+
+    def _close_socket(self) -> None:
+        self._socket_closed = True
+        if self.holds_descriptor:
+            self.holds_descriptor = False
+            self.machine.descriptors_in_use -= 1
+        # The machine keeps the endpoint only while it has segments to send again.
+        if not self._undelivered:
             self.machine.endpoints.pop(self, None)
 
-    def vanish_with_process(self) -> None:
-        """Its process is gone, or never took it: the peer gets a reset, now or when it next sends."""
-        if self._gone:
+    def close_with_process(self) -> None:
+        """Closes the socket of a process that has ended or never accepted the connection: the peer gets a
+        reset, now or when it next sends."""
+        if self._socket_closed:
             return
-        self._reset = ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
-        self._lost_called = True
+        self._reset_error = ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
+        self._loss_scheduled = True
         self._closing = True
-        self._held.clear()
+        self._undelivered.clear()
         self._buffer.clear()
-        self._release()
+        self._close_socket()
         self._send_reset()
 
 
-class _NobodyProtocol(asyncio.Protocol):
-    """In place of a protocol that has been told of the end."""
+class _DetachedProtocol(asyncio.Protocol):
+    """Replaces a protocol after its `connection_lost`."""
 
 
-_Nobody = _NobodyProtocol()
+_DETACHED_PROTOCOL = _DetachedProtocol()
--- a/driftstair/rehearsal/sim/system.py
+++ b/driftstair/rehearsal/sim/system.py
@@ -1,4 +1,4 @@
-"""The simulated machine behind the daemon's seam (`driftstair.net.system.System`)."""
+"""The operating system of a simulated machine, as `driftstair.net.system.System`."""
 
 from __future__ import annotations
 
@@ -14,22 +14,25 @@
 
 
 class SimulatedSystem(System):
-    """Clocks, listening and dialing of one process on one machine. `wall_offset`: ns by which this machine's
-    wall clock is ahead of the others'."""
+    """Clocks, sockets and connections of one process on one machine. `wall_offset_ns`: how far this machine's
+    wall clock is ahead of the others'; `clock_rate`: speed of its monotonic clock relative to virtual
+    time."""
 
-    def __init__(self, machine: Machine, loop: ProcessLoop, wall_offset: int = 0, rate: float = 1.0) -> None:
+    def __init__(
+        self, machine: Machine, loop: ProcessLoop, wall_offset_ns: int = 0, clock_rate: float = 1.0
+    ) -> None:
         self._machine = machine
         self._loop = loop
         self._scheduler = machine.network.scheduler
-        self._wall_offset = wall_offset
-        self._rate = rate
+        self._wall_offset_ns = wall_offset_ns
+        self._clock_rate = clock_rate
 
     def monotonic_ns(self) -> int:
         now = self._scheduler.now
-        return now if self._rate == 1.0 else int(now * self._rate)
+        return now if self._clock_rate == 1.0 else int(now * self._clock_rate)
 
     def time_ns(self) -> int:
-        return self._scheduler.epoch + self._scheduler.now + self._wall_offset
+        return self._scheduler.epoch_ns + self._scheduler.now + self._wall_offset_ns
 
     def listen(self, address: tuple[str, int], backlog: int) -> Listener:
         return cast(Listener, self._machine.listen(self._loop, address, backlog))
@@ -38,9 +41,9 @@
         return await self._machine.network.dial(self._loop, self._machine, factory, address)
 
     def open_datagram_socket(
-        self, address: tuple[str, int], received: Callable[[bytes, tuple[str, int]], None], most: int
+        self, address: tuple[str, int], on_datagram: Callable[[bytes, tuple[str, int]], None], bytes_max: int
     ) -> DatagramSocket:
-        return SimulatedDatagrams(self._machine, self._loop, address, received, most)
+        return SimulatedDatagrams(self._machine, self._loop, address, on_datagram, bytes_max)
 
     def configure_connection(self, transport: asyncio.Transport) -> Callable[[], bool]:
         endpoint = cast(Endpoint, transport)
@@ -49,24 +52,24 @@
     def peer_close_probe(self, transport: asyncio.Transport) -> Callable[[], int | None]:
         endpoint = cast(Endpoint, transport)
 
-        def departed() -> int | None:
-            return None if endpoint.left_at is None else self._scheduler.now - endpoint.left_at
+        def closed_since() -> int | None:
+            return None if endpoint.peer_left_at is None else self._scheduler.now - endpoint.peer_left_at
 
-        return departed
+        return closed_since
 
     def unread_probe(self, transport: asyncio.Transport) -> Callable[[], bool]:
         endpoint = cast(Endpoint, transport)
         return lambda: endpoint.has_unread() and not endpoint.was_reset()
 
     def data_age_probe(self, transport: asyncio.Transport) -> Callable[[], int]:
-        return lambda: 0  # what a stopped process finds is not dated in this world
+        return lambda: 0  # the simulation doesn't record when data arrived
 
     def accepted_age(self, transport: asyncio.Transport) -> int:
-        return 0  # likewise
+        return 0  # the simulation doesn't record when a connection was established
 
     def unread_bytes(self, transport: asyncio.Transport) -> int:
         return cast(Endpoint, transport).unread_bytes()
 
-    async def run_blocking(self, what: Callable[[], None]) -> None:
-        """At once: a thread would not be in step with this world's time."""
-        what()
+    async def run_blocking(self, function: Callable[[], None]) -> None:
+        """Runs the function at once: a thread would not follow virtual time."""
+        function()
--- a/driftstair/rehearsal/sockets.py
+++ b/driftstair/rehearsal/sockets.py
@@ -1,8 +1,9 @@
-"""Rehearsals on real sockets: a daemon process for each node, the fakes in this process, all on loopback.
+"""Runs rehearsals on real sockets: a daemon process for each node, the fakes in this process, all on
+loopback.
 
-The machine's own time and noise come into it, so figures vary from run to run; the rules do not. What a real
-network can't be made to do without privileges is played as near as sockets allow: a box that vanishes stops
-reading and accepting and keeps its connections open; a node that vanishes is stopped by SIGSTOP.
+Times depend on the computer and its load, so that figures vary from run to run; the rules do not. Faults of
+the network that need privileges are approximated with sockets: a box that vanishes stops reading and
+accepting and keeps its connections open; a node that vanishes is stopped by SIGSTOP.
 """
 
 from __future__ import annotations
@@ -44,33 +45,33 @@
 from driftstair.rehearsal.tier.service import budgets
 from driftstair.rehearsal.tier.stage import KEY
 
-LINE = re.compile(r"(DEBUG|INFO|WARNING|ERROR|CRITICAL) (\S+): (.*)")
-TRACE_MOST = 12  # lines of a crash that are kept
-ENDS_WITHIN = 3.0  # s for processes at the end of a run
-LOOK = 0.05  # s
+LOG_LINE = re.compile(r"(DEBUG|INFO|WARNING|ERROR|CRITICAL) (\S+): (.*)")
+TRACE_FRAMES_MAX = 12  # innermost frames of a crash that are reported
+CLEANUP_TIMEOUT_S = 3.0  # for the tasks of killed processes at the end of a run
+POLL_INTERVAL_S = 0.05
 
-LIAR = "driftstair.rehearsal.tier.liar"
-CLOCKED = "driftstair.rehearsal.tier.clocked"
+LIAR_MODULE = "driftstair.rehearsal.tier.liar"
+CLOCKED_MODULE = "driftstair.rehearsal.tier.clocked"
 
 
-class Veil(asyncio.Protocol):
-    """Between a fake's connection and its socket: while the machine is cut off nothing is read, and what
-    is written or closed waits."""
+class OutageProtocol(asyncio.Protocol):
+    """Wraps the protocol of a fake's connection. While the machine is cut off nothing is read, and writes and
+    closes are deferred."""
 
-    def __init__(self, place: LoopbackPlace, protocol: asyncio.Protocol) -> None:
-        self._place = place
+    def __init__(self, machine: LoopbackMachine, protocol: asyncio.Protocol) -> None:
+        self._machine = machine
         self._protocol = protocol
-        self._held: list[Callable[[], None]] = []
+        self._deferred: list[Callable[[], None]] = []
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self._place.veils[self] = None
-        self._protocol.connection_made(cast(asyncio.BaseTransport, VeiledTransport(self)))
+        self._machine.connections[self] = None
+        self._protocol.connection_made(cast(asyncio.BaseTransport, OutageTransport(self)))
 
     def data_received(self, data: bytes) -> None:
-        if self._place.vanished:  # read before the cut
-            self._held.append(lambda: self._protocol.data_received(data))
+        if self._machine.vanished:  # read before the machine was cut off
+            self._deferred.append(lambda: self._protocol.data_received(data))
         else:
             self._protocol.data_received(data)
 
@@ -78,94 +79,102 @@
         return self._protocol.eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._place.veils.pop(self, None)
+        self._machine.connections.pop(self, None)
         self._protocol.connection_lost(exc)
 
-    def do(self, what: Callable[[], None]) -> None:
-        if self._place.vanished:
-            self._held.append(what)
+    def run_or_defer(self, action: Callable[[], None]) -> None:
+        """Performs an action of the fake, or defers it while the machine is cut off."""
+        if self._machine.vanished:
+            self._deferred.append(action)
         else:
-            what()
+            action()
 
-    def drop(self) -> None:
+    def pause_reading(self) -> None:
+        """Stops reading when the machine is cut off."""
         assert self.transport is not None
         self.transport.pause_reading()
 
-    def lift(self) -> None:
+    def resume(self) -> None:
+        """Performs the deferred actions and reads again when the machine comes back."""
         assert self.transport is not None
-        held, self._held = self._held, []
-        for what in held:
-            what()
+        deferred, self._deferred = self._deferred, []
+        for action in deferred:
+            action()
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
 
-class VeiledTransport:
-    """What a fake asks of a transport."""
+class OutageTransport:
+    """The methods of a transport that the fakes use, deferred while the machine is cut off."""
 
-    def __init__(self, veil: Veil) -> None:
-        assert veil.transport is not None
-        self._veil = veil
-        self._real = veil.transport
+    def __init__(self, connection: OutageProtocol) -> None:
+        assert connection.transport is not None
+        self._connection = connection
+        self._real = connection.transport
         self.is_closing = self._real.is_closing
         self.get_extra_info = self._real.get_extra_info
 
     def write(self, data: bytes) -> None:
-        self._veil.do(lambda: self._real.write(data))
+        self._connection.run_or_defer(lambda: self._real.write(data))
 
     def close(self) -> None:
-        self._veil.do(self._real.close)
+        self._connection.run_or_defer(self._real.close)
 
     def abort(self) -> None:
-        self._veil.do(self._real.abort)
+        self._connection.run_or_defer(self._real.abort)
 
 
-class PlaceListener(SocketListener):
-    def __init__(self, place: LoopbackPlace, address: tuple[str, int], backlog: int) -> None:
+class OutageListener(SocketListener):
+    """A listening socket of a fake; it can be paused while the machine is cut off."""
+
+    def __init__(self, machine: LoopbackMachine, address: tuple[str, int], backlog: int) -> None:
         super().__init__(bind_listening_socket(address, backlog))
-        self._place = place
-        self._ready: Callable[[], None] = lambda: None
+        self._machine = machine
+        self._on_ready: Callable[[], None] = lambda: None
 
-    def resume(self, ready: Callable[[], None]) -> None:
-        self._ready = ready
-        super().resume(ready)
+    def resume(self, on_ready: Callable[[], None]) -> None:
+        self._on_ready = on_ready
+        super().resume(on_ready)
 
-    def go_on(self) -> None:
-        super().resume(self._ready)
+    def resume_accepting(self) -> None:
+        """Accepts connections again after a pause."""
+        super().resume(self._on_ready)
 
     async def adopt(self, factory: ProtocolFactory, accepted: socket.socket) -> None:
-        await super().adopt(lambda: Veil(self._place, cast(asyncio.Protocol, factory())), accepted)
+        await super().adopt(
+            lambda: OutageProtocol(self._machine, cast(asyncio.Protocol, factory())), accepted
+        )
 
     def close(self) -> None:
-        self._place.listeners.pop(self, None)
+        self._machine.listeners.pop(self, None)
         super().close()
 
 
-class PlaceSystem(SocketSystem):
-    """The seam for a fake whose machine may vanish."""
+class OutageSystem(SocketSystem):
+    """The operating system for a fake whose machine may vanish."""
 
-    def __init__(self, place: LoopbackPlace) -> None:
-        self._place = place
+    def __init__(self, machine: LoopbackMachine) -> None:
+        self._machine = machine
 
-    def listen(self, address: tuple[str, int], backlog: int) -> PlaceListener:
-        listener = PlaceListener(self._place, address, backlog)
-        self._place.listeners[listener] = None
+    def listen(self, address: tuple[str, int], backlog: int) -> OutageListener:
+        listener = OutageListener(self._machine, address, backlog)
+        self._machine.listeners[listener] = None
         return listener
 
     async def dial(self, factory: ProtocolFactory, address: tuple[str, int]) -> asyncio.BaseProtocol:
         return await SOCKET_SYSTEM.dial(factory, address)
 
 
-class LoopbackPlace:
-    """A fake's place in this process."""
+class LoopbackMachine:
+    """The machine of a fake, on loopback in this process; implements `fakes.place.FakeMachine`."""
 
     def __init__(self, name: str, loop: asyncio.AbstractEventLoop, origin: int) -> None:
         self.name = name
         self.host = HOST
         self.loop = loop
-        self.system = PlaceSystem(self)
-        self.listeners: dict[PlaceListener, None] = {}
-        self.veils: dict[Veil, None] = {}
+        self.system = OutageSystem(self)
+        self.listeners: dict[OutageListener, None] = {}
+        self.connections: dict[OutageProtocol, None] = {}
         self.vanished = False
         self._origin = origin
         self._wall = time.time_ns() - time.monotonic_ns()
@@ -177,13 +186,13 @@
         return (at + self._origin + self._wall) // 1_000_000
 
     def reset(self, transport: asyncio.Transport) -> None:
-        own = transport.get_extra_info("socket")
-        if own is not None and own.fileno() >= 0:
-            own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock = transport.get_extra_info("socket")
+        if sock is not None and sock.fileno() >= 0:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         transport.abort()
 
     def die(self) -> None:
-        """The fake has closed its listeners and reset its connections itself."""
+        """Does nothing: the fake has closed its listeners and reset its connections itself."""
 
     def restart(self) -> None:
         self.vanished = False
@@ -192,66 +201,68 @@
         self.vanished = True
         for listener in self.listeners:
             listener.pause()
-        for veil in self.veils:
-            veil.drop()
+        for connection in self.connections:
+            connection.pause_reading()
 
     def come_back(self) -> None:
         self.vanished = False
         for listener in self.listeners:
-            listener.go_on()
-        for veil in list(self.veils):
-            veil.lift()
+            listener.resume_accepting()
+        for connection in list(self.connections):
+            connection.resume()
 
 
 class DaemonProcess:
-    """One node: the shipped daemon in a process of its own."""
+    """A node: the daemon in a process of its own; implements `environment.NodeProcess`."""
 
-    def __init__(self, environment: SocketEnvironment, name: str, ended: Callable[[str, str], None]) -> None:
+    def __init__(
+        self, environment: SocketEnvironment, name: str, on_exit: Callable[[str, str], None]
+    ) -> None:
         self.name = name
         self.running = False
         self._environment = environment
-        self._ended = ended
-        self._held = ports.tcp()
-        self._port = self._held.number
+        self._on_exit = on_exit
+        self._reserved_port = ports.reserve_tcp()
+        self._port = self._reserved_port.number
         self._process: asyncio.subprocess.Process | None = None
         self._generation = 0
-        self._trace: list[str] | None = None
+        self._traceback: list[str] | None = None
 
     def address(self) -> tuple[str, int]:
         return HOST, self._port
 
-    def _path(self) -> Path:
+    def _configuration_path(self) -> Path:
         return self._environment.folder / f"{self.name}.json"
 
-    def _write(self, document: dict[str, Any]) -> None:
-        """Replaced whole, as the platform does."""
-        new = self._path().with_suffix(".new")
+    def _write_configuration(self, document: dict[str, Any]) -> None:
+        """Replaces the configuration file atomically, as the platform does."""
+        new = self._configuration_path().with_suffix(".new")
         new.write_text(json.dumps(document))
-        new.replace(self._path())
+        new.replace(self._configuration_path())
 
     def start(self, document: dict[str, Any]) -> None:
-        self._write(document)
+        self._write_configuration(document)
         self.running = True
         self._generation += 1
-        self._program = "driftstair"
+        self._module = "driftstair"
         if self.name in self._environment.liars:
-            self._program = LIAR
+            self._module = LIAR_MODULE
         elif self._environment.clock(self.name) != (1.0, 0):
-            self._program = CLOCKED
-        self._environment.do(self._run(self._generation))
+            self._module = CLOCKED_MODULE
+        self._environment.start_task(self._run_process(self._generation))
 
-    async def _run(self, generation: int) -> None:
+    async def _run_process(self, generation: int) -> None:
         environment = {
             **{key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")},
-            "BALANCER_CONFIG": str(self._path()), "BALANCER_NAME": self.name,
+            "BALANCER_CONFIG": str(self._configuration_path()), "BALANCER_NAME": self.name,
             "BALANCER_LISTEN": f"{HOST}:{self._port}",
             CLOCK: "{},{}".format(*self._environment.clock(self.name)),
         }  # fmt: skip
-        self._environment.give(self.name)
+        self._environment.release_peer_port(self.name)
         service = self._environment.service
         options = ["--service", service] if service else []
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", self._program, *options, env=environment, stderr=asyncio.subprocess.PIPE,
+            sys.executable, "-m", self._module, *options, env=environment, stderr=asyncio.subprocess.PIPE,
             stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL, cwd=self._environment.root,
         )  # fmt: skip
         if generation != self._generation or not self.running:
@@ -259,33 +270,36 @@
         self._process = process
         assert process.stderr is not None
         while line := await process.stderr.readline():
-            self._log(line.decode("utf-8", "replace").rstrip("\n"))
+            self._handle_log_line(line.decode("utf-8", "replace").rstrip("\n"))
         status = await process.wait()
-        self._trace_over()
+        self._report_traceback()
         if generation == self._generation and self.running:
             self.running = False
-            self._ended(self.name, f"status {status}" if status else "")
-
-    def _log(self, line: str) -> None:
-        """A line of its log. A traceback there is a failure of the daemon, also if it served on."""
-        found = LINE.fullmatch(line)
-        if found:
-            self._trace_over()
-            level, _, text = found.groups()
+            self._on_exit(self.name, f"status {status}" if status else "")
+
+    def _handle_log_line(self, line: str) -> None:
+        """Collects a line of the daemon's log. A traceback counts as a crash, even if the daemon
+        continues."""
+        match = LOG_LINE.fullmatch(line)
+        if match:
+            self._report_traceback()
+            level, _, text = match.groups()
             self._environment.log.append((self._environment.now(), self.name, level, text))
             if level in ("ERROR", "CRITICAL"):
-                self._trace = [text]
-        elif self._trace is not None:
-            self._trace.append(line.strip())
+                self._traceback = [text]
+        elif self._traceback is not None:
+            self._traceback.append(line.strip())
         elif line.startswith("Traceback"):
-            self._trace = ["", line]
-
-    def _trace_over(self) -> None:
-        trace, self._trace = self._trace, None
-        if trace and any(line.startswith("Traceback") for line in trace):
-            frames = [line for line in trace if line.startswith("File ")][-TRACE_MOST:]
-            self._environment.crashed(
-                self.name, f"{trace[0]} {trace[-1]}".strip(), [_frame(one) for one in frames]
+            self._traceback = ["", line]
+
+    def _report_traceback(self) -> None:
+        traceback, self._traceback = self._traceback, None
+        if traceback and any(line.startswith("Traceback") for line in traceback):
+            frames = [line for line in traceback if line.startswith("File ")][-TRACE_FRAMES_MAX:]
+            self._environment.record_crash(
+                self.name,
+                f"{traceback[0]} {traceback[-1]}".strip(),
+                [_format_frame(frame) for frame in frames],
             )
 
     def kill(self) -> None:
@@ -293,9 +307,9 @@
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
 
-    def give_up(self) -> None:
-        """Its address, for good."""
-        self._held.release()
+    def release_port(self) -> None:
+        """Releases the reserved port at the end of the run."""
+        self._reserved_port.release()
 
     def _signal(self, number: int) -> None:
         if self._process is not None and self._process.returncode is None:
@@ -305,7 +319,7 @@
         self._signal(signal.SIGTERM)
 
     def reload(self, document: dict[str, Any]) -> None:
-        self._write(document)
+        self._write_configuration(document)
         self._signal(signal.SIGHUP)
 
     def vanish(self) -> None:
@@ -314,10 +328,10 @@
     def come_back(self) -> None:
         self._signal(signal.SIGCONT)
 
-    stand_still = vanish
-    go_on = come_back
+    suspend = vanish
+    resume = come_back
 
-    def descriptors(self) -> int:
+    def open_descriptors(self) -> int:
         if self._process is None or not self.running:
             return 0
         try:
@@ -326,17 +340,20 @@
             return 0
 
 
-def _frame(line: str) -> str:
-    """`File "/a/b/driftstair/net/node.py", line 3, in take` without the machine's path."""
-    found = re.fullmatch(r'File "(.*)", line (\d+), in (.*)', line)
-    if not found:
+def _format_frame(line: str) -> str:
+    """Formats a traceback line such as `File "/a/b/driftstair/net/node.py", line 3, in take` without the path
+    of this computer."""
+    match = re.fullmatch(r'File "(.*)", line (\d+), in (.*)', line)
+    if not match:
         return line
-    path = found[1]
+    path = match[1]
     at = max(path.rfind("/driftstair/"), path.rfind("/lichenspring/"))
-    return f"{path[at + 1 :] if at >= 0 else Path(path).name}:{found[2]} {found[3]}"
+    return f"{path[at + 1 :] if at >= 0 else Path(path).name}:{match[2]} {match[3]}"
 
 
 class SocketEnvironment:
+    """The processes and fakes of one rehearsal on loopback; implements `environment.Environment`."""
+
     def __init__(self, folder: Path, nodes: model.Nodes) -> None:
         service, tier = nodes.service, nodes.tier
         self._budgets = budgets(nodes)
@@ -345,12 +362,12 @@
         self.folder = folder
         self._tier = tier
         self._relay: RelayProcess | None = None
-        self._peer_held: list[Port] = []
+        self._peer_ports: list[Port] = []
         self.service = str(Path(service).resolve()) if service else None
         self.root = Path(__file__).resolve().parents[2]
         self.log: list[LogLine] = []
         self.loop = asyncio.get_running_loop()
-        self.over = asyncio.Event()
+        self.finished = asyncio.Event()
         self.rehearsal: Rehearsal | None = None
         self.nodes: list[DaemonProcess] = []
         self._origin = time.monotonic_ns()
@@ -359,21 +376,23 @@
     def now(self) -> int:
         return time.monotonic_ns() - self._origin
 
-    def do(self, what: Any) -> None:
-        task = self.loop.create_task(what)
+    def start_task(self, coroutine: Any) -> None:
+        """Runs a coroutine as a task and keeps a reference to it."""
+        task = self.loop.create_task(coroutine)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    def place(self, name: str) -> LoopbackPlace:
-        return LoopbackPlace(name, self.loop, self._origin)
+    def fake_machine(self, name: str) -> LoopbackMachine:
+        return LoopbackMachine(name, self.loop, self._origin)
 
-    def node(self, name: str, ended: Callable[[str, str], None]) -> DaemonProcess:
-        node = DaemonProcess(self, name, ended)
+    def node(self, name: str, on_exit: Callable[[str, str], None]) -> DaemonProcess:
+        node = DaemonProcess(self, name, on_exit)
         self.nodes.append(node)
         return node
 
-    def join(self, links: Links) -> None:
-        """A [tier] table beside what the service file says, and a folder for histories."""
+    def connect_peers(self, links: Links) -> None:
+        """Starts the relay between nodes, and adds a [tier] table with a folder for histories to the service
+        file."""
         assert self._tier is not None
         histories, key, service = self.folder / "histories", self.folder / "key", self.folder / "tier.toml"
         histories.mkdir()
@@ -385,69 +404,70 @@
         table += f"judge = {str(self._tier.judge).lower()}\n{self._budgets}"
         service.write_text(f"{base}\n{table}", encoding="utf-8")
         self.service = str(service)
-        self._peer_held = ports.udp(len(self.nodes))
-        self._relay = RelayProcess(links, [one.number for one in self._peer_held])
+        self._peer_ports = ports.reserve_udp(len(self.nodes))
+        self._relay = RelayProcess(links, [port.number for port in self._peer_ports])
 
     def peers(self, name: str) -> Peers:
         assert self._relay is not None
         number = [node.name for node in self.nodes].index(name)
-        return Peers(f"{HOST}:{self._peer_held[number].number}", self._relay.peers(number))
+        return Peers(f"{HOST}:{self._peer_ports[number].number}", self._relay.peers(number))
 
-    def give(self, name: str) -> None:
-        """The port for this node's peers to its process, which starts now."""
-        if self._peer_held:
-            self._peer_held[[node.name for node in self.nodes].index(name)].release()
+    def release_peer_port(self, name: str) -> None:
+        """Releases the node's reserved peer port to its process, which starts now."""
+        if self._peer_ports:
+            self._peer_ports[[node.name for node in self.nodes].index(name)].release()
 
     def histories(self) -> list[list[Event]]:
         return read_events(self.folder / "histories", self._origin, lambda name: self.clock(name)[0])
 
-    def stuck(self) -> str:
-        return ""  # a process that waits for ever looks like one that waits
+    def find_deadlock(self) -> str:
+        return ""  # from outside, a deadlocked process looks like a waiting one
 
     def finish(self) -> None:
-        self.over.set()
+        self.finished.set()
 
-    def crashed(self, node: str, what: str, trace: list[str]) -> None:
+    def record_crash(self, node: str, description: str, frames: list[str]) -> None:
         assert self.rehearsal is not None
-        self.rehearsal.crashed(node, what, trace)
+        self.rehearsal.crashed(node, description, frames)
 
     async def clean_up(self) -> None:
+        """Ends all processes and releases all ports."""
         for node in self.nodes:
             node.come_back()
             node.kill()
-            node.give_up()
-        for held in self._peer_held:
-            held.release()
+            node.release_port()
+        for port in self._peer_ports:
+            port.release()
         if self._relay is not None:
             self._relay.close()
         tasks = list(self._tasks)
         if tasks:
-            await asyncio.wait(tasks, timeout=ENDS_WITHIN)
+            await asyncio.wait(tasks, timeout=CLEANUP_TIMEOUT_S)
 
 
-async def _play(
-    scenario: Scenario, tick: Callable[[float], None], interrupted: Callable[[], bool], folder: Path
+async def _run_scenario(
+    scenario: Scenario, tick: Callable[[float], None], is_interrupted: Callable[[], bool], folder: Path
 ) -> tuple[Rehearsal, list[LogLine]]:
     environment = SocketEnvironment(folder, scenario.nodes)
     rehearsal = Rehearsal(scenario, cast(Any, environment), tick)
     environment.rehearsal = rehearsal
     failures: list[BaseException] = []
 
-    def failed(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """A bug of the kit is none of the daemon: the run ends with it."""
-        problem = context.get("exception") or RuntimeError(str(context.get("message")))
-        failures.append(problem)
+    def on_exception(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Ends the run: an exception in a fake is a fault of the rehearsal kit, not of the daemon."""
+        exception = context.get("exception") or RuntimeError(str(context.get("message")))
+        failures.append(exception)
         environment.finish()
 
-    environment.loop.set_exception_handler(failed)
+    environment.loop.set_exception_handler(on_exception)
     try:
         rehearsal.start()
-        while not environment.over.is_set():
-            if interrupted():
+        while not environment.finished.is_set():
+            if is_interrupted():
                 rehearsal.interrupt()
             try:
-                async with asyncio.timeout(LOOK):
-                    await environment.over.wait()
+                async with asyncio.timeout(POLL_INTERVAL_S):
+                    await environment.finished.wait()
             except TimeoutError:
                 continue
     finally:
@@ -457,13 +477,13 @@
     return rehearsal, environment.log
 
 
-def play(
+def run_scenario(
     scenario: Scenario, tick: Callable[[float], None] = lambda _: None,
-    interrupted: Callable[[], bool] = lambda: False,
+    is_interrupted: Callable[[], bool] = lambda: False,
 ) -> tuple[Rehearsal, list[LogLine]]:  # fmt: skip
-    """One run in real time: the rehearsal as it ended, and the nodes' log lines."""
+    """Runs a scenario in real time. Returns the finished rehearsal and the nodes' log lines."""
     with (
         tempfile.TemporaryDirectory(prefix="driftstair-") as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
-        return runner.run(_play(scenario, tick, interrupted, Path(folder)))
+        return runner.run(_run_scenario(scenario, tick, is_interrupted, Path(folder)))
--- a/driftstair/rehearsal/wire.py
+++ b/driftstair/rehearsal/wire.py
@@ -1,8 +1,9 @@
-"""What crossed the wire, as clients, boxes and the box list saw it: the only evidence that `rules` goes by.
+"""Observations of the messages between clients, nodes, boxes and the box list, as seen by the fakes.
 
-Times are whole nanoseconds since the start of the run; `node` and `box` are names; `request` is the id that
-the client gave (`X-Request-Id`); an `attempt` is a number that the fake box gives each request whose
-first byte it sees. A carrier of another protocol notes the same things of its own messages.
+They are the only input of the rule checker (`rules`). Times are whole nanoseconds since the start of the run;
+`node` and `box` are names; `request` is the id that the client set (`X-Request-Id`); `attempt` is the number
+that the fake box gives to each request whose first byte it receives. Fakes of another protocol would record
+the same observations.
 """
 
 from __future__ import annotations
@@ -12,70 +13,72 @@
 
 
 class HostState(Enum):
+    """The state of a box in the box list; the values are those of the list's protocol."""
+
     READY = "Ready"
     DRAINING = "Terminating"
     GONE = "Gone"
 
 
-class Asked(NamedTuple):
-    """The last byte of a request is written to a connection that the node's machine accepted."""
+class RequestSent(NamedTuple):
+    """A client wrote the last byte of a request to an established connection to the node."""
 
     at: int
     request: bytes
     node: str
-    kind: str  # the request's class
-    patience: int  # ns that the client waits from now on
-    connected: int  # when this connection came up
-    again: bool = False  # the same request once more: the node had closed the connection between requests
+    kind: str  # class of the request
+    patience: int  # ns that the client waits from `at`
+    connected_at: int  # when this connection was established
+    resent: bool = False  # sent again, as the node had closed the connection between requests
 
 
-class Answered(NamedTuple):
-    """The last byte of a final answer has come to the client."""
+class ResponseReceived(NamedTuple):
+    """A client received the last byte of a final answer."""
 
     at: int
     request: bytes
     status: int
-    token: bytes  # what names the box's answer that this is; empty if it is none
+    token: bytes  # identifies the box's answer in the body; empty without one
 
 
-class Cut(NamedTuple):
-    """The connection ended, and brought no whole answer to its request."""
+class ConnectionEnded(NamedTuple):
+    """The connection ended before the whole answer to its request arrived."""
 
     at: int
     request: bytes
-    how: str
+    reason: str
 
 
-class LeftOff(NamedTuple):
-    """The client closed its connection before it had an answer: nobody waits any more."""
+class RequestAbandoned(NamedTuple):
+    """The client closed its connection before the answer arrived, and no longer waits."""
 
     at: int
     request: bytes
 
 
-class Unasked(NamedTuple):
-    """Somebody got from a node what was not asked for, or what can't be read; `what` says who and which."""
+class UnexpectedMessage(NamedTuple):
+    """A node sent a message that was not requested or can't be parsed; the description names the receiver."""
 
     at: int
     node: str
-    what: str
+    description: str
 
 
-class Sending(NamedTuple):
-    """The first byte of a request has come to a box."""
+class AttemptStarted(NamedTuple):
+    """A box received the first byte of a request."""
 
     at: int
     attempt: int
     request: bytes
     box: str
     node: str
-    left: (
-        int  # the earliest that it can have left the node: before `at`, where a machine was cut off meanwhile
-    )
+    # The earliest time at which the node can have sent it: before `at` if a machine was cut off meanwhile.
+    sent_at: int
 
 
-class Sent(NamedTuple):
-    """The last byte has come: the box begins it, or turns it away. `work`: the core-seconds it would take."""
+class AttemptReceived(NamedTuple):
+    """A box received the last byte of a request, and starts or rejects it. `work`: core-seconds that it
+    takes."""
 
     at: int
     attempt: int
@@ -85,15 +88,15 @@
     work: float
 
 
-class NotRun(NamedTuple):
-    """The box has answered that it did not and will not run the request."""
+class AttemptNotRun(NamedTuple):
+    """The box answered that it did not run the request and will not."""
 
     at: int
     attempt: int
 
 
-class Ran(NamedTuple):
-    """The box has answered 200; the answer's body carries `token`."""
+class AttemptServed(NamedTuple):
+    """The box answered 200; the body of the answer contains `token`."""
 
     at: int
     attempt: int
@@ -101,44 +104,44 @@
     token: bytes
 
 
-class Listed(NamedTuple):
-    """The box list knows of a change, whether or not it can tell anybody."""
+class ListChanged(NamedTuple):
+    """The box list learned of a change, whether or not it can send it to any node."""
 
     at: int
     box: str
     state: HostState
-    started: int  # ns since the start of the run; below 0: before it
+    started_at: int  # ns since the start of the run; negative: before it
 
 
-class Told(NamedTuple):
-    """The box list has written an entry to a node."""
+class ListEntrySent(NamedTuple):
+    """The box list sent an entry to a node."""
 
     at: int
     node: str
     box: str
     state: HostState
-    started: int
+    started_at: int
 
 
-class Contact(NamedTuple):
-    """A node asks the box list, or its watch stands (`standing`) or has ended."""
+class ListContact(NamedTuple):
+    """A node called the box list or its watch ended; with `watching`, its watch was opened."""
 
     at: int
     node: str
-    standing: bool
+    watching: bool
 
 
 class NodeUp(NamedTuple):
-    """The node's process serves, or its machine is reachable again (`anew` is False)."""
+    """The node's process was started, or its machine is reachable again (`new_process` is False)."""
 
     at: int
     node: str
-    anew: bool = True
+    new_process: bool = True
 
 
 class NodeDown(NamedTuple):
-    """The node's process was killed, or its machine cut off: what it held is the clients' to ask again.
-    `planned` is an end that the node itself made, of which it had been told in time."""
+    """The node's process ended or its machine was cut off. Clients have to retry the requests it had, except
+    when `planned`: the node ended by itself after a timely notice."""
 
     at: int
     node: str
@@ -146,23 +149,26 @@
 
 
 class BoxUp(NamedTuple):
-    """A box's process has started. `capacity`: core-seconds of work a second once it is warm; `cold_share` of
-    it at the start, rising evenly for `cold_time` ns."""
+    """A box's process started. `capacity`: core-seconds of work per second when warm. The box starts with
+    `cold_share` of it and rises linearly to all of it over `cold_time_ns`."""
 
     at: int
     box: str
     capacity: float
     cold_share: float
-    cold_time: int
+    cold_time_ns: int
 
 
 class BoxDown(NamedTuple):
+    """A box's process ended."""
+
     at: int
     box: str
-    why: str
+    reason: str
 
 
 Observation = (
-    Asked | Answered | Cut | LeftOff | Unasked | Sending | Sent | NotRun | Ran | Listed | Told | Contact
+    RequestSent | ResponseReceived | ConnectionEnded | RequestAbandoned | UnexpectedMessage | AttemptStarted
+    | AttemptReceived | AttemptNotRun | AttemptServed | ListChanged | ListEntrySent | ListContact
     | NodeUp | NodeDown | BoxUp | BoxDown
 )  # fmt: skip
--- a/tests/acceptance/test_pushed_lists.py
+++ b/tests/acceptance/test_pushed_lists.py
@@ -70,7 +70,7 @@
 
     async def test() -> None:
         async with Server("s-1") as leaving, Server("s-2") as staying, SlowAgent() as agent:
-            port = ports.tcp()
+            port = ports.reserve_tcp()
             document = pushed(agent, leaving, staying)
             document["listen"] = f"127.0.0.1:{port.number}"
             leaving.state = "Terminating"
--- a/tests/control/control_fleet.py
+++ b/tests/control/control_fleet.py
@@ -226,7 +226,7 @@
         self.log_lines: dict[int, list[str]] = {number: [] for number in range(count)}
         self.nodes: list[Node] = []
         self.committed: dict[str, int] = {}  # revisions by id, as clients were told
-        self._ports = [ports.tcp() for _ in range(count)]
+        self._ports = [ports.reserve_tcp() for _ in range(count)]
         self.relay = TcpRelay([port.number for port in self._ports])
         self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._readers: list[asyncio.Task[None]] = []
--- a/tests/control/test_control_command.py
+++ b/tests/control/test_control_command.py
@@ -66,7 +66,7 @@
     repeated = json.loads(capsys.readouterr().out)
     assert repeated == {"id": match[1], "revision": int(match[2])}
 
-    unused_port = ports.tcp()
+    unused_port = ports.reserve_tcp()
     servers = f"127.0.0.1:{unused_port.number},{server}"
     assert run(["control", "put", str(file), "--servers", servers]) == 0
     capsys.readouterr()
@@ -102,7 +102,7 @@
 
 
 def test_commands_report_that_no_server_answers(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    unused_port = ports.tcp()
+    unused_port = ports.reserve_tcp()
     address = f"127.0.0.1:{unused_port.number}"
     file = tmp_path / "change.toml"
     file.write_text(CHANGE_TOML)
--- a/tests/model/test_model_world.py
+++ b/tests/model/test_model_world.py
@@ -10,7 +10,7 @@
 from driftstair.model.baselines import POLICIES, AtRandom
 from driftstair.model.clock import Clock
 from driftstair.model.world import ModelError, World
-from driftstair.rehearsal.load import by_path, load, parse
+from driftstair.rehearsal.load import load, parse, tables_from_paths
 from lichenspring import interface as api
 
 # One class without keys, boxes of one kind and of speed 1 that never jam, nothing on the way.
@@ -62,7 +62,9 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_every_first_try_has_one_end(policy: str) -> None:
-    tree = by_path({"nodes.count": 24, "boxes.count": 16, "load.rate": 260, "seconds": 16, "seed": 5})
+    tree = tables_from_paths(
+        {"nodes.count": 24, "boxes.count": 16, "load.rate": 260, "seconds": 16, "seed": 5}
+    )
     world = World(load("whole-fleet", tree), POLICIES[policy])
     outcome = world.play()
     whole = world.account.whole
@@ -79,7 +81,7 @@
 
 
 def test_runs_of_one_seed_are_alike_and_share_arrivals_over_policies() -> None:
-    tree = by_path({"nodes.count": 8, "boxes.count": 8, "load.rate": 130, "seconds": 12})
+    tree = tables_from_paths({"nodes.count": 8, "boxes.count": 8, "load.rate": 130, "seconds": 12})
     first, again = (World(load("whole-fleet", tree)).play().row() for _ in range(2))
     other = World(load("whole-fleet", tree), POLICIES["random"]).play().row()
     assert first == again
@@ -89,7 +91,7 @@
 
 def test_nodes_killed_lose_what_they_hold_and_come_back() -> None:
     tree = {
-        **by_path({"nodes.count": 20, "boxes.count": 16, "load.rate": 240, "seconds": 16}),
+        **tables_from_paths({"nodes.count": 20, "boxes.count": 16, "load.rate": 240, "seconds": 16}),
         "fault": [{"kind": "node-dies", "at_s": 4, "for_s": 3, "nodes": 14}],
     }
     world = World(load("whole-fleet", tree))
@@ -101,7 +103,7 @@
 
 def test_replaced_and_dead_boxes_leave_no_connection_behind() -> None:
     tree = {
-        **by_path({"nodes.count": 20, "boxes.count": 16, "load.rate": 200, "seconds": 20}),
+        **tables_from_paths({"nodes.count": 20, "boxes.count": 16, "load.rate": 200, "seconds": 20}),
         "fault": [
             {"kind": "replace", "at_s": 2, "for_s": 4, "part": 0.5},
             {"kind": "box-dies", "at_s": 8, "for_s": 4, "boxes": 3},
@@ -126,7 +128,7 @@
         def pick(self, now: int, request: api.Request) -> api.ServerId:
             return b"nowhere!"
 
-    tree = by_path({"nodes.count": 2, "boxes.count": 4, "load.rate": 20, "seconds": 11})
+    tree = tables_from_paths({"nodes.count": 2, "boxes.count": 4, "load.rate": 20, "seconds": 11})
     world = World(load("whole-fleet", tree), Lost)
     assert world.play().row()["service"] == 0
     assert world.account.whole.lost["refused"] == world.account.whole.asked
@@ -145,7 +147,9 @@
 def test_a_fleet_in_trouble_is_served_once_each_node_keeps_to_its_part() -> None:
     """120 nodes before 66 boxes, of which a tenth are slow. Where each node goes to all of them: 0.51
     handshakes for each first try, 86 connections a box and 6 jams; 0.23, 40 and none with parts."""
-    tree = by_path({"nodes.count": 120, "boxes.count": 66, "load.rate": 960, "seconds": 12, "seed": 3})
+    tree = tables_from_paths(
+        {"nodes.count": 120, "boxes.count": 66, "load.rate": 960, "seconds": 12, "seed": 3}
+    )
     outcome = World(load("whole-fleet", tree)).play()
     assert outcome.row()["handshakes"] < 0.35
     assert max(second.connections for second in outcome.seconds) < 66 * 60
--- a/tests/model/test_peers.py
+++ b/tests/model/test_peers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from driftstair.model.world import ModelError, World
-from driftstair.rehearsal.load import by_path, load, parse
+from driftstair.rehearsal.load import load, parse, tables_from_paths
 from driftstair.tier.membership.members import State
 
 TIER = {"judge": True}
@@ -70,7 +70,7 @@
 
 
 def test_shipped_scenarios_of_judgements_are_played_by_both() -> None:
-    world = World(load("shared-bad-eighth", by_path({"seconds": 45.0, "load.rate": 80.0})))
+    world = World(load("shared-bad-eighth", tables_from_paths({"seconds": 45.0, "load.rate": 80.0})))
     assert world.play().bad_tries > 0
 
 
@@ -86,8 +86,8 @@
     program = (
         "import sys\n"
         "from driftstair.model.world import World\n"
-        "from driftstair.rehearsal.load import by_path, load\n"
-        "World(load('calm', by_path({'seconds': 1.0}))).play()\n"
+        "from driftstair.rehearsal.load import tables_from_paths, load\n"
+        "World(load('calm', tables_from_paths({'seconds': 1.0}))).play()\n"
         "print([name for name in sys.modules if name.startswith('driftstair.model.peers')])\n"
     )
     done = subprocess.run(
--- a/tests/rehearsal/stage.py
+++ b/tests/rehearsal/stage.py
@@ -1,4 +1,4 @@
-"""Small rehearsals for tests: few boxes, little load, seconds of virtual time."""
+"""Small rehearsals for tests: few boxes, little load, a few seconds of virtual time."""
 
 from __future__ import annotations
 
@@ -9,52 +9,61 @@
 from driftstair.rehearsal.load import parse
 from driftstair.rehearsal.report import build
 from driftstair.rehearsal.runner import Rehearsal
-from driftstair.rehearsal.virtual import play
+from driftstair.rehearsal.virtual import run_scenario
 
-SMALL: dict[str, Any] = {
+SMALL_SCENARIO: dict[str, Any] = {
     "version": 1, "name": "small", "seconds": 6.0, "load": {"rate": 80.0, "keys": 100}, "nodes": {"count": 2},
     "boxes": {"count": 4, "grace_s": 2.0},
     "list": {"notice_s": 0.3, "silent_notice_s": 3.0, "ask_within_s": 1.0},
 }  # fmt: skip
 
 
-def small(*faults: dict[str, Any], **tables: Any) -> dict[str, Any]:
-    return SMALL | tables | {"fault": [{"at_s": 2.0, "for_s": 2.0} | one for one in faults]}
+def small_scenario(*faults: dict[str, Any], **tables: Any) -> dict[str, Any]:
+    """The tables of a small scenario with these faults, by default from 2 s to 4 s. `tables` replace its
+    own."""
+    return SMALL_SCENARIO | tables | {"fault": [{"at_s": 2.0, "for_s": 2.0} | fault for fault in faults]}
 
 
 class Run:
-    """What a rehearsal left, and what crossed the wire in it."""
+    """A finished rehearsal in virtual time, its report and its observations. `prepare` is called before its
+    start."""
 
     def __init__(self, tree: dict[str, Any], prepare: Callable[[Rehearsal], None] = lambda _: None) -> None:
-        self.wire: list[wire.Observation] = []
+        self.recorded: list[wire.Observation] = []
 
         def watch(rehearsal: Rehearsal) -> None:
-            judge = rehearsal.checker.note
+            check = rehearsal.checker.note
 
-            def note(seen: wire.Observation) -> None:
-                self.wire.append(seen)
-                judge(seen)
+            def note(observation: wire.Observation) -> None:
+                self.recorded.append(observation)
+                check(observation)
 
             rehearsal.checker.note = note  # type: ignore[method-assign]
             prepare(rehearsal)
 
-        self.rehearsal, self.log, self.events = play(parse(tree, "test"), prepare=watch)
+        self.rehearsal, self.log, self.event_count = run_scenario(parse(tree, "test"), prepare=watch)
         self.report = build.build(self.rehearsal, self.log, "virtual")
         self.service: float = self.report["service"]
         self.breaks = self.rehearsal.checker.breaks
         self.crashes = self.rehearsal.crashes
         self.began = self.rehearsal.began
 
-    def seen(self, kind: type, begin: float = 0.0, end: float = 1e9, **fields: Any) -> list[Any]:
-        """Observations of a kind between two times of the run, in s from when clients came."""
+    def observations(
+        self, observation_type: type, begin_s: float = 0.0, end_s: float = 1e9, **fields: Any
+    ) -> list[Any]:
+        """The observations of a type with these field values, between two times in s after the clients'
+        start."""
         return [
-            one for one in self.wire
-            if isinstance(one, kind) and begin <= (one.at - self.began) / 1e9 < end
-            and all(getattr(one, name) == value for name, value in fields.items())
+            observation for observation in self.recorded
+            if isinstance(observation, observation_type)
+            and begin_s <= (observation.at - self.began) / 1e9 < end_s
+            and all(getattr(observation, name) == value for name, value in fields.items())
         ]  # fmt: skip
 
-    def kept(self) -> bool:
+    def passed(self) -> bool:
+        """Whether the run ended as planned, with no rule broken and no crash."""
         return not self.breaks and not self.crashes and self.report["ended"] == "whole"
 
-    def rules(self) -> set[int]:
-        return {one.rule for one in self.breaks}
+    def broken_rules(self) -> set[int]:
+        """The numbers of the rules that were broken."""
+        return {broken.rule for broken in self.breaks}
--- a/tests/rehearsal/test_hunt.py
+++ b/tests/rehearsal/test_hunt.py
@@ -131,14 +131,14 @@
 
 
 def test_a_failure_of_the_kit_is_a_finding_and_no_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    played = virtual.play
+    played = virtual.run_scenario
 
     def play(scenario: Scenario, **more: Any) -> Any:
         if scenario.name == "hunt-5-1":
             raise RuntimeError("the kit failed") from KeyError("s-03")
         return played(scenario, **more)
 
-    monkeypatch.setattr(virtual, "play", play)
+    monkeypatch.setattr(virtual, "run_scenario", play)
     result = hunt(seed=5, budget=8)
     assert result.runs > 2 and not result.found.is_the_kits()
     ((tree, found),) = result.kits
@@ -147,6 +147,6 @@
 
 
 def test_where_the_kit_fails_on_all_that_is_what_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(virtual, "play", lambda scenario: 1 // 0)
+    monkeypatch.setattr(virtual, "run_scenario", lambda scenario: 1 // 0)
     result = hunt(seed=5, budget=4)
     assert result.found.way == "kit ZeroDivisionError" and len(result.kits) == result.runs
--- a/tests/rehearsal/test_large_fleet.py
+++ b/tests/rehearsal/test_large_fleet.py
@@ -1,5 +1,5 @@
-"""A large fleet in small: many nodes that see little of any box, in the faults that the scenarios
-`mass-kill`, `lost-zone` and `large-fleet` play at full size. The rules hold, and what can serve does."""
+"""A large fleet at reduced size: many nodes, each of which sends little to any box, under the faults of the
+scenarios `mass-kill`, `lost-zone` and `large-fleet`. The rules hold, and the remaining capacity is used."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from stage import Run, small
+from stage import Run, small_scenario
 
 from driftstair.rehearsal import wire
 from driftstair.rehearsal.cold import ColdBudget, ColdRule
@@ -17,86 +17,98 @@
 NODES = {"count": 12, "descriptors": 200}
 BOXES = {"count": 12, "grace_s": 2.0}
 LOAD = {"rate": 180.0, "keys": 200}
-OVERBOOKED = {"lines_per_s": 60.0, "notice_s": 0.3, "silent_notice_s": 3.0, "ask_within_s": 2.0}
-"""A whole list is 12 lines and a call costs 40: little more than one call a second for all nodes together."""
+OVERLOADED_LIST = {"lines_per_s": 60.0, "notice_s": 0.3, "silent_notice_s": 3.0, "ask_within_s": 2.0}
+"""The whole list has 12 lines and a call costs 40: little more than one call per second for all nodes
+together."""
 
 
-def fleet(*faults: dict[str, Any], **tables: Any) -> dict[str, Any]:
-    return small(*faults, **{"nodes": NODES, "boxes": BOXES, "load": LOAD, "seconds": 8.0} | tables)
+def fleet_scenario(*faults: dict[str, Any], **tables: Any) -> dict[str, Any]:
+    return small_scenario(*faults, **{"nodes": NODES, "boxes": BOXES, "load": LOAD, "seconds": 8.0} | tables)
 
 
-def service_between(run: Run, begin: float, end: float) -> float:
-    """Of the requests that nodes gave an answer to."""
-    told = Counter(one.status == 200 for one in run.seen(wire.Answered, begin, end))
-    return told[True] / max(1, sum(told.values()))
+def answered_share(run: Run, begin_s: float, end_s: float) -> float:
+    """The share of requests answered with 200 among those that nodes answered."""
+    answers = Counter(
+        answer.status == 200 for answer in run.observations(wire.ResponseReceived, begin_s, end_s)
+    )
+    return answers[True] / max(1, sum(answers.values()))
 
 
 @pytest.mark.parametrize("killed", [10, 11])
-def test_most_nodes_killed_at_once_before_an_overbooked_list(killed: int) -> None:
-    """They serve from the list that they last held: one that waited for a call would idle for seconds."""
-    run = Run(fleet({"kind": "node-dies", "nodes": killed, "for_s": 1.0}, list=OVERBOOKED))
-    assert run.kept()
-    calls = Counter(one.node for one in run.seen(wire.Contact, 3.0, 4.0) if not one.standing)
-    assert calls and max(calls.values()) == 1  # none calls twice in the first second
-    assert service_between(run, 3.2, 8.0) > 0.9
+def test_most_nodes_killed_at_once_with_an_overloaded_list(killed: int) -> None:
+    """The restarted nodes serve from their last list: a node that waited for a call would serve nothing for
+    seconds."""
+    run = Run(fleet_scenario({"kind": "node-dies", "nodes": killed, "for_s": 1.0}, list=OVERLOADED_LIST))
+    assert run.passed()
+    calls = Counter(
+        contact.node for contact in run.observations(wire.ListContact, 3.0, 4.0) if not contact.watching
+    )
+    assert calls and max(calls.values()) == 1  # no node calls twice in the first second
+    assert answered_share(run, 3.2, 8.0) > 0.9
 
 
-def test_a_lost_zone_comes_back_cold_with_bad_boxes_beside_it() -> None:
+def test_a_third_of_the_boxes_restarts_cold_while_others_return_errors() -> None:
     run = Run(
-        fleet(
+        fleet_scenario(
             {"kind": "box-dies", "part": 0.33},
             {"kind": "box-errors", "part": 0.1, "share": 0.7, "at_s": 3.0, "for_s": 4.0},
             seconds=10.0,
         )
     )
-    assert run.kept()
-    assert service_between(run, 6.0, 10.0) > 0.9
+    assert run.passed()
+    assert answered_share(run, 6.0, 10.0) > 0.9
 
 
 @pytest.mark.parametrize("same_address", [False, True])
-def test_three_in_five_boxes_replaced_within_seconds(same_address: bool) -> None:
+def test_three_in_five_boxes_are_replaced_within_seconds(same_address: bool) -> None:
     run = Run(
-        fleet({"kind": "replace", "part": 0.6, "same_address": same_address, "for_s": 2.0}, seconds=12.0)
+        fleet_scenario(
+            {"kind": "replace", "part": 0.6, "same_address": same_address, "for_s": 2.0}, seconds=12.0
+        )
     )
-    assert run.kept()
-    assert service_between(run, 0.5, 12.0) > 0.8
+    assert run.passed()
+    assert answered_share(run, 0.5, 12.0) > 0.8
 
 
-def test_a_list_ten_seconds_old_is_the_only_source() -> None:
-    """Boxes on it have gone and others run that it does not name: what is left of it is used."""
+def test_nodes_started_in_a_list_outage_use_a_list_that_is_ten_seconds_old() -> None:
+    """Some boxes on the list are gone and new ones are missing: the nodes use the boxes that remain."""
     run = Run(
-        fleet(
+        fleet_scenario(
             {"kind": "list-outage", "at_s": 0.5, "for_s": 11.0},
             {"kind": "replace", "boxes": 3, "at_s": 1.0, "for_s": 1.0},
             {"kind": "node-dies", "nodes": 8, "at_s": 5.0, "for_s": 1.0},
             seconds=11.0,
         )
     )
-    assert run.kept()
-    assert service_between(run, 6.5, 11.0) > 0.9
+    assert run.passed()
+    assert answered_share(run, 6.5, 11.0) > 0.9
 
 
-def test_boxes_that_take_fewer_connections_than_there_are_nodes() -> None:
-    """How many a box takes is told nowhere, and nearly all requests go to the same few. With nodes that kept
-    theirs to a box that turned them away for it, each was over its number for good, and 0.48 was served."""
+def test_boxes_that_take_fewer_connections_than_there_are_nodes_are_used() -> None:
+    """Nodes are not told how many connections a box takes, and nearly all requests go to the same few boxes.
+    If nodes keep their connections to a box that rejects requests for this reason, each box stays over its
+    limit for good, and the service is 0.48."""
     kind = {"name": "narrow", "share": 1.0, "connections_per_core": 4.0}
-    run = Run(fleet(boxes=BOXES | {"kind": [kind]}, load=LOAD | {"keys": 3}, nodes=NODES | {"count": 24}))
-    assert run.kept() and run.service > 0.9
+    run = Run(
+        fleet_scenario(boxes=BOXES | {"kind": [kind]}, load=LOAD | {"keys": 3}, nodes=NODES | {"count": 24})
+    )
+    assert run.passed() and run.service > 0.9
 
 
-def test_a_fleet_of_two_by_the_same_constants() -> None:
-    run = Run(fleet({"kind": "node-dies", "nodes": 1, "for_s": 1.0}, nodes=NODES | {"count": 2}))
-    assert run.kept()
-    assert run.seen(wire.Answered)[0].at - run.began < 2_000 * MS
-    assert service_between(run, 3.5, 8.0) > 0.95
+def test_a_fleet_of_two_nodes_works_with_the_same_constants() -> None:
+    run = Run(fleet_scenario({"kind": "node-dies", "nodes": 1, "for_s": 1.0}, nodes=NODES | {"count": 2}))
+    assert run.passed()
+    assert run.observations(wire.ResponseReceived)[0].at - run.began < 2_000 * MS
+    assert answered_share(run, 3.5, 8.0) > 0.95
 
 
 @pytest.mark.parametrize("nodes", [5, 20, 30])
-def test_cold_boxes_bear_the_sum_of_what_all_nodes_send(nodes: int) -> None:
-    """Half of the boxes start anew while traffic jumps and nodes restart: whole daemons, each with its part.
-    Beyond the budget of N requests only 2 x root of N + 2 are put down to chance."""
+def test_cold_boxes_get_no_more_work_from_all_nodes_than_they_can_do(nodes: int) -> None:
+    """Half of the boxes are replaced while the traffic doubles and nodes restart. The work that all nodes
+    together send to a cold box stays within its budget; of N allowed requests, 2 * sqrt(N) + 2 more count as
+    chance."""
     run = Run(
-        fleet(
+        fleet_scenario(
             {"kind": "replace", "part": 0.5, "at_s": 2.0, "for_s": 1.0},
             {"kind": "traffic-jump", "times": 2.0, "at_s": 4.0, "for_s": 3.0},
             {"kind": "node-restarts", "nodes": nodes // 3, "at_s": 3.0, "for_s": 1.0},
@@ -104,18 +116,20 @@
             list={"lines_per_s": 4000.0, "notice_s": 0.3, "silent_notice_s": 3.0},
         )
     )  # fmt: skip
-    assert run.kept()
+    assert run.passed()
     rule = ColdRule()
-    sent = run.seen(wire.Sent)
-    mean = sum(one.work for one in sent) / len(sent)
-    cold = [one for one in run.seen(wire.BoxUp, 1.0) if one.cold_share < 1.0]
+    received = run.observations(wire.AttemptReceived)
+    mean = sum(attempt.work for attempt in received) / len(received)
+    cold = [event for event in run.observations(wire.BoxUp, 1.0) if event.cold_share < 1.0]
     assert len(cold) == 6
     for box in cold:
-        budget = ColdBudget(rule, box.at, box.capacity, box.cold_share, box.cold_time)
-        came = [one for one in sent if one.box == box.box and one.at >= box.at]
-        assert came
-        for one in came:
-            budget.arrive(one.at, one.work, one.node)
-            able = budget.warmth(one.at - rule.fall_time // 2) * box.capacity * rule.fall_time / 1e9
-            allowed = rule.multiple * able / mean
+        budget = ColdBudget(rule, box.at, box.capacity, box.cold_share, box.cold_time_ns)
+        arrivals = [attempt for attempt in received if attempt.box == box.box and attempt.at >= box.at]
+        assert arrivals
+        for attempt in arrivals:
+            budget.arrive(attempt.at, attempt.work, attempt.node)
+            possible_work = (
+                budget.warmth(attempt.at - rule.fall_time // 2) * box.capacity * rule.fall_time / 1e9
+            )
+            allowed = rule.multiple * possible_work / mean
             assert budget.in_window() / mean <= allowed + 2 * sqrt(allowed) + 2
--- a/tests/rehearsal/test_ports.py
+++ b/tests/rehearsal/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are held for processes that are started later."""
+"""Reserved ports for processes that are started later."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 from driftstair.rehearsal import ports
 
 
-def test_two_hundred_ports_are_two_hundred() -> None:
-    # Asked for one after the other and each given back at once, two were the same in every second play.
-    held = ports.udp(200)
+def test_reserved_ports_are_distinct() -> None:
+    # If each port is given back before the next is requested, two are the same in every second run.
+    reserved = ports.reserve_udp(200)
     try:
-        assert len({one.number for one in held}) == 200
+        assert len({port.number for port in reserved}) == 200
     finally:
-        for one in held:
-            one.release()
+        for port in reserved:
+            port.release()
 
 
-def test_a_port_of_tcp_stays_held_while_a_node_listens_there_and_between_its_processes() -> None:
-    held = ports.tcp()
+def test_a_tcp_port_stays_reserved_while_a_node_listens_on_it_and_between_its_processes() -> None:
+    port = ports.reserve_tcp()
     try:
         for _ in range(2):
-            own = bind_listening_socket((ports.HOST, held.number), 8)
-            with socket.create_connection((ports.HOST, held.number)):
+            listener = bind_listening_socket((ports.HOST, port.number), 8)
+            with socket.create_connection((ports.HOST, port.number)):
                 pass
-            own.close()
-        with socket.socket() as other:  # of somebody else, as the kernel gives them out
-            with pytest.raises(OSError) as problem:
-                other.bind((ports.HOST, held.number))
-            assert problem.value.errno == errno.EADDRINUSE
+            listener.close()
+        with socket.socket() as unrelated:  # a bind without SO_REUSEADDR, as in an unrelated process
+            with pytest.raises(OSError) as error:
+                unrelated.bind((ports.HOST, port.number))
+            assert error.value.errno == errno.EADDRINUSE
     finally:
-        held.release()
+        port.release()
 
 
-def test_a_port_of_udp_is_there_for_its_process_once_released() -> None:
-    (held,) = ports.udp(1)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as own:
+def test_a_udp_port_can_be_bound_once_it_is_released() -> None:
+    (port,) = ports.reserve_udp(1)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as process_socket:
         with pytest.raises(OSError):
-            own.bind((ports.HOST, held.number))
-        held.release()
-        own.bind((ports.HOST, held.number))
+            process_socket.bind((ports.HOST, port.number))
+        port.release()
+        process_socket.bind((ports.HOST, port.number))
--- a/tests/rehearsal/test_rehearse_command.py
+++ b/tests/rehearsal/test_rehearse_command.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from stage import Run, small
+from stage import Run, small_scenario
 
 from driftstair.net.frontend import ClientConnection
 from driftstair.rehearsal.report import build, compare, html
@@ -157,21 +157,21 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(ClientConnection, "answer", swallows)
-        return Run(small()).report
+        return Run(small_scenario()).report
 
 
 def test_a_broken_rule_is_exit_1(monkeypatch: pytest.MonkeyPatch) -> None:
     from driftstair.rehearsal.command import status_of
 
     assert status_of(broken(monkeypatch)) == 1
-    assert status_of(Run(small()).report) == 0
+    assert status_of(Run(small_scenario()).report) == 0
 
 
 def test_compare_shows_what_changed_between_two_builds(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     paths = []
-    for name, report in (("a", Run(small()).report), ("b", broken(monkeypatch))):
+    for name, report in (("a", Run(small_scenario()).report), ("b", broken(monkeypatch))):
         paths.append(tmp_path / f"{name}.json")
         paths[-1].write_text(build.text_of(report))
     done = command("rehearse", "compare", *map(str, paths))
@@ -183,7 +183,7 @@
 
 
 def test_compare_says_when_the_scenarios_differ() -> None:
-    found = compare.compare(Run(small()).report, Run(small(seed=2)).report)
+    found = compare.compare(Run(small_scenario()).report, Run(small_scenario(seed=2)).report)
     assert not found["same_scenario"]
 
 
@@ -208,7 +208,7 @@
 
 
 def test_a_page_of_a_run_that_was_cut_off_at_once() -> None:
-    report = Run(small(seconds=0.01)).report
+    report = Run(small_scenario(seconds=0.01)).report
     assert "<svg" in html.page(report)
 
 
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from driftstair.rehearsal.load import ScenarioError, classes, kinds, load, parse, shipped
+from driftstair.rehearsal.load import ScenarioError, classes, kinds, load, parse, shipped_scenarios
 
 WANTED = {
     "calm", "slow-boxes", "dying-node", "lagging-list", "list-outage", "traffic-jump", "everything-slow",
@@ -15,8 +15,8 @@
 
 
 def test_the_promised_scenarios_are_shipped_and_have_a_title() -> None:
-    assert set(shipped()) >= WANTED
-    for name in shipped():
+    assert set(shipped_scenarios()) >= WANTED
+    for name in shipped_scenarios():
         found = load(name)
         assert found.name == name and found.title
 
--- a/tests/rehearsal/test_sockets.py
+++ b/tests/rehearsal/test_sockets.py
@@ -1,4 +1,4 @@
-"""The same scenarios with daemons as processes and real sockets: other figures, the same rules."""
+"""Scenarios with daemon processes and real sockets: figures differ from virtual time, the rules do not."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from typing import Any
 
 import tomli_w
-from stage import Run, small
+from stage import Run, small_scenario
 from test_rehearse_command import command
 
-BOUND = 0.05  # of service, between virtual time and sockets on a calm scenario
+SERVICE_TOLERANCE = 0.05  # between virtual time and sockets in a calm scenario
 
-# What a slow machine adds is no break: a process may stand still for longer than sockets are allowed to take.
-PATIENT = {"rules": {"answer_grace_ms": 2000.0, "drain_grace_s": 3.0}}
+# On a slow computer a process may stall for longer than the default graces, which must not count as a break.
+LONG_GRACES = {"rules": {"answer_grace_ms": 2000.0, "drain_grace_s": 3.0}}
 
 
-def on_sockets(tree: dict[str, Any], folder: Path) -> dict[str, Any]:
+def run_on_sockets(tree: dict[str, Any], folder: Path) -> dict[str, Any]:
     path = folder / "scenario.toml"
     path.write_text(tomli_w.dumps(tree))
-    done = command("rehearse", str(path), "--sockets", "--json", "-")
-    assert done.returncode in (0, 1), done.stderr
-    found: dict[str, Any] = json.loads(done.stdout)
-    return found
+    completed = command("rehearse", str(path), "--sockets", "--json", "-")
+    assert completed.returncode in (0, 1), completed.stderr
+    report: dict[str, Any] = json.loads(completed.stdout)
+    return report
 
 
-def test_calm_is_served_alike_in_both_ways(tmp_path: Path) -> None:
-    """At little load, so that a slow machine gives the same verdict."""
-    tree = small(load={"rate": 40.0, "keys": 100}, seconds=4.0, **PATIENT)
-    real, virtual = on_sockets(tree, tmp_path), Run(tree)
-    assert real["verdict"]["rules_kept"] and not real["verdict"]["crashes"]
-    assert real["scenario"]["hash"] == virtual.report["scenario"]["hash"]
-    assert abs(real["service"] - virtual.service) <= BOUND
-    # The same seed asks for the same, up to the moment at which the last of it falls.
-    assert abs(real["asked"] - virtual.report["asked"]) <= 0.15 * virtual.report["asked"]
+def test_a_calm_scenario_is_served_alike_on_sockets_and_in_virtual_time(tmp_path: Path) -> None:
+    """The load is low, so that a slow computer gives the same verdict."""
+    tree = small_scenario(load={"rate": 40.0, "keys": 100}, seconds=4.0, **LONG_GRACES)
+    socket_report, virtual_run = run_on_sockets(tree, tmp_path), Run(tree)
+    assert socket_report["verdict"]["rules_kept"] and not socket_report["verdict"]["crashes"]
+    assert socket_report["scenario"]["hash"] == virtual_run.report["scenario"]["hash"]
+    assert abs(socket_report["service"] - virtual_run.service) <= SERVICE_TOLERANCE
+    # The same seed gives the same arrivals, up to the moment of the last one.
+    assert abs(socket_report["asked"] - virtual_run.report["asked"]) <= 0.15 * virtual_run.report["asked"]
 
 
-def test_processes_die_restart_and_reload_on_sockets(tmp_path: Path) -> None:
-    tree = small(
+def test_processes_are_killed_restarted_and_reloaded_on_sockets(tmp_path: Path) -> None:
+    tree = small_scenario(
         {"kind": "node-dies", "nodes": ["n0"], "at_s": 1.0, "for_s": 1.0},
         {"kind": "list-moves", "at_s": 2.2},
         {"kind": "node-restarts", "nodes": ["n1"], "at_s": 2.5},
@@ -45,25 +45,25 @@
         {"kind": "replace", "boxes": ["s-02"], "at_s": 1.0},
         load={"rate": 40.0, "keys": 100},
         seconds=6.0,
-        **PATIENT,
+        **LONG_GRACES,
     )
-    found = on_sockets(tree, tmp_path)
-    assert found["verdict"]["rules_kept"], found["breaks"]
-    assert found["verdict"]["crashes"] == 0, found["crashes"]
-    happened = [one["what"] for one in found["events"]]
-    for what in ("n0 dies", "n0 starts again", "n1 is told to end", "n1 has ended", "n1 starts again",
+    report = run_on_sockets(tree, tmp_path)
+    assert report["verdict"]["rules_kept"], report["breaks"]
+    assert report["verdict"]["crashes"] == 0, report["crashes"]
+    events = [entry["what"] for entry in report["events"]]
+    for event in ("n0 dies", "n0 starts again", "n1 is told to end", "n1 has ended", "n1 starts again",
                  "box s-01 dies", "box s-02 drains"):  # fmt: skip
-        assert what in happened
-    assert any("discovery is at" in line["text"] for line in found["log"])
+        assert event in events
+    assert any("discovery is at" in line["text"] for line in report["log"])
 
 
 def test_a_box_that_vanishes_on_sockets_is_silent_and_comes_back(tmp_path: Path) -> None:
-    tree = small(
+    tree = small_scenario(
         {"kind": "box-vanishes", "boxes": ["s-01"], "at_s": 1.0},
         load={"rate": 40.0, "keys": 100},
         seconds=4.0,
-        **PATIENT,
+        **LONG_GRACES,
     )
-    found = on_sockets(tree, tmp_path)
-    assert found["verdict"]["rules_kept"], found["breaks"]
-    assert found["boxes"]["s-01"]["handled"] > 0
+    report = run_on_sockets(tree, tmp_path)
+    assert report["verdict"]["rules_kept"], report["breaks"]
+    assert report["boxes"]["s-01"]["handled"] > 0
--- a/tests/rehearsal/test_worst_days.py
+++ b/tests/rehearsal/test_worst_days.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from stage import Run, small
+from stage import Run, small_scenario
 
 from driftstair.admission.connection_table import ConnectionTable
 from driftstair.net.frontend import Frontend
@@ -16,8 +16,10 @@
 from lichenspring.breaker import Window
 
 NODES = {"count": 2, "descriptors": 200}
-HOLDING = small(load={"rate": 160.0, "keys": 100}, nodes=NODES, clients={"hold_share": 0.7}, seconds=8.0)
-BROKEN = small(
+HOLDING = small_scenario(
+    load={"rate": 160.0, "keys": 100}, nodes=NODES, clients={"hold_share": 0.7}, seconds=8.0
+)
+BROKEN = small_scenario(
     {"kind": "broken-connections", "part": 1.0, "reset": 0.06, "swallowed": 0.15, "at_s": 1.0, "for_s": 9.0},
     load={"rate": 140.0, "keys": 100}, seconds=10.0,
 )  # fmt: skip
@@ -54,26 +56,26 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     mended = Run(tree)
-    assert mended.kept()
+    assert mended.passed()
     without(monkeypatch)
     before = Run(tree)
-    assert before.kept()
+    assert before.passed()
     assert mended.service - before.service > lost
 
 
 def test_a_silent_crowd_takes_no_place_from_those_that_ask() -> None:
-    calm = Run(small(nodes=NODES))
+    calm = Run(small_scenario(nodes=NODES))
     crowd = {"kind": "silent-crowd", "at_s": 1.0, "for_s": 4.0}
     for begin in (False, True):
-        run = Run(small(crowd | {"per_s": 300, "begin": begin}, nodes=NODES))
-        assert run.kept() and run.service > calm.service - 0.02
+        run = Run(small_scenario(crowd | {"per_s": 300, "begin": begin}, nodes=NODES))
+        assert run.passed() and run.service > calm.service - 0.02
 
 
 def test_broken_connections_lose_answers_and_no_request() -> None:
     fault = {"kind": "broken-connections", "part": 1.0, "reset": 0.3, "swallowed": 0.2}
-    run = Run(small(fault))
-    assert run.kept()
-    ran = len(run.seen(wire.Ran, 2.0, 4.0))
+    run = Run(small_scenario(fault))
+    assert run.passed()
+    ran = len(run.observations(wire.AttemptServed, 2.0, 4.0))
     assert ran > 50 and run.service < 1.0
 
 
--- a/tests/tier/fleet.py
+++ b/tests/tier/fleet.py
@@ -53,7 +53,7 @@
         self.addresses: dict[int, tuple[str, int]] = {}
         self.programs = dict.fromkeys(range(count), program)  # replaces `-m driftstair` if not empty
         self.servers: list[Server] = []  # known to all nodes from the start
-        self._ports = ports.udp(count)
+        self._ports = ports.reserve_udp(count)
         self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._readers: list[asyncio.Task[None]] = []
         self._ongoing: dict[tuple[str, int], int] = {}  # faults by kind and node, with their begin in ns
--- a/tests/tier/test_permits_processes.py
+++ b/tests/tier/test_permits_processes.py
@@ -26,7 +26,7 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self._held = [ports.tcp() for _ in range(fleet.count)]
+        self._held = [ports.reserve_tcp() for _ in range(fleet.count)]
 
     def address(self, number: int) -> str:
         return f"127.0.0.1:{self._held[number].number}"
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -7,7 +7,7 @@
 import pytest
 
 from driftstair.rehearsal import virtual
-from driftstair.rehearsal.load import ScenarioError, load, parse, shipped
+from driftstair.rehearsal.load import ScenarioError, load, parse, shipped_scenarios
 from driftstair.rehearsal.report import build, html
 from driftstair.rehearsal.tier import owners
 from driftstair.tier.membership.core import NEVER, Membership
@@ -17,9 +17,9 @@
 from driftstair.tier.shared import evidence
 from driftstair.tier.shared.escrow import Escrow, Terms
 
-SCENARIOS = [name for name in shipped() if name.startswith("tier-")]
+SCENARIOS = [name for name in shipped_scenarios() if name.startswith("tier-")]
 JUDGED = ["shared-bad-eighth", "shared-liar"]
-SHARED = [name for name in shipped() if name.startswith("shared-") and name not in JUDGED]
+SHARED = [name for name in shipped_scenarios() if name.startswith("shared-") and name not in JUDGED]
 LIGHT = {"load": {"rate": 15.0, "keys": 30}, "boxes": {"count": 4}}
 
 
@@ -27,7 +27,7 @@
 
 
 def report(name: str, changes: dict[str, Any] = LIGHT) -> dict[str, Any]:
-    rehearsal, log, _ = virtual.play(load(name, changes))
+    rehearsal, log, _ = virtual.run_scenario(load(name, changes))
     return build.build(rehearsal, log, "virtual")
 
 
@@ -59,9 +59,9 @@
     assert all(15 < one["at"] < one["until"] < 35 + 8 for one in held)
 
 
-@pytest.mark.parametrize("name", [name for name in shipped() if name.startswith("owner-")])
+@pytest.mark.parametrize("name", [name for name in shipped_scenarios() if name.startswith("owner-")])
 def test_one_node_at_a_time_tries_a_failing_server_whatever_befalls_the_nodes(name: str) -> None:
-    rehearsal, log, _ = virtual.play(load(name, {}))
+    rehearsal, log, _ = virtual.run_scenario(load(name, {}))
     found = build.build(rehearsal, log, "virtual")
     assert found["tier"]["findings"] == []
     assert not found["verdict"]["crashes"]
@@ -114,7 +114,7 @@
 
 
 def test_a_node_with_twelve_times_the_demand_is_let_in_for_more_than_its_part() -> None:
-    rehearsal, _, _ = virtual.play(load("shared-halves", {}))
+    rehearsal, _, _ = virtual.run_scenario(load("shared-halves", {}))
     spent = [sum(one["event"] == "spend" for one in events) for events in rehearsal.environment.histories()]
     assert spent[0] > 2 * sum(spent) / len(spent), spent
 
@@ -153,7 +153,7 @@
     """Its report once said that every node had judged as it should, with no history looked at."""
     monkeypatch.setattr(Suspicion, "deadline_ns", lambda self: NEVER)
     seconds: list[float] = []
-    rehearsal, log, _ = virtual.play(
+    rehearsal, log, _ = virtual.run_scenario(
         load("tier-crashes", LIGHT), seconds.append, lambda: bool(seconds) and seconds[-1] > 16
     )
     found = build.build(rehearsal, log, "virtual")
