--- a/driftstair/model/server.py
+++ b/driftstair/model/server.py
@@ -87,9 +87,9 @@
     def drain(self) -> None:
         self.draining = True
 
-    def set_slow(self, factor: float) -> None:
+    def set_slowdown(self, factor: float) -> None:
         if self.running:
-            self.engine.set_slow(self._clock.now / 1e9, factor)
+            self.engine.set_slowdown(self._clock.now / 1e9, factor)
             self._rearm()
 
     # Connections.
--- a/driftstair/rehearsal/fakes/billing.py
+++ b/driftstair/rehearsal/fakes/billing.py
@@ -1,5 +1,5 @@
-"""A fake of the billing service that receives a node's export: a collector that writes each line to a file
-before it acknowledges it, and continues from the file after a restart.
+"""A fake of the billing service that receives the export of nodes: a collector that writes each line to a
+file before it acknowledges it, and continues from the file after a restart.
 
     python -m driftstair.rehearsal.fakes.billing FOLDER [PORT [LEASE_MS]]     # prints the port it listens on
 """
@@ -59,7 +59,7 @@
 
 
 async def serve(folder: Path, port: int = 0, lease_ms: int = LEASE) -> None:
-    """Accepts export connections until cancelled. `lease` is in ms."""
+    """Accepts export connections until cancelled, and prints the port first."""
     ledger_files = LedgerFiles(folder)
     collector = Collector(
         ledger_files.append_lines, ledger_files.heads, lease_ms, ledger_files.tokens, ledger_files.store_token
--- a/driftstair/rehearsal/fakes/box.py
+++ b/driftstair/rehearsal/fakes/box.py
@@ -101,12 +101,12 @@
         self.machine.loop.call_later(IDLE_CHECK_S, self._close_idle_connections)
         self._set_timer()
 
-    def stop(self, why: str) -> None:
+    def stop(self, reason: str) -> None:
         """Ends the box's process and resets all its connections."""
         if not self.running:
             return
         self.running = False
-        self.note(wire.BoxDown(self.machine.now(), self.name, why))
+        self.note(wire.BoxDown(self.machine.now(), self.name, reason))
         for acceptor in self._acceptors:
             acceptor.close()
         self._acceptors.clear()
@@ -123,10 +123,10 @@
         """Rejects new requests from now on."""
         self.draining = True
 
-    def set_slow(self, factor: float) -> None:
-        """Makes the box slower by a factor."""
+    def set_slowdown(self, factor: float) -> None:
+        """Sets the factor by which the box is slower than normal."""
         if self.running:
-            self.engine.set_slow(self.machine.now() / 1e9, factor)
+            self.engine.set_slowdown(self.machine.now() / 1e9, factor)
             self._set_timer()
 
     # Connections and requests.
--- a/driftstair/rehearsal/fakes/boxlist.py
+++ b/driftstair/rehearsal/fakes/boxlist.py
@@ -19,9 +19,7 @@
 from driftstair.rehearsal.fakes.place import Acceptor, FakeMachine
 from driftstair.rehearsal.wire import HostState
 
-SILENT_WATCH_GRACE_S = (
-    6.0  # from when a watch fell silent until the node counts as informed of what it missed
-)
+SILENT_WATCH_GRACE_S = 6.0  # after it a node counts as informed of what its silent watch missed
 KEEPALIVE_INTERVAL_S = 2.0  # between two empty lines on a watch
 MOVE_GRACE_S = 1.5  # how long open connections to the old address last after a move
 KEPT_VERSIONS_MAX = 256  # a watch from an older version gets the whole list
@@ -322,6 +320,7 @@
             self._transport.write(data)
 
     def send_changes(self, entries: list[Entry]) -> None:
+        """Sends changes on a watch, or has them recorded as missed if the watch is silent."""
         if self.silent_at is not None:
             self._box_list.schedule_missed(self, entries)
             return
@@ -336,12 +335,14 @@
             self.write(self._box_list.encode_line(self.node, entries, full))
 
     def send_keepalive(self) -> None:
+        """Sends an empty line at intervals, unless the watch is silent."""
         if self.is_open():
             if not self._box_list.down and self.silent_at is None:
                 self.write(b"1\r\n\n\r\n")
             self._box_list.machine.loop.call_later(KEEPALIVE_INTERVAL_S, self.send_keepalive)
 
     def refuse(self) -> None:
+        """Answers a call that would exceed the time-out."""
         self.write(response(503))
         self.close()
 
--- a/driftstair/rehearsal/fakes/clients.py
+++ b/driftstair/rehearsal/fakes/clients.py
@@ -44,7 +44,7 @@
     """A first try and its retries."""
 
     __slots__ = (
-        "began_at", "deadline", "holds_connection", "key", "kind", "open", "outcome", "phase",
+        "began_at", "deadline", "holds_connection", "is_open", "key", "kind", "outcome", "phase",
         "respects_retry_after", "tenant", "tries",
     )  # fmt: skip
 
@@ -61,7 +61,7 @@
         self.respects_retry_after = respects_retry_after
         self.holds_connection = False  # uses a connection of its own and keeps it open afterwards
         self.tries = 0
-        self.open = True
+        self.is_open = True
         self.outcome = account.UNREACHABLE
 
 
@@ -160,15 +160,15 @@
         operation = Operation(
             kind, tenant, key, self.load.phase, now, random.random() < self.figures.retry_after_share
         )
-        # Nothing is drawn if no client holds connections, so that other scenarios draw the same numbers as
-        # before.
+        # Nothing is drawn if no client holds connections, so that the option does not change the numbers that
+        # other scenarios draw.
         operation.holds_connection = self.figures.hold_share > 0 and random.random() < self.figures.hold_share
         self.open_operations += 1
         self._operations[operation] = None
         self._start_try(operation)
 
     def _start_try(self, operation: Operation) -> None:
-        if not operation.open:
+        if not operation.is_open:
             return
         now = self.machine.now()
         remaining = operation.deadline - now
@@ -319,9 +319,9 @@
         self.machine.loop.call_later(wait_s, self._start_try, operation)
 
     def _close_operation(self, operation: Operation, latency: int) -> None:
-        if not operation.open:
+        if not operation.is_open:
             return
-        operation.open = False
+        operation.is_open = False
         self.open_operations -= 1
         del self._operations[operation]
         self.ledger.close(
@@ -404,7 +404,7 @@
     def __init__(self, clients: Clients, node: str) -> None:
         self.clients = clients
         self.node = node
-        self.open = 0  # including those being opened
+        self.connection_count = 0  # including those being opened
         self._idle: list[Connection] = []
         self._waiting: deque[Try] = deque()
         self._tasks: dict[asyncio.Task[None], None] = {}
@@ -416,13 +416,13 @@
             if not connection.closed:
                 connection.send(client_try)
                 return
-        if self.open >= self.clients.figures.connections_max:
+        if self.connection_count >= self.clients.figures.connections_max:
             self._waiting.append(client_try)
             return
         self._dial(client_try)
 
     def _dial(self, client_try: Try) -> None:
-        self.open += 1
+        self.connection_count += 1
         task = self.clients.machine.loop.create_task(self._open_connection(client_try))
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
@@ -436,7 +436,7 @@
                     lambda: Connection(self), clients.front.addresses[self.node]
                 )
         except (OSError, TimeoutError):
-            self.open -= 1
+            self.connection_count -= 1
             clients.on_unreachable(client_try)
             self._dial_next()
             return
@@ -463,13 +463,13 @@
 
     def remove(self, connection: Connection) -> None:
         """Removes a closed connection."""
-        self.open -= 1
+        self.connection_count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
         self._dial_next()
 
     def _dial_next(self) -> None:
-        while self._waiting and self.open < self.clients.figures.connections_max:
+        while self._waiting and self.connection_count < self.clients.figures.connections_max:
             client_try = self._waiting.popleft()
             if client_try.live:
                 self._dial(client_try)
--- a/driftstair/rehearsal/fakes/crowd.py
+++ b/driftstair/rehearsal/fakes/crowd.py
@@ -17,7 +17,7 @@
     nothing."""
 
     def __init__(self, machine: FakeMachine, front: FrontLayer, per_s: float, begin: bool) -> None:
-        self.open: dict[_SilentConnection, None] = {}
+        self.connections: dict[_SilentConnection, None] = {}
         self._machine = machine
         self._front = front
         self._interval_s = 1.0 / per_s
@@ -35,7 +35,7 @@
     def stop(self) -> None:
         """Opens no more connections and closes the open ones."""
         self._running = False
-        for connection in list(self.open):
+        for connection in list(self.connections):
             connection.close()
 
     def _open_due(self) -> None:
@@ -45,7 +45,7 @@
         while self._next_at <= self._machine.loop.time():
             self._next_at += self._interval_s
             node = self._front.pick()
-            if node is not None and len(self.open) + len(self._tasks) < OPEN_CONNECTIONS_MAX:
+            if node is not None and len(self.connections) + len(self._tasks) < OPEN_CONNECTIONS_MAX:
                 task = self._machine.loop.create_task(self._connect(self._front.addresses[node]))
                 self._tasks[task] = None
                 task.add_done_callback(lambda done: self._tasks.pop(done, None))
@@ -60,17 +60,19 @@
 
     def add(self, connection: _SilentConnection) -> bytes:
         """Registers an established connection; returns what it sends first."""
-        self.open[connection] = None
+        self.connections[connection] = None
         if not self._running:
             connection.close()
         return PARTIAL_REQUEST if self._sends_partial_request else b""
 
     def remove(self, connection: _SilentConnection) -> None:
         """Removes a closed connection."""
-        self.open.pop(connection, None)
+        self.connections.pop(connection, None)
 
 
 class _SilentConnection(asyncio.Protocol):
+    """A connection that sends nothing, or the beginning of a request."""
+
     def __init__(self, crowd: SilentCrowd) -> None:
         self._crowd = crowd
         self._transport: asyncio.Transport | None = None
--- a/driftstair/rehearsal/fakes/engine.py
+++ b/driftstair/rehearsal/fakes/engine.py
@@ -187,8 +187,8 @@
                 self._queue.remove(job)
                 self._update_rate()
 
-    def set_slow(self, now: float, factor: float) -> None:
-        """Makes the box slower by a factor from now on."""
+    def set_slowdown(self, now: float, factor: float) -> None:
+        """Sets the factor by which the box is slower than normal, from now on."""
         self.advance_to(now)
         self.slowdown = factor
         self._update_rate()
--- a/driftstair/rehearsal/fakes/front.py
+++ b/driftstair/rehearsal/fakes/front.py
@@ -19,8 +19,8 @@
 
 
 class FrontLayer:
-    """`notice_s`: how long a dead node still gets requests. `weights`: turns in a round for each node that
-    has more than one."""
+    """Assigns requests to nodes in rotation. `notice_s`: how long a dead node still gets requests. `weights`:
+    turns per rotation of each node that has more than one."""
 
     def __init__(
         self, machine: FakeMachine, nodes: list[str], notice_s: float, random: Random,
@@ -97,6 +97,8 @@
 
 
 class _UpProbe(asyncio.Protocol):
+    """One `GET /up`; the future tells whether the answer was 200."""
+
     def __init__(self) -> None:
         self.answer: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._reader = MessageReader()
--- a/driftstair/rehearsal/faults.py
+++ b/driftstair/rehearsal/faults.py
@@ -91,13 +91,13 @@
     def _slowed(self, boxes: list[Box], times: float) -> End:
         for box in boxes:
             if box.running:
-                box.set_slow(box.engine.slowdown * times)
+                box.set_slowdown(box.engine.slowdown * times)
 
         def end() -> None:
             self._stage.say(f"{_names(boxes)} as fast as before")
             for box in boxes:
                 if box.running:
-                    box.set_slow(max(1.0, box.engine.slowdown / times))
+                    box.set_slowdown(max(1.0, box.engine.slowdown / times))
 
         return end
 
--- a/driftstair/rehearsal/sim/network.py
+++ b/driftstair/rehearsal/sim/network.py
@@ -76,6 +76,7 @@
         self.descriptors_peak = max(self.descriptors_peak, self.descriptors_in_use)
 
     def allocate_port(self) -> int:
+        """The next unused port."""
         self._next_port += 1
         return self._next_port
 
@@ -140,7 +141,7 @@
         self._schedule()
 
     def resume(self, on_ready: Callable[[], None]) -> None:
-        """Calls `ready` in each turn of the loop in which a connection waits (level-triggered)."""
+        """Calls `on_ready` in each turn of the loop in which a connection waits (level-triggered)."""
         self._on_ready = on_ready
         self._schedule()
 
@@ -248,11 +249,11 @@
         self.scheduler.add_timer(when_ns, self.kernel, NetworkEvent(callback, args))
 
     def defer(self, target: Machine, callback: Callable[[], None]) -> None:
-        """Keeps `send` until `target` comes back."""
+        """Keeps a callback until `target` comes back."""
         self._deferred.append((target, callback))
 
     def run_deferred(self, machine: Machine) -> None:
-        """Runs what was kept until `machine` came back."""
+        """Runs the callbacks that were kept until `machine` came back."""
         deferred, self._deferred = self._deferred, []
         for target, callback in deferred:
             if target is machine:
--- a/driftstair/rehearsal/sim/scheduler.py
+++ b/driftstair/rehearsal/sim/scheduler.py
@@ -81,9 +81,9 @@
         self._stopped = True
 
     def run(self, until: int, set_running_loop: Callable[[Any], None]) -> None:
-        """Runs events until `stop` is called or `until` (ns) is reached. `set_running_loop` is
-        called with the loop of each process whose turn begins, and with None at the end. Raises Deadlock if
-        no event is left before that, and Runaway if time no longer advances."""
+        """Runs events until `stop` is called or `until` (ns) is reached. `set_running_loop` is called with
+        the loop of each process whose turn begins, and with None at the end. Raises Deadlock if no event is
+        left before that, and Runaway if time no longer advances."""
         self._stopped = False
         ready, timers = self._ready, self._timers
         current_loop = None
--- a/driftstair/rehearsal/sim/system.py
+++ b/driftstair/rehearsal/sim/system.py
@@ -52,10 +52,10 @@
     def peer_close_probe(self, transport: asyncio.Transport) -> Callable[[], int | None]:
         endpoint = cast(Endpoint, transport)
 
-        def closed_since() -> int | None:
+        def closed_for_ns() -> int | None:
             return None if endpoint.peer_left_at is None else self._scheduler.now - endpoint.peer_left_at
 
-        return closed_since
+        return closed_for_ns
 
     def unread_probe(self, transport: asyncio.Transport) -> Callable[[], bool]:
         endpoint = cast(Endpoint, transport)
--- a/tests/rehearsal/test_box_engine.py
+++ b/tests/rehearsal/test_box_engine.py
@@ -103,7 +103,7 @@
 def test_a_fault_slows_the_box_down_from_its_beginning() -> None:
     engine = make_engine(cores=1)
     engine.arrive(0.0, "a", 0.4, 0.0, b"")
-    engine.set_slow(0.2, 4.0)
+    engine.set_slowdown(0.2, 4.0)
     assert completion_times(engine, 2.0) == {"a": 1.0}
 
 
