--- a/benchmarks/breaker.py
+++ b/benchmarks/breaker.py
@@ -19,7 +19,7 @@
 from multiprocessing import get_context
 
 from driftstair.rehearsal import virtual
-from driftstair.rehearsal.load import load, shipped
+from driftstair.rehearsal.load import load, shipped_scenarios
 from lichenspring import balance, breaker
 from lichenspring.breaker import Window, percentile
 
@@ -107,7 +107,7 @@
 
     balance.Balancer._on_timer = record_tick  # type: ignore[method-assign]
     try:
-        rehearsal, _, _ = virtual.play(load(name, {"seed": seed}))
+        rehearsal, _, _ = virtual.run_scenario(load(name, {"seed": seed}))
     except Exception as error:
         print(f"{name}, seed {seed}: run failed: {error!r}", file=sys.stderr)
         return []
@@ -140,7 +140,7 @@
 
 def make_jobs(count: int) -> Iterator[tuple[str, int]]:
     """Yields names and seeds of scenarios, going through the shipped scenarios in turn."""
-    names = sorted(shipped())
+    names = sorted(shipped_scenarios())
     for index in range(count):
         yield names[index % len(names)], 7000 + index
 
--- a/benchmarks/evenings.py
+++ b/benchmarks/evenings.py
@@ -77,7 +77,7 @@
         ):  # fmt: skip
             self.fleet = fleet
             fleet.servers.append(server)
-            self.operator_ports = [ports.tcp() for _ in range(self.count)]
+            self.operator_ports = [ports.reserve_tcp() for _ in range(self.count)]
             await self.start_nodes(*range(self.count))
             await fleet.wait_joined()
             traffic = Traffic(fleet)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,9 +26,9 @@
 def measure_job(job: Job) -> dict[str, Any]:
     """Runs the scenario once and returns its figures."""
     from driftstair.rehearsal import wire
-    from driftstair.rehearsal.load import by_path, load
+    from driftstair.rehearsal.load import load, tables_from_paths
     from driftstair.rehearsal.runner import Rehearsal
-    from driftstair.rehearsal.virtual import play
+    from driftstair.rehearsal.virtual import run_scenario
 
     nodes, seed, seconds = job
     attempts_by_box: Counter[str] = Counter()
@@ -40,11 +40,11 @@
 
         def note_and_count(observation: wire.Observation) -> None:
             nonlocal answered_attempts
-            if isinstance(observation, wire.Sent):
+            if isinstance(observation, wire.AttemptReceived):
                 attempts_by_box[observation.box] += 1
-            elif isinstance(observation, wire.Ran):
+            elif isinstance(observation, wire.AttemptServed):
                 answered_attempts += 1
-            elif isinstance(observation, wire.Contact):
+            elif isinstance(observation, wire.ListContact):
                 list_calls_by_second[observation.at // 1_000_000_000] += 1
             note_in_checker(observation)
 
@@ -53,8 +53,8 @@
     # Descriptors scale with the load of a node: with too few it would close clients' connections, an effect
     # that this benchmark does not measure.
     overrides = {"nodes.count": nodes, "nodes.descriptors": max(384, 384 * 40 // nodes)}
-    scenario = load("large-fleet", by_path({**overrides, "seed": seed, "seconds": seconds}))
-    rehearsal, _, _ = play(scenario, prepare=count_observations)
+    scenario = load("large-fleet", tables_from_paths({**overrides, "seed": seed, "seconds": seconds}))
+    rehearsal, _, _ = run_scenario(scenario, prepare=count_observations)
     requests, attempts = rehearsal.account.total.requests, sum(attempts_by_box.values())
     attempt_counts = sorted(attempts_by_box.values(), reverse=True)
     busiest_boxes = max(1, len(attempt_counts) // 10)
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -29,8 +29,8 @@
 
 def measure_point(nodes: int, boxes: int, rate: float, seconds: float, profile: bool) -> dict[str, float]:
     """Runs the `calm` scenario with these sizes, and returns its figures."""
-    from driftstair.rehearsal.load import by_path, load
-    from driftstair.rehearsal.virtual import play
+    from driftstair.rehearsal.load import load, tables_from_paths
+    from driftstair.rehearsal.virtual import run_scenario
 
     overrides = {
         "nodes.count": nodes,
@@ -38,13 +38,13 @@
         "load.rate": float(rate),
         "seconds": float(seconds),
     }
-    scenario = load("calm", by_path(overrides))
+    scenario = load("calm", tables_from_paths(overrides))
     rss_before_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     profiler = cProfile.Profile()
     start_s = time.process_time()
     if profile:
         profiler.enable()
-    rehearsal, _, events = play(scenario)
+    rehearsal, _, events = run_scenario(scenario)
     if profile:
         profiler.disable()
         pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
--- a/benchmarks/scale/control_servers.py
+++ b/benchmarks/scale/control_servers.py
@@ -44,7 +44,7 @@
         return [f"{HOST}:{port}" for port in self._ports]
 
     async def __aenter__(self) -> ControlServers:
-        reserved_ports = [ports.tcp() for _ in range(self.count)]
+        reserved_ports = [ports.reserve_tcp() for _ in range(self.count)]
         self._ports = [port.number for port in reserved_ports]
         for port in reserved_ports:
             port.release()
--- a/benchmarks/scale/daemons.py
+++ b/benchmarks/scale/daemons.py
@@ -64,7 +64,7 @@
             reserved_socket.bind((host_of(number), 0))
             peers.append("{}:{}".format(*reserved_socket.getsockname()))
         self._reserved_sockets.close()
-        reserved_ports = [ports.tcp() for _ in range(self.count)]
+        reserved_ports = [ports.reserve_tcp() for _ in range(self.count)]
         self._operator_ports = [port.number for port in reserved_ports]
         for port in reserved_ports:
             port.release()
--- a/benchmarks/scale/growth.py
+++ b/benchmarks/scale/growth.py
@@ -238,7 +238,7 @@
     node_settings = settings(fleet_size, pushed=True)
     node_settings["Contract"]["AskWithin"] = 3000 * NS_PER_MS
     processes: list[asyncio.subprocess.Process] = []
-    reserved_ports = [ports.tcp() for _ in range(nodes)]
+    reserved_ports = [ports.reserve_tcp() for _ in range(nodes)]
     with tempfile.TemporaryDirectory() as folder:
         try:
             for number in range(nodes):
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -121,11 +121,11 @@
 
     def prepare(rehearsal: Any) -> None:
         for at_s in (15.0, 35.0):
-            rehearsal.place.loop.call_later(
+            rehearsal.clients_machine.loop.call_later(
                 at_s, lambda: handled_counts.append(rehearsal.boxes["s-03"].handled)
             )
 
-    rehearsal, log, _ = virtual.play(load("shared-bad-eighth", settings), prepare=prepare)
+    rehearsal, log, _ = virtual.run_scenario(load("shared-bad-eighth", settings), prepare=prepare)
     report = build.build(rehearsal, log, "virtual")
     wrongly_held_back = sum(entry["server"] != "s-03" for entry in report["tier"]["held_back"])
     return handled_counts[1] - handled_counts[0], wrongly_held_back, report["service"]
--- a/benchmarks/soak/registry.py
+++ b/benchmarks/soak/registry.py
@@ -36,7 +36,7 @@
         self._records = records
         self._pushed = pushed
         # The ports stay reserved while nothing listens on them, or another run could take one.
-        self._ports = [[ports.tcp() for _ in range(ADDRESSES_PER_NODE)] for _ in range(nodes)]
+        self._ports = [[ports.reserve_tcp() for _ in range(ADDRESSES_PER_NODE)] for _ in range(nodes)]
         self._listeners: list[asyncio.Server] = []
         self._watches: dict[asyncio.StreamWriter, int] = {}  # that get changes; the node of each
         self._silent_watches: dict[asyncio.StreamWriter, int] = {}  # on which nothing more is sent
--- a/benchmarks/soak/servers.py
+++ b/benchmarks/soak/servers.py
@@ -48,7 +48,7 @@
         self.changed_at = 0.0  # when the state last changed
         self.fault_shares: dict[FaultKind, float] = {}  # faults in force; the share of requests of each
         # The port stays reserved while nothing listens on it, or another run could take it.
-        self._reserved_port = ports.tcp()
+        self._reserved_port = ports.reserve_tcp()
         self.port = self._reserved_port.number
         self._records = records
         self._random = random
--- a/driftstair/experiments/design.py
+++ b/driftstair/experiments/design.py
@@ -20,7 +20,7 @@
 from driftstair.files import FileError, parse_text, read_text
 from driftstair.model.baselines import POLICIES
 from driftstair.model.world import ModelError, World
-from driftstair.rehearsal.load import ScenarioError, by_path, load
+from driftstair.rehearsal.load import ScenarioError, load, tables_from_paths
 
 FORMAT_VERSION = 1
 MAX_RUNS = 100_000
@@ -155,7 +155,7 @@
         for factor_values in product(*(factor.values for factor in design.factor)):
             run = _build_run(design, scenario, design.seeds.first, factor_values, sources_hash)
             try:
-                scenario_settings = load(scenario, by_path(dict(run.changes)))
+                scenario_settings = load(scenario, tables_from_paths(dict(run.changes)))
                 if not run.build:
                     World(scenario_settings)
             except (ScenarioError, ModelError) as problem:
--- a/driftstair/model/clients.py
+++ b/driftstair/model/clients.py
@@ -17,7 +17,7 @@
 from driftstair.model.node import Node
 from driftstair.rehearsal import account
 from driftstair.rehearsal.fakes.clients import ClientFigures, Load
-from driftstair.rehearsal.fakes.workload import Choice, Kind, Workload, zipf
+from driftstair.rehearsal.fakes.workload import RequestClass, WeightedChoice, Workload, zipf
 from lichenspring.subset import splitmix64
 
 IDLE_POLL_NS = 50_000_000  # until the next look at the load, while it is 0
@@ -66,7 +66,9 @@
         "phase", "tenant", "tries", "wait_s", "why", "work",
     )  # fmt: skip
 
-    def __init__(self, number: int, kind: Kind, tenant: int, key: int, phase: str, began_ns: int) -> None:
+    def __init__(
+        self, number: int, kind: RequestClass, tenant: int, key: int, phase: str, began_ns: int
+    ) -> None:
         self.number = number
         self.kind = kind
         self.tenant = tenant
@@ -74,7 +76,7 @@
         self.key_name = b"%d" % key
         self.phase = phase
         self.began_ns = began_ns
-        self.deadline_ns = began_ns + kind.given_up
+        self.deadline_ns = began_ns + kind.given_up_ns
         self.honours_retry_after = True
         self.tries = 0
         self.open = True
@@ -86,7 +88,7 @@
     """Starts requests at the rate of the load, retries them, and accounts for each result once."""
 
     def __init__(
-        self, clock: Clock, front: Front, workload: Workload, figures: ClientFigures, tenants: Choice,
+        self, clock: Clock, front: Front, workload: Workload, figures: ClientFigures, tenants: WeightedChoice,
         tenant_names: list[str], keys: int, key_skew: float, load: Load, results: account.Account,
         network_delay_ns: Callable[[], int], seed: int,
     ) -> None:  # fmt: skip
@@ -136,10 +138,10 @@
         key = self._keys.draw(random)
         self.first_tries += 1
         client_request = ClientRequest(self.first_tries, kind, tenant, key, self._load.phase, self._clock.now)
-        client_request.honours_retry_after = random.random() < self._figures.honour
+        client_request.honours_retry_after = random.random() < self._figures.retry_after_share
         task = self._workload.task(b"%016x" % random.getrandbits(64), kind.name.encode())
         assert task is not None
-        client_request.work, client_request.wait_s = task.work, task.waits
+        client_request.work, client_request.wait_s = task.work, task.wait_s
         self.open_requests[client_request.number] = client_request
         self._start_try(client_request)
 
@@ -159,7 +161,7 @@
         patience = (
             remaining_ns
             if is_last
-            else min(remaining_ns, int(client_request.kind.given_up * self._figures.try_share))
+            else min(remaining_ns, int(client_request.kind.given_up_ns * self._figures.try_share))
         )
         if node is None:
             self._retry(client_request, account.UNREACHABLE, 0, may_have_run=False)
@@ -194,7 +196,9 @@
             return
         if status == 200:
             latency_ns = self._clock.now - client_request.began_ns
-            client_request.why = account.SERVED if latency_ns <= client_request.kind.wanted else account.LATE
+            client_request.why = (
+                account.SERVED if latency_ns <= client_request.kind.wanted_ns else account.LATE
+            )
             self._close(client_request, latency_ns)
         elif status == 503:
             self.refusals += 1
@@ -215,7 +219,7 @@
             self._close(client_request, 0)
             return
         delay_ns = int(
-            self._figures.backoff
+            self._figures.backoff_s
             * 2 ** (client_request.tries - 1)
             * self._retry_random.uniform(0.5, 1.5)
             * 1e9
--- a/driftstair/model/command.py
+++ b/driftstair/model/command.py
@@ -17,7 +17,7 @@
 
 from driftstair.model.baselines import POLICIES
 from driftstair.model.world import ModelError, World
-from driftstair.rehearsal.load import ScenarioError, by_path, load
+from driftstair.rehearsal.load import ScenarioError, load, tables_from_paths
 
 EXIT_OK, EXIT_COLD_SERVER_CRASHED, EXIT_USAGE = 0, 1, 2
 TABLE_COLUMNS = (
@@ -43,7 +43,7 @@
     """Runs one job, and returns its row with the figures of each second."""
     scenario, changes, policy = job
     cpu_start_s = time.process_time()
-    world = World(load(scenario, by_path(changes)), POLICIES[policy])
+    world = World(load(scenario, tables_from_paths(changes)), POLICIES[policy])
     outcome = world.run()
     seconds = [
         {
@@ -83,7 +83,7 @@
         }  # fmt: skip
         changes = {path: value for path, value in overrides.items() if value is not None}
         # A bad file or value is reported before any run.
-        scenario = load(options.scenario, by_path(changes))
+        scenario = load(options.scenario, tables_from_paths(changes))
         World(scenario)
         seeds = options.seeds or [scenario.seed]
         jobs = [(options.scenario, {**changes, "seed": seed}, options.policy) for seed in seeds]
--- a/driftstair/model/server.py
+++ b/driftstair/model/server.py
@@ -42,7 +42,7 @@
         self.vanished = False
         self.generation = 0
         self.open_connections = 0
-        self.place = self  # what the kit's faults cut off from the network
+        self.machine = self  # what the kit's faults cut off from the network
         self.completed = self.rejected = 0
         self.attempts_while_faulty = 0  # attempts that arrived while a fault made answers fail
         self.engine: Engine
@@ -60,7 +60,7 @@
         self.started = now if cold else -1
         self.open_connections = 0
         self.engine = Engine(self.figures, now / 1e9, cold, self._random)
-        cold_time = int(self.figures.cold_time * 1e9)
+        cold_time = int(self.figures.cold_time_s * 1e9)
         self._cold_budget = None
         if cold and cold_time:
             share, capacity = self.figures.cold_share, self.figures.capacity
@@ -90,9 +90,9 @@
         """Begins to reject new requests."""
         self.draining = True
 
-    def set_slow(self, factor: float) -> None:
+    def set_slowdown(self, factor: float) -> None:
         if self.running:
-            self.engine.set_slow(self._clock.now / 1e9, factor)
+            self.engine.set_slowdown(self._clock.now / 1e9, factor)
             self._schedule_wake()
 
     # Connections.
@@ -101,7 +101,7 @@
         """A node opens a connection; its handshake costs CPU time."""
         self.open_connections += 1
         self.engine.connections = self.open_connections
-        self.engine.burden(self._clock.now / 1e9, self.kind.handshake)
+        self.engine.add_overhead(self._clock.now / 1e9, self.kind.handshake_core_s)
         self._schedule_wake()
 
     def close_connection(self, generation: int) -> None:
@@ -128,7 +128,7 @@
             attempt.on_connection_lost(Result.RESET)
             return
         job = None
-        if self.open_connections <= self.figures.connections_most and not self.draining:
+        if self.open_connections <= self.figures.connections_max and not self.draining:
             job = self.engine.arrive(now / 1e9, attempt, work, client_request.wait_s, client_request.key_name)
         if job is None:
             self.rejected += 1
@@ -151,7 +151,7 @@
     # The engine's virtual time.
 
     def _schedule_wake(self) -> None:
-        wake_at_s = self.engine.due()
+        wake_at_s = self.engine.next_event()
         if wake_at_s < self._wake_at_s:  # waking too early is harmless
             self._wake_at_s = wake_at_s
             self._clock.call_at(
@@ -172,7 +172,7 @@
         self._schedule_wake()
 
     def _finish(self, now: int, job: Job) -> None:
-        attempt: Attempt = job.name  # type: ignore[assignment]
+        attempt: Attempt = job.tag  # type: ignore[assignment]
         self.completed += 1
         if self._jobs.pop(attempt, None) is None or self.vanished:
             return  # no node waits for the answer, but the work was done
--- a/driftstair/model/world.py
+++ b/driftstair/model/world.py
@@ -21,7 +21,7 @@
 from driftstair.rehearsal.account import Account
 from driftstair.rehearsal.cold import ColdRule
 from driftstair.rehearsal.fakes.clients import ClientFigures, Load
-from driftstair.rehearsal.fakes.workload import Choice, Workload
+from driftstair.rehearsal.fakes.workload import WeightedChoice, Workload
 from driftstair.rehearsal.faults import FaultInjector
 from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, draw_kind_order
 from driftstair.rehearsal.scenario import Scenario
@@ -149,7 +149,7 @@
         scenario, clock = self.scenario, self.clock
         random = random_for(self.seed, "fleet")
         self.workload = Workload(load.classes(scenario), random_for(self.seed, "work"))
-        kinds = list(self.workload.kinds.values())
+        kinds = list(self.workload.request_classes.values())
         self.load = Load(
             scenario.load.rate, kinds, [request_class.share for request_class in load.classes(scenario)]
         )
@@ -165,11 +165,11 @@
             clock, self.front, self.workload,
             ClientFigures(
                 retries=clients.retries, try_share=random.uniform(*clients.try_share),
-                backoff=random.uniform(*clients.backoff_ms) / 1e3, honour=clients.honour,
-                mark_retries=clients.mark_retries, connections_most=1, idle=clients.idle_s,
-                answer_grace=scenario.rules.answer_grace_ms / 1e3,
+                backoff_s=random.uniform(*clients.backoff_ms) / 1e3, retry_after_share=clients.honour,
+                mark_retries=clients.mark_retries, connections_max=1, idle_timeout_s=clients.idle_s,
+                answer_grace_s=scenario.rules.answer_grace_ms / 1e3,
             ),
-            Choice([tenant.share for tenant in tenants]), [tenant.name for tenant in tenants],
+            WeightedChoice([tenant.share for tenant in tenants]), [tenant.name for tenant in tenants],
             scenario.load.keys, scenario.load.key_skew, self.load, self.account, self._client_delay_ns,
             seed_for(self.seed, "clients"),
         )  # fmt: skip
@@ -282,11 +282,11 @@
         running = [box for box in self.boxes.values() if box.running]
         for box in running:
             box.advance()
-        in_flight = [box.engine.held() for box in running]
+        in_flight = [box.engine.request_count() for box in running]
         count = max(1, len(running))
         self.outcome.seconds.append(
             SecondSample(
-                now, sum(in_flight), sum(box.engine.busy() for box in running) / count,
+                now, sum(in_flight), sum(box.engine.busy_fraction() for box in running) / count,
                 sum(box.engine.is_jammed() for box in running), sum(box.open_connections for box in running),
                 max(in_flight, default=0),
             )
@@ -301,7 +301,7 @@
         )
         boxes = list(self._servers_by_id.values())
         outcome.attempts = sum(node.attempts for node in self.nodes.values())
-        outcome.jams = sum(box.engine.jams for box in boxes if box.generation)
+        outcome.jams = sum(box.engine.jam_count for box in boxes if box.generation)
         outcome.fallen = [box.name for box in boxes if box.crashed_cold]
         outcome.list_calls, outcome.list_failed = self.box_list.calls, self.box_list.failed_calls
         outcome.bad_tries = sum(box.attempts_while_faulty for box in boxes)
--- a/driftstair/rehearsal/faults.py
+++ b/driftstair/rehearsal/faults.py
@@ -42,8 +42,8 @@
             return float(previous_rate + (phase.rate - previous_rate) * progress)
 
         self._rehearsal.load.phase = phase.name
-        self._rehearsal.load.set_times("phase", rate_factor)
-        self._rehearsal.load.set_classes("phase", phase.shares)
+        self._rehearsal.load.set_factor("phase", rate_factor)
+        self._rehearsal.load.set_class_factors("phase", phase.shares)
         self._rehearsal.log_event(f"phase {phase.name}")
 
     def _choose_boxes(self, fault: model._AtBoxes, index: int) -> list[Box]:
@@ -96,13 +96,13 @@
     def _slow_down(self, boxes: list[Box], factor: float) -> EndFault:
         for box in boxes:
             if box.running:
-                box.set_slow(box.engine.slow * factor)
+                box.set_slowdown(box.engine.slowdown * factor)
 
         def end() -> None:
             self._rehearsal.log_event(f"{_names(boxes)} as fast as before")
             for box in boxes:
                 if box.running:
-                    box.set_slow(max(1.0, box.engine.slow / factor))
+                    box.set_slowdown(max(1.0, box.engine.slowdown / factor))
 
         return end
 
@@ -121,7 +121,7 @@
         boxes = self._choose_boxes(fault, index)
         for box in boxes:
             self._rehearsal.log_event(f"box {box.name} is cut off in silence")
-            box.place.vanish()
+            box.machine.vanish()
             self._rehearsal.network_cuts[box.name] = (self._rehearsal.now(), FOREVER_NS)
             self._rehearsal.update_box_list(box, HostState.GONE, silent=True)
 
@@ -131,7 +131,7 @@
                 if self._rehearsal.boxes.get(box.name) is not box:
                     continue  # replaced meanwhile: the name is gone, another box has the machine
                 self._rehearsal.log_event(f"box {box.name} is back")
-                box.place.come_back()
+                box.machine.come_back()
                 if box.running:
                     self._rehearsal.update_box_list(
                         box, HostState.DRAINING if box.draining else HostState.READY
@@ -169,8 +169,8 @@
 
     def _silent_crowd(self, fault: model.SilentCrowd, index: int) -> EndFault:
         self._rehearsal.log_event(f"{fault.per_s:g} strangers a second connect and ask for nothing")
-        crowd = SilentCrowd(self._rehearsal.place, self._rehearsal.front, fault.per_s, fault.begin)
-        crowd.come()
+        crowd = SilentCrowd(self._rehearsal.clients_machine, self._rehearsal.front, fault.per_s, fault.begin)
+        crowd.start()
         return crowd.stop
 
     def _replace(self, fault: model.Replace, index: int) -> EndFault:
@@ -191,13 +191,13 @@
             return 1.0 + (fault.times - 1.0) * min(rise, fall)
 
         self._rehearsal.log_event(f"{fault.times:g} times the traffic")
-        self._rehearsal.load.set_times(index, rate_factor)
-        return lambda: self._rehearsal.load.set_times(index, None)
+        self._rehearsal.load.set_factor(index, rate_factor)
+        return lambda: self._rehearsal.load.set_factor(index, None)
 
     def _surge(self, fault: model.Surge, index: int) -> EndFault:
         self._rehearsal.log_event(f"{fault.times:g} times the {fault.of_class}")
-        self._rehearsal.load.set_classes(index, {fault.of_class: fault.times})
-        return lambda: self._rehearsal.load.set_classes(index, None)
+        self._rehearsal.load.set_class_factors(index, {fault.of_class: fault.times})
+        return lambda: self._rehearsal.load.set_class_factors(index, None)
 
     def _list_outage(self, fault: model.ListOutage, index: int) -> EndFault:
         self._rehearsal.log_event("the box list is out of reach")
@@ -252,7 +252,7 @@
     def _node_stalls(self, fault: model.NodeStalls, index: int) -> EndFault:
         names = self._choose_nodes(fault, index)
         return self._disconnect_nodes(
-            names, "stands still", lambda node: node.stand_still(), lambda node: node.go_on()
+            names, "stands still", lambda node: node.suspend(), lambda node: node.resume()
         )
 
     def _disconnect_nodes(
@@ -275,7 +275,7 @@
                 self._rehearsal.unreachable_nodes.discard(name)
                 reconnect(self._rehearsal.nodes[name])
                 self._end_cut(name)
-                self._rehearsal.note(wire.NodeUp(self._rehearsal.now(), name, anew=False))
+                self._rehearsal.note(wire.NodeUp(self._rehearsal.now(), name, new_process=False))
                 self._rehearsal.front.node_starts(name, self._rehearsal.nodes[name].address(), lambda: None)
 
         return end
@@ -289,13 +289,13 @@
         def stop_nodes() -> None:
             if not ended and not self._rehearsal.finished:
                 for name in names:
-                    self._rehearsal.nodes[name].stand_still()
+                    self._rehearsal.nodes[name].suspend()
                 self._rehearsal.call_later(fault.stands_ms / 1e3, resume_nodes)
 
         def resume_nodes() -> None:
             for name in names:
                 if name not in self._rehearsal.unreachable_nodes:
-                    self._rehearsal.nodes[name].go_on()
+                    self._rehearsal.nodes[name].resume()
             self._rehearsal.call_later(fault.runs_ms / 1e3, stop_nodes)
 
         def end() -> None:
--- a/driftstair/rehearsal/hunt.py
+++ b/driftstair/rehearsal/hunt.py
@@ -65,7 +65,7 @@
 def evaluate(tree: Tree) -> Finding:
     """Plays a scenario in virtual time and returns its outcome."""
     try:
-        rehearsal, _, _ = virtual.play(parse(deepcopy(tree), "drawn"))
+        rehearsal, _, _ = virtual.run_scenario(parse(deepcopy(tree), "drawn"))
     except Exception as problem:
         # A scenario that the kit can't play must not end the hunt and lose its findings. Two replacements of
         # one box were such a scenario.
--- a/driftstair/rehearsal/report/build.py
+++ b/driftstair/rehearsal/report/build.py
@@ -97,7 +97,7 @@
         "boxes": {
             box.name: {
                 "kind": box.kind.name, "speed": round(box.figures.speed, 4), "handled": box.handled,
-                "turned_away": box.turned_away, "jams": box.engine.jams,
+                "turned_away": box.turned_away, "jams": box.engine.jam_count,
             }
             for box in (*rehearsal.removed_boxes.values(), *rehearsal.boxes.values())
         },
--- a/driftstair/rehearsal/rules.py
+++ b/driftstair/rehearsal/rules.py
@@ -135,10 +135,12 @@
         self._last_contact: dict[str, tuple[int, bool]] = {}
         self._cold_boxes: dict[str, _ColdBox] = {}
         self._handlers = {
-            wire.Asked: self._on_asked, wire.Answered: self._on_answered, wire.Cut: self._on_cut,
-            wire.LeftOff: self._on_left_off, wire.Unasked: self._on_unasked, wire.Sending: self._on_sending,
-            wire.Sent: self._on_sent, wire.NotRun: self._on_not_run, wire.Ran: self._on_ran,
-            wire.Listed: self._on_listed, wire.Told: self._on_told, wire.Contact: self._on_contact,
+            wire.RequestSent: self._on_asked, wire.ResponseReceived: self._on_answered,
+            wire.ConnectionEnded: self._on_cut, wire.RequestAbandoned: self._on_left_off,
+            wire.UnexpectedMessage: self._on_unasked, wire.AttemptStarted: self._on_sending,
+            wire.AttemptReceived: self._on_sent, wire.AttemptNotRun: self._on_not_run,
+            wire.AttemptServed: self._on_ran, wire.ListChanged: self._on_listed,
+            wire.ListEntrySent: self._on_told, wire.ListContact: self._on_contact,
             wire.NodeUp: self._on_node_up, wire.NodeDown: self._on_node_down, wire.BoxUp: self._on_box_up,
             wire.BoxDown: self._on_box_down,
         }  # fmt: skip
@@ -190,12 +192,12 @@
         record.open = False
         record.ended_at = at
 
-    def _on_asked(self, event: wire.Asked) -> None:
+    def _on_asked(self, event: wire.RequestSent) -> None:
         record = self._requests.get(event.request)
         if record is not None:
             # Sent again on another connection; the history of attempts is kept.
             record.sent_again = True
-            record.node, record.connected_at, record.open = event.node, event.connected, True
+            record.node, record.connected_at, record.open = event.node, event.connected_at, True
             record.asked_at, record.deadline = (
                 event.at,
                 event.at + event.patience + self._figures.answer_grace_ns,
@@ -204,15 +206,15 @@
             self.requests_judged += 1
             record = self._requests[event.request] = _RequestRecord(
                 event.node, event.kind, event.at, event.at + event.patience + self._figures.answer_grace_ns,
-                event.connected,
+                event.connected_at,
             )  # fmt: skip
         # A dead machine accepts nothing, and a connection to an ended process leads nowhere.
-        record.excused = self._is_down.get(event.node, False) or event.connected < self._last_exit.get(
+        record.excused = self._is_down.get(event.node, False) or event.connected_at < self._last_exit.get(
             event.node, -1
         )
         heappush(self._deadlines, (record.deadline, event.request))
 
-    def _on_answered(self, event: wire.Answered) -> None:
+    def _on_answered(self, event: wire.ResponseReceived) -> None:
         record = self._requests.get(event.request)
         if record is None:
             self._report_break(1, event.at, "an answer to a request that nobody made", event.request)
@@ -248,7 +250,7 @@
                     record.node,
                 )
 
-    def _on_cut(self, event: wire.Cut) -> None:
+    def _on_cut(self, event: wire.ConnectionEnded) -> None:
         record = self._requests.get(event.request)
         if record is None or not record.open or record.excused:
             return
@@ -260,19 +262,19 @@
         self._report_break(
             1,
             event.at,
-            f"its connection ended ({event.how}) with no answer; {_history(record)}",
+            f"its connection ended ({event.reason}) with no answer; {_history(record)}",
             event.request,
             node=record.node,
         )
         self._end_request(record, event.at)
 
-    def _on_left_off(self, event: wire.LeftOff) -> None:
+    def _on_left_off(self, event: wire.RequestAbandoned) -> None:
         record = self._requests.get(event.request)
         if record is not None and record.open:
             self._end_request(record, event.at)
 
-    def _on_unasked(self, event: wire.Unasked) -> None:
-        self._report_break(1, event.at, event.what, node=event.node)
+    def _on_unasked(self, event: wire.UnexpectedMessage) -> None:
+        self._report_break(1, event.at, event.description, node=event.node)
 
     # Rule 2: no effect twice. Rule 3: drains.
 
@@ -280,7 +282,7 @@
         semantics = self._figures.classes.get(record.kind)
         return semantics.effect if semantics is not None else "safe"
 
-    def _on_sending(self, event: wire.Sending) -> None:
+    def _on_sending(self, event: wire.AttemptStarted) -> None:
         self._check_drain(event)
         record = self._requests.get(event.request)
         if record is None:
@@ -296,9 +298,9 @@
         if (
             not record.open
             and record.status
-            and event.left > record.ended_at + self._figures.sending_grace_ns
+            and event.sent_at > record.ended_at + self._figures.sending_grace_ns
         ):
-            late_ms = (event.left - record.ended_at) / 1e6
+            late_ms = (event.sent_at - record.ended_at) / 1e6
             self._report_break(
                 1,
                 event.at,
@@ -314,7 +316,7 @@
         record.attempts.append(attempt)
         self._attempts_by_number[event.attempt] = (event.request, attempt)
 
-    def _check_repeat(self, event: wire.Sending, record: _RequestRecord) -> None:
+    def _check_repeat(self, event: wire.AttemptStarted, record: _RequestRecord) -> None:
         effect = self._effect_of(record)
         unconfirmed = [
             attempt for attempt in record.attempts if attempt.complete_at >= 0 and attempt.rejected_at < 0
@@ -342,7 +344,7 @@
                     event.node,
                 )
 
-    def _on_sent(self, event: wire.Sent) -> None:
+    def _on_sent(self, event: wire.AttemptReceived) -> None:
         entry = self._attempts_by_number.get(event.attempt)
         if entry is not None:
             entry[1].complete_at = event.at
@@ -350,24 +352,24 @@
         if cold_box is not None:
             self._check_cold(event, cold_box)
 
-    def _on_not_run(self, event: wire.NotRun) -> None:
+    def _on_not_run(self, event: wire.AttemptNotRun) -> None:
         entry = self._attempts_by_number.get(event.attempt)
         if entry is not None:
             entry[1].rejected_at = event.at
 
-    def _on_ran(self, event: wire.Ran) -> None:
+    def _on_ran(self, event: wire.AttemptServed) -> None:
         record = self._requests.get(event.request)
         if record is not None:
             record.tokens.add(event.token)
 
-    def _check_drain(self, event: wire.Sending) -> None:
+    def _check_drain(self, event: wire.AttemptStarted) -> None:
         informed = self._informed_since(event.node, event.box, event.at)
         limit = self._figures.drain_grace_ns + self._figures.socket_grace_ns
-        if informed is not None and event.left > informed[0] + limit:
+        if informed is not None and event.sent_at > informed[0] + limit:
             self._report_break(
                 3,
                 event.at,
-                f"sent {(event.left - informed[0]) / 1e9:.3f} s after the node {informed[1]}; "
+                f"sent {(event.sent_at - informed[0]) / 1e9:.3f} s after the node {informed[1]}; "
                 f"{limit / 1e9:.2f} s are allowed",
                 event.request,
                 event.box,
@@ -391,7 +393,7 @@
 
     # Rule 4: cold boxes.
 
-    def _check_cold(self, event: wire.Sent, cold_box: _ColdBox) -> None:
+    def _check_cold(self, event: wire.AttemptReceived, cold_box: _ColdBox) -> None:
         if event.at >= cold_box.budget.warm_at():
             del self._cold_boxes[event.box]
             return
@@ -432,22 +434,22 @@
 
     # Events of the box list, the nodes and the boxes.
 
-    def _on_listed(self, event: wire.Listed) -> None:
-        self._listed_states[event.box] = (event.at, event.state, event.started)
+    def _on_listed(self, event: wire.ListChanged) -> None:
+        self._listed_states[event.box] = (event.at, event.state, event.started_at)
 
-    def _on_told(self, event: wire.Told) -> None:
+    def _on_told(self, event: wire.ListEntrySent) -> None:
         before = self._told_states.get((event.node, event.box))
         is_leaving = event.state is not HostState.READY
         if before is not None and is_leaving and before[1] is not HostState.READY:
             return  # the first notice that the box leaves counts
-        self._told_states[(event.node, event.box)] = (event.at, event.state, event.started)
+        self._told_states[(event.node, event.box)] = (event.at, event.state, event.started_at)
 
-    def _on_contact(self, event: wire.Contact) -> None:
-        self._last_contact[event.node] = (event.at, event.standing)
+    def _on_contact(self, event: wire.ListContact) -> None:
+        self._last_contact[event.node] = (event.at, event.watching)
 
     def _on_node_up(self, event: wire.NodeUp) -> None:
         self._is_down[event.node] = False
-        if event.anew:
+        if event.new_process:
             self._last_contact[event.node] = (event.at, False)
 
     def _on_node_down(self, event: wire.NodeDown) -> None:
@@ -472,10 +474,10 @@
             del self._told_states[(node, box)]
 
     def _on_box_up(self, event: wire.BoxUp) -> None:
-        if event.cold_share < 1.0 and event.cold_time > 0:
+        if event.cold_share < 1.0 and event.cold_time_ns > 0:
             self._cold_boxes[event.box] = _ColdBox(
                 ColdBudget(
-                    self._figures.cold_rule, event.at, event.capacity, event.cold_share, event.cold_time
+                    self._figures.cold_rule, event.at, event.capacity, event.cold_share, event.cold_time_ns
                 )
             )
 
--- a/driftstair/rehearsal/runner.py
+++ b/driftstair/rehearsal/runner.py
@@ -19,8 +19,8 @@
 from driftstair.rehearsal.fakes.boxlist import BoxList, Entry, ListFigures
 from driftstair.rehearsal.fakes.clients import ClientFigures, Clients, Load
 from driftstair.rehearsal.fakes.front import FrontLayer
-from driftstair.rehearsal.fakes.place import Place
-from driftstair.rehearsal.fakes.workload import Choice, Workload
+from driftstair.rehearsal.fakes.place import FakeMachine
+from driftstair.rehearsal.fakes.workload import WeightedChoice, Workload
 from driftstair.rehearsal.faults import FaultInjector
 from driftstair.rehearsal.fleet_figures import box_kind, draw_figures, draw_kind_order
 from driftstair.rehearsal.rules import Checker
@@ -105,37 +105,37 @@
         scenario, environment = self.scenario, self.environment
         random = random_for(self.seed, "fleet")
         self.workload = Workload(load.classes(scenario), random_for(self.seed, "work"))
-        self.place = environment.place("clients")
+        self.clients_machine = environment.fake_machine("clients")
         self.front = FrontLayer(
-            self.place, self.node_names, random.uniform(*scenario.front.notice_s),
+            self.clients_machine, self.node_names, random.uniform(*scenario.front.notice_s),
             random_for(self.seed, "front"),
             dict.fromkeys(
                 self.node_names[: round(scenario.front.busy_part * len(self.node_names))],
                 round(scenario.front.busy_times),
             ),
         )  # fmt: skip
-        kinds = list(self.workload.kinds.values())
+        kinds = list(self.workload.request_classes.values())
         self.load = Load(scenario.load.rate, kinds, [item.share for item in load.classes(scenario)])
         tenants = load.tenants(scenario)
         clients = scenario.clients
         self.clients = Clients(
-            self.place, self.front, self.workload,
+            self.clients_machine, self.front, self.workload,
             ClientFigures(
                 retries=clients.retries, try_share=random.uniform(*clients.try_share),
-                backoff=random.uniform(*clients.backoff_ms) / 1e3, honour=clients.honour,
+                backoff_s=random.uniform(*clients.backoff_ms) / 1e3, retry_after_share=clients.honour,
                 mark_retries=clients.mark_retries,
-                connections_most=max(1, int(clients.connections_share * scenario.nodes.descriptors)),
-                idle=clients.idle_s, answer_grace=scenario.rules.answer_grace_ms / 1e3,
+                connections_max=max(1, int(clients.connections_share * scenario.nodes.descriptors)),
+                idle_timeout_s=clients.idle_s, answer_grace_s=scenario.rules.answer_grace_ms / 1e3,
                 hold_share=clients.hold_share,
             ),
-            Choice([item.share for item in tenants]), [item.name for item in tenants], scenario.load.keys,
-            scenario.load.key_skew, self.load, self.account, self.note, self._is_serving,
+            WeightedChoice([item.share for item in tenants]), [item.name for item in tenants],
+            scenario.load.keys, scenario.load.key_skew, self.load, self.account, self.note, self._is_serving,
             seed_for(self.seed, "clients"),
         )  # fmt: skip
         self.list_delay_s = random.uniform(*scenario.list.notice_s)
         self.silent_list_delay_s = random.uniform(*scenario.list.silent_notice_s)
         self.box_list = BoxList(
-            environment.place("list"),
+            environment.fake_machine("list"),
             ListFigures(
                 scenario.list.mode == "pushed", scenario.list.lines_per_s, scenario.list.call_lines,
                 scenario.list.timeout_ms / 1e3
@@ -147,7 +147,9 @@
         server_kinds = load.kinds(scenario)
         names = load.box_names(scenario.boxes.count)
         for name, kind_index in zip(names, draw_kind_order(scenario, random), strict=True):
-            self.boxes[name] = self._create_box(name, server_kinds[kind_index], environment.place(name))
+            self.boxes[name] = self._create_box(
+                name, server_kinds[kind_index], environment.fake_machine(name)
+            )
         self.nodes = {name: environment.node(name, self._node_ended) for name in self.node_names}
         self.tier: TierMonitor | None = None
         if scenario.nodes.tier is not None:
@@ -155,12 +157,12 @@
                 scenario.nodes.tier, self.node_names, seed_for(self.seed, "links"),
                 load.box_names(scenario.boxes.count)
             )  # fmt: skip
-            environment.join(self.tier.links)
+            environment.connect_peers(self.tier.links)
 
-    def _create_box(self, name: str, kind: model.Kind, place: Place) -> Box:
+    def _create_box(self, name: str, kind: model.Kind, machine: FakeMachine) -> Box:
         figures = draw_figures(self.scenario, kind, random_for(self.seed, "box", name))
         return Box(
-            name, box_kind(kind), figures, place, self.node_names, self.workload,
+            name, box_kind(kind), figures, machine, self.node_names, self.workload,
             platform.rule_book(self.scenario).cold_rule, self.note, self._earliest_send_time,
             seed_for(self.seed, "box", name, "chance"), self._attempt_numbers,
         )  # fmt: skip
@@ -189,11 +191,11 @@
 
     def now(self) -> int:
         """Returns the time in ns since the start of the run."""
-        return self.place.now()
+        return self.clients_machine.now()
 
     def call_later(self, seconds: float, callback: Callable[..., None], *args: object) -> None:
         """Calls a function after a number of seconds."""
-        self.place.loop.call_later(seconds, callback, *args)
+        self.clients_machine.loop.call_later(seconds, callback, *args)
 
     def log_event(self, description: str) -> None:
         """Records an event of the run."""
@@ -210,10 +212,10 @@
 
     def _wait_for_nodes(self, waited_s: float) -> None:
         """Starts the clients once all nodes are ready."""
-        self.stuck_reason = self.environment.stuck()
+        self.stuck_reason = self.environment.find_deadlock()
         if self.stuck_reason:
             self._end()
-        elif all(self.front.has(name) for name in self.node_names) or waited_s >= READY_TIMEOUT_S:
+        elif all(self.front.is_up(name) for name in self.node_names) or waited_s >= READY_TIMEOUT_S:
             self.began_ns = self.account.origin_ns = self.now()
             if waited_s >= READY_TIMEOUT_S:
                 self.log_event("clients come, though not all nodes are up")
@@ -240,7 +242,7 @@
         self._wait_for_answers(longest_wait_s + 1.0)
 
     def _wait_for_answers(self, remaining_s: float) -> None:
-        if self.clients.asks_open and remaining_s > 0:
+        if self.clients.open_operations and remaining_s > 0:
             self.call_later(0.1, self._wait_for_answers, remaining_s - 0.1)
         else:
             self.call_later(QUIET_PERIOD_S, self._end)
@@ -254,14 +256,19 @@
             if box.running:
                 engine = box.engine
                 engine.advance_to(now / 1e9)
-                boxes[name] = (engine.busy(), engine.held(), engine.waiting(), box.open)
+                boxes[name] = (
+                    engine.busy_fraction(),
+                    engine.request_count(),
+                    engine.queue_length(),
+                    box.open_connections,
+                )
         self.samples.append(
             Sample(
                 now, {name: self.clients.in_flight.get(name, 0) for name in self.node_names}, boxes,
-                {name: node.descriptors() for name, node in self.nodes.items()},
+                {name: node.open_descriptors() for name, node in self.nodes.items()},
             )
         )  # fmt: skip
-        self.stuck_reason = self.environment.stuck()
+        self.stuck_reason = self.environment.find_deadlock()
         if self.stuck_reason:
             self._end()
             return
@@ -310,7 +317,7 @@
         """Returns the configuration document of a node."""
         return platform.document(
             self.scenario, name, self.nodes[name].address(), self.box_list.addresses[name],
-            seed_for(self.seed, "node", name, self._generations[name]), self.box_list.known(name),
+            seed_for(self.seed, "node", name, self._generations[name]), self.box_list.last_sent(name),
             None if self.tier is None else self.environment.peers(name),
         )  # fmt: skip
 
@@ -420,7 +427,7 @@
         if self.finished or box.running or self.boxes.get(box.name) is not box:
             return
         self.log_event(f"box {box.name} starts, cold")
-        box.place.restart()
+        box.machine.restart()
         box.start(cold=True)
         self.update_box_list(box, HostState.READY)
 
@@ -445,9 +452,9 @@
         del self.boxes[old.name]
         self.removed_boxes[old.name] = old
         if same_address:
-            old.place.restart()
+            old.machine.restart()
         box = self.boxes[name] = self._create_box(
-            name, kind, old.place if same_address else self.environment.place(name)
+            name, kind, old.machine if same_address else self.environment.fake_machine(name)
         )
         self.log_event(
             f"box {old.name} is gone; {name} starts {'at its address' if same_address else 'elsewhere'}"
--- a/tests/model/test_model_world.py
+++ b/tests/model/test_model_world.py
@@ -10,7 +10,7 @@
 from driftstair.model.baselines import POLICIES, RandomChoice
 from driftstair.model.clock import Clock
 from driftstair.model.world import ModelError, World
-from driftstair.rehearsal.load import by_path, load, parse
+from driftstair.rehearsal.load import load, parse, tables_from_paths
 from lichenspring import interface as api
 
 # One class without keys; boxes of one kind and of speed 1 that never jam; no network delay.
@@ -67,7 +67,9 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_every_first_try_is_accounted_for_once(policy: str) -> None:
-    scenario = by_path({"nodes.count": 24, "boxes.count": 16, "load.rate": 260, "seconds": 16, "seed": 5})
+    scenario = tables_from_paths(
+        {"nodes.count": 24, "boxes.count": 16, "load.rate": 260, "seconds": 16, "seed": 5}
+    )
     world = World(load("whole-fleet", scenario), POLICIES[policy])
     outcome = world.run()
     whole = world.account.total
@@ -84,7 +86,7 @@
 
 
 def test_runs_are_deterministic_and_arrivals_do_not_depend_on_the_policy() -> None:
-    scenario = by_path({"nodes.count": 8, "boxes.count": 8, "load.rate": 130, "seconds": 12})
+    scenario = tables_from_paths({"nodes.count": 8, "boxes.count": 8, "load.rate": 130, "seconds": 12})
     first, second = (World(load("whole-fleet", scenario)).run().row() for _ in range(2))
     baseline = World(load("whole-fleet", scenario), POLICIES["random"]).run().row()
     assert first == second
@@ -94,7 +96,7 @@
 
 def test_killed_nodes_restart_and_every_request_is_still_accounted_for() -> None:
     scenario = {
-        **by_path({"nodes.count": 20, "boxes.count": 16, "load.rate": 240, "seconds": 16}),
+        **tables_from_paths({"nodes.count": 20, "boxes.count": 16, "load.rate": 240, "seconds": 16}),
         "fault": [{"kind": "node-dies", "at_s": 4, "for_s": 3, "nodes": 14}],
     }
     world = World(load("whole-fleet", scenario))
@@ -106,7 +108,7 @@
 
 def test_replaced_and_crashed_boxes_leak_no_connections() -> None:
     scenario = {
-        **by_path({"nodes.count": 20, "boxes.count": 16, "load.rate": 200, "seconds": 20}),
+        **tables_from_paths({"nodes.count": 20, "boxes.count": 16, "load.rate": 200, "seconds": 20}),
         "fault": [
             {"kind": "replace", "at_s": 2, "for_s": 4, "part": 0.5},
             {"kind": "box-dies", "at_s": 8, "for_s": 4, "boxes": 3},
@@ -131,7 +133,7 @@
         def pick(self, now: int, request: api.Request) -> api.ServerId:
             return b"nowhere!"
 
-    scenario = by_path({"nodes.count": 2, "boxes.count": 4, "load.rate": 20, "seconds": 11})
+    scenario = tables_from_paths({"nodes.count": 2, "boxes.count": 4, "load.rate": 20, "seconds": 11})
     world = World(load("whole-fleet", scenario), UnknownServerPolicy)
     assert world.run().row()["service"] == 0
     assert world.account.total.lost["refused"] == world.account.total.requests
@@ -150,7 +152,9 @@
 def test_subsetting_limits_handshakes_connections_and_jams() -> None:
     """120 nodes in front of 66 boxes, a tenth of them slow. If each node uses all boxes, there are 0.51
     handshakes for each first try, 86 connections a box and 6 jams; with subsets 0.23, 40 and none."""
-    scenario = by_path({"nodes.count": 120, "boxes.count": 66, "load.rate": 960, "seconds": 12, "seed": 3})
+    scenario = tables_from_paths(
+        {"nodes.count": 120, "boxes.count": 66, "load.rate": 960, "seconds": 12, "seed": 3}
+    )
     outcome = World(load("whole-fleet", scenario)).run()
     assert outcome.row()["handshakes"] < 0.35
     assert max(sample.connections for sample in outcome.seconds) < 66 * 60
--- a/tests/model/test_peers.py
+++ b/tests/model/test_peers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from driftstair.model.world import ModelError, World
-from driftstair.rehearsal.load import by_path, load, parse
+from driftstair.rehearsal.load import load, parse, tables_from_paths
 from driftstair.tier.membership.members import State
 
 SHARING_TIER = {"judge": True}
@@ -74,7 +74,7 @@
 
 
 def test_the_shipped_scenario_of_shared_evidence_runs_in_the_model() -> None:
-    world = World(load("shared-bad-eighth", by_path({"seconds": 45.0, "load.rate": 80.0})))
+    world = World(load("shared-bad-eighth", tables_from_paths({"seconds": 45.0, "load.rate": 80.0})))
     assert world.run().bad_tries > 0
 
 
@@ -90,8 +90,8 @@
     program = (
         "import sys\n"
         "from driftstair.model.world import World\n"
-        "from driftstair.rehearsal.load import by_path, load\n"
-        "World(load('calm', by_path({'seconds': 1.0}))).run()\n"
+        "from driftstair.rehearsal.load import tables_from_paths, load\n"
+        "World(load('calm', tables_from_paths({'seconds': 1.0}))).run()\n"
         "print([name for name in sys.modules if name.startswith('driftstair.model.peers')])\n"
     )
     process = subprocess.run(
--- a/tests/rehearsal/test_hunt.py
+++ b/tests/rehearsal/test_hunt.py
@@ -135,14 +135,14 @@
 
 
 def test_a_kit_failure_is_recorded_and_does_not_end_the_hunt(monkeypatch: pytest.MonkeyPatch) -> None:
-    real_play = virtual.play
+    real_play = virtual.run_scenario
 
     def failing_play(scenario: Scenario, **options: Any) -> Any:
         if scenario.name == "hunt-5-1":
             raise RuntimeError("the kit failed") from KeyError("s-03")
         return real_play(scenario, **options)
 
-    monkeypatch.setattr(virtual, "play", failing_play)
+    monkeypatch.setattr(virtual, "run_scenario", failing_play)
     result = hunt(seed=5, budget=8)
     assert result.runs > 2 and not result.finding.is_kit_failure()
     ((tree, finding),) = result.kit_failures
@@ -151,6 +151,6 @@
 
 
 def test_a_kit_failure_on_every_scenario_is_the_result(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(virtual, "play", lambda scenario: 1 // 0)
+    monkeypatch.setattr(virtual, "run_scenario", lambda scenario: 1 // 0)
     result = hunt(seed=5, budget=4)
     assert result.finding.failure == "kit ZeroDivisionError" and len(result.kit_failures) == result.runs
--- a/tests/rehearsal/test_rehearse_command.py
+++ b/tests/rehearsal/test_rehearse_command.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from stage import Run, small
+from stage import Run, small_scenario
 
 from driftstair.net.frontend import ClientConnection
 from driftstair.rehearsal.report import build, compare, html
@@ -163,21 +163,21 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(ClientConnection, "answer", drop_some_answers)
-        return Run(small()).report
+        return Run(small_scenario()).report
 
 
 def test_a_broken_rule_exits_with_status_1(monkeypatch: pytest.MonkeyPatch) -> None:
     from driftstair.rehearsal.command import exit_status
 
     assert exit_status(report_with_broken_rules(monkeypatch)) == 1
-    assert exit_status(Run(small()).report) == 0
+    assert exit_status(Run(small_scenario()).report) == 0
 
 
 def test_compare_shows_what_changed_between_two_builds(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     paths = []
-    for name, report in (("a", Run(small()).report), ("b", report_with_broken_rules(monkeypatch))):
+    for name, report in (("a", Run(small_scenario()).report), ("b", report_with_broken_rules(monkeypatch))):
         paths.append(tmp_path / f"{name}.json")
         paths[-1].write_text(build.to_json(report))
     completed = run_driftstair("rehearse", "compare", *map(str, paths))
@@ -189,7 +189,7 @@
 
 
 def test_compare_reports_different_scenarios() -> None:
-    data = compare.compare(Run(small()).report, Run(small(seed=2)).report)
+    data = compare.compare(Run(small_scenario()).report, Run(small_scenario(seed=2)).report)
     assert not data["same_scenario"]
 
 
@@ -214,7 +214,7 @@
 
 
 def test_the_html_page_of_a_run_without_requests() -> None:
-    report = Run(small(seconds=0.01)).report
+    report = Run(small_scenario(seconds=0.01)).report
     assert "<svg" in html.page(report)
 
 
--- a/tests/rehearsal/test_rule_checker.py
+++ b/tests/rehearsal/test_rule_checker.py
@@ -27,7 +27,7 @@
     """Returns the violations in a trace."""
     checker = Checker(RULES)
     checker.note(wire.NodeUp(0, "n0"))
-    checker.note(wire.Contact(0, "n0", True))
+    checker.note(wire.ListContact(0, "n0", True))
     for observation in observations:
         checker.note(observation)
     return checker.finish(until)
@@ -35,14 +35,14 @@
 
 def asked_event(
     at: int = NS_PER_S, kind: str = "page", connected: int = 0, again: bool = False
-) -> wire.Asked:
-    return wire.Asked(at, REQUEST_ID, "n0", kind, 500 * NS_PER_MS, connected, again)
+) -> wire.RequestSent:
+    return wire.RequestSent(at, REQUEST_ID, "n0", kind, 500 * NS_PER_MS, connected, again)
 
 
 def attempt_events(at: int, number: int = 1, box: str = "s-01", node: str = "n0") -> list[wire.Observation]:
     return [
-        wire.Sending(at, number, REQUEST_ID, box, node, at),
-        wire.Sent(at, number, REQUEST_ID, box, node, 0.1),
+        wire.AttemptStarted(at, number, REQUEST_ID, box, node, at),
+        wire.AttemptReceived(at, number, REQUEST_ID, box, node, 0.1),
     ]
 
 
@@ -51,13 +51,13 @@
 
 
 def test_a_request_served_in_time_breaks_no_rule() -> None:
-    ran = wire.Ran(1300 * NS_PER_MS, 1, REQUEST_ID, b"s-01/1")
+    ran = wire.AttemptServed(1300 * NS_PER_MS, 1, REQUEST_ID, b"s-01/1")
     assert (
         check_rules(
             asked_event(),
             *attempt_events(1100 * NS_PER_MS),
             ran,
-            wire.Answered(1301 * NS_PER_MS, REQUEST_ID, 200, b"s-01/1"),
+            wire.ResponseReceived(1301 * NS_PER_MS, REQUEST_ID, 200, b"s-01/1"),
         )
         == []
     )
@@ -79,39 +79,39 @@
 
 def test_an_answer_after_the_grace_breaks_rule_1() -> None:
     assert broken_rules(
-        check_rules(asked_event(), wire.Answered(1551 * NS_PER_MS, REQUEST_ID, 504, b""))
+        check_rules(asked_event(), wire.ResponseReceived(1551 * NS_PER_MS, REQUEST_ID, 504, b""))
     ) == [1]
-    assert check_rules(asked_event(), wire.Answered(1549 * NS_PER_MS, REQUEST_ID, 504, b"")) == []
+    assert check_rules(asked_event(), wire.ResponseReceived(1549 * NS_PER_MS, REQUEST_ID, 504, b"")) == []
 
 
 def test_a_second_final_answer_breaks_rule_1() -> None:
     (rule_break,) = check_rules(
         asked_event(),
-        wire.Answered(1100 * NS_PER_MS, REQUEST_ID, 503, b""),
-        wire.Answered(1200 * NS_PER_MS, REQUEST_ID, 503, b""),
+        wire.ResponseReceived(1100 * NS_PER_MS, REQUEST_ID, 503, b""),
+        wire.ResponseReceived(1200 * NS_PER_MS, REQUEST_ID, 503, b""),
     )
     assert rule_break.rule == 1 and "second final answer" in rule_break.evidence
 
 
 def test_an_answer_that_no_box_made_breaks_rule_1() -> None:
-    forged = wire.Answered(1301 * NS_PER_MS, REQUEST_ID, 200, b"s-01/9")
+    forged = wire.ResponseReceived(1301 * NS_PER_MS, REQUEST_ID, 200, b"s-01/9")
     (rule_break,) = check_rules(
         asked_event(),
         *attempt_events(1100 * NS_PER_MS),
-        wire.Ran(1300 * NS_PER_MS, 1, REQUEST_ID, b"s-01/1"),
+        wire.AttemptServed(1300 * NS_PER_MS, 1, REQUEST_ID, b"s-01/1"),
         forged,
     )
     assert rule_break.rule == 1 and "no box made" in rule_break.evidence
 
 
 def test_an_answer_made_for_another_request_breaks_rule_1() -> None:
-    other = wire.Ran(1300 * NS_PER_MS, 2, b"00000000000000bb", b"s-01/2")
+    other = wire.AttemptServed(1300 * NS_PER_MS, 2, b"00000000000000bb", b"s-01/2")
     assert broken_rules(
         check_rules(
             asked_event(),
             *attempt_events(1100 * NS_PER_MS),
             other,
-            wire.Answered(1301 * NS_PER_MS, REQUEST_ID, 200, b"s-01/2"),
+            wire.ResponseReceived(1301 * NS_PER_MS, REQUEST_ID, 200, b"s-01/2"),
         )
     ) == [1]
 
@@ -119,7 +119,7 @@
 def test_an_attempt_after_the_final_answer_breaks_rule_1() -> None:
     (rule_break,) = check_rules(
         asked_event(),
-        wire.Answered(1100 * NS_PER_MS, REQUEST_ID, 503, b""),
+        wire.ResponseReceived(1100 * NS_PER_MS, REQUEST_ID, 503, b""),
         *attempt_events(1200 * NS_PER_MS),
     )
     assert rule_break.rule == 1 and "100 ms after its final answer" in rule_break.evidence
@@ -127,7 +127,7 @@
     assert (
         check_rules(
             asked_event(),
-            wire.Answered(1100 * NS_PER_MS, REQUEST_ID, 503, b""),
+            wire.ResponseReceived(1100 * NS_PER_MS, REQUEST_ID, 503, b""),
             *attempt_events(1120 * NS_PER_MS),
         )
         == []
@@ -135,8 +135,10 @@
 
 
 def test_an_attempt_delayed_by_a_cut_is_judged_by_its_sending_time() -> None:
-    late = wire.Sending(1400 * NS_PER_MS, 1, REQUEST_ID, "s-01", "n0", 1050 * NS_PER_MS)
-    assert check_rules(asked_event(), wire.Answered(1100 * NS_PER_MS, REQUEST_ID, 503, b""), late) == []
+    late = wire.AttemptStarted(1400 * NS_PER_MS, 1, REQUEST_ID, "s-01", "n0", 1050 * NS_PER_MS)
+    assert (
+        check_rules(asked_event(), wire.ResponseReceived(1100 * NS_PER_MS, REQUEST_ID, 503, b""), late) == []
+    )
 
 
 def test_an_attempt_without_a_client_request_breaks_rule_1() -> None:
@@ -146,21 +148,28 @@
 def test_a_connection_that_ends_during_a_request_breaks_rule_1() -> None:
     assert broken_rules(
         check_rules(
-            asked_event(), *attempt_events(1100 * NS_PER_MS), wire.Cut(1200 * NS_PER_MS, REQUEST_ID, "closed")
+            asked_event(),
+            *attempt_events(1100 * NS_PER_MS),
+            wire.ConnectionEnded(1200 * NS_PER_MS, REQUEST_ID, "closed"),
         )
     ) == [1]
 
 
 def test_a_connection_closed_between_requests_is_allowed_once() -> None:
     again = asked_event(1010 * NS_PER_MS, connected=1005 * NS_PER_MS, again=True)
-    answered = wire.Answered(1100 * NS_PER_MS, REQUEST_ID, 503, b"")
-    assert check_rules(asked_event(), wire.Cut(1001 * NS_PER_MS, REQUEST_ID, "closed"), again, answered) == []
+    answered = wire.ResponseReceived(1100 * NS_PER_MS, REQUEST_ID, 503, b"")
+    assert (
+        check_rules(
+            asked_event(), wire.ConnectionEnded(1001 * NS_PER_MS, REQUEST_ID, "closed"), again, answered
+        )
+        == []
+    )
     assert broken_rules(
         check_rules(
             asked_event(),
-            wire.Cut(1001 * NS_PER_MS, REQUEST_ID, "closed"),
+            wire.ConnectionEnded(1001 * NS_PER_MS, REQUEST_ID, "closed"),
             again,
-            wire.Cut(1020 * NS_PER_MS, REQUEST_ID, "closed"),
+            wire.ConnectionEnded(1020 * NS_PER_MS, REQUEST_ID, "closed"),
         )
     ) == [1]
 
@@ -170,7 +179,7 @@
         check_rules(
             asked_event(),
             wire.NodeDown(1100 * NS_PER_MS, "n0"),
-            wire.Cut(1101 * NS_PER_MS, REQUEST_ID, "reset"),
+            wire.ConnectionEnded(1101 * NS_PER_MS, REQUEST_ID, "reset"),
         )
         == []
     )
@@ -188,11 +197,11 @@
 
 
 def test_a_client_that_disconnects_is_owed_no_answer() -> None:
-    assert check_rules(asked_event(), wire.LeftOff(1200 * NS_PER_MS, REQUEST_ID)) == []
+    assert check_rules(asked_event(), wire.RequestAbandoned(1200 * NS_PER_MS, REQUEST_ID)) == []
 
 
 def test_unrequested_bytes_break_rule_1() -> None:
-    assert broken_rules(check_rules(wire.Unasked(NS_PER_S, "n0", "a client got noise"))) == [1]
+    assert broken_rules(check_rules(wire.UnexpectedMessage(NS_PER_S, "n0", "a client got noise"))) == [1]
 
 
 # Rule 2.
@@ -209,22 +218,22 @@
 
 def test_an_unsafe_request_that_was_rejected_may_be_sent_again() -> None:
     breaks = check_rules(
-        asked_event(kind="order"), *attempt_events(1100 * NS_PER_MS), wire.NotRun(1101 * NS_PER_MS, 1),
+        asked_event(kind="order"), *attempt_events(1100 * NS_PER_MS), wire.AttemptNotRun(1101 * NS_PER_MS, 1),
         *attempt_events(1102 * NS_PER_MS, 2, "s-02"),
-        wire.Ran(1200 * NS_PER_MS, 2, REQUEST_ID, b"s-02/2"),
-        wire.Answered(1201 * NS_PER_MS, REQUEST_ID, 200, b"s-02/2"),
+        wire.AttemptServed(1200 * NS_PER_MS, 2, REQUEST_ID, b"s-02/2"),
+        wire.ResponseReceived(1201 * NS_PER_MS, REQUEST_ID, 200, b"s-02/2"),
     )  # fmt: skip
     assert breaks == []
 
 
 def test_an_incomplete_attempt_has_not_run() -> None:
-    incomplete = wire.Sending(1100 * NS_PER_MS, 1, REQUEST_ID, "s-01", "n0", 1100 * NS_PER_MS)
-    refused = wire.Answered(1300 * NS_PER_MS, REQUEST_ID, 503, b"")
+    incomplete = wire.AttemptStarted(1100 * NS_PER_MS, 1, REQUEST_ID, "s-01", "n0", 1100 * NS_PER_MS)
+    refused = wire.ResponseReceived(1300 * NS_PER_MS, REQUEST_ID, 503, b"")
     assert check_rules(asked_event(kind="order"), incomplete, refused) == []
 
 
 def test_an_unsafe_request_that_may_have_run_must_not_be_refused() -> None:
-    refused = wire.Answered(1300 * NS_PER_MS, REQUEST_ID, 503, b"")
+    refused = wire.ResponseReceived(1300 * NS_PER_MS, REQUEST_ID, 503, b"")
     assert broken_rules(
         check_rules(asked_event(kind="order"), *attempt_events(1100 * NS_PER_MS), refused)
     ) == [2]
@@ -232,18 +241,18 @@
         check_rules(
             asked_event(kind="order"),
             *attempt_events(1100 * NS_PER_MS),
-            wire.NotRun(1101 * NS_PER_MS, 1),
+            wire.AttemptNotRun(1101 * NS_PER_MS, 1),
             refused,
         )
         == []
     )
-    failed = wire.Answered(1300 * NS_PER_MS, REQUEST_ID, 502, b"")
+    failed = wire.ResponseReceived(1300 * NS_PER_MS, REQUEST_ID, 502, b"")
     assert check_rules(asked_event(kind="order"), *attempt_events(1100 * NS_PER_MS), failed) == []
 
 
 def test_a_keyed_request_may_be_repeated_only_within_its_window() -> None:
-    patient_request = wire.Asked(NS_PER_S, REQUEST_ID, "n0", "cart", 9 * NS_PER_S, 0)
-    answered = wire.Answered(4 * NS_PER_S, REQUEST_ID, 502, b"")
+    patient_request = wire.RequestSent(NS_PER_S, REQUEST_ID, "n0", "cart", 9 * NS_PER_S, 0)
+    answered = wire.ResponseReceived(4 * NS_PER_S, REQUEST_ID, 502, b"")
     assert (
         check_rules(
             patient_request,
@@ -264,7 +273,7 @@
 
 
 def test_a_safe_request_may_be_repeated_any_number_of_times() -> None:
-    answered = wire.Answered(1400 * NS_PER_MS, REQUEST_ID, 502, b"")
+    answered = wire.ResponseReceived(1400 * NS_PER_MS, REQUEST_ID, 502, b"")
     assert (
         check_rules(
             asked_event(),
@@ -281,13 +290,16 @@
 
 
 def drain_events(at: int, state: HostState = HostState.DRAINING) -> list[wire.Observation]:
-    return [wire.Listed(at, "s-01", state, -1), wire.Told(at, "n0", "s-01", state, -1)]
+    return [wire.ListChanged(at, "s-01", state, -1), wire.ListEntrySent(at, "n0", "s-01", state, -1)]
 
 
 def check_sending_to_drained(at: int, *before: wire.Observation) -> list[RuleBreak]:
-    asked_before = wire.Asked(at - NS_PER_MS, REQUEST_ID, "n0", "page", NS_PER_S, 0)
+    asked_before = wire.RequestSent(at - NS_PER_MS, REQUEST_ID, "n0", "page", NS_PER_S, 0)
     return check_rules(
-        *before, asked_before, *attempt_events(at), wire.Answered(at + NS_PER_MS, REQUEST_ID, 503, b"")
+        *before,
+        asked_before,
+        *attempt_events(at),
+        wire.ResponseReceived(at + NS_PER_MS, REQUEST_ID, 503, b""),
     )
 
 
@@ -316,20 +328,22 @@
 
 
 def test_a_node_that_neither_watches_nor_asks_counts_as_told() -> None:
-    listed = wire.Listed(3 * NS_PER_S, "s-01", HostState.DRAINING, -1)
-    ended = wire.Contact(2 * NS_PER_S, "n0", False)
+    listed = wire.ListChanged(3 * NS_PER_S, "s-01", HostState.DRAINING, -1)
+    ended = wire.ListContact(2 * NS_PER_S, "n0", False)
     assert (
         check_sending_to_drained(12 * NS_PER_S, ended, listed) == []
     )  # ten seconds until the next call is due, and one of grace
     (rule_break,) = check_sending_to_drained(13_100 * NS_PER_MS, ended, listed)
     assert rule_break.rule == 3 and "counts as told" in rule_break.evidence
-    asks = wire.Contact(11 * NS_PER_S, "n0", False)
+    asks = wire.ListContact(11 * NS_PER_S, "n0", False)
     assert check_sending_to_drained(13_100 * NS_PER_MS, ended, listed, asks) == []
 
 
 def test_a_watching_node_is_not_told_of_changes_that_the_list_withholds() -> None:
     assert (
-        check_sending_to_drained(30 * NS_PER_S, wire.Listed(3 * NS_PER_S, "s-01", HostState.DRAINING, -1))
+        check_sending_to_drained(
+            30 * NS_PER_S, wire.ListChanged(3 * NS_PER_S, "s-01", HostState.DRAINING, -1)
+        )
         == []
     )
 
@@ -338,16 +352,16 @@
     restart = [
         wire.NodeDown(3 * NS_PER_S, "n0"),
         wire.NodeUp(4 * NS_PER_S, "n0"),
-        wire.Contact(4 * NS_PER_S, "n0", True),
+        wire.ListContact(4 * NS_PER_S, "n0", True),
     ]
-    asked_later = wire.Asked(5 * NS_PER_S, REQUEST_ID, "n0", "page", NS_PER_S, 4500 * NS_PER_MS)
+    asked_later = wire.RequestSent(5 * NS_PER_S, REQUEST_ID, "n0", "page", NS_PER_S, 4500 * NS_PER_MS)
     assert (
         check_rules(
             *drain_events(2 * NS_PER_S),
             *restart,
             asked_later,
             *attempt_events(5 * NS_PER_S),
-            wire.Answered(6 * NS_PER_S, REQUEST_ID, 503, b""),
+            wire.ResponseReceived(6 * NS_PER_S, REQUEST_ID, 503, b""),
         )
         == []
     )
@@ -362,18 +376,18 @@
     """Sends work to a cold box that can do a fifth of 6 core-seconds a second: 0.1 core-seconds each time."""
     checker = Checker(RULES)
     checker.note(wire.NodeUp(0, "n0"))
-    checker.note(wire.Contact(0, "n0", True))
+    checker.note(wire.ListContact(0, "n0", True))
     checker.note(wire.BoxUp(NS_PER_S, "s-01", 6.0, 0.2, 20 * NS_PER_S))
-    checker.note(wire.Listed(1500 * NS_PER_MS, "s-01", HostState.READY, NS_PER_S))
+    checker.note(wire.ListChanged(1500 * NS_PER_MS, "s-01", HostState.READY, NS_PER_S))
     if is_told:
-        checker.note(wire.Told(1600 * NS_PER_MS, "n0", "s-01", HostState.READY, NS_PER_S))
+        checker.note(wire.ListEntrySent(1600 * NS_PER_MS, "n0", "s-01", HostState.READY, NS_PER_S))
     for index in range(count):
         at = begin_ns + index * interval_ns
         request = b"%016x" % index
-        checker.note(wire.Asked(at, request, "n0", "page", NS_PER_S, 0))
-        checker.note(wire.Sending(at, index, request, "s-01", "n0", at))
-        checker.note(wire.Sent(at, index, request, "s-01", "n0", 0.1))
-        checker.note(wire.Answered(at, request, 503, b""))
+        checker.note(wire.RequestSent(at, request, "n0", "page", NS_PER_S, 0))
+        checker.note(wire.AttemptStarted(at, index, request, "s-01", "n0", at))
+        checker.note(wire.AttemptReceived(at, index, request, "s-01", "n0", 0.1))
+        checker.note(wire.ResponseReceived(at, request, 503, b""))
     checker.finish(60 * NS_PER_S)
     return checker
 
@@ -416,7 +430,7 @@
     for index in range(1000):
         at = index * NS_PER_S
         request = b"%016x" % index
-        checker.note(wire.Asked(at, request, "n0", "page", NS_PER_S, 0))
-        checker.note(wire.Answered(at + NS_PER_MS, request, 503, b""))
+        checker.note(wire.RequestSent(at, request, "n0", "page", NS_PER_S, 0))
+        checker.note(wire.ResponseReceived(at + NS_PER_MS, request, 503, b""))
     assert len(checker._requests) < 100
     assert checker.finish(2000 * NS_PER_S) == []
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from driftstair.rehearsal.load import ScenarioError, classes, kinds, load, parse, shipped
+from driftstair.rehearsal.load import ScenarioError, classes, kinds, load, parse, shipped_scenarios
 
 REQUIRED_SCENARIOS = {
     "calm", "slow-boxes", "dying-node", "lagging-list", "list-outage", "traffic-jump", "everything-slow",
@@ -15,8 +15,8 @@
 
 
 def test_the_required_scenarios_are_shipped_and_have_a_title() -> None:
-    assert set(shipped()) >= REQUIRED_SCENARIOS
-    for name in shipped():
+    assert set(shipped_scenarios()) >= REQUIRED_SCENARIOS
+    for name in shipped_scenarios():
         scenario = load(name)
         assert scenario.name == name and scenario.title
 
--- a/tests/rehearsal/test_worst_days.py
+++ b/tests/rehearsal/test_worst_days.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from stage import Run, small
+from stage import Run, small_scenario
 
 from driftstair.admission.connection_table import ConnectionTable
 from driftstair.net.frontend import Frontend
@@ -17,10 +17,10 @@
 from lichenspring.breaker import Window
 
 NODES = {"count": 2, "descriptors": 200}
-HELD_CONNECTIONS = small(
+HELD_CONNECTIONS = small_scenario(
     load={"rate": 160.0, "keys": 100}, nodes=NODES, clients={"hold_share": 0.7}, seconds=8.0
 )
-BROKEN_CONNECTIONS = small(
+BROKEN_CONNECTIONS = small_scenario(
     {"kind": "broken-connections", "part": 1.0, "reset": 0.06, "swallowed": 0.15, "at_s": 1.0, "for_s": 9.0},
     load={"rate": 140.0, "keys": 100}, seconds=10.0,
 )  # fmt: skip
@@ -58,26 +58,26 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     with_mechanism = Run(tree)
-    assert with_mechanism.kept()
+    assert with_mechanism.passed()
     disable(monkeypatch)
     without_mechanism = Run(tree)
-    assert without_mechanism.kept()
+    assert without_mechanism.passed()
     assert with_mechanism.service - without_mechanism.service > min_loss
 
 
 def test_silent_connections_take_no_capacity_from_clients() -> None:
-    calm = Run(small(nodes=NODES))
+    calm = Run(small_scenario(nodes=NODES))
     crowd = {"kind": "silent-crowd", "at_s": 1.0, "for_s": 4.0}
     for begin in (False, True):
-        run = Run(small(crowd | {"per_s": 300, "begin": begin}, nodes=NODES))
-        assert run.kept() and run.service > calm.service - 0.02
+        run = Run(small_scenario(crowd | {"per_s": 300, "begin": begin}, nodes=NODES))
+        assert run.passed() and run.service > calm.service - 0.02
 
 
 def test_broken_connections_lose_answers_but_no_requests() -> None:
     fault = {"kind": "broken-connections", "part": 1.0, "reset": 0.3, "swallowed": 0.2}
-    run = Run(small(fault))
-    assert run.kept()
-    ran_count = len(run.seen(wire.Ran, 2.0, 4.0))
+    run = Run(small_scenario(fault))
+    assert run.passed()
+    ran_count = len(run.observations(wire.AttemptServed, 2.0, 4.0))
     assert ran_count > 50 and run.service < 1.0
 
 
--- a/tests/tier/test_permits_processes.py
+++ b/tests/tier/test_permits_processes.py
@@ -26,7 +26,7 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self._ports = [ports.tcp() for _ in range(fleet.count)]
+        self._ports = [ports.reserve_tcp() for _ in range(fleet.count)]
 
     def address(self, number: int) -> str:
         return f"127.0.0.1:{self._ports[number].number}"
--- a/tests/tier/test_tier_rehearsals.py
+++ b/tests/tier/test_tier_rehearsals.py
@@ -7,7 +7,7 @@
 import pytest
 
 from driftstair.rehearsal import virtual
-from driftstair.rehearsal.load import ScenarioError, load, parse, shipped
+from driftstair.rehearsal.load import ScenarioError, load, parse, shipped_scenarios
 from driftstair.rehearsal.report import build, html
 from driftstair.rehearsal.tier import owners
 from driftstair.tier.membership.core import NEVER, Membership
@@ -17,10 +17,10 @@
 from driftstair.tier.shared import evidence
 from driftstair.tier.shared.escrow import Escrow, Terms
 
-TIER_SCENARIOS = [name for name in shipped() if name.startswith("tier-")]
+TIER_SCENARIOS = [name for name in shipped_scenarios() if name.startswith("tier-")]
 EVIDENCE_SCENARIOS = ["shared-bad-eighth", "shared-liar"]
 BUDGET_SCENARIOS = [
-    name for name in shipped() if name.startswith("shared-") and name not in EVIDENCE_SCENARIOS
+    name for name in shipped_scenarios() if name.startswith("shared-") and name not in EVIDENCE_SCENARIOS
 ]
 LIGHT_LOAD = {"load": {"rate": 15.0, "keys": 30}, "boxes": {"count": 4}}
 
@@ -29,7 +29,7 @@
 
 
 def report(name: str, changes: dict[str, Any] = LIGHT_LOAD) -> dict[str, Any]:
-    rehearsal, log, _ = virtual.play(load(name, changes))
+    rehearsal, log, _ = virtual.run_scenario(load(name, changes))
     return build.build(rehearsal, log, "virtual")
 
 
@@ -61,9 +61,9 @@
     assert all(15 < period["at"] < period["until"] < 35 + 8 for period in periods)
 
 
-@pytest.mark.parametrize("name", [name for name in shipped() if name.startswith("owner-")])
+@pytest.mark.parametrize("name", [name for name in shipped_scenarios() if name.startswith("owner-")])
 def test_one_node_at_a_time_probes_a_failing_server_despite_faults_of_nodes(name: str) -> None:
-    rehearsal, log, _ = virtual.play(load(name, {}))
+    rehearsal, log, _ = virtual.run_scenario(load(name, {}))
     result = build.build(rehearsal, log, "virtual")
     assert result["tier"]["findings"] == []
     assert not result["verdict"]["crashes"]
@@ -121,7 +121,7 @@
 
 
 def test_a_node_with_twelve_times_the_demand_spends_more_than_its_own_share() -> None:
-    rehearsal, _, _ = virtual.play(load("shared-halves", {}))
+    rehearsal, _, _ = virtual.run_scenario(load("shared-halves", {}))
     spent = [
         sum(event["event"] == "spend" for event in events) for events in rehearsal.environment.histories()
     ]
@@ -162,7 +162,7 @@
     """Guards against a report of an interrupted run that has no findings because no history was read."""
     monkeypatch.setattr(Suspicion, "deadline_ns", lambda self: NEVER)
     elapsed_s: list[float] = []
-    rehearsal, log, _ = virtual.play(
+    rehearsal, log, _ = virtual.run_scenario(
         load("tier-crashes", LIGHT_LOAD), elapsed_s.append, lambda: bool(elapsed_s) and elapsed_s[-1] > 16
     )
     result = build.build(rehearsal, log, "virtual")
