--- a/lichenspring/balance.py
+++ b/lichenspring/balance.py
@@ -129,6 +129,7 @@
     trial: bool = False
 
     def reset_health(self) -> None:
+        """Forgets all evidence of failures, as after a restart of the server."""
         self.failure_log_odds = 0.0
         self.ejected_until = 0
         self.doublings = 0
@@ -158,9 +159,11 @@
     in_backoff: bool = False  # waits before its next attempt
 
     def is_over(self) -> bool:
+        """Whether the request is closed and all its attempts have ended."""
         return self.closed and all(attempt.result is not None for attempt in self.attempts)
 
     def attempts_maybe_run(self) -> list[Attempt]:
+        """The attempts that a server may have executed."""
         return [attempt for attempt in self.attempts if attempt.result not in NEVER_RAN]
 
     def may_refuse(self) -> bool:
@@ -271,6 +274,7 @@
         return actions
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        """Takes one event at time `now` (ns) and returns the resulting actions in order."""
         self._actions = []
         while self._deferred and self._deferred[0][0] <= now:
             heappop(self._deferred)[2](now)
--- a/lichenspring/breaker.py
+++ b/lichenspring/breaker.py
@@ -53,6 +53,7 @@
     changed_at: int = 0
 
     def add(self, now: int, change: int) -> None:
+        """Changes the count and updates its moving average."""
         retained_weight = exp((self.changed_at - now) / UPDATE_PERIOD_NS)
         self.mean = retained_weight * self.mean + (1.0 - retained_weight) * self.count
         self.count += change
@@ -75,6 +76,7 @@
     timed_out: list[float] = field(default_factory=list)  # censored: a lower bound
 
     def clear(self) -> None:
+        """Discards the window's response times and time-outs."""
         self.answered.clear()
         self.timed_out.clear()
 
@@ -145,6 +147,7 @@
         self.target, self.typical_time = TARGET_FRACTION * self.aim, float(self.aim)
 
     def threshold(self, start: float) -> float:
+        """Requests in flight per server above which the class is refused; `start` until a window had data."""
         return max(self.target / self.alpha, PROVEN_LOAD_FRACTION * self.proven_load) if self.alpha else start
 
     def update(self, in_flight: float, start: float, idle: bool, pooled: float = 0.0) -> None:
