--- a/driftstair/commands.py
+++ b/driftstair/commands.py
@@ -35,7 +35,7 @@
     from driftstair.tier import options as tier
 
     command_parser.add_argument(
-        "--service", metavar="FILE", help="run the daemon with a service file (or " "DRIFTSTAIR_SERVICE)"
+        "--service", metavar="FILE", help="the daemon with a service file (or DRIFTSTAIR_SERVICE)"
     )
     rehearsal.add(subparsers)
     service.add(subparsers)
--- a/driftstair/operations/service.py
+++ b/driftstair/operations/service.py
@@ -57,7 +57,7 @@
         self.server_overrides = ServerOverrides(state.orders)
         self.config = config
         if self._predecessor is not None:
-            log.info("taking over from the previous process")
+            log.info("taking over from the process before this one")
             self._list_is_current = False
             if state.list is not None:
                 # List versions are only valid for the discovery service that they came from.
@@ -221,7 +221,9 @@
         self._apply(self._store.read().orders)
 
     def _on_handover(self, to_successor: bool) -> None:
-        log.info("clients are served by %s", "the next process" if to_successor else "this process again")
+        log.info(
+            "clients are taken by %s", "the process after this one" if to_successor else "this process again"
+        )
         self._frontend.hand_over(to_successor)
 
 
