--- a/benchmarks/scale/hollow/cluster.py
+++ b/benchmarks/scale/hollow/cluster.py
@@ -227,7 +227,15 @@
 
     async def stop_recording(self) -> Iterator[MemberObservation]:
         """Stops recording; returns the observations, which are ordered by time for each observer."""
-        await self._send_to_all(orders.Record(False))
+        return await self._collect_observations(orders.Record(False))
+
+    async def read_recording(self) -> Iterator[MemberObservation]:
+        """Returns the observations since the last call and goes on recording, without a gap."""
+        return await self._collect_observations(orders.Record(True))
+
+    async def _collect_observations(self, order: orders.Record) -> Iterator[MemberObservation]:
+        """Sends an order that has each worker write what it has recorded; returns what was written."""
+        await self._send_to_all(order)
         files = Path(self._folder.name).glob("records-*")
         return (observation for file in files for observation in read_records(file))
 
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -19,7 +19,7 @@
 from benchmarks.scale.faults import evaluate
 from benchmarks.scale.hollow.cluster import Cluster
 from benchmarks.scale.hollow.plan import REGION_COUNT, Plan, region_of
-from benchmarks.scale.hollow.record import MemberObservation, read_observations
+from benchmarks.scale.hollow.record import MemberObservation
 from benchmarks.scale.slope import fit_line
 from benchmarks.scale.watchers import InForce, Put, compute_delays
 
@@ -123,11 +123,10 @@
         async with asyncio.timeout(AGREEMENT_TIMEOUT_S):
             while len(informed) < PLAN.count - 1:
                 await asyncio.sleep(POLL_INTERVAL_S)
-                await cluster.start_recording()  # writes what is recorded so far, and goes on without a gap
+                rows = await cluster.read_recording()
                 informed |= {
                     observation.observer
-                    for file in Path(cluster._folder.name).glob("records-*")
-                    for observation in read_observations(file)
+                    for observation in rows
                     if observation.member == 3 and observation.state == "left"
                 }
         assert await has_agreed(cluster)
