--- a/driftstair/tier/ownership/leases.py
+++ b/driftstair/tier/ownership/leases.py
@@ -15,6 +15,7 @@
 from typing import Any, NamedTuple
 
 from driftstair.tier.ownership.acceptor import Acceptor, RunningLease
+from driftstair.tier.ownership.local_delivery import deliver_local
 from driftstair.tier.ownership.messages import (
     Accepted,
     Message,
@@ -200,16 +201,10 @@
         return changes
 
     def _deliver_local(self, now: int, outgoing: OutgoingMessages) -> OutgoingMessages:
-        """Handles the messages to this node itself directly; returns those to other nodes."""
-        remote: OutgoingMessages = []
-        queue = list(outgoing)
-        while queue:
-            to, message = queue.pop(0)
-            if to == self._own_number:
-                queue += self._handle(now, self._own_number, self._generation, message)
-            else:
-                remote.append((to, message))
-        return remote
+        own_number, generation = self._own_number, self._generation
+        return deliver_local(
+            outgoing, own_number, lambda message: self._handle(now, own_number, generation, message)
+        )
 
     def on_message(
         self, now: int, sender: int, generation: int, message: Message
--- a/driftstair/tier/ownership/permit_manager.py
+++ b/driftstair/tier/ownership/permit_manager.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from driftstair.tier.ownership.disruption_controller import DisruptionController, LiveNodes
+from driftstair.tier.ownership.local_delivery import deliver_local
 from driftstair.tier.ownership.permits import (
     Holder,
     Kind,
@@ -74,16 +75,10 @@
         return self.holder.on_message(now, sender, message)
 
     def _deliver_local(self, now: int, outgoing: OutgoingMessages) -> OutgoingMessages:
-        """Handles the messages to this node itself directly; returns those to other nodes."""
-        remote: OutgoingMessages = []
-        queue = list(outgoing)
-        while queue:
-            to, message = queue.pop(0)
-            if to == self._own_number:
-                queue += self._handle(now, self._own_number, self.holder.generation, message)
-            else:
-                remote.append((to, message))
-        return remote
+        own_number, generation = self._own_number, self.holder.generation
+        return deliver_local(
+            outgoing, own_number, lambda message: self._handle(now, own_number, generation, message)
+        )
 
     def request_permit(self, now: int, kind: Kind, until: int) -> None:
         """Wants a permit until `until` (ns)."""
