--- a/driftstair/rehearsal/rules.py
+++ b/driftstair/rehearsal/rules.py
@@ -164,6 +164,11 @@
 
     # Rule 1: exactly one final answer, in time.
 
+    def _report_unanswered(self, request: bytes, record: _RequestRecord, at: int, description: str) -> None:
+        """Reports a request that ends without a final answer, and ends it."""
+        self._report_break(1, at, f"{description}; {_history(record)}", request, node=record.node)
+        self._end_request(record, at)
+
     def _check_deadlines(self, now: int) -> None:
         while self._deadlines and self._deadlines[0][0] < now:
             _, request = heappop(self._deadlines)
@@ -172,14 +177,9 @@
                 continue
             if record.open and not record.excused:
                 waited = (record.deadline - record.asked_at) / 1e9
-                self._report_break(
-                    1,
-                    record.deadline,
-                    f"no final answer within {waited:.3f} s; {_history(record)}",
-                    request,
-                    node=record.node,
+                self._report_unanswered(
+                    request, record, record.deadline, f"no final answer within {waited:.3f} s"
                 )
-                self._end_request(record, record.deadline)
             # A later message for the request is still a violation, so its state is kept for another minute.
             heappush(self._expiries, (record.deadline + 60_000 * NS_PER_MS, request))
         while self._expiries and self._expiries[0][0] < now:
@@ -259,14 +259,9 @@
             # it again.
             self._end_request(record, event.at)
             return
-        self._report_break(
-            1,
-            event.at,
-            f"its connection ended ({event.reason}) with no answer; {_history(record)}",
-            event.request,
-            node=record.node,
+        self._report_unanswered(
+            event.request, record, event.at, f"its connection ended ({event.reason}) with no answer"
         )
-        self._end_request(record, event.at)
 
     def _on_left_off(self, event: wire.RequestAbandoned) -> None:
         record = self._requests.get(event.request)
@@ -459,14 +454,9 @@
             if not record.open or record.excused or record.node != event.node:
                 continue
             if event.planned:
-                self._report_break(
-                    1,
-                    event.at,
-                    f"the node ended of itself and left it unanswered; {_history(record)}",
-                    request,
-                    node=event.node,
+                self._report_unanswered(
+                    request, record, event.at, "the node ended of itself and left it unanswered"
                 )
-                self._end_request(record, event.at)
             else:
                 record.excused = True
         # A restarted process knows only what it is told from now on.
