--- a/tests/ledger/test_ledger_command.py
+++ b/tests/ledger/test_ledger_command.py
@@ -26,23 +26,17 @@
     return folder
 
 
+def correct(folder: Path, *count: str) -> int:
+    """Corrects the period 2026-02 of node n0; returns the exit status."""
+    return run(["ledger", "correct", str(folder), "--node", "n0", "--period", "2026-02", *count, *CORRECTION])
+
+
 def test_close_and_correct_a_period(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     folder = write_ledger(tmp_path / "a")
     assert run(["ledger", "verify", str(folder)]) == 0
     assert "3 entries stand" in capsys.readouterr().out
     assert run(["ledger", "close", str(folder), "--node", "n0", "--period", "2026-02"]) == 0
-    arguments = [
-        "ledger",
-        "correct",
-        str(folder),
-        "--node",
-        "n0",
-        "--period",
-        "2026-02",
-        "--count=-2",
-        *CORRECTION,
-    ]
-    assert run(arguments) == 0
+    assert correct(folder, "--count=-2") == 0
     assert "for 2026-03" in capsys.readouterr().out
     assert run(["ledger", "show", str(folder), "--json"]) == 0
     totals = {row["period"]: row for row in json.loads(capsys.readouterr().out)["totals"]}
@@ -113,19 +107,7 @@
 def test_refused_correction_writes_nothing(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     folder = write_ledger(tmp_path / "a")
     before = (folder / "n0-00000001.ledger").read_bytes()
-    arguments = [
-        "ledger",
-        "correct",
-        str(folder),
-        "--node",
-        "n0",
-        "--period",
-        "2026-02",
-        "--count",
-        "0",
-        *CORRECTION,
-    ]
-    assert run(arguments) == 2
+    assert correct(folder, "--count", "0") == 2
     assert run(["ledger", "close", str(folder), "--node", "n0", "--period", "9998-01"]) == 2
     assert "has not ended" in capsys.readouterr().err
     assert (folder / "n0-00000001.ledger").read_bytes() == before
