--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -151,7 +151,7 @@
 
 
 def test_request_completed_after_shutdown_failed_all_is_refused() -> None:
-    """Guards against a request that is forwarded as the process ends, and is never answered."""
+    """Guards against a request that is forwarded 20 ms before the process ends, and is never answered."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
